--- a/crates/pinepoint-lab/src/main.rs
+++ b/crates/pinepoint-lab/src/main.rs
@@ -100,6 +100,16 @@
         #[arg(long, default_value_t = 1200.0)]
         rate: f64,
     },
+    /// Stand-ins for the engine, the store and the list service at the addresses of a configuration file; with
+    /// --request, one request to the program once it accepts, and its answer
+    StandIns {
+        /// The program's configuration file
+        #[arg(long, default_value = "deploy/example/config.json")]
+        config: PathBuf,
+        /// Send one request that only reads, with this body, print the answer and end
+        #[arg(long)]
+        request: Option<String>,
+    },
 }
 
 fn main() -> ExitCode {
@@ -136,6 +146,27 @@
             let mut tell = |line: &serde_json::Value| println!("{line}");
             ended(operation::cost::measure(&options, &mut tell).map(|summary| println!("{summary}")))
         }
+        Command::StandIns { config, request } => ended(stand_ins(&config, request.as_deref())),
+    }
+}
+
+/// Serves as the engine, the store and the list service of the program; until interrupted, or for one request.
+fn stand_ins(config: &std::path::Path, request: Option<&str>) -> io::Result<()> {
+    use operation::stand_ins::{Addresses, StandIns, request_once};
+    let addresses = Addresses::read(config)?;
+    let _stand_ins = StandIns::start(&addresses)?;
+    eprintln!(
+        "pinepoint-lab: engine at {}, store at {}, list service at {}",
+        addresses.engine, addresses.store, addresses.members
+    );
+    match request {
+        Some(body) => {
+            println!("{:?}", request_once(addresses.listen, body)?);
+            Ok(())
+        }
+        None => loop {
+            std::thread::park();
+        },
     }
 }
 
--- a/crates/pinepoint-lab/src/operation.rs
+++ b/crates/pinepoint-lab/src/operation.rs
@@ -8,6 +8,7 @@
 pub mod load;
 pub mod management;
 pub mod services;
+pub mod stand_ins;
 
 use std::io;
 use std::path::PathBuf;
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -171,9 +171,13 @@
 }
 
 impl Engine {
-    /// Starts an engine that is up.
+    /// Starts an engine that is up, at a loopback address of its own.
     pub fn start(finish: Finish) -> io::Result<Engine> {
-        let listener = own_port()?;
+        Engine::start_on(own_port()?, finish)
+    }
+
+    /// Starts an engine that is up and takes its link on this listener.
+    pub fn start_on(listener: TcpListener, finish: Finish) -> io::Result<Engine> {
         let address = listener.local_addr()?;
         let state = State { finish, up: true, link: None, runs: Vec::new(), notices: Vec::new() };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -29,9 +29,13 @@
 }
 
 impl ListService {
-    /// Starts it on a thread of its own.
+    /// Starts it on a thread of its own, at a free loopback port.
     pub fn start() -> io::Result<ListService> {
-        let socket = UdpSocket::bind("127.0.0.1:0")?;
+        ListService::start_on(UdpSocket::bind("127.0.0.1:0")?)
+    }
+
+    /// Starts it on a thread of its own, reading reports from this socket.
+    pub fn start_on(socket: UdpSocket) -> io::Result<ListService> {
         let service = ListService { reports: Arc::default(), address: socket.local_addr()? };
         let reports = service.reports.clone();
         std::thread::spawn(move || record(&socket, &reports));
@@ -72,9 +76,13 @@
 }
 
 impl Store {
-    /// Starts it on threads of its own.
+    /// Starts it on threads of its own, at a loopback address of its own.
     pub fn start() -> io::Result<Store> {
-        let listener = own_port()?;
+        Store::start_on(own_port()?)
+    }
+
+    /// Starts it on threads of its own, taking connections on this listener.
+    pub fn start_on(listener: TcpListener) -> io::Result<Store> {
         let store = Store { calls: Arc::default(), address: listener.local_addr()? };
         let calls = store.calls.clone();
         std::thread::spawn(move || accept_callers(&listener, &calls));
--- /dev/null
+++ b/crates/pinepoint-lab/src/operation/stand_ins.rs
@@ -0,0 +1,87 @@
+//! Stand-ins for what a comparer needs around it, at the addresses of its configuration file: the engine, the store and
+//! the list service. They let a newcomer start the program on one machine and watch it serve a request.
+
+use std::io;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::client::{Client, Reply, Request};
+use super::engine::{Engine, Finish};
+use super::services::{ListService, Store};
+
+/// Time that a run takes on the stand-in engine.
+const RUN_TIME: Duration = Duration::from_millis(5);
+/// How long the program is waited for before the request is given up.
+const PROGRAM_WAIT: Duration = Duration::from_secs(30);
+/// Pause between two tries to reach the program while it starts.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+
+/// The addresses that a configuration file names; its other fields are the program's business.
+#[derive(Clone, Copy, Debug)]
+pub struct Addresses {
+    /// Where routers connect to the program.
+    pub listen: SocketAddr,
+    /// The engine, over TCP.
+    pub engine: SocketAddr,
+    /// The list service, over UDP.
+    pub members: SocketAddr,
+    /// The store, over TCP.
+    pub store: SocketAddr,
+}
+
+impl Addresses {
+    /// Reads them from a configuration file.
+    pub fn read(file: &Path) -> io::Result<Addresses> {
+        let text = std::fs::read_to_string(file)?;
+        let document: Value = serde_json::from_str(&text).map_err(io::Error::other)?;
+        let address = |field: &str| -> io::Result<SocketAddr> {
+            let text = document.get(field).and_then(Value::as_str).unwrap_or_default();
+            text.parse().map_err(|_| {
+                let wrong = format!("{}: {field}: is no address like \"127.0.0.1:9300\"", file.display());
+                io::Error::new(io::ErrorKind::InvalidData, wrong)
+            })
+        };
+        Ok(Addresses {
+            listen: address("listen")?,
+            engine: address("engine")?,
+            members: address("members")?,
+            store: address("store")?,
+        })
+    }
+}
+
+/// The stand-ins, running on threads of their own for as long as this process lives.
+#[derive(Debug)]
+pub struct StandIns {
+    /// The engine.
+    pub engine: Engine,
+    /// The store.
+    pub store: Store,
+    /// The list service.
+    pub list: ListService,
+}
+
+impl StandIns {
+    /// Starts all three at these addresses.
+    pub fn start(addresses: &Addresses) -> io::Result<StandIns> {
+        let engine = Engine::start_on(TcpListener::bind(addresses.engine)?, Finish::After(RUN_TIME))?;
+        let store = Store::start_on(TcpListener::bind(addresses.store)?)?;
+        let list = ListService::start_on(UdpSocket::bind(addresses.members)?)?;
+        Ok(StandIns { engine, store, list })
+    }
+}
+
+/// Sends one request that only reads to the program at `listen`, waiting for the program to accept first.
+pub fn request_once(listen: SocketAddr, body: &str) -> io::Result<Reply> {
+    let since = Instant::now();
+    loop {
+        match Client::connect(listen) {
+            Ok(client) => return Ok(client.call(&Request::read(body))),
+            Err(error) if since.elapsed() > PROGRAM_WAIT => return Err(error),
+            Err(_) => std::thread::sleep(RETRY_PAUSE),
+        }
+    }
+}
