--- a/crates/pinepoint-facts/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -3,7 +3,7 @@
 //! It must never allocate, do I/O or depend on any other crate of the workspace.
 //!
 //! ```
-//! use pinepoint_facts::{Fact, Kind, Observer, Reason, Refusal};
+//! use pinepoint_events::{Fact, Kind, Observer, Reason, Refusal};
 //!
 //! struct Last(std::cell::Cell<Option<Fact>>);
 //! impl Observer for Last {
--- a/crates/pinepoint-handover/src/io.rs
+++ b/crates/pinepoint-handover/src/io.rs
@@ -17,7 +17,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
--- a/crates/pinepoint-handover/src/ownership.rs
+++ b/crates/pinepoint-handover/src/ownership.rs
@@ -1,6 +1,6 @@
 //! What both machines share: bounds, reasons, and what may be done with a key that a process does not know.
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 
 /// Bounds and waits of a handover.
 #[derive(Clone, Debug)]
--- a/crates/pinepoint-handover/src/wire.rs
+++ b/crates/pinepoint-handover/src/wire.rs
@@ -1,6 +1,6 @@
 //! Bytes to messages and back: a fixed preamble, then frames of a length and a message. No I/O.
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 
 use crate::message::Message;
 
--- a/crates/pinepoint-ledger/src/ledger.rs
+++ b/crates/pinepoint-idempotency/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 use pinepoint_store::log::Change;
 use serde::{Deserialize, Serialize};
 
--- a/crates/pinepoint-ledger/src/lib.rs
+++ b/crates/pinepoint-idempotency/src/lib.rs
@@ -12,8 +12,8 @@
 //! [`ledger`] decides and [`time`] judges what the clock did meanwhile. Neither does I/O or reads a clock.
 //!
 //! ```
-//! use pinepoint_ledger::ledger::{Action, Event, Ledger, Rules, Try};
-//! use pinepoint_ledger::time::Gap;
+//! use pinepoint_idempotency::ledger::{Action, Event, Ledger, Rules, Try};
+//! use pinepoint_idempotency::time::Gap;
 //!
 //! let (mut ledger, _) = Ledger::open(Rules::default(), 0.0, Gap::Known(0.0), std::iter::empty());
 //! let mut out = Vec::new();
--- a/crates/pinepoint-ledger/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use pinepoint_ledger::ledger::{Action, End, Event, Fault, Key, Ledger, Rules, Try};
-use pinepoint_ledger::time::Gap;
+use pinepoint_idempotency::ledger::{Action, End, Event, Fault, Key, Ledger, Rules, Try};
+use pinepoint_idempotency::time::Gap;
 use pinepoint_store::log::Change;
 
 const WINDOW: f64 = 1000.0;
--- a/crates/pinepoint-fleet/benches/measure.rs
+++ b/crates/pinepoint-membership/benches/measure.rs
@@ -1,5 +1,5 @@
 //! What the measurement page of the fleet shows: the same deciding code in simulated time, over sizes and seeds, against
-//! plain SWIM and the plain heartbeat. `cargo bench -p pinepoint-fleet --bench measure -- detect --sizes 12,100 --seeds 20`
+//! plain SWIM and the plain heartbeat. `cargo bench -p pinepoint-membership --bench measure -- detect --sizes 12,100 --seeds 20`
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 use clap::{Parser, ValueEnum};
-use pinepoint_fleet::fleet::{Action, Detector, Event, Fleet, Rules, Told};
-use pinepoint_fleet::judge::Kind;
-use pinepoint_fleet::member::{Identity, Load, Phase, Record, Standing, key};
-use pinepoint_fleet::wire::{Body, Packet, Sender};
+use pinepoint_membership::fleet::{Action, Detector, Event, Fleet, Rules, Told};
+use pinepoint_membership::judge::Kind;
+use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing, key};
+use pinepoint_membership::wire::{Body, Packet, Sender};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sim::{Net, PERIOD, World, address};
--- a/crates/pinepoint-fleet/src/fleet.rs
+++ b/crates/pinepoint-membership/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -362,8 +362,8 @@
     }
 
     /// The view in figures.
-    pub fn figures(&self, now: f64) -> pinepoint_facts::Fleet {
-        pinepoint_facts::Fleet {
+    pub fn figures(&self, now: f64) -> pinepoint_events::Fleet {
+        pinepoint_events::Fleet {
             up: self.table.up() as u32 + 1,
             suspected: self.suspects.len() as u32,
             lost: self.table.lost().len() as u32,
--- a/crates/pinepoint-fleet/src/io.rs
+++ b/crates/pinepoint-membership/src/io.rs
@@ -15,7 +15,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Observer, Reason, Turn};
+use pinepoint_events::{Observer, Reason, Turn};
 
 use crate::config::Config;
 use crate::fleet::{Action, Event, Fleet, Told, View};
@@ -83,7 +83,7 @@
     source: Rc<dyn Source>,
     observer: Rc<dyn Observer>,
     /// What the observer was told last.
-    figures: Cell<pinepoint_facts::Fleet>,
+    figures: Cell<pinepoint_events::Fleet>,
     executor: Rc<LocalExecutor<'static>>,
     snapshots: RefCell<VecDeque<(u64, Rc<[u8]>)>>,
     knocks: Cell<u32>,
--- a/crates/pinepoint-fleet/src/judge.rs
+++ b/crates/pinepoint-membership/src/judge.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 use serde::Serialize;
 
 use crate::table::{Returned, Table};
@@ -41,7 +41,7 @@
 
 impl Serialize for Kind {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(pinepoint_facts::Reason::word(*self))
+        to.serialize_str(pinepoint_events::Reason::word(*self))
     }
 }
 
--- a/crates/pinepoint-fleet/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -14,8 +14,8 @@
 //! messages; [`io`] carries out; [`config`] is what operators choose. Decisions do no I/O and read no clock.
 //!
 //! ```
-//! use pinepoint_fleet::fleet::{Action, Event, Fleet, Rules};
-//! use pinepoint_fleet::member::Identity;
+//! use pinepoint_membership::fleet::{Action, Event, Fleet, Rules};
+//! use pinepoint_membership::member::Identity;
 //!
 //! let member = |n: u8, seeds: &[u8]| {
 //!     let at = |n| ([127, 0, 0, n], 7000).into();
--- a/crates/pinepoint-fleet/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pinepoint_facts::{Reason, reasons};
+use pinepoint_events::{Reason, reasons};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/pinepoint-fleet/tests/courses.rs
+++ b/crates/pinepoint-membership/tests/courses.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use pinepoint_fleet::fleet::Rules;
+use pinepoint_membership::fleet::Rules;
 use sim::{Net, World};
 
 fn seeds(n: u64) -> Vec<u64> {
@@ -50,8 +50,8 @@
         let took = world.await_truth(15.0);
         assert!(took.is_some(), "FLEET_SEED={seed}: {}", world.untrue());
         // It suspects itself before it accuses others.
-        use pinepoint_fleet::fleet::Told;
-        use pinepoint_fleet::member::Standing;
+        use pinepoint_membership::fleet::Told;
+        use pinepoint_membership::member::Standing;
         let accused = world.nodes[7].told.iter().filter(
             |(_, told)| matches!(told, Told::Member { record, .. } if record.standing != Standing::Alive),
         );
--- a/crates/pinepoint-fleet/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -5,7 +5,7 @@
 
 mod sim;
 
-use pinepoint_fleet::fleet::{Fault, Rules};
+use pinepoint_membership::fleet::{Fault, Rules};
 use sim::{One, World};
 
 /// Moments at which it happens, in fifths of a period, and datagrams that may be touched.
--- a/crates/pinepoint-fleet/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -3,10 +3,10 @@
 
 mod sim;
 
-use pinepoint_fleet::fleet::{Detector, Rules, Told};
-use pinepoint_fleet::judge::Kind;
-use pinepoint_fleet::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_fleet::wire::{Body, Packet, Sender};
+use pinepoint_membership::fleet::{Detector, Rules, Told};
+use pinepoint_membership::judge::Kind;
+use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
+use pinepoint_membership::wire::{Body, Packet, Sender};
 use sim::{Net, World, address};
 
 fn rules(detector: Detector) -> Rules {
@@ -120,7 +120,7 @@
     (0..30).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
     for at in (0..30).filter(|at| at % 3 != 1) {
         for zone in (0..30).filter(|at| at % 3 == 1) {
-            world.tell(at, pinepoint_fleet::fleet::Event::Refused(address(zone)));
+            world.tell(at, pinepoint_membership::fleet::Event::Refused(address(zone)));
         }
     }
     world.run(14.0);
@@ -352,6 +352,6 @@
     world.run(40.0);
     assert!(world.running().all(|(_, fleet)| fleet.table().len() <= 11));
     assert!(world.running().any(|(_, fleet)| fleet.table().len() == 11));
-    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_facts::Reason::word(*why) == "full");
+    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_events::Reason::word(*why) == "full");
     assert!(world.nodes.iter().flat_map(|node| &node.told).any(|(_, t)| full(t)), "nothing is told of it");
 }
--- a/crates/pinepoint-fleet/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use pinepoint_fleet::fleet::{Action, Event, Fleet, Rules, Told};
-use pinepoint_fleet::member::{Identity, Phase, Standing, key};
-use pinepoint_fleet::wire::{Codec, Message, Packet};
+use pinepoint_membership::fleet::{Action, Event, Fleet, Rules, Told};
+use pinepoint_membership::member::{Identity, Phase, Standing, key};
+use pinepoint_membership::wire::{Codec, Message, Packet};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use divan::{Bencher, black_box};
-use pinepoint_facts::{Answer, CallEnd, Decision, Fact, Front, Kind, RunEnd};
+use pinepoint_events::{Answer, CallEnd, Decision, Fact, Front, Kind, RunEnd};
 use pinepoint_telemetry::accounts::{Accounts, Class};
 use pinepoint_telemetry::circuit;
 use pinepoint_telemetry::collectd::{Lists, Protection, Secret, Types};
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pinepoint_facts::{Answer, Fact, Kind, Reason, State};
+use pinepoint_events::{Answer, Fact, Kind, Reason, State};
 
 use crate::schema::{Plain, Schema};
 use crate::snapshot::{Dist, Growing};
@@ -176,8 +176,8 @@
             let plain = |plain| self.totals[self.schema.plain(class, plain)];
             let sum = |from: usize, n: usize| self.totals[from..from + n].iter().sum::<f64>();
             let refused =
-                sum(self.schema.refused(class, Reason::ALL[0]), pinepoint_facts::Refusal::ALL.len());
-            let failed = sum(self.schema.failed(class, Reason::ALL[0]), pinepoint_facts::Failure::ALL.len());
+                sum(self.schema.refused(class, Reason::ALL[0]), pinepoint_events::Refusal::ALL.len());
+            let failed = sum(self.schema.failed(class, Reason::ALL[0]), pinepoint_events::Failure::ALL.len());
             let served = plain(Plain::InAim) + plain(Plain::Late);
             let ended = served + refused + failed + plain(Plain::Expired) + plain(Plain::Gone);
             (plain(Plain::Read) - ended - open[class] as f64).abs()
@@ -193,7 +193,7 @@
 
 #[cfg(test)]
 mod tests {
-    use pinepoint_facts::{Failure, Front, Refusal};
+    use pinepoint_events::{Failure, Front, Refusal};
 
     use super::*;
     use crate::schema::Scope;
--- a/crates/pinepoint-telemetry/src/delivery.rs
+++ b/crates/pinepoint-telemetry/src/delivery.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use pinepoint_facts::reasons;
+use pinepoint_events::reasons;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/pinepoint-telemetry/src/io.rs
+++ b/crates/pinepoint-telemetry/src/io.rs
@@ -10,7 +10,7 @@
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Fact, Limit, Observer, Reason, State, Turn};
+use pinepoint_events::{Fact, Limit, Observer, Reason, State, Turn};
 
 use crate::accounts::{Accounts, Class};
 use crate::collectd::{Lists, Notification, Protection, Secret, Severity};
@@ -101,7 +101,7 @@
     due: Cell<bool>,
     cut: (Sender<()>, Receiver<()>),
     last_state: RefCell<State>,
-    fleet: Cell<pinepoint_facts::Fleet>,
+    fleet: Cell<pinepoint_events::Fleet>,
     leaving: Cell<Option<f64>>,
     limits: RefCell<HashMap<&'static str, f64>>,
     destinations: [RefCell<Option<Destination>>; DESTINATIONS.len()],
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -8,7 +8,7 @@
 //! ```
 //! use std::rc::Rc;
 //!
-//! use pinepoint_facts::{Answer, Fact, Front, Kind};
+//! use pinepoint_events::{Answer, Fact, Front, Kind};
 //! use pinepoint_telemetry::accounts::{Accounts, Class};
 //! use pinepoint_telemetry::schema::Schema;
 //!
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -3,7 +3,7 @@
 
 use std::borrow::Cow;
 
-use pinepoint_facts::{CallEnd, Failure, Reason, Refusal, RunEnd};
+use pinepoint_events::{CallEnd, Failure, Reason, Refusal, RunEnd};
 
 /// What a series belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/bin/pinepoint/config.rs
+++ b/src/bin/pinepoint/config.rs
@@ -20,7 +20,7 @@
     /// What holds for all destinations of counts.
     pub telemetry: pinepoint_telemetry::config::Telemetry,
     /// The view of the fleet.
-    pub fleet: Option<pinepoint_fleet::config::Config>,
+    pub fleet: Option<pinepoint_membership::config::Config>,
     /// Counts to Graphite.
     pub graphite: Option<pinepoint_telemetry::config::Graphite>,
     /// Counts to collectd.
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -19,8 +19,8 @@
 use pinepoint::node::{ajp, fleet, handover, links, rpc, telemetry};
 use pinepoint::settings::Site;
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Observer, Unwatched};
-use pinepoint_fleet::io::Member;
+use pinepoint_events::{Observer, Unwatched};
+use pinepoint_membership::io::Member;
 use pinepoint_telemetry::Telemetry;
 
 use crate::bind::{Bound, bind};
@@ -224,7 +224,7 @@
             self.queue.clone(),
             keys_most,
         ));
-        let parts = pinepoint_fleet::io::Parts {
+        let parts = pinepoint_membership::io::Parts {
             name: self.name.clone(),
             cores: settings.cores,
             seed: self.seed,
@@ -233,7 +233,8 @@
             source: watch.clone(),
             observer: watch.clone(),
         };
-        let member = pinepoint_fleet::io::start(config, parts).map_err(|e| StartError::System("fleet", e))?;
+        let member =
+            pinepoint_membership::io::start(config, parts).map_err(|e| StartError::System("fleet", e))?;
         Ok(Watched { observer: watch, member: Some(member) })
     }
 
--- a/src/bin/pinepoint/view.rs
+++ b/src/bin/pinepoint/view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use pinepoint_fleet::io::{AskError, ask};
+use pinepoint_membership::io::{AskError, ask};
 use serde_json::Value;
 
 /// Tries for each page of a view, and the wait of each.
@@ -21,7 +21,7 @@
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
         /// The name of its fleet
-        #[arg(long, value_name = "NAME", default_value_t = pinepoint_fleet::config::name())]
+        #[arg(long, value_name = "NAME", default_value_t = pinepoint_membership::config::name())]
         fleet: String,
         /// Print it as JSON
         #[arg(long)]
@@ -33,7 +33,7 @@
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
         /// The name of its fleet
-        #[arg(long, value_name = "NAME", default_value_t = pinepoint_fleet::config::name())]
+        #[arg(long, value_name = "NAME", default_value_t = pinepoint_membership::config::name())]
         fleet: String,
         /// Between two looks, ms
         #[arg(long, value_name = "MS", default_value_t = 500)]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! Every type that the decision module exposes. Plain data: what is decided lives in `brain.rs`.
 //! All times are milliseconds of the host's clock, all memory is in kilobytes.
 
-pub use pinepoint_facts::{Failure, Refusal};
+pub use pinepoint_events::{Failure, Refusal};
 
 /// What a server is told when it starts.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -11,7 +11,7 @@
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, future};
-use pinepoint_facts::{Limit, Turn};
+use pinepoint_events::{Limit, Turn};
 
 use super::connection_state::Guest;
 use super::front::Front;
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Answer, CallEnd, Decision, Fact, Kind, Limit, Observer, RunEnd as Over, State, Turn};
+use pinepoint_events::{Answer, CallEnd, Decision, Fact, Kind, Limit, Observer, RunEnd as Over, State, Turn};
 use pinepoint_handover::ownership::UnknownKey;
 
 mod handover;
--- a/src/node/core/handover.rs
+++ b/src/node/core/handover.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pinepoint_facts::{Failure, Kind, Turn};
+use pinepoint_events::{Failure, Kind, Turn};
 use pinepoint_handover::message::{Claim, Key as SharedKey, KeyRecord, KeyState};
 use pinepoint_handover::ownership::{Denial, Rules, UnknownKey};
 use pinepoint_handover::predecessor::{self, Predecessor};
--- a/src/node/fleet.rs
+++ b/src/node/fleet.rs
@@ -6,9 +6,9 @@
 
 use async_channel::Sender;
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Fact, Observer, State, Turn};
-use pinepoint_fleet::io::Source;
-use pinepoint_fleet::member::{Load, Phase};
+use pinepoint_events::{Fact, Observer, State, Turn};
+use pinepoint_membership::io::Source;
+use pinepoint_membership::member::{Load, Phase};
 
 use super::port::Input;
 use super::status::Status;
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -4,7 +4,7 @@
 
 use async_channel::Sender;
 use pinepoint_clock::Clock;
-use pinepoint_facts::Observer;
+use pinepoint_events::Observer;
 
 use super::counters::Counters;
 use super::port::Input;
--- a/src/node/listen.rs
+++ b/src/node/listen.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
-use pinepoint_facts::{Limit, Turn};
+use pinepoint_events::{Limit, Turn};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 
 use super::connection_state::Guest;
--- a/src/node/port.rs
+++ b/src/node/port.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use pinepoint_facts::Front;
+use pinepoint_events::Front;
 use pinepoint_handover::message::{Hello, Message};
 use pinepoint_handover::ownership::NoPredecessor;
 
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -12,7 +12,7 @@
 use pinepoint::settings::Site;
 use pinepoint::{Effect, Outcome};
 use pinepoint_clock::Clock;
-use pinepoint_facts::{Fact, Front, Kind, Observer, State, Turn};
+use pinepoint_events::{Fact, Front, Kind, Observer, State, Turn};
 
 /// What the stand-ins saw, and what the observer was told.
 #[derive(Default)]
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -6,7 +6,7 @@
 use bench::{Bench, Step};
 use pinepoint::Outcome;
 use pinepoint::node::port::{Input, Reply};
-use pinepoint_facts::{Answer, Kind, Turn};
+use pinepoint_events::{Answer, Kind, Turn};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,9 +6,9 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use pinepoint_fleet::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_fleet::wire::{Body, Codec, Message, Packet, Sender};
 use pinepoint_lab::rig::{Options, Rig};
+use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
+use pinepoint_membership::wire::{Body, Codec, Message, Packet, Sender};
 
 /// Courses at once: a process that is not run looks dead, and these are to be stopped by scripts only.
 const AT_ONCE: usize = 3;
@@ -47,7 +47,7 @@
 /// The same with more lines in the section of the fleet.
 fn bounded(name: &str, members: usize, zones: usize, fleet: &str) -> Course {
     let turn = Turn::wait();
-    let folder = std::env::temp_dir().join(format!("pinepoint-fleet-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("pinepoint-membership-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_pinepoint").into();
     let fleet = fleet.to_owned();
     let options =
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -14,7 +14,7 @@
 use pinepoint::node::status::Status;
 use pinepoint::settings::Site;
 use pinepoint_clock::Clock;
-use pinepoint_facts::Front;
+use pinepoint_events::Front;
 use pinepoint_handover::message::Message;
 use pinepoint_handover::ownership::{NoPredecessor, Rules};
 use pinepoint_handover::successor::RECONNECT_MS;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,7 +7,7 @@
 use pinepoint::node::lifecycle::Phase;
 use pinepoint::node::port::Input;
 use pinepoint::settings::Site;
-use pinepoint_facts::Turn;
+use pinepoint_events::Turn;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
