--- a/crates/pinepoint-events/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -3,44 +3,44 @@
 //! It must never allocate, do I/O or depend on any other crate of the workspace.
 //!
 //! ```
-//! use pinepoint_events::{Fact, Kind, Observer, Reason, Refusal};
+//! use pinepoint_events::{RequestEvent, RequestEventKind, Observer, ReasonCode, RejectReason};
 //!
-//! struct Last(std::cell::Cell<Option<Fact>>);
+//! struct Last(std::cell::Cell<Option<RequestEvent>>);
 //! impl Observer for Last {
-//!     fn note(&self, _now_ms: f64, fact: Fact) {
+//!     fn request_event(&self, _now_ms: f64, fact: RequestEvent) {
 //!         self.0.set(Some(fact));
 //!     }
 //! }
 //! let last = Last(None.into());
-//! last.note(1.0, Fact { id: 7, class: 0, kind: Kind::Gone { took_ms: 12.0 } });
+//! last.note(1.0, RequestEvent { id: 7, class: 0, kind: RequestEventKind::CallerGone { took_ms: 12.0 } });
 //! assert_eq!(last.0.get().map(|fact| fact.id), Some(7));
-//! assert_eq!(Refusal::TooLate.word(), "too-late");
+//! assert_eq!(RejectReason::TooLate.code(), "too-late");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 /// An enum of reasons, each with one word.
-pub trait Reason: Copy + Eq + 'static {
-    /// All of them, in a fixed order: the order of [`Reason::index`].
+pub trait ReasonCode: Copy + Eq + 'static {
+    /// All of them, in a fixed order: the order of [`ReasonCode::index`].
     const ALL: &'static [Self];
     /// The word for it: lower-case letters and hyphens.
-    fn word(self) -> &'static str;
-    /// Its place in [`Reason::ALL`].
+    fn code(self) -> &'static str;
+    /// Its place in [`ReasonCode::ALL`].
     fn index(self) -> usize;
 }
 
 /// Makes an enum of reasons, each with one word: `Name { Variant = "word", ... }`, all of it documented.
 #[macro_export]
-macro_rules! reasons {
+macro_rules! reason_codes {
     ($(#[$outer:meta])* $name:ident { $($(#[$doc:meta])* $variant:ident = $word:literal,)+ }) => {
         $(#[$outer])*
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum $name { $($(#[$doc])* $variant,)+ }
 
-        impl $crate::Reason for $name {
+        impl $crate::ReasonCode for $name {
             const ALL: &'static [Self] = &[$($name::$variant,)+];
 
-            fn word(self) -> &'static str {
+            fn code(self) -> &'static str {
                 match self { $($name::$variant => $word,)+ }
             }
 
@@ -52,21 +52,21 @@
         /// The word, as everywhere else.
         impl std::fmt::Debug for $name {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str($crate::Reason::word(*self))
+                f.write_str($crate::ReasonCode::code(*self))
             }
         }
 
         impl std::fmt::Display for $name {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str($crate::Reason::word(*self))
+                f.write_str($crate::ReasonCode::code(*self))
             }
         }
     };
 }
 
-reasons! {
+reason_codes! {
     /// Why a try was turned away. It never ran.
-    Refusal {
+    RejectReason {
         /// It reached the machine after the grace of a drain.
         Leaving = "leaving",
         /// Memory for held and running requests and keys is used up.
@@ -90,9 +90,9 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// Why a try failed. It may have run.
-    Failure {
+    FailureReason {
         /// Its time was over.
         Late = "late",
         /// The stop of the process was near.
@@ -132,9 +132,9 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// How a call ended.
-    CallEnd {
+    CallOutcome {
         /// It went well.
         Done = "done",
         /// It failed and may have taken effect.
@@ -152,9 +152,9 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// How the engine ended a run.
-    RunEnd {
+    RunOutcome {
         /// With a result.
         Complete = "complete",
         /// It failed.
@@ -166,9 +166,9 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// A bound of the process that was reached.
-    Limit {
+    ResourceLimit {
         /// Connections of all fronts: one had to give way.
         Connections = "connections",
         /// Memory for results of keyed requests: one was dropped.
@@ -178,9 +178,9 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// The front that read a request.
-    Front {
+    Protocol {
         /// MessagePack-RPC.
         Rpc = "rpc",
         /// AJP13.
@@ -194,11 +194,11 @@
     /// It is run.
     Run,
     /// It gets the result of the try that it repeats.
-    Reuse,
-    /// It is turned away.
-    Refuse(Refusal),
+    ReuseResult,
+    /// It is rejected.
+    Reject(RejectReason),
     /// It is failed.
-    Fail(Failure),
+    Fail(FailureReason),
 }
 
 /// A final answer, but for those that came too late to be one.
@@ -207,66 +207,66 @@
     /// With a result.
     Served {
         /// Made for another try of the same request.
-        reused: bool,
+        deduplicated: bool,
         /// Made without a call that the run asked for.
-        poorer: bool,
+        degraded: bool,
     },
     /// This try never ran.
-    Refused(Refusal),
+    Rejected(RejectReason),
     /// Nothing is promised.
-    Failed(Failure),
+    Failed(FailureReason),
 }
 
 /// One thing that happened to one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fact {
+pub struct RequestEvent {
     /// The core's number for the request; 0 for one that the decision module did not get to see.
     pub id: u32,
     /// Index of its class.
     pub class: usize,
     /// What happened.
-    pub kind: Kind,
+    pub kind: RequestEventKind,
 }
 
 /// What happened to a request. All durations are milliseconds; `took_ms` counts from the arrival at the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum RequestEventKind {
     /// It was read whole and handed to the core.
-    Read {
+    Received {
         /// By this front.
-        front: Front,
+        protocol: Protocol,
         /// Marked as a further try.
-        again: bool,
+        retry: bool,
         /// Work hint, ms on one core.
         hint_ms: Option<f64>,
         /// Time that it lay unread.
-        unread_ms: f64,
+        read_delay_ms: f64,
     },
     /// The module decided about it.
     Decided(Decision),
     /// Its run was begun.
-    RunBegan {
+    RunStarted {
         /// Time since it was read.
-        held_ms: f64,
+        queue_wait_ms: f64,
     },
     /// Its run is over.
-    RunOver {
+    RunEnded {
         /// How.
-        end: RunEnd,
+        end: RunOutcome,
         /// Time since its run was begun.
         ran_ms: f64,
     },
     /// A call was made for it.
-    CallMade,
+    CallStarted,
     /// A call is over.
-    CallOver {
+    CallEnded {
         /// How.
-        end: CallEnd,
+        end: CallOutcome,
         /// Time since the call was made.
         called_ms: f64,
     },
     /// Its run goes on without its call.
-    CallLeftOut,
+    CallSkipped,
     /// It got its final answer.
     Answered {
         /// The answer.
@@ -277,14 +277,14 @@
         took_ms: f64,
     },
     /// It was told that there was no time left: its final answer as well.
-    Expired {
+    DeadlineExceeded {
         /// Why that was seen.
-        why: Failure,
+        why: FailureReason,
         /// Time since it reached the machine.
         took_ms: f64,
     },
     /// Its caller left; no answer is owed.
-    Gone {
+    CallerGone {
         /// Time since it reached the machine.
         took_ms: f64,
     },
@@ -292,28 +292,28 @@
 
 /// What happened to the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum ProcessEvent {
     /// The engine is up and the module was made.
-    Up {
+    Started {
         /// The machine had started cold.
         cold: bool,
     },
     /// The notice to leave has come; the process is killed at that time, Unix ms.
-    Leaving {
+    Draining {
         /// Time of the kill.
         kill_ms: f64,
     },
     /// Nothing is owed any more, and the process is about to end.
-    Left,
+    Stopped,
     /// A bound was reached.
-    Reached(Limit),
+    LimitReached(ResourceLimit),
     /// The view of the fleet has changed.
-    Fleet(Fleet),
+    MembershipChanged(MembershipSummary),
 }
 
 /// What the view of the fleet holds, in figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fleet {
+pub struct MembershipSummary {
     /// Members that are there, this one included; suspected ones are.
     pub up: u32,
     /// Of these, suspected.
@@ -328,7 +328,7 @@
 
 /// The state of the core at one instant, counted in its own tables.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct CoreState {
     /// For each class, requests read that were neither answered nor given up.
     pub open: Vec<u64>,
     /// Requests held.
@@ -352,52 +352,52 @@
 /// Who is told what happens. Told from the core's thread in the order of things; must neither wait nor fail.
 pub trait Observer {
     /// Something happened to a request.
-    fn note(&self, now_ms: f64, fact: Fact);
+    fn request_event(&self, now_ms: f64, fact: RequestEvent);
 
     /// Something happened to the process.
-    fn turn(&self, now_ms: f64, turn: Turn) {
+    fn process_event(&self, now_ms: f64, turn: ProcessEvent) {
         let _ = (now_ms, turn);
     }
 
     /// The state of the core, in answer to a question for it.
-    fn state(&self, now_ms: f64, state: &State) {
+    fn core_state(&self, now_ms: f64, state: &CoreState) {
         let _ = (now_ms, state);
     }
 }
 
 /// Nobody watches.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Unwatched;
+pub struct NoopObserver;
 
-impl Observer for Unwatched {
-    fn note(&self, _: f64, _: Fact) {}
+impl Observer for NoopObserver {
+    fn request_event(&self, _: f64, _: RequestEvent) {}
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn check<R: Reason + std::fmt::Debug>() {
-        let words: std::collections::BTreeSet<_> = R::ALL.iter().map(|r| r.word()).collect();
+    fn check<R: ReasonCode + std::fmt::Debug>() {
+        let words: std::collections::BTreeSet<_> = R::ALL.iter().map(|r| r.code()).collect();
         assert_eq!(words.len(), R::ALL.len(), "each has a word of its own");
         for (at, reason) in R::ALL.iter().enumerate() {
             assert_eq!(reason.index(), at);
-            assert!(reason.word().bytes().all(|b| b.is_ascii_lowercase() || b == b'-'), "{reason:?}");
+            assert!(reason.code().bytes().all(|b| b.is_ascii_lowercase() || b == b'-'), "{reason:?}");
         }
     }
 
     #[test]
     fn every_reason_has_one_plain_word() {
-        check::<Refusal>();
-        check::<Failure>();
-        check::<CallEnd>();
-        check::<RunEnd>();
-        check::<Limit>();
-        check::<Front>();
+        check::<RejectReason>();
+        check::<FailureReason>();
+        check::<CallOutcome>();
+        check::<RunOutcome>();
+        check::<ResourceLimit>();
+        check::<Protocol>();
     }
 
     #[test]
     fn a_fact_is_small() {
-        assert!(std::mem::size_of::<Fact>() <= 64, "{}", std::mem::size_of::<Fact>());
+        assert!(std::mem::size_of::<RequestEvent>() <= 64, "{}", std::mem::size_of::<RequestEvent>());
     }
 }
--- a/crates/pinepoint-handover/src/io.rs
+++ b/crates/pinepoint-handover/src/io.rs
@@ -17,7 +17,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
@@ -188,7 +188,7 @@
 
 // ---- the predecessor's side ----
 
-reasons! {
+reason_codes! {
     /// Why a connection to the handover socket is closed.
     Rejected {
         /// It comes from another user.
@@ -361,7 +361,7 @@
 
 // ---- both sides ----
 
-reasons! {
+reason_codes! {
     /// Why a link is over.
     LinkEnd {
         /// The peer closed it, or has died.
--- a/crates/pinepoint-handover/src/ownership.rs
+++ b/crates/pinepoint-handover/src/ownership.rs
@@ -1,6 +1,6 @@
 //! What both machines share: bounds, reasons, and what may be done with a key that a process does not know.
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 
 /// Bounds and waits of a handover.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
     Fail,
 }
 
-reasons! {
+reason_codes! {
     /// Why a claim is denied.
     Denial {
         /// The successor knows the key.
@@ -78,7 +78,7 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// Why a peer is dropped by a decision.
     Drop {
         /// It sent a message that has no place in this phase.
@@ -92,7 +92,7 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// Why there is no predecessor to talk to.
     NoPredecessor {
         /// There is no socket.
--- a/crates/pinepoint-handover/src/wire.rs
+++ b/crates/pinepoint-handover/src/wire.rs
@@ -1,6 +1,6 @@
 //! Bytes to messages and back: a fixed preamble, then frames of a length and a message. No I/O.
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 
 use crate::message::Message;
 
@@ -14,7 +14,7 @@
 pub const FRAME_MOST: usize = 64 << 10;
 const LENGTH_BYTES: usize = 4;
 
-reasons! {
+reason_codes! {
     /// Why bytes are no message.
     WireError {
         /// The other side speaks something else.
--- a/crates/pinepoint-idempotency/src/ledger.rs
+++ b/crates/pinepoint-idempotency/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 use pinepoint_store::log::Change;
 use serde::{Deserialize, Serialize};
 
@@ -116,7 +116,7 @@
     Tick,
 }
 
-reasons! {
+reason_codes! {
     /// Why a try is refused: its effect has provably not happened.
     Refusal {
         /// As many keys are kept as may be.
@@ -132,7 +132,7 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// Why a try fails: its effect may have happened.
     Failure {
         /// The key stands for another request.
--- a/crates/pinepoint-membership/src/fleet.rs
+++ b/crates/pinepoint-membership/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -126,7 +126,7 @@
     Tell(Told),
 }
 
-reasons! {
+reason_codes! {
     /// Why a saying was not believed.
     Disbelief {
         /// Its start lies in the future.
@@ -362,8 +362,8 @@
     }
 
     /// The view in figures.
-    pub fn figures(&self, now: f64) -> pinepoint_events::Fleet {
-        pinepoint_events::Fleet {
+    pub fn figures(&self, now: f64) -> pinepoint_events::MembershipSummary {
+        pinepoint_events::MembershipSummary {
             up: self.table.up() as u32 + 1,
             suspected: self.suspects.len() as u32,
             lost: self.table.lost().len() as u32,
--- a/crates/pinepoint-membership/src/io.rs
+++ b/crates/pinepoint-membership/src/io.rs
@@ -15,7 +15,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_events::{Observer, Reason, Turn};
+use pinepoint_events::{Observer, ProcessEvent, ReasonCode};
 
 use crate::config::Config;
 use crate::fleet::{Action, Event, Fleet, Told, View};
@@ -83,7 +83,7 @@
     source: Rc<dyn Source>,
     observer: Rc<dyn Observer>,
     /// What the observer was told last.
-    figures: Cell<pinepoint_events::Fleet>,
+    figures: Cell<pinepoint_events::MembershipSummary>,
     executor: Rc<LocalExecutor<'static>>,
     snapshots: RefCell<VecDeque<(u64, Rc<[u8]>)>>,
     knocks: Cell<u32>,
@@ -184,7 +184,7 @@
         let now = self.clock.now();
         let figures = self.fleet.borrow().figures(now);
         if figures != self.figures.replace(figures) {
-            self.observer.turn(now, Turn::Fleet(figures));
+            self.observer.process_event(now, ProcessEvent::MembershipChanged(figures));
         }
     }
 
@@ -280,14 +280,14 @@
             }
             Told::Verdict(Change { verdict, holds }) => {
                 let (of, evidence, sure) = (&verdict.of, &verdict.evidence, verdict.confidence);
-                tracing::warn!(reason = verdict.kind.word(), of, holds, sure, evidence, "fleet-verdict");
+                tracing::warn!(reason = verdict.kind.code(), of, holds, sure, evidence, "fleet-verdict");
             }
             Told::Trouble(late_ms) => tracing::warn!(reason = "own-trouble", late_ms, "fleet-self"),
             Told::Refuted(standing) => {
-                tracing::warn!(reason = "refuted", held = standing.word(), "fleet-self");
+                tracing::warn!(reason = "refuted", held = standing.code(), "fleet-self");
             }
             Told::StartRaised(start) => tracing::warn!(reason = "start-raised", start, "fleet-self"),
-            Told::Disbelieved(why, name) => tracing::warn!(reason = why.word(), name, "fleet-disbelieved"),
+            Told::Disbelieved(why, name) => tracing::warn!(reason = why.code(), name, "fleet-disbelieved"),
             Told::Settled(settled) => tracing::info!(settled, "fleet-view"),
         }
     }
--- a/crates/pinepoint-membership/src/judge.rs
+++ b/crates/pinepoint-membership/src/judge.rs
@@ -4,12 +4,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 use serde::Serialize;
 
 use crate::table::{Returned, Table};
 
-reasons! {
+reason_codes! {
     /// What is judged of more than one member.
     Kind {
         /// The members of a zone went in one stroke, and their processes are not there.
@@ -41,7 +41,7 @@
 
 impl Serialize for Kind {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(pinepoint_events::Reason::word(*self))
+        to.serialize_str(pinepoint_events::ReasonCode::code(*self))
     }
 }
 
--- a/crates/pinepoint-membership/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pinepoint_events::{Reason, reasons};
+use pinepoint_events::{ReasonCode, reason_codes};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -52,7 +52,7 @@
     xxh3_64(name.as_bytes())
 }
 
-reasons! {
+reason_codes! {
     /// What a member tells of itself. Never guessed by another.
     #[derive(Serialize, Deserialize)]
     Phase {
@@ -69,7 +69,7 @@
     }
 }
 
-reasons! {
+reason_codes! {
     /// What others believe of its life, in the order in which one overrides the other.
     #[derive(Serialize, Deserialize)]
     Standing {
@@ -119,8 +119,8 @@
     /// The word for its state: what it tells of itself while it answers, else what is believed.
     pub fn state(&self) -> &'static str {
         match self.standing {
-            Standing::Alive => self.phase.word(),
-            standing => standing.word(),
+            Standing::Alive => self.phase.code(),
+            standing => standing.code(),
         }
     }
 
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -352,6 +352,6 @@
     world.run(40.0);
     assert!(world.running().all(|(_, fleet)| fleet.table().len() <= 11));
     assert!(world.running().any(|(_, fleet)| fleet.table().len() == 11));
-    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_events::Reason::word(*why) == "full");
+    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_events::ReasonCode::code(*why) == "full");
     assert!(world.nodes.iter().flat_map(|node| &node.told).any(|(_, t)| full(t)), "nothing is told of it");
 }
--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use divan::{Bencher, black_box};
-use pinepoint_events::{Answer, CallEnd, Decision, Fact, Front, Kind, RunEnd};
+use pinepoint_events::{Answer, CallOutcome, Decision, Protocol, RequestEvent, RequestEventKind, RunOutcome};
 use pinepoint_telemetry::accounts::{Accounts, Class};
 use pinepoint_telemetry::circuit;
 use pinepoint_telemetry::collectd::{Lists, Protection, Secret, Types};
@@ -32,22 +32,27 @@
 }
 
 /// The facts of a request that makes one call.
-fn life(n: u32) -> [Fact; 7] {
+fn life(n: u32) -> [RequestEvent; 7] {
     let ms = f64::from(n % 977);
     let kinds = [
-        Kind::Read { front: Front::Rpc, again: false, hint_ms: Some(ms), unread_ms: 0.1 },
-        Kind::Decided(Decision::Run),
-        Kind::RunBegan { held_ms: ms },
-        Kind::CallMade,
-        Kind::CallOver { end: CallEnd::Done, called_ms: ms / 4.0 },
-        Kind::RunOver { end: RunEnd::Complete, ran_ms: ms * 2.0 },
-        Kind::Answered {
-            answer: Answer::Served { reused: false, poorer: false },
+        RequestEventKind::Received {
+            protocol: Protocol::Rpc,
+            retry: false,
+            hint_ms: Some(ms),
+            read_delay_ms: 0.1,
+        },
+        RequestEventKind::Decided(Decision::Run),
+        RequestEventKind::RunStarted { queue_wait_ms: ms },
+        RequestEventKind::CallStarted,
+        RequestEventKind::CallEnded { end: CallOutcome::Done, called_ms: ms / 4.0 },
+        RequestEventKind::RunEnded { end: RunOutcome::Complete, ran_ms: ms * 2.0 },
+        RequestEventKind::Answered {
+            answer: Answer::Served { deduplicated: false, degraded: false },
             hint_ms: Some(ms),
             took_ms: ms * 3.0,
         },
     ];
-    kinds.map(|kind| Fact { id: n, class: n as usize % 3, kind })
+    kinds.map(|kind| RequestEvent { id: n, class: n as usize % 3, kind })
 }
 
 /// Seven facts, a request's whole life.
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pinepoint_events::{Answer, Fact, Kind, Reason, State};
+use pinepoint_events::{Answer, CoreState, ReasonCode, RequestEvent, RequestEventKind};
 
 use crate::schema::{Plain, Schema};
 use crate::snapshot::{Dist, Growing};
@@ -67,7 +67,7 @@
     }
 
     /// Open requests by series, from those by class.
-    pub fn open_by_series(&self, state: &State) -> Vec<u64> {
+    pub fn open_by_series(&self, state: &CoreState) -> Vec<u64> {
         let mut open = vec![0; self.schema.classes().len()];
         for (series, n) in self.series.iter().zip(&state.open) {
             open[*series] += n;
@@ -76,11 +76,11 @@
     }
 
     /// Takes one fact. One about a class that does not exist is passed over.
-    pub fn note(&mut self, fact: &Fact) {
+    pub fn note(&mut self, fact: &RequestEvent) {
         let Some(plan) = self.classes.get(fact.class).copied() else { return };
         let class = self.series[fact.class];
         match fact.kind {
-            Kind::Read { again, hint_ms, .. } => {
+            RequestEventKind::Received { retry: again, hint_ms, .. } => {
                 self.add(class, Plain::Read, 1.0);
                 self.add(class, Plain::ReadAgain, f64::from(u8::from(again)));
                 if let Some(hint_ms) = hint_ms {
@@ -91,36 +91,36 @@
                 let asked = plan.worth * self.units(class, hint_ms);
                 self.add(class, Plain::Asked, asked);
             }
-            Kind::Decided(_) => {}
-            Kind::RunBegan { held_ms } => {
+            RequestEventKind::Decided(_) => {}
+            RequestEventKind::RunStarted { queue_wait_ms } => {
                 self.add(class, Plain::Runs, 1.0);
-                self.record(class, HOLD, held_ms);
+                self.record(class, HOLD, queue_wait_ms);
             }
-            Kind::RunOver { end, ran_ms } => {
+            RequestEventKind::RunEnded { end, ran_ms } => {
                 self.totals[self.schema.run(class, end)] += 1.0;
                 self.record(class, RUN, ran_ms);
             }
-            Kind::CallMade => self.add(class, Plain::Calls, 1.0),
-            Kind::CallOver { end, called_ms } => {
+            RequestEventKind::CallStarted => self.add(class, Plain::Calls, 1.0),
+            RequestEventKind::CallEnded { end, called_ms } => {
                 self.totals[self.schema.call(class, end)] += 1.0;
                 self.record(class, CALL, called_ms);
             }
-            Kind::CallLeftOut => self.add(class, Plain::LeftOut, 1.0),
-            Kind::Answered { answer, hint_ms, took_ms } => {
+            RequestEventKind::CallSkipped => self.add(class, Plain::LeftOut, 1.0),
+            RequestEventKind::Answered { answer, hint_ms, took_ms } => {
                 self.record(class, TOTAL, took_ms);
                 match answer {
-                    Answer::Served { reused, poorer } => {
-                        self.served(class, plan, reused, poorer, hint_ms, took_ms)
+                    Answer::Served { deduplicated, degraded } => {
+                        self.served(class, plan, deduplicated, degraded, hint_ms, took_ms)
                     }
-                    Answer::Refused(why) => self.totals[self.schema.refused(class, why)] += 1.0,
+                    Answer::Rejected(why) => self.totals[self.schema.refused(class, why)] += 1.0,
                     Answer::Failed(why) => self.totals[self.schema.failed(class, why)] += 1.0,
                 }
             }
-            Kind::Expired { took_ms, .. } => {
+            RequestEventKind::DeadlineExceeded { took_ms, .. } => {
                 self.record(class, TOTAL, took_ms);
                 self.add(class, Plain::Expired, 1.0);
             }
-            Kind::Gone { .. } => self.add(class, Plain::Gone, 1.0),
+            RequestEventKind::CallerGone { .. } => self.add(class, Plain::Gone, 1.0),
         }
     }
 
@@ -128,18 +128,18 @@
         &mut self,
         class: usize,
         plan: Class,
-        reused: bool,
-        poorer: bool,
+        deduplicated: bool,
+        degraded: bool,
         hint_ms: Option<f64>,
         took_ms: f64,
     ) {
         let in_aim = took_ms <= plan.aim_ms + plan.aim_stretch * hint_ms.unwrap_or(0.0);
         self.add(class, if in_aim { Plain::InAim } else { Plain::Late }, 1.0);
-        self.add(class, Plain::Reused, f64::from(u8::from(reused)));
-        self.add(class, Plain::Poorer, f64::from(u8::from(poorer)));
+        self.add(class, Plain::Reused, f64::from(u8::from(deduplicated)));
+        self.add(class, Plain::Poorer, f64::from(u8::from(degraded)));
         let worth = plan.worth * self.units(class, hint_ms);
         let worth = worth * if in_aim { 1.0 } else { plan.late_worth };
-        self.add(class, Plain::Served, worth * if poorer { plan.worth_without } else { 1.0 });
+        self.add(class, Plain::Served, worth * if degraded { plan.worth_without } else { 1.0 });
     }
 
     /// What the worth of one request counts by.
@@ -170,14 +170,19 @@
 
     /// By how many requests the law `read = served + refused + failed + expired + gone + open` is off, over all
     /// classes, where `open` is what the core counts in its own tables at this instant.
-    pub fn law_off(&self, state: &State) -> f64 {
+    pub fn law_off(&self, state: &CoreState) -> f64 {
         let open = self.open_by_series(state);
         let of_class = |class: usize| {
             let plain = |plain| self.totals[self.schema.plain(class, plain)];
             let sum = |from: usize, n: usize| self.totals[from..from + n].iter().sum::<f64>();
-            let refused =
-                sum(self.schema.refused(class, Reason::ALL[0]), pinepoint_events::Refusal::ALL.len());
-            let failed = sum(self.schema.failed(class, Reason::ALL[0]), pinepoint_events::Failure::ALL.len());
+            let refused = sum(
+                self.schema.refused(class, ReasonCode::ALL[0]),
+                pinepoint_events::RejectReason::ALL.len(),
+            );
+            let failed = sum(
+                self.schema.failed(class, ReasonCode::ALL[0]),
+                pinepoint_events::FailureReason::ALL.len(),
+            );
             let served = plain(Plain::InAim) + plain(Plain::Late);
             let ended = served + refused + failed + plain(Plain::Expired) + plain(Plain::Gone);
             (plain(Plain::Read) - ended - open[class] as f64).abs()
@@ -193,7 +198,7 @@
 
 #[cfg(test)]
 mod tests {
-    use pinepoint_events::{Failure, Front, Refusal};
+    use pinepoint_events::{FailureReason, Protocol, RejectReason};
 
     use super::*;
     use crate::schema::Scope;
@@ -205,16 +210,20 @@
         Accounts::new(Rc::new(schema), vec![class, Class { worth: 3.0, ..class }], by_work)
     }
 
-    fn fact(class: usize, kind: Kind) -> Fact {
-        Fact { id: 1, class, kind }
+    fn fact(class: usize, kind: RequestEventKind) -> RequestEvent {
+        RequestEvent { id: 1, class, kind }
     }
 
-    fn read(hint_ms: Option<f64>) -> Kind {
-        Kind::Read { front: Front::Rpc, again: true, hint_ms, unread_ms: 0.0 }
+    fn read(hint_ms: Option<f64>) -> RequestEventKind {
+        RequestEventKind::Received { protocol: Protocol::Rpc, retry: true, hint_ms, read_delay_ms: 0.0 }
     }
 
-    fn served(took_ms: f64, poorer: bool, hint_ms: Option<f64>) -> Kind {
-        Kind::Answered { answer: Answer::Served { reused: false, poorer }, hint_ms, took_ms }
+    fn served(took_ms: f64, degraded: bool, hint_ms: Option<f64>) -> RequestEventKind {
+        RequestEventKind::Answered {
+            answer: Answer::Served { deduplicated: false, degraded },
+            hint_ms,
+            took_ms,
+        }
     }
 
     #[test]
@@ -244,24 +253,32 @@
         let mut accounts = accounts(false);
         let ends = [
             served(10.0, false, None),
-            Kind::Answered { answer: Answer::Refused(Refusal::Hung), hint_ms: None, took_ms: 1.0 },
-            Kind::Answered { answer: Answer::Failed(Failure::RunError), hint_ms: None, took_ms: 1.0 },
-            Kind::Expired { why: Failure::Late, took_ms: 1.0 },
-            Kind::Gone { took_ms: 1.0 },
+            RequestEventKind::Answered {
+                answer: Answer::Rejected(RejectReason::Hung),
+                hint_ms: None,
+                took_ms: 1.0,
+            },
+            RequestEventKind::Answered {
+                answer: Answer::Failed(FailureReason::RunError),
+                hint_ms: None,
+                took_ms: 1.0,
+            },
+            RequestEventKind::DeadlineExceeded { why: FailureReason::Late, took_ms: 1.0 },
+            RequestEventKind::CallerGone { took_ms: 1.0 },
         ];
         for kind in ends {
             accounts.note(&fact(0, read(None)));
             accounts.note(&fact(0, kind));
         }
         accounts.note(&fact(1, read(None)));
-        let state = State { open: vec![0, 1], ..State::default() };
+        let state = CoreState { open: vec![0, 1], ..CoreState::default() };
         assert_eq!(accounts.law_off(&state), 0.0);
         assert_eq!(
-            accounts.law_off(&State { open: vec![0, 0], ..State::default() }),
+            accounts.law_off(&CoreState { open: vec![0, 0], ..CoreState::default() }),
             1.0,
             "an end is missed"
         );
-        accounts.note(&fact(1, Kind::Gone { took_ms: 1.0 }));
+        accounts.note(&fact(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
         assert_eq!(accounts.law_off(&state), 1.0, "it ended, and the core still has it");
         accounts.note(&fact(7, read(None)));
         assert_eq!(accounts.law_off(&state), 1.0, "no such class");
@@ -288,20 +305,20 @@
         accounts.set_classes(schema, vec![class, class, dearer, dearer], vec![0, 1, 2, 1], false);
         for class in [0, 2, 2, 3] {
             accounts.note(&fact(class, read(None)));
-            accounts.note(&fact(class, Kind::RunBegan { held_ms: 1.0 }));
+            accounts.note(&fact(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
         }
         let reads = ["look", "write", "more"].map(|name| told(&accounts, name, "read"));
         assert_eq!(reads, [2.0, 2.0, 2.0]);
         assert_eq!(told(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
         assert_eq!(accounts.totals[accounts.schema.log_lines()], 7.0);
-        let state = State { open: vec![2, 1, 2, 1], ..State::default() };
+        let state = CoreState { open: vec![2, 1, 2, 1], ..CoreState::default() };
         assert_eq!((accounts.open_by_series(&state), accounts.law_off(&state)), (vec![2, 2, 2], 0.0));
     }
 
     #[test]
     fn a_cut_keeps_totals_and_empties_distributions() {
         let mut accounts = accounts(false);
-        accounts.note(&fact(0, Kind::RunBegan { held_ms: 12.0 }));
+        accounts.note(&fact(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
         let (totals, dists) = accounts.cut();
         assert_eq!(totals[accounts.schema.plain(0, Plain::Runs)], 1.0);
         assert_ne!(dists[0], Dist::default());
--- a/crates/pinepoint-telemetry/src/delivery.rs
+++ b/crates/pinepoint-telemetry/src/delivery.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use pinepoint_events::reasons;
+use pinepoint_events::reason_codes;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -17,7 +17,7 @@
 use crate::snapshot::{Interval, Snapshot};
 use crate::spool::{Bounds, Marks, Spool};
 
-reasons! {
+reason_codes! {
     /// Why a connection to a receiver is over.
     Break {
         /// It could not be made.
--- a/crates/pinepoint-telemetry/src/io.rs
+++ b/crates/pinepoint-telemetry/src/io.rs
@@ -10,7 +10,7 @@
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_events::{Fact, Limit, Observer, Reason, State, Turn};
+use pinepoint_events::{CoreState, Observer, ProcessEvent, ReasonCode, RequestEvent, ResourceLimit};
 
 use crate::accounts::{Accounts, Class};
 use crate::collectd::{Lists, Notification, Protection, Secret, Severity};
@@ -100,8 +100,8 @@
     /// An interval is due, and the core was asked for its state.
     due: Cell<bool>,
     cut: (Sender<()>, Receiver<()>),
-    last_state: RefCell<State>,
-    fleet: Cell<pinepoint_events::Fleet>,
+    last_state: RefCell<CoreState>,
+    fleet: Cell<pinepoint_events::MembershipSummary>,
     leaving: Cell<Option<f64>>,
     limits: RefCell<HashMap<&'static str, f64>>,
     destinations: [RefCell<Option<Destination>>; DESTINATIONS.len()],
@@ -331,7 +331,7 @@
     }
 
     /// Makes a snapshot of an interval that ended and hands it to all destinations.
-    fn snapshot(&self, ended: Ended, state: &State) {
+    fn snapshot(&self, ended: Ended, state: &CoreState) {
         let schema = self.schema();
         let mut accounts = self.accounts.borrow_mut();
         let law_off = accounts.law_off(state);
@@ -434,34 +434,34 @@
 }
 
 impl Observer for Telemetry {
-    fn note(&self, _: f64, fact: Fact) {
+    fn request_event(&self, _: f64, fact: RequestEvent) {
         self.accounts.borrow_mut().note(&fact);
     }
 
-    fn turn(&self, now: f64, turn: Turn) {
+    fn process_event(&self, now: f64, turn: ProcessEvent) {
         match turn {
-            Turn::Up { .. } => {}
-            Turn::Fleet(fleet) => self.fleet.set(fleet),
-            Turn::Leaving { kill_ms } => {
+            ProcessEvent::Started { .. } => {}
+            ProcessEvent::MembershipChanged(fleet) => self.fleet.set(fleet),
+            ProcessEvent::Draining { kill_ms } => {
                 self.leaving.set(Some(kill_ms));
                 self.notify(Severity::Warning, "drain", "drain begun".into());
             }
-            Turn::Left => {
+            ProcessEvent::Stopped => {
                 let mut slots = self.slots.get();
                 let ended = slots.end_last(now);
                 self.slots.set(slots);
                 let state = self.last_state.borrow().clone();
                 self.snapshot(ended, &state);
             }
-            Turn::Reached(limit) => {
+            ProcessEvent::LimitReached(limit) => {
                 let mut limits = self.limits.borrow_mut();
-                let last = limits.entry(limit.word()).or_insert(f64::NEG_INFINITY);
+                let last = limits.entry(limit.code()).or_insert(f64::NEG_INFINITY);
                 if now >= *last + LIMIT_MS {
                     *last = now;
                     let what = match limit {
-                        Limit::Connections => "limit of connections reached: one had to give way",
-                        Limit::Results => "limit of kept results reached: one was dropped",
-                        Limit::Unread => "limit of unread answers reached: a connection was ended",
+                        ResourceLimit::Connections => "limit of connections reached: one had to give way",
+                        ResourceLimit::Results => "limit of kept results reached: one was dropped",
+                        ResourceLimit::Unread => "limit of unread answers reached: a connection was ended",
                     };
                     self.notify(Severity::Warning, "limit", what.into());
                 }
@@ -469,7 +469,7 @@
         }
     }
 
-    fn state(&self, now: f64, state: &State) {
+    fn core_state(&self, now: f64, state: &CoreState) {
         state.clone_into(&mut self.last_state.borrow_mut());
         let mut slots = self.slots.get();
         if let Some(ended) = self.due.replace(false).then(|| slots.end(now)).flatten() {
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -8,17 +8,17 @@
 //! ```
 //! use std::rc::Rc;
 //!
-//! use pinepoint_events::{Answer, Fact, Front, Kind};
+//! use pinepoint_events::{Answer, RequestEvent, Protocol, RequestEventKind};
 //! use pinepoint_telemetry::accounts::{Accounts, Class};
 //! use pinepoint_telemetry::schema::Schema;
 //!
 //! let schema = Rc::new(Schema::new(&["look".into()], &[], &[]));
 //! let class = Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
 //! let mut accounts = Accounts::new(schema.clone(), vec![class], false);
-//! let fact = |kind| Fact { id: 1, class: 0, kind };
-//! accounts.note(&fact(Kind::Read { front: Front::Rpc, again: false, hint_ms: None, unread_ms: 0.0 }));
-//! let answer = Answer::Served { reused: false, poorer: false };
-//! accounts.note(&fact(Kind::Answered { answer, hint_ms: None, took_ms: 12.0 }));
+//! let fact = |kind| RequestEvent { id: 1, class: 0, kind };
+//! accounts.note(&fact(RequestEventKind::Received { protocol: Protocol::Rpc, retry: false, hint_ms: None, read_delay_ms: 0.0 }));
+//! let answer = Answer::Served { deduplicated: false, degraded: false };
+//! accounts.note(&fact(RequestEventKind::Answered { answer, hint_ms: None, took_ms: 12.0 }));
 //! let (totals, _) = accounts.cut();
 //! let at = (0..schema.points()).find(|at| schema.point(*at).1 == "served_in_aim").expect("a series");
 //! assert_eq!(totals[at], 1.0);
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -3,7 +3,7 @@
 
 use std::borrow::Cow;
 
-use pinepoint_events::{CallEnd, Failure, Reason, Refusal, RunEnd};
+use pinepoint_events::{CallOutcome, FailureReason, ReasonCode, RejectReason, RunOutcome};
 
 /// What a series belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -154,7 +154,7 @@
     /// The series of a process with these classes, whose node counts these things, and whose module tells these
     /// figures.
     pub fn new(classes: &[String], node: &[&'static str], module: &[&'static str]) -> Self {
-        let reasons = |head: &'static str, words: Vec<&'static str>| {
+        let reason_codes = |head: &'static str, words: Vec<&'static str>| {
             words.into_iter().map(move |word| (Cow::Owned(format!("{head}.{word}")), Sort::Count))
         };
         let mut counts = Vec::new();
@@ -163,10 +163,10 @@
             let scope = Scope::Class(class);
             let plain = PLAIN.iter().map(|(word, sort)| (Cow::Borrowed(*word), *sort));
             let of_class = plain
-                .chain(reasons("refused", words::<Refusal>()))
-                .chain(reasons("failed", words::<Failure>()))
-                .chain(reasons("call", words::<CallEnd>()))
-                .chain(reasons("run_end", words::<RunEnd>()));
+                .chain(reason_codes("refused", words::<RejectReason>()))
+                .chain(reason_codes("failed", words::<FailureReason>()))
+                .chain(reason_codes("call", words::<CallOutcome>()))
+                .chain(reason_codes("run_end", words::<RunOutcome>()));
             counts.extend(of_class.map(|(stat, sort)| (Name { scope, stat }, sort)));
             dists.extend(DISTS.iter().map(|stat| Name { scope, stat: Cow::Borrowed(stat) }));
         }
@@ -273,27 +273,31 @@
     }
 
     fn block(&self) -> usize {
-        PLAIN.len() + Refusal::ALL.len() + Failure::ALL.len() + CallEnd::ALL.len() + RunEnd::ALL.len()
+        PLAIN.len()
+            + RejectReason::ALL.len()
+            + FailureReason::ALL.len()
+            + CallOutcome::ALL.len()
+            + RunOutcome::ALL.len()
     }
 
     pub(crate) fn plain(&self, class: usize, plain: Plain) -> usize {
         class * self.block() + plain as usize
     }
 
-    pub(crate) fn refused(&self, class: usize, why: Refusal) -> usize {
+    pub(crate) fn refused(&self, class: usize, why: RejectReason) -> usize {
         class * self.block() + PLAIN.len() + why.index()
     }
 
-    pub(crate) fn failed(&self, class: usize, why: Failure) -> usize {
-        class * self.block() + PLAIN.len() + Refusal::ALL.len() + why.index()
+    pub(crate) fn failed(&self, class: usize, why: FailureReason) -> usize {
+        class * self.block() + PLAIN.len() + RejectReason::ALL.len() + why.index()
     }
 
-    pub(crate) fn call(&self, class: usize, end: CallEnd) -> usize {
-        class * self.block() + PLAIN.len() + Refusal::ALL.len() + Failure::ALL.len() + end.index()
+    pub(crate) fn call(&self, class: usize, end: CallOutcome) -> usize {
+        class * self.block() + PLAIN.len() + RejectReason::ALL.len() + FailureReason::ALL.len() + end.index()
     }
 
-    pub(crate) fn run(&self, class: usize, end: RunEnd) -> usize {
-        self.call(class, CallEnd::Done) + CallEnd::ALL.len() + end.index()
+    pub(crate) fn run(&self, class: usize, end: RunOutcome) -> usize {
+        self.call(class, CallOutcome::Done) + CallOutcome::ALL.len() + end.index()
     }
 
     pub(crate) fn dist(&self, class: usize, dist: usize) -> usize {
@@ -330,8 +334,8 @@
     Dist(usize, Part),
 }
 
-fn words<R: Reason>() -> Vec<&'static str> {
-    R::ALL.iter().map(|reason| reason.word()).collect()
+fn words<R: ReasonCode>() -> Vec<&'static str> {
+    R::ALL.iter().map(|reason| reason.code()).collect()
 }
 
 #[cfg(test)]
@@ -359,10 +363,10 @@
             format!("{scope:?} {stat}")
         };
         assert_eq!(told(schema.plain(1, Plain::Expired)), "Class(1) expired");
-        assert_eq!(told(schema.refused(1, Refusal::TooLate)), "Class(1) refused.too-late");
-        assert_eq!(told(schema.failed(0, Failure::Stop)), "Class(0) failed.stop");
-        assert_eq!(told(schema.call(1, CallEnd::Reset)), "Class(1) call.reset");
-        assert_eq!(told(schema.run(1, RunEnd::Unknown)), "Class(1) run_end.unknown");
+        assert_eq!(told(schema.refused(1, RejectReason::TooLate)), "Class(1) refused.too-late");
+        assert_eq!(told(schema.failed(0, FailureReason::Stop)), "Class(0) failed.stop");
+        assert_eq!(told(schema.call(1, CallOutcome::Reset)), "Class(1) call.reset");
+        assert_eq!(told(schema.run(1, RunOutcome::Unknown)), "Class(1) run_end.unknown");
         assert_eq!(told(schema.node().start + 1), "Node pings");
         assert_eq!(told(schema.delivery(1).0), "Telemetry collectd.intervals_merged");
         assert_eq!(told(schema.log_lines()), "Telemetry log_lines_left_out");
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -19,7 +19,7 @@
 use pinepoint::node::{ajp, fleet, handover, links, rpc, telemetry};
 use pinepoint::settings::Site;
 use pinepoint_clock::Clock;
-use pinepoint_events::{Observer, Unwatched};
+use pinepoint_events::{NoopObserver, Observer};
 use pinepoint_membership::io::Member;
 use pinepoint_telemetry::Telemetry;
 
@@ -93,7 +93,7 @@
 fn observer_of(telemetry: Option<&Rc<Telemetry>>) -> Rc<dyn Observer> {
     match telemetry {
         Some(telemetry) => telemetry.clone(),
-        None => Rc::new(Unwatched),
+        None => Rc::new(NoopObserver),
     }
 }
 
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -251,7 +251,7 @@
     alpha: f64,
     credit: f64,
     start_rate: f64,
-    turned_away: BTreeMap<Refusal, u32>,
+    turned_away: BTreeMap<RejectReason, u32>,
     // what runs take
     core_share: f64,
     share_total: f64,
@@ -500,11 +500,11 @@
                 // Neither try has run: the later one, whose caller still waits, takes the place.
                 self.keys.remove(&first);
                 out.push(Action::Forget { id: first });
-                self.fail(first, Failure::Superseded, out);
+                self.fail(first, FailureReason::Superseded, out);
             } else if keyed || !matches!(state, Some(State::Waiting | State::Held)) {
                 // It runs, ran, or may have run: a second run is out of the question, its result is not.
                 if no_room {
-                    self.fail(id, Failure::NoRoom, out);
+                    self.fail(id, FailureReason::NoRoom, out);
                 } else {
                     self.entries.get_mut(&id).expect("just seen").state = State::Waiting;
                     out.push(Action::Reuse { id });
@@ -522,16 +522,16 @@
         let must_wait = self.on_core() >= self.set.cores;
         // Taken although the wait makes it late, it would be answered late or turned away after the wait.
         let spoilt = must_wait && score < self.score(&entry, now);
-        let reasons = [
-            (too_late, Refusal::Leaving),
-            (no_room, Refusal::NoRoom),
-            (self.hung, Refusal::Hung),
-            (score <= 0.0 && self.call_wait_ms(&entry).1 > 0.0, Refusal::NoCall),
-            (score <= 0.0 || spoilt, Refusal::TooLate),
+        let reason_codes = [
+            (too_late, RejectReason::Leaving),
+            (no_room, RejectReason::NoRoom),
+            (self.hung, RejectReason::Hung),
+            (score <= 0.0 && self.call_wait_ms(&entry).1 > 0.0, RejectReason::NoCall),
+            (score <= 0.0 || spoilt, RejectReason::TooLate),
         ];
-        let hopeless = reasons.iter().find(|(applies, _)| *applies).map(|(_, why)| *why);
+        let hopeless = reason_codes.iter().find(|(applies, _)| *applies).map(|(_, why)| *why);
         let mut surplus = || must_wait && rank < self.alpha && !self.finds_place(now, id, out);
-        if let Some(why) = hopeless.or_else(|| surplus().then_some(Refusal::Surplus)) {
+        if let Some(why) = hopeless.or_else(|| surplus().then_some(RejectReason::Surplus)) {
             self.refuse(id, why, out);
             return;
         }
@@ -555,7 +555,7 @@
         let least =
             scored.into_iter().filter(|(_, other)| !self.may_repeat_a_run(*other, &self.entries[other]));
         let least = least.min_by(|a, b| a.0.total_cmp(&b.0)).filter(|least| mine > least.0 * (1.0 + ALIKE));
-        least.inspect(|(_, other)| self.refuse(*other, Refusal::Displaced, out)).is_some()
+        least.inspect(|(_, other)| self.refuse(*other, RejectReason::Displaced, out)).is_some()
     }
 
     /// Read in the instant in hand and not decided yet: nothing else may tell it that its request never ran.
@@ -868,7 +868,7 @@
             entry.share_at_start += share - entry.stopped_share;
             out.push(Action::Skip { id });
         } else if score <= 0.0 {
-            self.fail(id, Failure::NoCall, out);
+            self.fail(id, FailureReason::NoCall, out);
         }
     }
 
@@ -916,14 +916,14 @@
         entry.state = if outcome == Outcome::Done { State::Running } else { State::AtCall };
         if outcome != Outcome::Done && !unseen && !safe {
             // The call may have taken effect: making it again could do it twice.
-            self.fail(id, Failure::CallInDoubt, out);
+            self.fail(id, FailureReason::CallInDoubt, out);
         }
     }
 
     // ---- answers and due times ----
 
-    fn refuse(&mut self, id: u32, why: Refusal, out: &mut Vec<Action>) {
-        let given_up = matches!(why, Refusal::GivenUp | Refusal::Displaced);
+    fn refuse(&mut self, id: u32, why: RejectReason, out: &mut Vec<Action>) {
+        let given_up = matches!(why, RejectReason::GivenUp | RejectReason::Displaced);
         self.entries.remove(&id);
         self.turned_share += 1.0 / TURNED_OVER;
         *self.turned_away.entry(why).or_default() += 1;
@@ -941,10 +941,15 @@
         let back_ms = if given_up { self.hold_ms().max(self.period_ms()) } else { 0.0 };
         let pause_ms = if away || jammed { stay_away_ms } else { back_ms }.min(self.set.longest_pause_ms);
         // All share the dependency: callers of one that finds no call need not go on.
-        out.push(Action::Refuse { id, pause_ms, last: why == Refusal::NoCall || (jammed && !away), why });
+        out.push(Action::Refuse {
+            id,
+            pause_ms,
+            last: why == RejectReason::NoCall || (jammed && !away),
+            why,
+        });
     }
 
-    fn fail(&mut self, id: u32, why: Failure, out: &mut Vec<Action>) {
+    fn fail(&mut self, id: u32, why: FailureReason, out: &mut Vec<Action>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if std::mem::replace(&mut entry.owed, false) {
             out.push(Action::Fail { id, why });
@@ -967,9 +972,9 @@
                 failed.push(*id);
             }
         }
-        refused.into_iter().for_each(|id| self.refuse(id, Refusal::GivenUp, out));
+        refused.into_iter().for_each(|id| self.refuse(id, RejectReason::GivenUp, out));
         for id in failed {
-            self.fail(id, if late >= kill { Failure::Stop } else { Failure::Late }, out);
+            self.fail(id, if late >= kill { FailureReason::Stop } else { FailureReason::Late }, out);
             self.halt_useless(id, out);
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! Every type that the decision module exposes. Plain data: what is decided lives in `brain.rs`.
 //! All times are milliseconds of the host's clock, all memory is in kilobytes.
 
-pub use pinepoint_events::{Failure, Refusal};
+pub use pinepoint_events::{FailureReason, RejectReason};
 
 /// What a server is told when it starts.
 #[derive(Clone, Debug, PartialEq)]
@@ -399,14 +399,14 @@
         /// Ask the caller not to try another server.
         last: bool,
         /// Why.
-        why: Refusal,
+        why: RejectReason,
     },
     /// Final answer: an error.
     Fail {
         /// The request.
         id: u32,
         /// Why.
-        why: Failure,
+        why: FailureReason,
     },
     /// Stop running work.
     Halt {
--- a/src/node/ajp.rs
+++ b/src/node/ajp.rs
@@ -564,7 +564,7 @@
     connection.open.set(Some(ticket));
     let arrival = Arrival {
         caller: connection.clone(),
-        front: pinepoint_events::Front::Ajp,
+        front: pinepoint_events::Protocol::Ajp,
         ticket,
         rid: name(options.seed, connection.guest.id, ticket),
         class: head.class,
--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -11,7 +11,7 @@
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, future};
-use pinepoint_events::{Limit, Turn};
+use pinepoint_events::{ProcessEvent, ResourceLimit};
 
 use super::connection_state::Guest;
 use super::front::Front;
@@ -177,7 +177,9 @@
         if backlog > QUEUE_MOST || self.front.room.is_queued_full(backlog) {
             if self.too_slow.open() {
                 let front = &self.front;
-                front.observer.turn(front.clock.now(), Turn::Reached(Limit::Unread));
+                front
+                    .observer
+                    .process_event(front.clock.now(), ProcessEvent::LimitReached(ResourceLimit::Unread));
             }
             return;
         }
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -9,7 +9,10 @@
 use async_channel::Receiver;
 use futures_lite::future;
 use pinepoint_clock::Clock;
-use pinepoint_events::{Answer, CallEnd, Decision, Fact, Kind, Limit, Observer, RunEnd as Over, State, Turn};
+use pinepoint_events::{
+    Answer, CallOutcome, CoreState, Decision, Observer, ProcessEvent, RequestEvent, RequestEventKind,
+    ResourceLimit, RunOutcome,
+};
 use pinepoint_handover::ownership::UnknownKey;
 
 mod handover;
@@ -23,7 +26,7 @@
 use super::requests::{Feed, Open, Phase, Requests};
 use super::status::Status;
 use crate::settings::Site;
-use crate::{Action, Controller, Effect, Event, Failure, Halting, Outcome, Refusal, Request};
+use crate::{Action, Controller, Effect, Event, FailureReason, Halting, Outcome, RejectReason, Request};
 
 /// Wait for the gauges after a timer is due, ms: due times hang on timers, so a silent engine must not hold
 /// them up. Several rounds of a loaded loopback, and well under the slack of an answer.
@@ -181,8 +184,8 @@
             }
             self.settle(now);
             if self.life.phase() == Life::Gone {
-                self.parts.observer.state(now, &self.state());
-                self.turn(Turn::Left);
+                self.parts.observer.core_state(now, &self.state());
+                self.emit_process_event(ProcessEvent::Stopped);
                 return self.life.kill_ms().unwrap_or(f64::INFINITY);
             }
             // A timer that is due again at once must not keep all others from theirs.
@@ -192,19 +195,19 @@
 
     // ---- facts out ----
 
-    fn note(&self, id: u32, class: usize, kind: Kind) {
-        self.parts.observer.note(self.now_ms, Fact { id, class, kind });
+    fn emit(&self, id: u32, class: usize, kind: RequestEventKind) {
+        self.parts.observer.request_event(self.now_ms, RequestEvent { id, class, kind });
     }
 
     /// The same for a request in the table.
-    fn note_of(&self, id: u32, kind: impl FnOnce(&Open) -> Kind) {
+    fn emit_for(&self, id: u32, kind: impl FnOnce(&Open) -> RequestEventKind) {
         if let Some(open) = self.requests.get(id) {
-            self.note(id, open.class, kind(open));
+            self.emit(id, open.class, kind(open));
         }
     }
 
-    fn turn(&self, turn: Turn) {
-        self.parts.observer.turn(self.now_ms, turn);
+    fn emit_process_event(&self, turn: ProcessEvent) {
+        self.parts.observer.process_event(self.now_ms, turn);
     }
 
     /// Where the process stands in its life.
@@ -213,8 +216,9 @@
     }
 
     /// What the tables hold now, and what the module says of itself.
-    pub fn state(&self) -> State {
-        let mut state = State { open: vec![0; self.parts.site.settings.classes.len()], ..State::default() };
+    pub fn state(&self) -> CoreState {
+        let mut state =
+            CoreState { open: vec![0; self.parts.site.settings.classes.len()], ..CoreState::default() };
         for (_, open) in self.requests.iter() {
             state.open[open.class] += u64::from(open.caller.is_some());
             match open.phase {
@@ -269,7 +273,11 @@
             }
             Input::Spoilt(caller) => {
                 for id in self.requests.owed_to(caller) {
-                    self.give_up(now, id, Reply::Failed { late: false, why: Failure::SpoiltConnection });
+                    self.give_up(
+                        now,
+                        id,
+                        Reply::Failed { late: false, why: FailureReason::SpoiltConnection },
+                    );
                 }
                 self.claimants_spoilt(now, caller);
             }
@@ -297,7 +305,7 @@
                 let (over, class) = (open.caller.is_none(), open.class);
                 if let Some((call, kind)) = given_up {
                     self.requests.call_over(call);
-                    self.note(id, class, kind);
+                    self.emit(id, class, kind);
                 }
                 self.tell(now, Event::NeedsCall { id });
                 if over {
@@ -313,7 +321,7 @@
                 }
             }
             Input::CallEnded(call, outcome, reply) => self.call_ended(now, call, outcome, reply),
-            Input::Look => self.parts.observer.state(now, &self.state()),
+            Input::Look => self.parts.observer.core_state(now, &self.state()),
             Input::Settings(new) => self.reconfigure(new),
         }
     }
@@ -362,20 +370,20 @@
         let due_ms = arrival.t0 + class.deadline_ms;
         // All that was read before has its answer, and the process ends in a moment.
         if self.life.phase() >= Life::Finishing {
-            self.turn_back(now, &arrival, &Reply::Failed { late: true, why: Failure::Stop });
+            self.turn_back(now, &arrival, &Reply::Failed { late: true, why: FailureReason::Stop });
             return;
         }
         // Without a module nothing runs.
         if self.controller.is_none() {
-            let why = Refusal::NotUp;
+            let why = RejectReason::NotUp;
             self.turn_back(now, &arrival, &Reply::Refused { backoff_ms: 0.0, last: false, why });
             return;
         }
         // A name in use would mix up two runs. This try has not run, but another of its request may have an effect.
         if self.requests.by_rid(&arrival.rid).is_some() {
             let reply = match class.effect {
-                Effect::Read => Reply::Refused { backoff_ms: 0.0, last: false, why: Refusal::NameInUse },
-                _ => Reply::Failed { late: false, why: Failure::NameInUse },
+                Effect::Read => Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::NameInUse },
+                _ => Reply::Failed { late: false, why: FailureReason::NameInUse },
             };
             self.turn_back(now, &arrival, &reply);
             return;
@@ -383,7 +391,7 @@
         let unread_most = class.deadline_ms * UNREAD_MOST + UNREAD_MORE_MS;
         if !(-AHEAD_MOST_MS..=unread_most).contains(&(now - arrival.t0)) {
             count(&self.parts.counters.bad_times);
-            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: Failure::BadTime });
+            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::BadTime });
             return;
         }
         if let Some(key) = &key {
@@ -397,7 +405,7 @@
         // Another request under a known key: its sender must not get what was made of the first, nor run.
         if key.as_ref().is_some_and(|key| self.keys.is_other(key, arrival.t0, digest)) {
             count(&self.parts.counters.refused_bodies);
-            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: Failure::OtherBody });
+            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::OtherBody });
             return;
         }
         let repeats = key.as_ref().and_then(|key| self.keys.kept_try(key, arrival.t0));
@@ -405,7 +413,7 @@
             match self.unknown_key(now) {
                 UnknownKey::Run => {}
                 UnknownKey::Fail => {
-                    let reply = Reply::Failed { late: false, why: Failure::KeyUnknown };
+                    let reply = Reply::Failed { late: false, why: FailureReason::KeyUnknown };
                     self.turn_back(now, &arrival, &reply);
                     return;
                 }
@@ -432,7 +440,7 @@
             read_ms: now,
             began_ms: now,
             hint_ms,
-            poorer: false,
+            degraded: false,
             due_ms,
             key,
             body: arrival.body,
@@ -447,7 +455,7 @@
             commanded: 0,
             halted: false,
         });
-        self.note(id, class, read);
+        self.emit(id, class, read);
         let queued_ms = (now - t0).max(0.0);
         let request = Request {
             id,
@@ -466,9 +474,9 @@
 
     /// Answers a request that the module does not get to see.
     fn turn_back(&self, now: f64, arrival: &Arrival, reply: &Reply) {
-        self.note(0, arrival.class, read_kind(now, arrival));
+        self.emit(0, arrival.class, read_kind(now, arrival));
         self.count_answer(arrival.class, reply);
-        self.note(0, arrival.class, answer_kind(reply, false, false, arrival.est_ms, now - arrival.t0));
+        self.emit(0, arrival.class, answer_kind(reply, false, false, arrival.est_ms, now - arrival.t0));
         arrival.caller.answer(arrival.ticket, reply);
     }
 
@@ -484,7 +492,7 @@
         if self.requests.release(id).is_none() {
             return;
         }
-        self.note_of(id, |open| Kind::Gone { took_ms: now - open.t0 });
+        self.emit_for(id, |open| RequestEventKind::CallerGone { took_ms: now - open.t0 });
         let Some(open) = self.requests.get(id) else { return };
         let phase = open.phase;
         self.parts.counters.count_class(open.class, |class| &class.gone);
@@ -527,7 +535,7 @@
             Ok(mut controller) => {
                 controller.handle(began_ms, Event::Begin, &mut self.actions);
                 self.controller = Some(controller);
-                self.turn(Turn::Up { cold });
+                self.emit_process_event(ProcessEvent::Started { cold });
                 self.life.set_healthy(true);
                 self.publish();
             }
@@ -585,15 +593,15 @@
         }
         count(&self.parts.counters.runs_ended);
         let (outcome, end, result) = match end {
-            RunEnd::Complete(bytes) => (Outcome::Done, Over::Complete, Ok(bytes)),
-            RunEnd::Error => (Outcome::Failed, Over::Error, Err(Failure::RunError)),
-            RunEnd::Cancelled => (Outcome::Cancelled, Over::Stopped, Err(Failure::RunStopped)),
-            RunEnd::Unknown => (Outcome::Moot, Over::Unknown, Err(Failure::RunUnknown)),
+            RunEnd::Complete(bytes) => (Outcome::Done, RunOutcome::Complete, Ok(bytes)),
+            RunEnd::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunError)),
+            RunEnd::Cancelled => (Outcome::Cancelled, RunOutcome::Stopped, Err(FailureReason::RunStopped)),
+            RunEnd::Unknown => (Outcome::Moot, RunOutcome::Unknown, Err(FailureReason::RunUnknown)),
         };
         if calling {
-            self.note_of(id, |open| call_dropped(now, open));
+            self.emit_for(id, |open| call_dropped(now, open));
         }
-        self.note_of(id, |_| Kind::RunOver { end, ran_ms });
+        self.emit_for(id, |_| RequestEventKind::RunEnded { end, ran_ms });
         match &result {
             Ok(bytes) => self.answer(id, Reply::Served(bytes.clone()), false),
             Err(why) => self.answer(id, Reply::Failed { late: false, why: *why }, false),
@@ -616,7 +624,7 @@
         }
         if dropped {
             count(&self.parts.counters.results_dropped);
-            self.turn(Turn::Reached(Limit::Results));
+            self.emit_process_event(ProcessEvent::LimitReached(ResourceLimit::Results));
         }
     }
 
@@ -631,7 +639,7 @@
                 Outcome::Done
             }
             _ => {
-                self.answer(id, Reply::Failed { late: false, why: Failure::RepeatFailed }, true);
+                self.answer(id, Reply::Failed { late: false, why: FailureReason::RepeatFailed }, true);
                 Outcome::Failed
             }
         };
@@ -646,12 +654,12 @@
         let Some(open) = self.requests.in_phase(id, Phase::Calling) else { return };
         let took_ms = now - open.called_ms;
         let end = match outcome {
-            Outcome::Done => CallEnd::Done,
-            Outcome::Declined => CallEnd::Declined,
-            Outcome::TimedOut => CallEnd::TimedOut,
-            Outcome::Unreachable => CallEnd::Unreachable,
-            Outcome::Reset => CallEnd::Reset,
-            Outcome::Failed | Outcome::Cancelled | Outcome::Moot => CallEnd::Failed,
+            Outcome::Done => CallOutcome::Done,
+            Outcome::Declined => CallOutcome::Declined,
+            Outcome::TimedOut => CallOutcome::TimedOut,
+            Outcome::Unreachable => CallOutcome::Unreachable,
+            Outcome::Reset => CallOutcome::Reset,
+            Outcome::Failed | Outcome::Cancelled | Outcome::Moot => CallOutcome::Failed,
         };
         let class = open.class;
         match (outcome, reply) {
@@ -664,7 +672,7 @@
                 open.phase = Phase::AtCall;
             }
         }
-        self.note(id, class, Kind::CallOver { end, called_ms: took_ms });
+        self.emit(id, class, RequestEventKind::CallEnded { end, called_ms: took_ms });
         self.tell(now, Event::CallEnded { id, outcome, took_ms });
     }
 
@@ -698,7 +706,7 @@
         tracing::info!(open = self.requests.len(), connections = self.callers.len(), late_ms, "leaving");
         let kill_ms = at_ms + self.parts.stop_ms;
         self.publish();
-        self.turn(Turn::Leaving { kill_ms });
+        self.emit_process_event(ProcessEvent::Draining { kill_ms });
         self.tell(at_ms, Event::Leave { kill_ms });
         // One that never served goes at once.
         if self.life.phase() == Life::Closing {
@@ -749,7 +757,7 @@
                     let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
                     for id in owed.map(|(id, _)| id).collect::<Vec<_>>() {
                         count(&self.parts.counters.overdue);
-                        self.give_up(now, id, Reply::Failed { late: true, why: Failure::Stop });
+                        self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Stop });
                     }
                     self.deny_all_claims(now);
                     self.parts.status.finishing.open();
@@ -832,7 +840,7 @@
         let late = owed.filter(|(_, open)| now >= open.due_ms + slack);
         for id in late.map(|(id, _)| id).collect::<Vec<_>>() {
             count(&self.parts.counters.overdue);
-            self.give_up(now, id, Reply::Failed { late: true, why: Failure::Overdue });
+            self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Overdue });
         }
         if let Some(after_ms) = self.idle_ms {
             self.callers.values().for_each(|caller| caller.leave_if_idle(now - after_ms));
@@ -872,13 +880,13 @@
         match action {
             Action::Start { id } => self.start(now, id),
             Action::Refuse { id, pause_ms, last, why } => {
-                self.note_of(id, |_| Kind::Decided(Decision::Refuse(why)));
+                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Reject(why)));
                 self.answer(id, Reply::Refused { backoff_ms: pause_ms, last, why }, false);
                 self.drop_unrun(id);
             }
             Action::Fail { id, why } => {
                 let late = self.requests.get(id).is_some_and(|open| now + WATCH_MS >= open.due_ms);
-                self.note_of(id, |_| Kind::Decided(Decision::Fail(why)));
+                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Fail(why)));
                 self.answer(id, Reply::Failed { late, why }, false);
                 self.drop_unrun(id);
                 self.end_at_call(id);
@@ -899,13 +907,13 @@
                     count(&self.parts.counters.calls);
                     let once = self.parts.site.settings.classes[open.class].effect != Effect::Read;
                     self.parts.store.clone().call(call, &open.rid, patience_ms, &open.need.1, once);
-                    self.note_of(id, |_| Kind::CallMade);
+                    self.emit_for(id, |_| RequestEventKind::CallStarted);
                 }
             }
             Action::Skip { id } => {
                 if let Some(open) = self.requests.in_phase(id, Phase::AtCall) {
-                    open.poorer = true;
-                    self.note_of(id, |_| Kind::CallLeftOut);
+                    open.degraded = true;
+                    self.emit_for(id, |_| RequestEventKind::CallSkipped);
                     count(&self.parts.counters.calls_left_out);
                     self.go_on(id, Feed::Nothing);
                 }
@@ -937,7 +945,7 @@
             let start = Start { id, digest: open.digest, t0: open.t0, until };
             if self.keys.start(key, start).is_err() {
                 count(&self.parts.counters.doubles_prevented);
-                self.answer(id, Reply::Failed { late: false, why: Failure::AlreadyRan }, false);
+                self.answer(id, Reply::Failed { late: false, why: FailureReason::AlreadyRan }, false);
                 self.forget_request(id);
                 self.follow_up.push_back(Event::Finished { id, outcome: Outcome::Moot });
                 return;
@@ -951,8 +959,8 @@
             self.parts.engine.run(&open.rid, self.parts.site.class_name(open.class), &open.body);
         }
         self.touch_key_of(id);
-        self.note_of(id, |_| Kind::Decided(Decision::Run));
-        self.note_of(id, |open| Kind::RunBegan { held_ms: now - open.read_ms });
+        self.emit_for(id, |_| RequestEventKind::Decided(Decision::Run));
+        self.emit_for(id, |open| RequestEventKind::RunStarted { queue_wait_ms: now - open.read_ms });
     }
 
     /// Key and digest of a request that is open, or ended in the instant in hand: what the module wants of a key when
@@ -976,7 +984,7 @@
         let Some(open) = self.requests.in_phase(id, Phase::Held) else { return };
         open.phase = Phase::Waiting;
         let (key, first) = (open.key.clone(), open.repeats);
-        self.note_of(id, |_| Kind::Decided(Decision::Reuse));
+        self.emit_for(id, |_| RequestEventKind::Decided(Decision::ReuseResult));
         let remote = key.as_ref().and_then(|key| self.keys.remote_try(key));
         let under_way =
             first.is_some_and(|first| self.requests.get(first).is_some() || remote == Some(first));
@@ -985,14 +993,14 @@
         }
     }
 
-    /// Gives the one answer, if it is still owed; `reused` if it was made for another try.
-    fn answer(&mut self, id: u32, reply: Reply, reused: bool) {
+    /// Gives the one answer, if it is still owed; `deduplicated` if it was made for another try.
+    fn answer(&mut self, id: u32, reply: Reply, deduplicated: bool) {
         let Some(caller) = self.requests.release(id) else { return };
         let Some(open) = self.requests.get(id) else { return };
         let ticket = open.ticket;
         self.count_answer(open.class, &reply);
         let took_ms = self.now_ms - open.t0;
-        self.note(id, open.class, answer_kind(&reply, reused, open.poorer, open.hint_ms, took_ms));
+        self.emit(id, open.class, answer_kind(&reply, deduplicated, open.degraded, open.hint_ms, took_ms));
         caller.answer(ticket, &reply);
     }
 
@@ -1020,7 +1028,7 @@
         }
         if let Some((call, class, kind)) = dropped {
             self.requests.call_over(call);
-            self.note(id, class, kind);
+            self.emit(id, class, kind);
         }
     }
 
@@ -1046,23 +1054,31 @@
     RESULTS_PART * memory_mb * 1_048_576.0
 }
 
-fn read_kind(now: f64, arrival: &Arrival) -> Kind {
-    let (front, again, hint_ms) = (arrival.front, arrival.again, arrival.est_ms);
-    Kind::Read { front, again, hint_ms, unread_ms: (now - arrival.t0).max(0.0) }
+fn read_kind(now: f64, arrival: &Arrival) -> RequestEventKind {
+    let (protocol, retry, hint_ms) = (arrival.front, arrival.again, arrival.est_ms);
+    RequestEventKind::Received { protocol, retry, hint_ms, read_delay_ms: (now - arrival.t0).max(0.0) }
 }
 
-fn answer_kind(reply: &Reply, reused: bool, poorer: bool, hint_ms: Option<f64>, took_ms: f64) -> Kind {
+fn answer_kind(
+    reply: &Reply,
+    deduplicated: bool,
+    degraded: bool,
+    hint_ms: Option<f64>,
+    took_ms: f64,
+) -> RequestEventKind {
     let answer = match reply {
-        Reply::Failed { late: true, why } => return Kind::Expired { why: *why, took_ms },
-        Reply::Served(_) => Answer::Served { reused, poorer },
-        Reply::Refused { why, .. } => Answer::Refused(*why),
+        Reply::Failed { late: true, why } => {
+            return RequestEventKind::DeadlineExceeded { why: *why, took_ms };
+        }
+        Reply::Served(_) => Answer::Served { deduplicated, degraded },
+        Reply::Refused { why, .. } => Answer::Rejected(*why),
         Reply::Failed { why, .. } => Answer::Failed(*why),
     };
-    Kind::Answered { answer, hint_ms, took_ms }
+    RequestEventKind::Answered { answer, hint_ms, took_ms }
 }
 
-fn call_dropped(now: f64, open: &Open) -> Kind {
-    Kind::CallOver { end: CallEnd::Dropped, called_ms: now - open.called_ms }
+fn call_dropped(now: f64, open: &Open) -> RequestEventKind {
+    RequestEventKind::CallEnded { end: CallOutcome::Dropped, called_ms: now - open.called_ms }
 }
 
 /// Writes what a run goes on with; tells whether there is a link that it goes to.
--- a/src/node/core/handover.rs
+++ b/src/node/core/handover.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pinepoint_events::{Failure, Kind, Turn};
+use pinepoint_events::{FailureReason, ProcessEvent, RequestEventKind};
 use pinepoint_handover::message::{Claim, Key as SharedKey, KeyRecord, KeyState};
 use pinepoint_handover::ownership::{Denial, Rules, UnknownKey};
 use pinepoint_handover::predecessor::{self, Predecessor};
@@ -337,7 +337,9 @@
         let (open, connections) = (self.requests.len(), self.callers.len());
         tracing::info!(open, connections, late_ms, "leaving-handed-over");
         self.publish();
-        self.turn(Turn::Leaving { kill_ms: self.life.kill_ms().unwrap_or(f64::INFINITY) });
+        self.emit_process_event(ProcessEvent::Draining {
+            kill_ms: self.life.kill_ms().unwrap_or(f64::INFINITY),
+        });
         self.close_doors();
     }
 
@@ -487,22 +489,22 @@
             arrival.caller.id() == caller && ticket.is_none_or(|ticket| arrival.ticket == ticket)
         };
         for arrival in self.take_claimants(is_meant) {
-            self.note(0, arrival.class, super::read_kind(now, &arrival));
-            self.note(0, arrival.class, Kind::Gone { took_ms: now - arrival.t0 });
+            self.emit(0, arrival.class, super::read_kind(now, &arrival));
+            self.emit(0, arrival.class, RequestEventKind::CallerGone { took_ms: now - arrival.t0 });
             self.parts.counters.count_class(arrival.class, |class| &class.gone);
         }
     }
 
     /// What came on a connection is no message of its wire: what waits for a claim on it fails.
     pub(super) fn claimants_spoilt(&mut self, now: f64, caller: u64) {
-        let reply = Reply::Failed { late: false, why: Failure::SpoiltConnection };
+        let reply = Reply::Failed { late: false, why: FailureReason::SpoiltConnection };
         for arrival in self.take_claimants(|_, arrival| arrival.caller.id() == caller) {
             self.turn_back(now, &arrival, &reply);
         }
     }
 
     fn fail_overdue_claimants(&mut self, now: f64) {
-        let reply = Reply::Failed { late: true, why: Failure::Overdue };
+        let reply = Reply::Failed { late: true, why: FailureReason::Overdue };
         for arrival in self.take_claimants(|core, arrival| now >= core.overdue_ms(arrival)) {
             count(&self.parts.counters.overdue);
             self.turn_back(now, &arrival, &reply);
@@ -527,7 +529,7 @@
         let Some(WaitingClaim { arrivals, .. }) = self.take_claim(id) else { return };
         tracing::info!(reason = %why, requests = arrivals.len(), "claim-denied");
         for arrival in arrivals {
-            let reply = Reply::Failed { late: false, why: Failure::ClaimDenied };
+            let reply = Reply::Failed { late: false, why: FailureReason::ClaimDenied };
             self.turn_back(now, &arrival, &reply);
         }
     }
--- a/src/node/fleet.rs
+++ b/src/node/fleet.rs
@@ -6,7 +6,7 @@
 
 use async_channel::Sender;
 use pinepoint_clock::Clock;
-use pinepoint_events::{Fact, Observer, State, Turn};
+use pinepoint_events::{CoreState, Observer, ProcessEvent, RequestEvent};
 use pinepoint_membership::io::Source;
 use pinepoint_membership::member::{Load, Phase};
 
@@ -61,23 +61,23 @@
 }
 
 impl Observer for Watch {
-    fn note(&self, now_ms: f64, fact: Fact) {
-        self.inner.note(now_ms, fact);
+    fn request_event(&self, now_ms: f64, fact: RequestEvent) {
+        self.inner.request_event(now_ms, fact);
     }
 
-    fn turn(&self, now_ms: f64, turn: Turn) {
+    fn process_event(&self, now_ms: f64, turn: ProcessEvent) {
         match turn {
-            Turn::Up { cold } => {
+            ProcessEvent::Started { cold } => {
                 self.phase.set(if cold { Phase::Cold } else { Phase::Serving });
                 self.cold_until_ms.set(now_ms + COLD_MS);
             }
-            Turn::Leaving { .. } => self.phase.set(Phase::Draining),
-            Turn::Left | Turn::Reached(_) | Turn::Fleet(_) => {}
+            ProcessEvent::Draining { .. } => self.phase.set(Phase::Draining),
+            ProcessEvent::Stopped | ProcessEvent::LimitReached(_) | ProcessEvent::MembershipChanged(_) => {}
         }
-        self.inner.turn(now_ms, turn);
+        self.inner.process_event(now_ms, turn);
     }
 
-    fn state(&self, now_ms: f64, state: &State) {
+    fn core_state(&self, now_ms: f64, state: &CoreState) {
         let figure =
             |name: &str| state.module.iter().find(|(n, _)| *n == name).map_or(0.0, |(_, value)| *value);
         self.load.set(Load {
@@ -88,7 +88,7 @@
             healthy: self.status.healthy.get(),
             up_s: 0,
         });
-        self.inner.state(now_ms, state);
+        self.inner.core_state(now_ms, state);
     }
 }
 
--- a/src/node/listen.rs
+++ b/src/node/listen.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
-use pinepoint_events::{Limit, Turn};
+use pinepoint_events::{ProcessEvent, ResourceLimit};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 
 use super::connection_state::Guest;
@@ -104,7 +104,10 @@
             if future::or(knocks, future::or(freed, shut)).await {
                 if front.room.is_full() {
                     front.room.make_way(front.clock.now());
-                    front.observer.turn(front.clock.now(), Turn::Reached(Limit::Connections));
+                    front.observer.process_event(
+                        front.clock.now(),
+                        ProcessEvent::LimitReached(ResourceLimit::Connections),
+                    );
                 }
                 future::or(front.room.freed(), front.clock.pause(FULL_MS)).await;
             }
--- a/src/node/port.rs
+++ b/src/node/port.rs
@@ -5,12 +5,12 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use pinepoint_events::Front;
+use pinepoint_events::Protocol;
 use pinepoint_handover::message::{Hello, Message};
 use pinepoint_handover::ownership::NoPredecessor;
 
 use crate::settings::Site;
-use crate::{Failure, Outcome, Refusal};
+use crate::{FailureReason, Outcome, RejectReason};
 
 /// One end of a connection on which requests came. The core answers through it and never waits for it.
 pub trait Caller {
@@ -124,14 +124,14 @@
         /// Ask for no further try.
         last: bool,
         /// Why.
-        why: Refusal,
+        why: RejectReason,
     },
     /// It failed; nothing is promised. `late` if there was no time left.
     Failed {
         /// It was out of time.
         late: bool,
         /// Why.
-        why: Failure,
+        why: FailureReason,
     },
 }
 
@@ -140,7 +140,7 @@
     /// Where the answer goes.
     pub caller: Rc<dyn Caller>,
     /// The front that read it.
-    pub front: Front,
+    pub front: Protocol,
     /// The caller's own name for it, not in use.
     pub ticket: u64,
     /// The name that engine and store know it by, new with every try.
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -52,7 +52,7 @@
     /// Work hint, ms.
     pub hint_ms: Option<f64>,
     /// Its run went on without a call.
-    pub poorer: bool,
+    pub degraded: bool,
     /// When its caller stops waiting, ms.
     pub due_ms: f64,
     /// Its key, or the subject that reads share.
--- a/src/node/rpc.rs
+++ b/src/node/rpc.rs
@@ -519,7 +519,7 @@
                     connection.guest.busy.set(true);
                     let arrival = Arrival {
                         caller: connection.clone(),
-                        front: pinepoint_events::Front::Rpc,
+                        front: pinepoint_events::Protocol::Rpc,
                         ticket: id,
                         rid: fields.rid,
                         class: fields.class,
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -12,7 +12,7 @@
 use pinepoint::settings::Site;
 use pinepoint::{Effect, Outcome};
 use pinepoint_clock::Clock;
-use pinepoint_events::{Fact, Front, Kind, Observer, State, Turn};
+use pinepoint_events::{CoreState, Observer, ProcessEvent, Protocol, RequestEvent, RequestEventKind};
 
 /// What the stand-ins saw, and what the observer was told.
 #[derive(Default)]
@@ -25,9 +25,9 @@
     pub feeds: RefCell<Vec<Vec<u8>>>,
     pub asked: Cell<u64>,
     pub answers: RefCell<BTreeMap<(u64, u64), Vec<Reply>>>,
-    pub facts: RefCell<Vec<Fact>>,
-    pub turns: RefCell<Vec<Turn>>,
-    pub state: RefCell<State>,
+    pub facts: RefCell<Vec<RequestEvent>>,
+    pub turns: RefCell<Vec<ProcessEvent>>,
+    pub state: RefCell<CoreState>,
 }
 
 impl Engine for Seen {
@@ -69,13 +69,13 @@
 }
 
 impl Observer for Seen {
-    fn note(&self, _: f64, fact: Fact) {
+    fn request_event(&self, _: f64, fact: RequestEvent) {
         self.facts.borrow_mut().push(fact);
     }
-    fn turn(&self, _: f64, turn: Turn) {
+    fn process_event(&self, _: f64, turn: ProcessEvent) {
         self.turns.borrow_mut().push(turn);
     }
-    fn state(&self, _: f64, state: &State) {
+    fn core_state(&self, _: f64, state: &CoreState) {
         *self.state.borrow_mut() = state.clone();
     }
 }
@@ -189,7 +189,7 @@
         self.tickets += 1;
         self.tell(Input::Request(Box::new(Arrival {
             caller: Rc::new(Client(caller, self.seen.clone())),
-            front: Front::Rpc,
+            front: Protocol::Rpc,
             ticket: self.tickets,
             rid: format!("r{}", self.tickets),
             class,
@@ -267,9 +267,9 @@
         let mut ended = BTreeSet::new();
         for fact in self.seen.facts.borrow().iter() {
             let at = match fact.kind {
-                Kind::Read { .. } => 0,
-                Kind::Answered { .. } | Kind::Expired { .. } => 1,
-                Kind::Gone { .. } => 2,
+                RequestEventKind::Received { .. } => 0,
+                RequestEventKind::Answered { .. } | RequestEventKind::DeadlineExceeded { .. } => 1,
+                RequestEventKind::CallerGone { .. } => 2,
                 _ => continue,
             };
             sums[fact.class][at] += 1;
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -6,7 +6,7 @@
 use bench::{Bench, Step};
 use pinepoint::Outcome;
 use pinepoint::node::port::{Input, Reply};
-use pinepoint_events::{Answer, Kind, Turn};
+use pinepoint_events::{Answer, ProcessEvent, RequestEventKind};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -49,12 +49,12 @@
         let facts = bench.seen.facts.borrow();
         let served = |reply: &&Vec<Reply>| matches!(reply[0], Reply::Served(_));
         let told = facts.iter().filter(|f| {
-            matches!(f.kind, Kind::Answered { answer: Answer::Served { .. }, .. })
+            matches!(f.kind, RequestEventKind::Answered { answer: Answer::Served { .. }, .. })
         });
         prop_assert_eq!(answers.values().filter(served).count(), told.count());
         // Calls made are over or in hand.
-        let made = facts.iter().filter(|f| matches!(f.kind, Kind::CallMade)).count();
-        let over = facts.iter().filter(|f| matches!(f.kind, Kind::CallOver { .. })).count();
+        let made = facts.iter().filter(|f| matches!(f.kind, RequestEventKind::CallStarted)).count();
+        let over = facts.iter().filter(|f| matches!(f.kind, RequestEventKind::CallEnded { .. })).count();
         prop_assert_eq!(made, over + bench.seen.calls.borrow().len());
     }
 }
@@ -72,7 +72,7 @@
         facts.iter().map(|f| format!("{:?}", f.kind).split([' ', '(']).next().unwrap().to_owned()).collect();
     assert_eq!(words, ["Read", "Decided", "RunBegan", "CallMade", "CallOver", "RunOver", "Answered"]);
     assert!(facts.iter().all(|fact| fact.id == 1));
-    assert_eq!(*bench.seen.turns.borrow(), [Turn::Up { cold: false }]);
+    assert_eq!(*bench.seen.turns.borrow(), [ProcessEvent::Started { cold: false }]);
 }
 
 /// The engine tells of a further call while the end of the one before stands in line behind it, and a pair of tries that
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -14,7 +14,7 @@
 use pinepoint::node::status::Status;
 use pinepoint::settings::Site;
 use pinepoint_clock::Clock;
-use pinepoint_events::Front;
+use pinepoint_events::Protocol;
 use pinepoint_handover::message::Message;
 use pinepoint_handover::ownership::{NoPredecessor, Rules};
 use pinepoint_handover::successor::RECONNECT_MS;
@@ -313,7 +313,7 @@
         self.names.insert(rid.clone(), (class.to_owned(), token.clone(), t0));
         let arrival = Arrival {
             caller: Rc::new(Client(caller, process.seen.clone())),
-            front: Front::Rpc,
+            front: Protocol::Rpc,
             ticket,
             rid: rid.clone(),
             class: class_index,
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -33,7 +33,7 @@
     Need {
         pick: usize,
     },
-    CallEnd {
+    CallOutcome {
         pick: usize,
         outcome: usize,
     },
@@ -64,7 +64,7 @@
             .prop_map(|(reads, runnable)| Step::Instant(reads, runnable)),
         4 => (any::<usize>(), any::<bool>()).prop_map(|(pick, ok)| Step::Finish { pick, ok }),
         2 => any::<usize>().prop_map(|pick| Step::Need { pick }),
-        2 => (any::<usize>(), 0..4usize).prop_map(|(pick, outcome)| Step::CallEnd { pick, outcome }),
+        2 => (any::<usize>(), 0..4usize).prop_map(|(pick, outcome)| Step::CallOutcome { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Step::Gone { pick }),
         4 => (1.0..300.0, 0.0..12.0).prop_map(|(ms, runnable)| Step::Pass { ms, runnable }),
         1 => Just(Step::Leave),
@@ -211,7 +211,7 @@
                 world.known.get_mut(&id).expect("picked").at_call = true;
                 bench.tell(Event::NeedsCall { id })
             }
-            Step::CallEnd { pick, outcome } => {
+            Step::CallOutcome { pick, outcome } => {
                 let Some(id) = world.pick(pick, |e| e.calling) else { continue };
                 let all = [Outcome::Done, Outcome::Declined, Outcome::TimedOut, Outcome::Unreachable];
                 let entry = world.known.get_mut(&id).expect("picked");
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,7 +13,7 @@
 use pinepoint::node::port::{Input, Reply, RunEnd};
 use pinepoint::settings::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
 use pinepoint::{
-    Action, Class, Controller, Effect, Event, Failure, Gauge, Request, Settings, SettingsError, Tenant,
+    Action, Class, Controller, Effect, Event, FailureReason, Gauge, Request, Settings, SettingsError, Tenant,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -348,7 +348,7 @@
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
     controller.handle(3200.0, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-    assert!(out.contains(&Action::Fail { id: 1, why: Failure::Late }), "{out:?}");
+    assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::Late }), "{out:?}");
 }
 
 #[test]
@@ -430,7 +430,7 @@
     bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         bench.seen.answers.borrow()[&(1, 4)],
-        [Reply::Failed { late: false, why: pinepoint::Failure::OtherBody }]
+        [Reply::Failed { late: false, why: pinepoint::FailureReason::OtherBody }]
     );
     // Within the window that the run was begun with.
     bench.pass(t0 + 4900.0 - bench.now, 0.5);
@@ -489,7 +489,7 @@
     );
     assert_eq!(of_first, None, "it waits for its own time");
     assert!(
-        matches!(of_second.as_deref(), Some([Reply::Failed { late: true, why: Failure::Late }])),
+        matches!(of_second.as_deref(), Some([Reply::Failed { late: true, why: FailureReason::Late }])),
         "{of_second:?}"
     );
     bench.pass(2400.0, 0.5);
@@ -679,7 +679,7 @@
         let answers = bench.seen.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
         // The module knows of each class: it gave the answers that were due, and the core none in its place.
-        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { why: Failure::Overdue, .. });
+        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { why: FailureReason::Overdue, .. });
         prop_assert!(!answers.values().flatten().any(is_overdue), "{:?}", answers);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,7 +7,7 @@
 use pinepoint::node::lifecycle::Phase;
 use pinepoint::node::port::Input;
 use pinepoint::settings::Site;
-use pinepoint_events::Turn;
+use pinepoint_events::ProcessEvent;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
@@ -133,7 +133,7 @@
         let classes = site.settings.classes.len();
         let mut bench = Bench::with_site(site, 0.01, stop_ms);
         bench.run(&Step::Up);
-        prop_assert!(bench.seen.turns.borrow().iter().any(|turn| matches!(turn, Turn::Up { .. })), "never ready");
+        prop_assert!(bench.seen.turns.borrow().iter().any(|turn| matches!(turn, ProcessEvent::Started { .. })), "never ready");
         for step in &steps {
             match step {
                 Step::Arrive { class, key, body, age } => {
