--- a/crates/pinepoint-membership/src/io.rs
+++ b/crates/pinepoint-membership/src/io.rs
@@ -31,7 +31,7 @@
 const KNOCKS_MOST: u32 = 8;
 
 /// What a member is told of its own process.
-pub trait Source {
+pub trait StatusSource {
     /// What it is to tell of itself.
     fn phase(&self) -> Phase;
     /// How it is loaded.
@@ -39,7 +39,7 @@
 }
 
 /// What the start takes beside the section of the edge file.
-pub struct Parts {
+pub struct Dependencies {
     /// The comparer's name.
     pub name: String,
     /// Cores of its engine.
@@ -51,7 +51,7 @@
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The rest of the process.
-    pub source: Rc<dyn Source>,
+    pub source: Rc<dyn StatusSource>,
     /// Who is told when the view changes.
     pub observer: Rc<dyn Observer>,
 }
@@ -74,13 +74,13 @@
 }
 
 /// This process's part in the fleet.
-pub struct Member {
+pub struct MembershipService {
     config: Config,
     codec: Codec,
     socket: Async<UdpSocket>,
     fleet: RefCell<Fleet>,
     clock: Clock,
-    source: Rc<dyn Source>,
+    source: Rc<dyn StatusSource>,
     observer: Rc<dyn Observer>,
     /// What the observer was told last.
     figures: Cell<pinepoint_events::MembershipSummary>,
@@ -94,8 +94,8 @@
 }
 
 /// Opens the socket and begins to take part.
-pub fn start(config: &Config, parts: Parts) -> io::Result<Rc<Member>> {
-    let Parts { name, cores, seed, clock, executor, source, observer } = parts;
+pub fn start(config: &Config, parts: Dependencies) -> io::Result<Rc<MembershipService>> {
+    let Dependencies { name, cores, seed, clock, executor, source, observer } = parts;
     if name.len() > NAME_MOST {
         let wrong =
             format!("the comparer's name has {} bytes, and {NAME_MOST} are the most in a fleet", name.len());
@@ -109,7 +109,7 @@
     let fleet =
         Fleet::new(config.rules(), clock.now(), identity, config.seeds.clone(), seed ^ u64::from(instance));
     tracing::info!(listen = %address, zone = config.zone, fleet = config.name, "fleet");
-    let member = Rc::new(Member {
+    let member = Rc::new(MembershipService {
         codec: Codec::new(&config.name),
         config: config.clone(),
         socket,
@@ -141,7 +141,7 @@
     Nothing,
 }
 
-impl Member {
+impl MembershipService {
     /// The view now.
     pub fn view(&self) -> View {
         self.fleet.borrow().view(self.clock.now())
@@ -329,7 +329,7 @@
 
 /// Why there is no view.
 #[derive(Debug)]
-pub enum AskError {
+pub enum QueryError {
     /// The system does not give a socket, or does not send.
     System(io::Error),
     /// Nobody answered: not running, another fleet's name, or not allowed to ask.
@@ -338,29 +338,34 @@
     NotAView(serde_json::Error),
 }
 
-impl std::fmt::Display for AskError {
+impl std::fmt::Display for QueryError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AskError::System(error) => write!(f, "{error}"),
-            AskError::NoAnswer => f.write_str(
+            QueryError::System(error) => write!(f, "{error}"),
+            QueryError::NoAnswer => f.write_str(
                 "no answer: no member listens there, its fleet has another name (--fleet), or it may not be asked from here \
                  (view_from)",
             ),
-            AskError::NotAView(error) => write!(f, "what came is no view: {error}"),
+            QueryError::NotAView(error) => write!(f, "what came is no view: {error}"),
         }
     }
 }
 
-impl std::error::Error for AskError {}
+impl std::error::Error for QueryError {}
 
-impl From<io::Error> for AskError {
+impl From<io::Error> for QueryError {
     fn from(error: io::Error) -> Self {
-        AskError::System(error)
+        QueryError::System(error)
     }
 }
 
 /// Asks the member at this address for its view, as JSON. Each page is asked for up to `tries` times, `wait` each.
-pub fn ask(fleet: &str, at: SocketAddr, tries: u32, wait: Duration) -> Result<serde_json::Value, AskError> {
+pub fn query_view(
+    fleet: &str,
+    at: SocketAddr,
+    tries: u32,
+    wait: Duration,
+) -> Result<serde_json::Value, QueryError> {
     let codec = Codec::new(fleet);
     let socket = towards(at)?;
     socket.set_read_timeout(Some(wait))?;
@@ -371,7 +376,7 @@
         text.extend(part);
         page += 1;
         if page >= pages {
-            return serde_json::from_slice(&text).map_err(AskError::NotAView);
+            return serde_json::from_slice(&text).map_err(QueryError::NotAView);
         }
     }
 }
@@ -381,9 +386,9 @@
     socket: &UdpSocket,
     (id, page): (u64, u16),
     tries: u32,
-) -> Result<(Vec<u8>, u16), AskError> {
+) -> Result<(Vec<u8>, u16), QueryError> {
     let question = Message::Ask { id, page, pad: vec![0; MOST - 40] };
-    let bytes = codec.encode(&question).map_err(|_| AskError::NoAnswer)?;
+    let bytes = codec.encode(&question).map_err(|_| QueryError::NoAnswer)?;
     let mut buffer = vec![0; MOST + 1];
     for _ in 0..tries.max(1) {
         // Refused by its system is told at the next call: nobody listens there, or not yet.
@@ -398,5 +403,5 @@
             }
         }
     }
-    Err(AskError::NoAnswer)
+    Err(QueryError::NoAnswer)
 }
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -20,7 +20,7 @@
 use pinepoint::settings::Site;
 use pinepoint_clock::Clock;
 use pinepoint_events::{NoopObserver, Observer};
-use pinepoint_membership::io::Member;
+use pinepoint_membership::io::MembershipService;
 use pinepoint_telemetry::Telemetry;
 
 use crate::bind::{Bound, bind};
@@ -121,13 +121,13 @@
 /// The observer of the core, and the fleet member that it feeds, if there is one.
 struct Watched {
     observer: Rc<dyn Observer>,
-    member: Option<Rc<Member>>,
+    member: Option<Rc<MembershipService>>,
 }
 
 /// What is told to others after the core has ended.
 struct Ending {
     handover_links: Option<Rc<handover::Links>>,
-    member: Option<Rc<Member>>,
+    member: Option<Rc<MembershipService>>,
     telemetry: Option<Rc<Telemetry>>,
     /// Time for the last delivery of telemetry, ms.
     last_ms: f64,
@@ -224,7 +224,7 @@
             self.queue.clone(),
             keys_most,
         ));
-        let parts = pinepoint_membership::io::Parts {
+        let parts = pinepoint_membership::io::Dependencies {
             name: self.name.clone(),
             cores: settings.cores,
             seed: self.seed,
--- a/src/bin/pinepoint/view.rs
+++ b/src/bin/pinepoint/view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use pinepoint_membership::io::{AskError, ask};
+use pinepoint_membership::io::{QueryError, query_view};
 use serde_json::Value;
 
 /// Tries for each page of a view, and the wait of each.
@@ -46,7 +46,7 @@
 
 pub fn run(question: &Ask) -> ExitCode {
     match question {
-        Ask::View { at, fleet, json } => match ask(fleet, *at, TRIES, WAIT) {
+        Ask::View { at, fleet, json } => match query_view(fleet, *at, TRIES, WAIT) {
             Ok(view) => {
                 println!("{}", if *json { view.to_string() } else { table(&view) });
                 if view["settled"] == true { ExitCode::SUCCESS } else { ExitCode::from(UNSETTLED) }
@@ -57,7 +57,7 @@
     }
 }
 
-fn failed(at: SocketAddr, error: &AskError) -> ExitCode {
+fn failed(at: SocketAddr, error: &QueryError) -> ExitCode {
     eprintln!("pinepoint: {at}: {error}");
     ExitCode::FAILURE
 }
@@ -127,7 +127,7 @@
 fn watch(at: SocketAddr, fleet: &str, every: Duration) -> ExitCode {
     let mut before: Option<Vec<String>> = None;
     loop {
-        match ask(fleet, at, TRIES, WAIT) {
+        match query_view(fleet, at, TRIES, WAIT) {
             Ok(view) => {
                 let now = things(&view);
                 let known = before.unwrap_or_default();
--- a/src/node/fleet.rs
+++ b/src/node/fleet.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use pinepoint_clock::Clock;
 use pinepoint_events::{CoreState, Observer, ProcessEvent, RequestEvent};
-use pinepoint_membership::io::Source;
+use pinepoint_membership::io::StatusSource;
 use pinepoint_membership::member::{Load, Phase};
 
 use super::port::Input;
@@ -92,7 +92,7 @@
     }
 }
 
-impl Source for Watch {
+impl StatusSource for Watch {
     fn phase(&self) -> Phase {
         if self.phase.get() == Phase::Cold && self.clock.now() >= self.cold_until_ms.get() {
             self.phase.set(Phase::Serving);
