--- a/crates/pinepoint-events/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -12,7 +12,7 @@
 //!     }
 //! }
 //! let last = Last(None.into());
-//! last.note(1.0, RequestEvent { id: 7, class: 0, kind: RequestEventKind::CallerGone { took_ms: 12.0 } });
+//! last.request_event(1.0, RequestEvent { id: 7, class: 0, kind: RequestEventKind::CallerGone { took_ms: 12.0 } });
 //! assert_eq!(last.0.get().map(|fact| fact.id), Some(7));
 //! assert_eq!(RejectReason::TooLate.code(), "too-late");
 //! ```
@@ -374,30 +374,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn check<R: ReasonCode + std::fmt::Debug>() {
-        let words: std::collections::BTreeSet<_> = R::ALL.iter().map(|r| r.code()).collect();
-        assert_eq!(words.len(), R::ALL.len(), "each has a word of its own");
-        for (at, reason) in R::ALL.iter().enumerate() {
-            assert_eq!(reason.index(), at);
-            assert!(reason.code().bytes().all(|b| b.is_ascii_lowercase() || b == b'-'), "{reason:?}");
-        }
-    }
-
-    #[test]
-    fn every_reason_has_one_plain_word() {
-        check::<RejectReason>();
-        check::<FailureReason>();
-        check::<CallOutcome>();
-        check::<RunOutcome>();
-        check::<ResourceLimit>();
-        check::<Protocol>();
-    }
-
-    #[test]
-    fn a_fact_is_small() {
-        assert!(std::mem::size_of::<RequestEvent>() <= 64, "{}", std::mem::size_of::<RequestEvent>());
-    }
-}
+mod tests;
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -163,46 +163,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn figures_of_a_distribution_are_right_within_two_digits_also_after_merging() {
-        let (mut whole, mut halves) = (Growing::default(), [Growing::default(), Growing::default()]);
-        let mut exact: Vec<f64> = (0..4000_u32).map(|n| f64::from(n * 7919 % 4001) * 0.7 + 0.1).collect();
-        for (n, ms) in exact.iter().enumerate() {
-            whole.record(*ms);
-            halves[n % 2].record(*ms);
-        }
-        let [a, b] = halves.each_mut().map(Growing::take);
-        let (whole, merged) = (whole.take(), a.merged(&b));
-        assert_eq!(whole.pairs, merged.pairs);
-        exact.sort_by(f64::total_cmp);
-        for (thousandths, at) in [(500, 1999), (900, 3599), (990, 3959), (999, 3995)] {
-            let told = merged.part(Part::Quantile(thousandths)).expect("values");
-            assert!((told / exact[at] - 1.0).abs() < 0.01, "{thousandths}: {told} for {}", exact[at]);
-        }
-        assert_eq!(merged.part(Part::Count), Some(4000.0));
-        let sum: f64 = exact.iter().sum();
-        assert!((merged.part(Part::Sum).expect("a sum") / sum - 1.0).abs() < 1e-9);
-    }
-
-    #[test]
-    fn nothing_recorded_has_a_count_and_no_quantile() {
-        let dist = Growing::default().take();
-        assert_eq!(dist.part(Part::Count), Some(0.0));
-        assert_eq!(dist.part(Part::Quantile(990)), None);
-        assert_eq!(dist.part(Part::Most), None);
-    }
-
-    #[test]
-    fn values_that_cannot_be_are_taken_for_the_nearest_that_can() {
-        let mut growing = Growing::default();
-        for ms in [f64::NAN, -5.0, f64::INFINITY, 1e12] {
-            growing.record(ms);
-        }
-        let dist = growing.take();
-        assert_eq!(dist.part(Part::Count), Some(4.0));
-        assert!(dist.part(Part::Most).expect("values") <= 605_000.0);
-    }
-}
+mod tests;
