--- /dev/null
+++ b/crates/pinepoint-events/src/core_state.rs
@@ -0,0 +1,24 @@
+//! A snapshot of the core's own tables.
+
+/// The state of the core at one instant, counted in its own tables rather than derived from events.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct CoreState {
+    /// For each request class, requests that were received and have not ended yet.
+    pub open: Vec<u64>,
+    /// Requests in the queue.
+    pub held: u64,
+    /// Retries that wait for the result of an earlier attempt.
+    pub waiting: u64,
+    /// Running requests, those that wait for a downstream call included.
+    pub running: u64,
+    /// Downstream calls in flight.
+    pub calls: u64,
+    /// Entries in the table of idempotency keys.
+    pub keys: u64,
+    /// Cached results, bytes.
+    pub results_bytes: u64,
+    /// Connections of all frontends.
+    pub connections: u64,
+    /// Gauges of the decision module: a name and a value each, always the same names in the same order.
+    pub module: Vec<(&'static str, f64)>,
+}
