--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -1,58 +1,73 @@
-//! Facts to counts. It owns the running totals of a process; it must never allocate for a fact, do I/O or read a clock.
+//! Counts request events: the running totals and latency distributions of the process.
+//!
+//! Counting an event allocates nothing, does no I/O and reads no clock.
 
 use std::rc::Rc;
 
-use pinepoint_events::{Answer, CoreState, ReasonCode, RequestEvent, RequestEventKind};
+use pinepoint_events::{Answer, CoreState, RequestEvent, RequestEventKind};
 
-use crate::schema::{Plain, Schema};
-use crate::snapshot::{Dist, Growing};
+use crate::distribution::{Distribution, DistributionRecorder};
+use crate::schema::{ClassCounter, ClassDistribution, Schema};
 
-/// What is told of a class, for judging what is done for it.
+/// How the answers of a request class are valued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time of the arrival is in the aim, ms.
+    /// Latency objective, ms from the arrival at the machine.
     pub aim_ms: f64,
-    /// The aim grows by this multiple of the work hint.
+    /// Multiple of the work hint that is added to the latency objective.
     pub aim_stretch: f64,
-    /// Worth of a request, or of a second of its work.
+    /// Priority weight of a request, or of a second of its work.
     pub worth: f64,
-    /// Part of it that an answer after the aim earns.
+    /// Factor of the weight for an answer after the latency objective, 0 to 1.
     pub late_worth: f64,
-    /// Part of it that an answer made without its call earns.
+    /// Factor of the weight for a degraded answer, 0 to 1.
     pub worth_without: f64,
 }
 
-/// Counts what happens. A request's worth counts by its hinted work where worth goes by work; one without a hint counts
-/// like the mean of those with one.
+/// Counters and distributions of the process.
+///
+/// Where weights count by work, a request without a work hint counts like the mean of those with one.
 #[derive(Clone, Debug)]
 pub struct Accounts {
     schema: Rc<Schema>,
     classes: Vec<Class>,
-    /// For each class the place of its series in the schema: classes of one name share theirs.
+    /// For each class, the class of the schema that has its metrics: classes of the same name share theirs.
     series: Vec<usize>,
-    by_work: bool,
-    hints: Vec<(f64, f64)>,
+    weight_by_work: bool,
+    /// Work hints seen so far, for each class of the schema.
+    hints: Vec<HintMean>,
     totals: Vec<f64>,
-    dists: Vec<Growing>,
+    distributions: Vec<DistributionRecorder>,
 }
 
-const HOLD: usize = 0;
-const RUN: usize = 1;
-const TOTAL: usize = 2;
-const CALL: usize = 3;
+/// Sum and number of work hints, ms.
+#[derive(Clone, Copy, Debug, Default)]
+struct HintMean {
+    sum_ms: f64,
+    count: f64,
+}
+
+/// An answer with a result, as far as its weight depends on it.
+#[derive(Clone, Copy)]
+struct Served {
+    deduplicated: bool,
+    degraded: bool,
+    hint_ms: Option<f64>,
+    took_ms: f64,
+}
 
 impl Accounts {
-    /// Nothing counted yet. `classes` are in the order of the schema; `by_work` if worth counts for each unit of work.
+    /// Nothing counted yet. `classes` are in the order of the schema; `by_work` if weights count by work, not by request.
     pub fn new(schema: Rc<Schema>, classes: Vec<Class>, by_work: bool) -> Self {
-        let hints = vec![(0.0, 0.0); classes.len()];
+        let hints = vec![HintMean::default(); classes.len()];
         let totals = vec![0.0; schema.counts()];
-        let dists = vec![Growing::default(); schema.dists()];
+        let distributions = vec![DistributionRecorder::default(); schema.distributions()];
         let series = (0..classes.len()).collect();
-        Accounts { schema, classes, series, by_work, hints, totals, dists }
+        Accounts { schema, classes, series, weight_by_work: by_work, hints, totals, distributions }
     }
 
-    /// Goes on with other classes, at the least as many as before, and with the place of each one's series in this
-    /// schema. It is that of before, or has more classes; what was counted stays.
+    /// Continues with other classes, at least as many as before. `series` has the class of the schema for each of them.
+    /// The schema is the current one or one widened from it; what was counted stays.
     pub fn set_classes(
         &mut self,
         schema: Rc<Schema>,
@@ -61,138 +76,137 @@
         by_work: bool,
     ) {
         self.totals = schema.widen(&self.schema, &self.totals);
-        self.dists.resize_with(schema.dists(), Growing::default);
-        self.hints.resize(schema.classes().len(), (0.0, 0.0));
-        (self.schema, self.classes, self.series, self.by_work) = (schema, classes, series, by_work);
+        self.distributions.resize_with(schema.distributions(), DistributionRecorder::default);
+        self.hints.resize(schema.classes().len(), HintMean::default());
+        self.schema = schema;
+        self.classes = classes;
+        self.series = series;
+        self.weight_by_work = by_work;
     }
 
-    /// Open requests by series, from those by class.
+    /// Open requests for each class of the schema.
     pub fn open_by_series(&self, state: &CoreState) -> Vec<u64> {
         let mut open = vec![0; self.schema.classes().len()];
-        for (series, n) in self.series.iter().zip(&state.open) {
-            open[*series] += n;
+        for (series, count) in self.series.iter().zip(&state.open) {
+            open[*series] += count;
         }
         open
     }
 
-    /// Takes one fact. One about a class that does not exist is passed over.
-    pub fn note(&mut self, fact: &RequestEvent) {
-        let Some(plan) = self.classes.get(fact.class).copied() else { return };
-        let class = self.series[fact.class];
-        match fact.kind {
-            RequestEventKind::Received { retry: again, hint_ms, .. } => {
-                self.add(class, Plain::Read, 1.0);
-                self.add(class, Plain::ReadAgain, f64::from(u8::from(again)));
-                if let Some(hint_ms) = hint_ms {
-                    let (sum, count) = &mut self.hints[class];
-                    *sum += hint_ms;
-                    *count += 1.0;
-                }
-                let asked = plan.worth * self.units(class, hint_ms);
-                self.add(class, Plain::Asked, asked);
-            }
+    /// Counts one event. An event of a class that does not exist is ignored.
+    pub fn note(&mut self, event: &RequestEvent) {
+        let Some(terms) = self.classes.get(event.class).copied() else { return };
+        let class = self.series[event.class];
+        match event.kind {
+            RequestEventKind::Received { retry, hint_ms, .. } => self.received(class, terms, retry, hint_ms),
             RequestEventKind::Decided(_) => {}
             RequestEventKind::RunStarted { queue_wait_ms } => {
-                self.add(class, Plain::Runs, 1.0);
-                self.record(class, HOLD, queue_wait_ms);
+                self.add(class, ClassCounter::RunsStarted, 1.0);
+                self.record(class, ClassDistribution::QueueWait, queue_wait_ms);
             }
             RequestEventKind::RunEnded { end, ran_ms } => {
                 self.totals[self.schema.run(class, end)] += 1.0;
-                self.record(class, RUN, ran_ms);
+                self.record(class, ClassDistribution::Run, ran_ms);
             }
-            RequestEventKind::CallStarted => self.add(class, Plain::Calls, 1.0),
+            RequestEventKind::CallStarted => self.add(class, ClassCounter::CallsStarted, 1.0),
             RequestEventKind::CallEnded { end, called_ms } => {
                 self.totals[self.schema.call(class, end)] += 1.0;
-                self.record(class, CALL, called_ms);
+                self.record(class, ClassDistribution::Call, called_ms);
             }
-            RequestEventKind::CallSkipped => self.add(class, Plain::LeftOut, 1.0),
+            RequestEventKind::CallSkipped => self.add(class, ClassCounter::CallsSkipped, 1.0),
             RequestEventKind::Answered { answer, hint_ms, took_ms } => {
-                self.record(class, TOTAL, took_ms);
+                self.record(class, ClassDistribution::Total, took_ms);
                 match answer {
                     Answer::Served { deduplicated, degraded } => {
-                        self.served(class, plan, deduplicated, degraded, hint_ms, took_ms)
+                        self.served(class, terms, Served { deduplicated, degraded, hint_ms, took_ms });
                     }
-                    Answer::Rejected(why) => self.totals[self.schema.refused(class, why)] += 1.0,
-                    Answer::Failed(why) => self.totals[self.schema.failed(class, why)] += 1.0,
+                    Answer::Rejected(reason) => self.totals[self.schema.rejected(class, reason)] += 1.0,
+                    Answer::Failed(reason) => self.totals[self.schema.failed(class, reason)] += 1.0,
                 }
             }
             RequestEventKind::DeadlineExceeded { took_ms, .. } => {
-                self.record(class, TOTAL, took_ms);
-                self.add(class, Plain::Expired, 1.0);
+                self.record(class, ClassDistribution::Total, took_ms);
+                self.add(class, ClassCounter::DeadlineExceeded, 1.0);
             }
-            RequestEventKind::CallerGone { .. } => self.add(class, Plain::Gone, 1.0),
+            RequestEventKind::CallerGone { .. } => self.add(class, ClassCounter::CallerGone, 1.0),
         }
     }
 
-    fn served(
-        &mut self,
-        class: usize,
-        plan: Class,
-        deduplicated: bool,
-        degraded: bool,
-        hint_ms: Option<f64>,
-        took_ms: f64,
-    ) {
-        let in_aim = took_ms <= plan.aim_ms + plan.aim_stretch * hint_ms.unwrap_or(0.0);
-        self.add(class, if in_aim { Plain::InAim } else { Plain::Late }, 1.0);
-        self.add(class, Plain::Reused, f64::from(u8::from(deduplicated)));
-        self.add(class, Plain::Poorer, f64::from(u8::from(degraded)));
-        let worth = plan.worth * self.units(class, hint_ms);
-        let worth = worth * if in_aim { 1.0 } else { plan.late_worth };
-        self.add(class, Plain::Served, worth * if degraded { plan.worth_without } else { 1.0 });
+    fn received(&mut self, class: usize, terms: Class, retry: bool, hint_ms: Option<f64>) {
+        self.add(class, ClassCounter::Received, 1.0);
+        self.add(class, ClassCounter::Retries, f64::from(u8::from(retry)));
+        if let Some(hint_ms) = hint_ms {
+            let hints = &mut self.hints[class];
+            hints.sum_ms += hint_ms;
+            hints.count += 1.0;
+        }
+        let weight = terms.worth * self.weight_units(class, hint_ms);
+        self.add(class, ClassCounter::WeightReceived, weight);
+    }
+
+    fn served(&mut self, class: usize, terms: Class, served: Served) {
+        let objective_ms = terms.aim_ms + terms.aim_stretch * served.hint_ms.unwrap_or(0.0);
+        let (outcome, lateness_factor) = if served.took_ms <= objective_ms {
+            (ClassCounter::ServedWithinObjective, 1.0)
+        } else {
+            (ClassCounter::ServedLate, terms.late_worth)
+        };
+        self.add(class, outcome, 1.0);
+        self.add(class, ClassCounter::Deduplicated, f64::from(u8::from(served.deduplicated)));
+        self.add(class, ClassCounter::Degraded, f64::from(u8::from(served.degraded)));
+        let degradation_factor = if served.degraded { terms.worth_without } else { 1.0 };
+        let weight = terms.worth * self.weight_units(class, served.hint_ms);
+        self.add(class, ClassCounter::WeightServed, weight * lateness_factor * degradation_factor);
     }
 
-    /// What the worth of one request counts by.
-    fn units(&self, class: usize, hint_ms: Option<f64>) -> f64 {
-        let (sum, count) = self.hints[class];
+    /// What the weight of one request is multiplied by: 1, or its work in seconds.
+    fn weight_units(&self, class: usize, hint_ms: Option<f64>) -> f64 {
+        let hints = self.hints[class];
         match hint_ms {
-            _ if !self.by_work => 1.0,
+            _ if !self.weight_by_work => 1.0,
             Some(hint_ms) => hint_ms / 1000.0,
-            None if count > 0.0 => sum / count / 1000.0,
+            None if hints.count > 0.0 => hints.sum_ms / hints.count / 1000.0,
             None => 1.0,
         }
     }
 
-    fn add(&mut self, class: usize, plain: Plain, n: f64) {
-        self.totals[self.schema.plain(class, plain)] += n;
+    fn add(&mut self, class: usize, counter: ClassCounter, n: f64) {
+        self.totals[self.schema.class_counter(class, counter)] += n;
     }
 
-    fn record(&mut self, class: usize, dist: usize, ms: f64) {
-        self.dists[self.schema.dist(class, dist)].record(ms);
+    fn record(&mut self, class: usize, distribution: ClassDistribution, ms: f64) {
+        self.distributions[self.schema.distribution(class, distribution)].record(ms);
     }
 
-    /// Sets what others count, from this place on.
+    /// Sets totals that are counted elsewhere, from this index on.
     pub fn set(&mut self, at: usize, values: &[u64]) {
         for (total, value) in self.totals[at..].iter_mut().zip(values) {
             *total = *value as f64;
         }
     }
 
-    /// By how many requests the law `read = served + refused + failed + expired + gone + open` is off, over all
-    /// classes, where `open` is what the core counts in its own tables at this instant.
+    /// The accounting error: by how many requests `read = served + refused + failed + expired + gone + open` is off, summed
+    /// over all classes. `open` is what the core counts in its own tables at this instant. 0 unless an event was missed
+    /// or reported twice.
     pub fn law_off(&self, state: &CoreState) -> f64 {
         let open = self.open_by_series(state);
-        let of_class = |class: usize| {
-            let plain = |plain| self.totals[self.schema.plain(class, plain)];
-            let sum = |from: usize, n: usize| self.totals[from..from + n].iter().sum::<f64>();
-            let refused = sum(
-                self.schema.refused(class, ReasonCode::ALL[0]),
-                pinepoint_events::RejectReason::ALL.len(),
-            );
-            let failed = sum(
-                self.schema.failed(class, ReasonCode::ALL[0]),
-                pinepoint_events::FailureReason::ALL.len(),
-            );
-            let served = plain(Plain::InAim) + plain(Plain::Late);
-            let ended = served + refused + failed + plain(Plain::Expired) + plain(Plain::Gone);
-            (plain(Plain::Read) - ended - open[class] as f64).abs()
-        };
-        (0..open.len()).map(of_class).sum()
+        open.iter().enumerate().map(|(class, open)| self.accounting_error(class, *open)).sum()
+    }
+
+    fn accounting_error(&self, class: usize, open: u64) -> f64 {
+        let counter = |counter| self.totals[self.schema.class_counter(class, counter)];
+        let rejected: f64 = self.totals[self.schema.rejections(class)].iter().sum();
+        let failed: f64 = self.totals[self.schema.failures(class)].iter().sum();
+        let served = counter(ClassCounter::ServedWithinObjective) + counter(ClassCounter::ServedLate);
+        let unanswered = counter(ClassCounter::DeadlineExceeded) + counter(ClassCounter::CallerGone);
+        let ended = served + rejected + failed + unanswered;
+        (counter(ClassCounter::Received) - ended - open as f64).abs()
     }
 
-    /// Ends an interval: the totals as they stand, and its distributions, which begin anew.
-    pub fn cut(&mut self) -> (Rc<[f64]>, Rc<[Dist]>) {
-        (self.totals.as_slice().into(), self.dists.iter_mut().map(Growing::take).collect())
+    /// Ends an interval: returns the totals as they stand, and the distributions, which start again with nothing.
+    pub fn cut(&mut self) -> (Rc<[f64]>, Rc<[Distribution]>) {
+        let distributions = self.distributions.iter_mut().map(DistributionRecorder::take);
+        (self.totals.as_slice().into(), distributions.collect())
     }
 }
 
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -9,7 +9,7 @@
     Accounts::new(Rc::new(schema), vec![class, Class { worth: 3.0, ..class }], by_work)
 }
 
-fn fact(class: usize, kind: RequestEventKind) -> RequestEvent {
+fn event(class: usize, kind: RequestEventKind) -> RequestEvent {
     RequestEvent { id: 1, class, kind }
 }
 
@@ -25,21 +25,28 @@
 fn worth_follows_aim_and_completeness() {
     let mut accounts = accounts(false);
     for kind in [served(900.0, false, None), served(901.0, false, None), served(5.0, true, None)] {
-        accounts.note(&fact(1, read(None)));
-        accounts.note(&fact(1, kind));
+        accounts.note(&event(1, read(None)));
+        accounts.note(&event(1, kind));
     }
-    let at = |plain| accounts.totals[accounts.schema.plain(1, plain)];
-    assert_eq!((at(Plain::Asked), at(Plain::InAim), at(Plain::Late)), (9.0, 2.0, 1.0));
-    assert!((at(Plain::Served) - (3.0 + 0.6 + 0.9)).abs() < 1e-9);
+    let at = |counter| accounts.totals[accounts.schema.class_counter(1, counter)];
+    assert_eq!(
+        (
+            at(ClassCounter::WeightReceived),
+            at(ClassCounter::ServedWithinObjective),
+            at(ClassCounter::ServedLate)
+        ),
+        (9.0, 2.0, 1.0)
+    );
+    assert!((at(ClassCounter::WeightServed) - (3.0 + 0.6 + 0.9)).abs() < 1e-9);
 }
 
 #[test]
 fn where_worth_goes_by_work_one_without_a_hint_counts_like_the_mean() {
     let mut accounts = accounts(true);
     for hint in [Some(100.0), Some(300.0), None] {
-        accounts.note(&fact(0, read(hint)));
+        accounts.note(&event(0, read(hint)));
     }
-    let asked = accounts.totals[accounts.schema.plain(0, Plain::Asked)];
+    let asked = accounts.totals[accounts.schema.class_counter(0, ClassCounter::WeightReceived)];
     assert!((asked - 0.6).abs() < 1e-9, "{asked}");
 }
 
@@ -62,10 +69,10 @@
         RequestEventKind::CallerGone { took_ms: 1.0 },
     ];
     for kind in ends {
-        accounts.note(&fact(0, read(None)));
-        accounts.note(&fact(0, kind));
+        accounts.note(&event(0, read(None)));
+        accounts.note(&event(0, kind));
     }
-    accounts.note(&fact(1, read(None)));
+    accounts.note(&event(1, read(None)));
     let state = CoreState { open: vec![0, 1], ..CoreState::default() };
     assert_eq!(accounts.law_off(&state), 0.0);
     assert_eq!(
@@ -73,9 +80,9 @@
         1.0,
         "an end is missed"
     );
-    accounts.note(&fact(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
+    accounts.note(&event(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
     assert_eq!(accounts.law_off(&state), 1.0, "it ended, and the core still has it");
-    accounts.note(&fact(7, read(None)));
+    accounts.note(&event(7, read(None)));
     assert_eq!(accounts.law_off(&state), 1.0, "no such class");
 }
 
@@ -84,28 +91,30 @@
     let mut accounts = accounts(false);
     let told = |accounts: &Accounts, name: &str, stat: &str| {
         let (totals, _) = accounts.clone().cut();
-        let is_named = |at: &usize| match accounts.schema.point(*at) {
-            (Scope::Class(class), word, _) => accounts.schema.classes()[class] == name && word == stat,
-            _ => false,
+        let is_named = |point: &usize| {
+            let metric = accounts.schema.describe(*point);
+            let of_class =
+                |class| metric.scope == Scope::Class(class) && accounts.schema.classes()[class] == name;
+            metric.stat == stat && (0..accounts.schema.classes().len()).any(of_class)
         };
         totals[(0..accounts.schema.counts()).find(is_named).expect("a series")]
     };
-    accounts.note(&fact(0, read(None)));
-    accounts.note(&fact(1, read(None)));
-    accounts.set(accounts.schema.log_lines(), &[7]);
+    accounts.note(&event(0, read(None)));
+    accounts.note(&event(1, read(None)));
+    accounts.set(accounts.schema.log_lines_left_out(), &[7]);
     let names = ["look".into(), "write".into(), "more".into()];
     let schema = Rc::new(accounts.schema.with_classes(&names));
     let class = accounts.classes[0];
     let dearer = Class { worth: 5.0, ..class };
     accounts.set_classes(schema, vec![class, class, dearer, dearer], vec![0, 1, 2, 1], false);
     for class in [0, 2, 2, 3] {
-        accounts.note(&fact(class, read(None)));
-        accounts.note(&fact(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
+        accounts.note(&event(class, read(None)));
+        accounts.note(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
     }
     let reads = ["look", "write", "more"].map(|name| told(&accounts, name, "read"));
     assert_eq!(reads, [2.0, 2.0, 2.0]);
     assert_eq!(told(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
-    assert_eq!(accounts.totals[accounts.schema.log_lines()], 7.0);
+    assert_eq!(accounts.totals[accounts.schema.log_lines_left_out()], 7.0);
     let state = CoreState { open: vec![2, 1, 2, 1], ..CoreState::default() };
     assert_eq!((accounts.open_by_series(&state), accounts.law_off(&state)), (vec![2, 2, 2], 0.0));
 }
@@ -113,11 +122,11 @@
 #[test]
 fn a_cut_keeps_totals_and_empties_distributions() {
     let mut accounts = accounts(false);
-    accounts.note(&fact(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
+    accounts.note(&event(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
     let (totals, dists) = accounts.cut();
-    assert_eq!(totals[accounts.schema.plain(0, Plain::Runs)], 1.0);
-    assert_ne!(dists[0], Dist::default());
+    assert_eq!(totals[accounts.schema.class_counter(0, ClassCounter::RunsStarted)], 1.0);
+    assert_ne!(dists[0], Distribution::default());
     let (totals, dists) = accounts.cut();
-    assert_eq!(totals[accounts.schema.plain(0, Plain::Runs)], 1.0);
-    assert_eq!(dists[0], Dist::default());
+    assert_eq!(totals[accounts.schema.class_counter(0, ClassCounter::RunsStarted)], 1.0);
+    assert_eq!(dists[0], Distribution::default());
 }
--- a/crates/pinepoint-telemetry/src/config/tests.rs
+++ b/crates/pinepoint-telemetry/src/config/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(one.receivers.names(), ["127.0.0.1:2003"]);
     assert_eq!(one, graphite("receivers = [\"127.0.0.1:2003\"]").expect("good"));
     assert_eq!((one.replication.get(), one.spool.kb.get()), (1, 1024));
-    assert_eq!(one.rules(10_000.0).spread_ms, 2500.0);
+    assert_eq!(one.delivery_config(10_000.0).max_send_delay_ms, 2500.0);
 }
 
 #[test]
--- /dev/null
+++ b/crates/pinepoint-telemetry/src/distribution/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+
+#[test]
+fn figures_of_a_distribution_are_right_within_two_digits_also_after_merging() {
+    let (mut whole, mut halves) =
+        (DistributionRecorder::default(), [DistributionRecorder::default(), DistributionRecorder::default()]);
+    let mut exact: Vec<f64> = (0..4000_u32).map(|n| f64::from(n * 7919 % 4001) * 0.7 + 0.1).collect();
+    for (n, ms) in exact.iter().enumerate() {
+        whole.record(*ms);
+        halves[n % 2].record(*ms);
+    }
+    let [a, b] = halves.each_mut().map(DistributionRecorder::take);
+    let (whole, merged) = (whole.take(), a.merged(&b));
+    assert_eq!(whole.buckets, merged.buckets);
+    exact.sort_by(f64::total_cmp);
+    for (thousandths, at) in [(500, 1999), (900, 3599), (990, 3959), (999, 3995)] {
+        let told = merged.statistic(Statistic::Quantile(thousandths)).expect("values");
+        assert!((told / exact[at] - 1.0).abs() < 0.01, "{thousandths}: {told} for {}", exact[at]);
+    }
+    assert_eq!(merged.statistic(Statistic::Count), Some(4000.0));
+    let sum: f64 = exact.iter().sum();
+    assert!((merged.statistic(Statistic::Sum).expect("a sum") / sum - 1.0).abs() < 1e-9);
+}
+
+#[test]
+fn nothing_recorded_has_a_count_and_no_quantile() {
+    let dist = DistributionRecorder::default().take();
+    assert_eq!(dist.statistic(Statistic::Count), Some(0.0));
+    assert_eq!(dist.statistic(Statistic::Quantile(990)), None);
+    assert_eq!(dist.statistic(Statistic::Max), None);
+}
+
+#[test]
+fn values_that_cannot_be_are_taken_for_the_nearest_that_can() {
+    let mut recorder = DistributionRecorder::default();
+    for ms in [f64::NAN, -5.0, f64::INFINITY, 1e12] {
+        recorder.record(ms);
+    }
+    let dist = recorder.take();
+    assert_eq!(dist.statistic(Statistic::Count), Some(4.0));
+    assert!(dist.statistic(Statistic::Max).expect("values") <= 605_000.0);
+}
--- a/crates/pinepoint-telemetry/src/graphite.rs
+++ b/crates/pinepoint-telemetry/src/graphite.rs
@@ -1,104 +1,102 @@
-//! Graphite's protocols: plaintext lines and pickled batches ("Feeding In Your Data", Graphite documentation). It owns
-//! their bytes; it must never know a socket.
+//! Graphite's protocols: plaintext lines and pickled batches ("Feeding In Your Data", Graphite documentation).
+//!
+//! Encodes points into bytes; sockets are not its concern.
 
-use crate::schema::{Schema, Sort};
-use crate::snapshot::{Counting, Interval};
+use serde::Serialize;
 
-/// Which of the protocols.
+use crate::schema::{MetricKind, Schema, Statistic};
+use crate::snapshot::{Interval, Temporality};
+
+/// The encoding of points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Encoding {
     /// `PATH VALUE TIME` and a line feed.
     Plaintext,
     /// A length of four bytes, then a pickled list of `(path, (time, value))`.
     Pickle,
 }
 
-/// Points of one pickled batch: a receiver takes a whole batch into memory.
-const BATCH: usize = 500;
-/// Longest datagram, bytes: what fits into one Ethernet frame over IPv6.
-const DATAGRAM_MOST: usize = 1432;
-
-/// A point on its way: path, Unix s, value.
-type Point<'a> = (&'a str, u64, Number);
+/// Points of one pickled batch: a receiver reads a complete batch into memory.
+const PICKLE_BATCH_POINTS: usize = 500;
+/// The largest datagram, bytes: what fits into one Ethernet frame over IPv6.
+const MAX_DATAGRAM_BYTES: usize = 1432;
 
-/// A value as it is written: counts without a fraction.
+/// A point as it is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Number {
-    Whole(i64),
+struct Point<'a> {
+    path: &'a str,
+    /// Timestamp, Unix s.
+    time_s: u64,
+    value: Value,
+}
+
+/// The value of a point: counters have no fraction.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+#[serde(untagged)]
+enum Value {
+    Integer(i64),
     Real(f64),
 }
 
-fn point<'a>(
-    schema: &Schema,
-    paths: &'a [String],
-    interval: &Interval,
-    counting: Counting,
-    at: usize,
-) -> Option<Point<'a>> {
-    let value = interval.value(schema, counting, at)?;
-    let number = match schema.sort(at) {
-        Sort::Count | Sort::Part(crate::schema::Part::Count) => Number::Whole(value as i64),
-        _ => Number::Real(value),
-    };
-    Some((paths.get(at)?, interval.snapshot.slot_s, number))
+/// Encodes points of intervals of one schema.
+#[derive(Clone, Copy, Debug)]
+pub struct PointWriter<'a> {
+    /// The encoding.
+    pub encoding: Encoding,
+    /// How counters and sums are reported.
+    pub temporality: Temporality,
+    /// The schema of the intervals.
+    pub schema: &'a Schema,
+    /// The path of each point of the schema, in order.
+    pub paths: &'a [String],
 }
 
-/// Writes these points of an interval; those that have no value in it are left out.
-pub fn write(
-    out: &mut Vec<u8>,
-    form: Form,
-    schema: &Schema,
-    paths: &[String],
-    interval: &Interval,
-    counting: Counting,
-    points: impl IntoIterator<Item = usize>,
-) {
-    let points = points.into_iter().filter_map(|at| point(schema, paths, interval, counting, at));
-    match form {
-        Form::Plaintext => points.for_each(|point| line(out, point)),
-        Form::Pickle => {
-            let points: Vec<Point<'_>> = points.collect();
-            points.chunks(BATCH).for_each(|batch| pickle(out, batch));
+impl PointWriter<'_> {
+    /// Appends these points of an interval to `out`. Points without a value in the interval are left out.
+    pub fn write(&self, out: &mut Vec<u8>, interval: &Interval, points: impl IntoIterator<Item = usize>) {
+        let points = points.into_iter().filter_map(|point| self.point(interval, point));
+        match self.encoding {
+            Encoding::Plaintext => points.for_each(|point| write_line(out, point)),
+            Encoding::Pickle => {
+                let points: Vec<Point<'_>> = points.collect();
+                points.chunks(PICKLE_BATCH_POINTS).for_each(|batch| write_pickle(out, batch));
+            }
         }
     }
+
+    fn point(&self, interval: &Interval, point: usize) -> Option<Point<'_>> {
+        let value = interval.value(self.schema, self.temporality, point)?;
+        let value = match self.schema.kind(point) {
+            MetricKind::Counter | MetricKind::Statistic(Statistic::Count) => Value::Integer(value as i64),
+            _ => Value::Real(value),
+        };
+        Some(Point { path: self.paths.get(point)?, time_s: interval.snapshot.slot_s, value })
+    }
 }
 
-/// A point that tells only that it arrived.
-pub fn probe(out: &mut Vec<u8>, form: Form, path: &str, now_s: u64) {
-    let point = (path, now_s, Number::Whole(1));
-    match form {
-        Form::Plaintext => line(out, point),
-        Form::Pickle => pickle(out, &[point]),
+/// Appends a health check to `out`: a point whose only purpose is to be acknowledged.
+pub fn write_probe(out: &mut Vec<u8>, encoding: Encoding, path: &str, time_s: u64) {
+    let point = Point { path, time_s, value: Value::Integer(1) };
+    match encoding {
+        Encoding::Plaintext => write_line(out, point),
+        Encoding::Pickle => write_pickle(out, &[point]),
     }
 }
 
-fn line(out: &mut Vec<u8>, (path, time, number): Point<'_>) {
-    let text = match number {
-        Number::Whole(n) => format!("{path} {n} {time}\n"),
-        // The shortest text that is read back as the same number; never in the form of an exponent.
-        Number::Real(n) => format!("{path} {n} {time}\n"),
+fn write_line(out: &mut Vec<u8>, point: Point<'_>) {
+    let Point { path, time_s, value } = point;
+    let line = match value {
+        Value::Integer(n) => format!("{path} {n} {time_s}\n"),
+        // The shortest text that is read back as the same number; never with an exponent.
+        Value::Real(n) => format!("{path} {n} {time_s}\n"),
     };
-    out.extend_from_slice(text.as_bytes());
+    out.extend_from_slice(line.as_bytes());
 }
 
-fn pickle(out: &mut Vec<u8>, batch: &[Point<'_>]) {
-    #[derive(serde::Serialize)]
-    #[serde(untagged)]
-    enum Value {
-        Whole(i64),
-        Real(f64),
-    }
-    let rows: Vec<(&str, (u64, Value))> = batch
-        .iter()
-        .map(|(path, time, number)| {
-            let value = match number {
-                Number::Whole(n) => Value::Whole(*n),
-                Number::Real(n) => Value::Real(*n),
-            };
-            (*path, (*time, value))
-        })
-        .collect();
-    // Protocol 2, which Python 2 reads as well. Text and numbers are all there is, which cannot fail.
+fn write_pickle(out: &mut Vec<u8>, batch: &[Point<'_>]) {
+    let rows: Vec<(&str, (u64, Value))> =
+        batch.iter().map(|point| (point.path, (point.time_s, point.value))).collect();
+    // Protocol 2, which Python 2 reads as well. Serializing text and numbers cannot fail.
     let options = serde_pickle::SerOptions::new().proto_v2();
     if let Ok(bytes) = serde_pickle::to_vec(&rows, options) {
         out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
@@ -106,24 +104,26 @@
     }
 }
 
-/// Parts plaintext into datagrams of whole lines.
+/// Splits plaintext into datagrams of complete lines. A line that is longer than a datagram goes out alone.
 pub fn datagrams(lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = lines;
     std::iter::from_fn(move || {
-        let most = rest.len().min(DATAGRAM_MOST);
-        let end = if rest.len() <= most {
-            most
-        } else {
-            // A line that is longer than a datagram goes out alone.
-            let whole = rest[..most].iter().rposition(|b| *b == b'\n');
-            let at = whole.or_else(|| rest.iter().position(|b| *b == b'\n'));
-            at.map_or(rest.len(), |at| at + 1)
-        };
-        let (datagram, left) = rest.split_at(end);
+        let (datagram, left) = rest.split_at(datagram_end(rest));
         rest = left;
         (!datagram.is_empty()).then_some(datagram)
     })
 }
 
+/// Where the first datagram of these lines ends.
+fn datagram_end(lines: &[u8]) -> usize {
+    if lines.len() <= MAX_DATAGRAM_BYTES {
+        return lines.len();
+    }
+    let is_line_feed = |byte: &u8| *byte == b'\n';
+    let last_that_fits = lines[..MAX_DATAGRAM_BYTES].iter().rposition(is_line_feed);
+    let line_feed = last_that_fits.or_else(|| lines.iter().position(is_line_feed));
+    line_feed.map_or(lines.len(), |at| at + 1)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/pinepoint-telemetry/src/graphite/tests.rs
+++ b/crates/pinepoint-telemetry/src/graphite/tests.rs
@@ -1,35 +1,36 @@
 use serde_pickle::Value;
 
 use super::*;
-use crate::names::Naming;
+use crate::metric_names::MetricNaming;
 use crate::snapshot::Snapshot;
 
 fn interval(schema: &Schema) -> Interval {
     let totals = (0..schema.counts()).map(|n| n as f64 * 3.0 + 0.25).collect();
-    let before = (0..schema.counts()).map(|n| n as f64 + 0.25).collect();
+    let previous_totals = (0..schema.counts()).map(|n| n as f64 + 0.25).collect();
     let gauges = (0..schema.gauges()).map(|n| n as f64 / 8.0).collect();
-    let dists = (0..schema.dists()).map(|_| crate::snapshot::Dist::default()).collect();
+    let dists = (0..schema.distributions()).map(|_| crate::distribution::Distribution::default()).collect();
     let snapshot =
         Snapshot { slot_s: 1_764_576_000, slots: 1, span_ms: (1000.0, 11_000.0), totals, gauges, dists };
-    Interval { snapshot, before }
+    Interval { snapshot, previous_totals }
 }
 
 fn schema() -> (Schema, Vec<String>) {
     let schema = Schema::new(&["look".into()], &["pings"], &["hung"]);
-    let paths = Naming { prefix: "p".into(), host: "n1".into(), tags: false }.paths(&schema);
+    let paths = MetricNaming { prefix: "p".into(), host: "n1".into(), tags: false }.paths(&schema);
     (schema, paths)
 }
 
-fn written(form: Form) -> Vec<u8> {
+fn written(encoding: Encoding) -> Vec<u8> {
     let (schema, paths) = schema();
     let mut out = Vec::new();
-    write(&mut out, form, &schema, &paths, &interval(&schema), Counting::Interval, 0..schema.points());
+    let writer = PointWriter { encoding, temporality: Temporality::Delta, schema: &schema, paths: &paths };
+    writer.write(&mut out, &interval(&schema), 0..schema.points());
     out
 }
 
 #[test]
 fn plaintext_lines() {
-    let text = String::from_utf8(written(Form::Plaintext)).expect("text");
+    let text = String::from_utf8(written(Encoding::Plaintext)).expect("text");
     assert!(text.contains("p.n1.class.look.read_again 2 1764576000\n"), "{text}");
     assert!(text.contains("p.n1.class.look.worth_served 24 1764576000\n"));
     assert!(text.contains("p.n1.class.look.open 0 1764576000\n"));
@@ -43,7 +44,7 @@
 /// The batches as a receiver reads them, with a library that knows nothing of how they were made.
 #[test]
 fn pickled_batches() {
-    let bytes = written(Form::Pickle);
+    let bytes = written(Encoding::Pickle);
     let (mut rest, mut points) = (bytes.as_slice(), Vec::new());
     while let Some((head, tail)) = rest.split_first_chunk::<4>() {
         let (batch, tail) = tail.split_at(u32::from_be_bytes(*head) as usize);
@@ -56,7 +57,7 @@
         points.extend(rows);
     }
     assert!(rest.is_empty());
-    let text = String::from_utf8(written(Form::Plaintext)).expect("text");
+    let text = String::from_utf8(written(Encoding::Plaintext)).expect("text");
     assert_eq!(points.len(), text.lines().count());
     for (point, line) in points.iter().zip(text.lines()) {
         let Value::Tuple(row) = point else { panic!("no tuple") };
@@ -73,10 +74,10 @@
 
 #[test]
 fn datagrams_hold_whole_lines() {
-    let lines = written(Form::Plaintext);
+    let lines = written(Encoding::Plaintext);
     let parts: Vec<&[u8]> = datagrams(&lines).collect();
     assert!(parts.len() > 2);
-    assert!(parts.iter().all(|part| part.len() <= DATAGRAM_MOST && part.ends_with(b"\n")));
+    assert!(parts.iter().all(|part| part.len() <= MAX_DATAGRAM_BYTES && part.ends_with(b"\n")));
     assert_eq!(parts.concat(), lines);
     let long = [vec![b'x'; 3000], vec![b'\n'], b"a 1 2\n".to_vec()].concat();
     assert_eq!(datagrams(&long).map(<[u8]>::len).collect::<Vec<_>>(), [3001, 6]);
@@ -87,6 +88,8 @@
 fn totals_where_they_are_asked_for() {
     let (schema, paths) = schema();
     let mut out = Vec::new();
-    write(&mut out, Form::Plaintext, &schema, &paths, &interval(&schema), Counting::Total, [1]);
+    let (encoding, temporality) = (Encoding::Plaintext, Temporality::Cumulative);
+    let writer = PointWriter { encoding, temporality, schema: &schema, paths: &paths };
+    writer.write(&mut out, &interval(&schema), [1]);
     assert_eq!(String::from_utf8_lossy(&out), "p.n1.class.look.read_again 3 1764576000\n");
 }
--- a/crates/pinepoint-telemetry/src/ring/tests.rs
+++ b/crates/pinepoint-telemetry/src/hash_ring/tests.rs
@@ -4,8 +4,8 @@
     (0..n).map(|n| format!("10.0.0.{n}:2003")).collect()
 }
 
-fn ring(names: &[String]) -> Ring {
-    Ring::new(names.iter().enumerate().map(|(slot, name)| (slot as u8, name.as_str())))
+fn ring(names: &[String]) -> HashRing {
+    HashRing::new(names.iter().enumerate().map(|(slot, name)| (slot as u8, name.as_str())))
 }
 
 fn paths() -> Vec<String> {
@@ -18,7 +18,7 @@
     let whole = ring(&names);
     for gone in 0..10_u8 {
         let left = names.iter().enumerate().filter(|(slot, _)| *slot != usize::from(gone));
-        let less = Ring::new(left.map(|(slot, name)| (slot as u8, name.as_str())));
+        let less = HashRing::new(left.map(|(slot, name)| (slot as u8, name.as_str())));
         let mut moved = 0;
         for path in paths() {
             let (before, after) = (whole.preference(&path), less.preference(&path));
@@ -50,7 +50,7 @@
     let early = |receiver: u8| {
         let paths = paths();
         let of_it: Vec<&String> = paths.iter().filter(|p| ring.preference(p)[0] == receiver).collect();
-        let early = of_it.iter().filter(|path| place(path) < 0.25).count();
+        let early = of_it.iter().filter(|path| path_fraction(path) < 0.25).count();
         early as f64 / of_it.len() as f64
     };
     assert!((0..4).all(|receiver| (0.22..0.28).contains(&early(receiver))));
@@ -59,5 +59,5 @@
 #[test]
 fn a_ring_of_one_and_of_none() {
     assert_eq!(*ring(&names(1)).preference("a"), [0]);
-    assert!(Ring::default().preference("a").is_empty());
+    assert!(HashRing::default().preference("a").is_empty());
 }
--- a/crates/pinepoint-telemetry/src/names/tests.rs
+++ b/crates/pinepoint-telemetry/src/metric_names/tests.rs
@@ -4,21 +4,21 @@
 
 #[test]
 fn a_good_name_stays_and_a_bad_one_is_made_harmless_and_stays_distinct() {
-    assert_eq!(clean("thesis-submit"), "thesis-submit");
+    assert_eq!(sanitize("thesis-submit"), "thesis-submit");
     for bad in ["a.b", "a b", "a;b=c", "a\nb 1 2", "", "ž", &"x".repeat(65), "a/b", "~"] {
-        let cleaned = clean(bad);
+        let cleaned = sanitize(bad);
         assert!(cleaned.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-'), "{cleaned}");
-        assert!((1..=PART_MOST).contains(&cleaned.len()));
+        assert!((1..=MAX_COMPONENT_BYTES).contains(&cleaned.len()));
     }
-    assert_ne!(clean("a.b"), clean("a b"));
-    assert_ne!(clean("a.b"), "a_b");
-    assert_eq!(clean_dotted("stats.sko.."), "stats.sko");
+    assert_ne!(sanitize("a.b"), sanitize("a b"));
+    assert_ne!(sanitize("a.b"), "a_b");
+    assert_eq!(sanitize_dotted("stats.sko.."), "stats.sko");
 }
 
 fn paths(host: &str, classes: &[&str], tags: bool) -> Vec<String> {
     let classes: Vec<String> = classes.iter().map(|class| (*class).to_owned()).collect();
     let schema = Schema::new(&classes, &["pings"], &["hung"]);
-    Naming { prefix: "pinepoint".into(), host: host.into(), tags }.paths(&schema)
+    MetricNaming { prefix: "pinepoint".into(), host: host.into(), tags }.paths(&schema)
 }
 
 #[test]
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -1,224 +1,157 @@
-//! The series that exist, each with a name and a place. It owns these and nothing else. A schema never changes, so that a
-//! snapshot is a row of numbers; where classes are added, a wider one takes its place.
+//! The metrics of a process: which exist, what they are called and where their values stand in a snapshot.
+//!
+//! A schema never changes, so that a snapshot is a plain row of numbers. When classes are added, a wider schema replaces
+//! it.
+
+mod layout;
+mod stats;
 
 use std::borrow::Cow;
 
 use pinepoint_events::{CallOutcome, FailureReason, ReasonCode, RejectReason, RunOutcome};
 
-/// What a series belongs to.
+use layout::DeliveryOffsets;
+pub(crate) use layout::ValueLocation;
+pub(crate) use stats::{
+    CLASS_COUNTERS, CORE_STATE_GAUGES, ClassCounter, ClassDistribution, DELIVERY_COUNTERS, DELIVERY_GAUGES,
+};
+pub use stats::{Destination, STATISTICS, Statistic};
+
+/// What a metric belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// The class of this index.
+    /// The request class of this index.
     Class(usize),
-    /// The node: connections, links, counters without a class.
+    /// The node: connections, upstream links, counters without a class.
     Node,
     /// The core's tables and the process.
     State,
     /// The decision module.
     Module,
-    /// The delivery of these figures themselves.
+    /// Telemetry itself.
     Telemetry,
 }
 
-/// The name of a series: letters, digits, hyphens and underscores, with dots between its levels.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Name {
-    /// What it belongs to.
-    pub scope: Scope,
-    /// What it tells.
-    pub stat: Cow<'static, str>,
+impl Scope {
+    /// The word for the scope in metric names.
+    pub(crate) fn area(self) -> &'static str {
+        match self {
+            Scope::Class(_) => "class",
+            Scope::Node => "node",
+            Scope::State => "state",
+            Scope::Module => "module",
+            Scope::Telemetry => "telemetry",
+        }
+    }
 }
 
-/// How the values of a series add up.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
-    /// A whole number that only grows.
-    Count,
-    /// A number with a fraction that only grows.
-    Sum,
-    /// A state at one moment.
-    Gauge,
-    /// One figure of a distribution over the interval.
-    Part(Part),
+/// The name of a metric within the process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct MetricName {
+    scope: Scope,
+    stat: Cow<'static, str>,
 }
 
-/// A figure of a distribution.
+/// What the values of a metric mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// How many.
-    Count,
-    /// Their sum, ms.
+pub enum MetricKind {
+    /// An integer that only grows.
+    Counter,
+    /// A real number that only grows.
     Sum,
-    /// The value, ms, that this share of them does not pass; in thousandths.
-    Quantile(u16),
-    /// The largest, ms.
-    Most,
-}
-
-/// The figures of a distribution that are exported, in order.
-pub const PARTS: [(Part, &str); 7] = [
-    (Part::Count, "count"),
-    (Part::Sum, "sum_ms"),
-    (Part::Quantile(500), "p50_ms"),
-    (Part::Quantile(900), "p90_ms"),
-    (Part::Quantile(990), "p99_ms"),
-    (Part::Quantile(999), "p999_ms"),
-    (Part::Most, "max_ms"),
-];
-
-macro_rules! class_counts {
-    ($($(#[$doc:meta])* $name:ident = $word:literal $sort:ident,)+) => {
-        /// The counts of a class that have no reason, by their place in its block.
-        #[allow(non_camel_case_types, clippy::upper_case_acronyms)]
-        #[derive(Clone, Copy, Debug)]
-        pub(crate) enum Plain { $($(#[$doc])* $name,)+ }
-
-        const PLAIN: &[(&str, Sort)] = &[$(($word, Sort::$sort),)+];
-    };
+    /// A state at one instant.
+    Gauge,
+    /// One statistic of a distribution over the interval.
+    Statistic(Statistic),
 }
 
-class_counts! {
-    /// Tries read.
-    Read = "read" Count,
-    /// Those marked as further ones.
-    ReadAgain = "read_again" Count,
-    /// Served within the aim.
-    InAim = "served_in_aim" Count,
-    /// Served after it.
-    Late = "served_late" Count,
-    /// Of the served, those with the result of another try.
-    Reused = "reused" Count,
-    /// Of the served, those made without a call that was asked for.
-    Poorer = "poorer" Count,
-    /// Told that there was no time left.
-    Expired = "expired" Count,
-    /// Callers that left.
-    Gone = "gone" Count,
-    /// Runs begun.
-    Runs = "runs" Count,
-    /// Calls made.
-    Calls = "calls" Count,
-    /// Calls left out.
-    LeftOut = "calls_left_out" Count,
-    /// Worth of what was read.
-    Asked = "worth_asked" Sum,
-    /// Worth of what was served.
-    Served = "worth_served" Sum,
+/// The description of one point of a snapshot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MetricDescriptor {
+    /// What it belongs to.
+    pub scope: Scope,
+    /// What it measures: letters, digits, hyphens and underscores, with dots between levels.
+    pub stat: Cow<'static, str>,
+    /// What its values mean.
+    pub kind: MetricKind,
 }
 
-/// The distributions of a class, ms.
-pub(crate) const DISTS: [&str; 4] = ["hold", "run", "total", "call"];
-
-/// The gauges of the core's state, before those of the module.
-pub(crate) const STATE: [&str; 15] = [
-    "held",
-    "waiting",
-    "running",
-    "calls",
-    "keys",
-    "results_bytes",
-    "connections",
-    "memory_kb",
-    "descriptors",
-    "leaving",
-    "fleet_up",
-    "fleet_suspected",
-    "fleet_lost",
-    "fleet_verdicts",
-    "fleet_settled",
-];
-
-/// What is told of each destination's delivery.
-pub(crate) const DELIVERY_COUNTS: [&str; 6] =
-    ["intervals_merged", "intervals_dropped", "points_sent", "points_resent", "receipts", "breaks"];
-pub(crate) const DELIVERY_GAUGES: [&str; 3] = ["backlog_intervals", "backlog_kb", "receivers_down"];
-
-/// The kinds of destinations, whether they are set up or not.
-pub const DESTINATIONS: [&str; 2] = ["graphite", "collectd"];
-
-/// All series of a process.
+/// All metrics of a process.
 #[derive(Clone, Debug)]
 pub struct Schema {
     classes: Vec<String>,
     node: Vec<&'static str>,
     module: Vec<&'static str>,
-    counts: Vec<(Name, Sort)>,
-    gauges: Vec<Name>,
-    dists: Vec<Name>,
+    counters: Vec<(MetricName, MetricKind)>,
+    gauges: Vec<MetricName>,
+    distributions: Vec<MetricName>,
+    /// Index of the first counter of the node.
     node_at: usize,
+    /// Index of the first gauge of the decision module.
     module_at: usize,
-    delivery_at: (usize, usize),
+    /// Indices of the first counter and gauge of the deliveries.
+    delivery_at: DeliveryOffsets,
 }
 
 impl Schema {
-    /// The series of a process with these classes, whose node counts these things, and whose module tells these
-    /// figures.
+    /// The metrics of a process with these request classes, counters of the node and gauges of the decision module.
     pub fn new(classes: &[String], node: &[&'static str], module: &[&'static str]) -> Self {
-        let reason_codes = |head: &'static str, words: Vec<&'static str>| {
-            words.into_iter().map(move |word| (Cow::Owned(format!("{head}.{word}")), Sort::Count))
-        };
-        let mut counts = Vec::new();
-        let mut dists = Vec::new();
+        let mut counters = Vec::new();
+        let mut distributions = Vec::new();
+        let mut gauges = Vec::new();
         for class in 0..classes.len() {
             let scope = Scope::Class(class);
-            let plain = PLAIN.iter().map(|(word, sort)| (Cow::Borrowed(*word), *sort));
-            let of_class = plain
-                .chain(reason_codes("refused", words::<RejectReason>()))
-                .chain(reason_codes("failed", words::<FailureReason>()))
-                .chain(reason_codes("call", words::<CallOutcome>()))
-                .chain(reason_codes("run_end", words::<RunOutcome>()));
-            counts.extend(of_class.map(|(stat, sort)| (Name { scope, stat }, sort)));
-            dists.extend(DISTS.iter().map(|stat| Name { scope, stat: Cow::Borrowed(stat) }));
+            counters.extend(class_counters().map(|(stat, kind)| (MetricName { scope, stat }, kind)));
+            distributions.extend(ClassDistribution::STATS.iter().map(|stat| fixed(scope, stat)));
+            gauges.push(fixed(scope, "open"));
         }
-        let node_at = counts.len();
-        let named = |scope, stat: &'static str| Name { scope, stat: Cow::Borrowed(stat) };
-        counts.extend(node.iter().map(|stat| (named(Scope::Node, stat), Sort::Count)));
-        let delivery_counts_at = counts.len();
-        let of_delivery = |stats: &'static [&'static str]| {
-            DESTINATIONS.iter().flat_map(move |to| {
-                stats.iter().map(move |stat| Name {
-                    scope: Scope::Telemetry,
-                    stat: Cow::Owned(format!("{to}.{stat}")),
-                })
-            })
-        };
-        counts.extend(of_delivery(&DELIVERY_COUNTS).map(|name| (name, Sort::Count)));
-        counts.push((named(Scope::Telemetry, "log_lines_left_out"), Sort::Count));
-        let mut gauges: Vec<Name> = (0..classes.len())
-            .map(|class| Name { scope: Scope::Class(class), stat: Cow::Borrowed("open") })
-            .collect();
-        gauges.extend(STATE.iter().map(|stat| named(Scope::State, stat)));
+        let node_at = counters.len();
+        counters.extend(node.iter().map(|stat| (fixed(Scope::Node, stat), MetricKind::Counter)));
+        let delivery_counters_at = counters.len();
+        counters.extend(per_destination(&DELIVERY_COUNTERS).map(|name| (name, MetricKind::Counter)));
+        counters.push((fixed(Scope::Telemetry, "log_lines_left_out"), MetricKind::Counter));
+
+        gauges.extend(CORE_STATE_GAUGES.iter().map(|stat| fixed(Scope::State, stat)));
         let module_at = gauges.len();
-        gauges.extend(module.iter().map(|stat| named(Scope::Module, stat)));
+        gauges.extend(module.iter().map(|stat| fixed(Scope::Module, stat)));
         let delivery_gauges_at = gauges.len();
-        gauges.extend(of_delivery(&DELIVERY_GAUGES));
-        gauges.push(named(Scope::Telemetry, "law_off"));
-        gauges.push(named(Scope::Telemetry, "span_s"));
-        let delivery_at = (delivery_counts_at, delivery_gauges_at);
-        let (classes, node, module) = (classes.to_vec(), node.to_vec(), module.to_vec());
-        Schema { classes, node, module, counts, gauges, dists, node_at, module_at, delivery_at }
+        gauges.extend(per_destination(&DELIVERY_GAUGES));
+        gauges.push(fixed(Scope::Telemetry, "law_off"));
+        gauges.push(fixed(Scope::Telemetry, "span_s"));
+        Schema {
+            classes: classes.to_vec(),
+            node: node.to_vec(),
+            module: module.to_vec(),
+            counters,
+            gauges,
+            distributions,
+            node_at,
+            module_at,
+            delivery_at: DeliveryOffsets { counters: delivery_counters_at, gauges: delivery_gauges_at },
+        }
     }
 
-    /// The same with other classes, of which the first are those of this schema.
+    /// The same schema with other classes, of which the first are those of this schema.
     pub fn with_classes(&self, classes: &[String]) -> Self {
         Schema::new(classes, &self.node, &self.module)
     }
 
-    /// Counts of a schema with fewer classes in their places of this one, which was made by [`Schema::with_classes`].
+    /// Moves the totals of a schema with fewer classes to their positions in this one, which was made by
+    /// [`Schema::with_classes`]. The totals of added classes are 0.
     pub fn widen(&self, narrow: &Schema, totals: &[f64]) -> Vec<f64> {
         let (of_classes, others) = totals.split_at(narrow.node_at);
         let added = vec![0.0; self.node_at - narrow.node_at];
         [of_classes, &added, others].concat()
     }
 
-    /// Names of the classes.
+    /// Names of the request classes.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// Number of counts and sums.
+    /// Number of counters and sums.
     pub fn counts(&self) -> usize {
-        self.counts.len()
+        self.counters.len()
     }
 
     /// Number of gauges.
@@ -227,115 +160,68 @@
     }
 
     /// Number of distributions.
-    pub fn dists(&self) -> usize {
-        self.dists.len()
+    pub fn distributions(&self) -> usize {
+        self.distributions.len()
     }
 
-    /// Number of points that a snapshot makes: a value for each count and gauge, and the parts of each distribution.
+    /// Number of points of a snapshot: one for each counter, sum and gauge, and the [`STATISTICS`] of each distribution.
     pub fn points(&self) -> usize {
-        self.counts.len() + self.gauges.len() + self.dists.len() * PARTS.len()
+        self.counters.len() + self.gauges.len() + self.distributions.len() * STATISTICS.len()
     }
 
-    /// What a point belongs to, what it tells, and how it adds up. Points go from 0 to [`Schema::points`].
-    pub fn point(&self, at: usize) -> (Scope, Cow<'static, str>, Sort) {
-        if let Some((name, sort)) = self.counts.get(at) {
-            return (name.scope, name.stat.clone(), *sort);
-        }
-        let at = at - self.counts.len();
-        if let Some(name) = self.gauges.get(at) {
-            return (name.scope, name.stat.clone(), Sort::Gauge);
-        }
-        let at = at - self.gauges.len();
-        let (name, (part, word)) = (&self.dists[at / PARTS.len()], PARTS[at % PARTS.len()]);
-        (name.scope, Cow::Owned(format!("{}.{word}", name.stat)), Sort::Part(part))
-    }
-
-    /// Where a point stands: in which row, and at which place of it.
-    pub(crate) fn row(&self, at: usize) -> Row {
-        let (counts, gauges) = (self.counts.len(), self.gauges.len());
-        if at < counts {
-            Row::Count(at)
-        } else if at < counts + gauges {
-            Row::Gauge(at - counts)
-        } else {
-            let at = at - counts - gauges;
-            Row::Dist(at / PARTS.len(), PARTS[at % PARTS.len()].0)
-        }
+    /// Describes a point, 0 to [`Schema::points`].
+    pub fn describe(&self, point: usize) -> MetricDescriptor {
+        let kind = self.kind(point);
+        let (name, suffix) = match self.location(point) {
+            ValueLocation::Counter(at) => (&self.counters[at].0, None),
+            ValueLocation::Gauge(at) => (&self.gauges[at], None),
+            ValueLocation::Distribution(at, statistic) => (&self.distributions[at], Some(statistic.suffix())),
+        };
+        let stat = match suffix {
+            None => name.stat.clone(),
+            Some(suffix) => Cow::Owned(format!("{}.{suffix}", name.stat)),
+        };
+        MetricDescriptor { scope: name.scope, stat, kind }
     }
 
-    /// How a point adds up.
-    pub fn sort(&self, at: usize) -> Sort {
-        match self.row(at) {
-            Row::Count(at) => self.counts[at].1,
-            Row::Gauge(_) => Sort::Gauge,
-            Row::Dist(_, part) => Sort::Part(part),
+    /// What the values of a point mean.
+    pub fn kind(&self, point: usize) -> MetricKind {
+        match self.location(point) {
+            ValueLocation::Counter(at) => self.counters[at].1,
+            ValueLocation::Gauge(_) => MetricKind::Gauge,
+            ValueLocation::Distribution(_, statistic) => MetricKind::Statistic(statistic),
         }
     }
+}
 
-    fn block(&self) -> usize {
-        PLAIN.len()
-            + RejectReason::ALL.len()
-            + FailureReason::ALL.len()
-            + CallOutcome::ALL.len()
-            + RunOutcome::ALL.len()
-    }
-
-    pub(crate) fn plain(&self, class: usize, plain: Plain) -> usize {
-        class * self.block() + plain as usize
-    }
-
-    pub(crate) fn refused(&self, class: usize, why: RejectReason) -> usize {
-        class * self.block() + PLAIN.len() + why.index()
-    }
-
-    pub(crate) fn failed(&self, class: usize, why: FailureReason) -> usize {
-        class * self.block() + PLAIN.len() + RejectReason::ALL.len() + why.index()
-    }
-
-    pub(crate) fn call(&self, class: usize, end: CallOutcome) -> usize {
-        class * self.block() + PLAIN.len() + RejectReason::ALL.len() + FailureReason::ALL.len() + end.index()
-    }
-
-    pub(crate) fn run(&self, class: usize, end: RunOutcome) -> usize {
-        self.call(class, CallOutcome::Done) + CallOutcome::ALL.len() + end.index()
-    }
-
-    pub(crate) fn dist(&self, class: usize, dist: usize) -> usize {
-        class * DISTS.len() + dist
-    }
-
-    /// The place of the node's counts.
-    pub(crate) fn node(&self) -> std::ops::Range<usize> {
-        self.node_at..self.delivery_at.0
-    }
-
-    /// The place of the counts and of the gauges of a destination.
-    pub(crate) fn delivery(&self, destination: usize) -> (usize, usize) {
-        let (counts, gauges) = self.delivery_at;
-        (counts + destination * DELIVERY_COUNTS.len(), gauges + destination * DELIVERY_GAUGES.len())
-    }
-
-    /// The place of the count of log lines left out, the last of the counts.
-    pub(crate) fn log_lines(&self) -> usize {
-        self.counts.len() - 1
-    }
+/// The counters and sums of one class, in the order that [`Schema::class_counter`] and its neighbours assume.
+fn class_counters() -> impl Iterator<Item = (Cow<'static, str>, MetricKind)> {
+    let plain = CLASS_COUNTERS.iter().map(|(stat, kind)| (Cow::Borrowed(*stat), *kind));
+    plain
+        .chain(per_reason::<RejectReason>("refused"))
+        .chain(per_reason::<FailureReason>("failed"))
+        .chain(per_reason::<CallOutcome>("call"))
+        .chain(per_reason::<RunOutcome>("run_end"))
+}
 
-    /// The places of the gauges of the core's state, of the module, and of `law_off`, behind which stands `span_s`.
-    pub(crate) fn state(&self) -> (usize, std::ops::Range<usize>, usize) {
-        (self.classes.len(), self.module_at..self.delivery_at.1, self.gauges.len() - 2)
-    }
+/// A counter for each reason code.
+fn per_reason<R: ReasonCode>(head: &'static str) -> impl Iterator<Item = (Cow<'static, str>, MetricKind)> {
+    let stat = move |reason: &R| Cow::Owned(format!("{head}.{}", reason.code()));
+    R::ALL.iter().map(move |reason| (stat(reason), MetricKind::Counter))
 }
 
-/// Where a point stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Row {
-    Count(usize),
-    Gauge(usize),
-    Dist(usize, Part),
+/// A metric of telemetry itself for each destination.
+fn per_destination(stats: &'static [&'static str]) -> impl Iterator<Item = MetricName> {
+    Destination::ALL.iter().flat_map(move |destination| {
+        stats.iter().map(move |stat| MetricName {
+            scope: Scope::Telemetry,
+            stat: Cow::Owned(format!("{}.{stat}", destination.name())),
+        })
+    })
 }
 
-fn words<R: ReasonCode>() -> Vec<&'static str> {
-    R::ALL.iter().map(|reason| reason.code()).collect()
+fn fixed(scope: Scope, stat: &'static str) -> MetricName {
+    MetricName { scope, stat: Cow::Borrowed(stat) }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -0,0 +1,131 @@
+//! Where the values of a snapshot stand: each class has a block of counters, then come those of the node and of
+//! telemetry itself; gauges and distributions are laid out alike.
+
+use std::ops::Range;
+
+use pinepoint_events::{CallOutcome, FailureReason, ReasonCode, RejectReason, RunOutcome};
+
+use super::{
+    CLASS_COUNTERS, ClassCounter, ClassDistribution, DELIVERY_COUNTERS, DELIVERY_GAUGES, Destination,
+    STATISTICS, Schema, Statistic,
+};
+
+/// Where the value of a point stands in a snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ValueLocation {
+    /// At this index of the totals.
+    Counter(usize),
+    /// At this index of the gauges.
+    Gauge(usize),
+    /// A statistic of the distribution at this index.
+    Distribution(usize, Statistic),
+}
+
+/// Indices of the first counter and the first gauge of a delivery.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct DeliveryOffsets {
+    pub(crate) counters: usize,
+    pub(crate) gauges: usize,
+}
+
+/// Indices of gauges that have no class.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct GaugeOffsets {
+    /// The first gauge of the core's state.
+    pub(crate) core_state: usize,
+    /// The gauges of the decision module.
+    pub(crate) module: Range<usize>,
+    /// The accounting error, `law_off`; `span_s` comes after it.
+    pub(crate) accounting_error: usize,
+}
+
+/// Counters of one class.
+const CLASS_BLOCK: usize = RUN_OUTCOMES_AT + RunOutcome::ALL.len();
+/// Offsets within the block of a class.
+const REJECTIONS_AT: usize = CLASS_COUNTERS.len();
+const FAILURES_AT: usize = REJECTIONS_AT + RejectReason::ALL.len();
+const CALL_OUTCOMES_AT: usize = FAILURES_AT + FailureReason::ALL.len();
+const RUN_OUTCOMES_AT: usize = CALL_OUTCOMES_AT + CallOutcome::ALL.len();
+
+impl Schema {
+    /// Where the value of a point stands.
+    pub(crate) fn location(&self, point: usize) -> ValueLocation {
+        let (counters, gauges) = (self.counts(), self.gauges());
+        if point < counters {
+            ValueLocation::Counter(point)
+        } else if point < counters + gauges {
+            ValueLocation::Gauge(point - counters)
+        } else {
+            let at = point - counters - gauges;
+            ValueLocation::Distribution(at / STATISTICS.len(), STATISTICS[at % STATISTICS.len()].0)
+        }
+    }
+
+    /// Index of a counter of a class.
+    pub(crate) fn class_counter(&self, class: usize, counter: ClassCounter) -> usize {
+        class * CLASS_BLOCK + counter as usize
+    }
+
+    /// Index of the counter of a reject reason.
+    pub(crate) fn rejected(&self, class: usize, reason: RejectReason) -> usize {
+        self.rejections(class).start + reason.index()
+    }
+
+    /// Indices of the counters of all reject reasons of a class.
+    pub(crate) fn rejections(&self, class: usize) -> Range<usize> {
+        class * CLASS_BLOCK + REJECTIONS_AT..class * CLASS_BLOCK + FAILURES_AT
+    }
+
+    /// Index of the counter of a failure reason.
+    pub(crate) fn failed(&self, class: usize, reason: FailureReason) -> usize {
+        self.failures(class).start + reason.index()
+    }
+
+    /// Indices of the counters of all failure reasons of a class.
+    pub(crate) fn failures(&self, class: usize) -> Range<usize> {
+        class * CLASS_BLOCK + FAILURES_AT..class * CLASS_BLOCK + CALL_OUTCOMES_AT
+    }
+
+    /// Index of the counter of a call outcome.
+    pub(crate) fn call(&self, class: usize, outcome: CallOutcome) -> usize {
+        class * CLASS_BLOCK + CALL_OUTCOMES_AT + outcome.index()
+    }
+
+    /// Index of the counter of a run outcome.
+    pub(crate) fn run(&self, class: usize, outcome: RunOutcome) -> usize {
+        class * CLASS_BLOCK + RUN_OUTCOMES_AT + outcome.index()
+    }
+
+    /// Index of a distribution of a class.
+    pub(crate) fn distribution(&self, class: usize, distribution: ClassDistribution) -> usize {
+        class * ClassDistribution::STATS.len() + distribution as usize
+    }
+
+    /// Indices of the counters of the node.
+    pub(crate) fn node(&self) -> Range<usize> {
+        self.node_at..self.delivery_at.counters
+    }
+
+    /// Indices of the counters and gauges of the delivery to a destination.
+    pub(crate) fn delivery(&self, destination: Destination) -> DeliveryOffsets {
+        let index = destination as usize;
+        DeliveryOffsets {
+            counters: self.delivery_at.counters + index * DELIVERY_COUNTERS.len(),
+            gauges: self.delivery_at.gauges + index * DELIVERY_GAUGES.len(),
+        }
+    }
+
+    /// Index of the counter of suppressed log lines, the last of the counters.
+    pub(crate) fn log_lines_left_out(&self) -> usize {
+        self.counts() - 1
+    }
+
+    /// Indices of the gauges without a class.
+    pub(crate) fn gauge_offsets(&self) -> GaugeOffsets {
+        GaugeOffsets {
+            core_state: self.classes().len(),
+            module: self.module_at..self.delivery_at.gauges,
+            accounting_error: self.gauges() - 2,
+        }
+    }
+}
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -1,120 +1,46 @@
-//! What an interval leaves: running totals and gauges at its end, and the distributions of its values. It owns how two
-//! neighbours become one and what the value of a point is; it must never know where a point goes.
+//! The result of one reporting interval: running totals and gauges at its end, and distributions of its values.
+//!
+//! It defines how two neighbouring snapshots are merged and what the value of a point is. Where points are sent is not
+//! its concern.
 
 use std::rc::Rc;
 
-use hdrhistogram::Histogram;
+use crate::distribution::Distribution;
+use crate::schema::{Schema, ValueLocation};
 
-use crate::schema::{Part, Row, Schema};
-
-/// Distributions count in tenths of a millisecond, up to ten minutes, with two digits.
-const UNIT_MS: f64 = 0.1;
-const MOST_UNITS: u64 = 6_000_000;
-const DIGITS: u8 = 2;
-
-/// A distribution that still grows. It allocates nothing once it is made.
-#[derive(Clone, Debug)]
-pub(crate) struct Growing {
-    histogram: Histogram<u32>,
-    sum_ms: f64,
-}
-
-impl Default for Growing {
-    fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MOST_UNITS, DIGITS).expect("the bounds are sound");
-        Growing { histogram, sum_ms: 0.0 }
-    }
-}
-
-impl Growing {
-    pub(crate) fn record(&mut self, ms: f64) {
-        let ms = if ms.is_finite() { ms.max(0.0) } else { 0.0 };
-        self.histogram.saturating_record((ms / UNIT_MS).round().max(1.0) as u64);
-        self.sum_ms += ms;
-    }
-
-    /// What was recorded, leaving nothing.
-    pub(crate) fn take(&mut self) -> Dist {
-        let pairs = self.histogram.iter_recorded();
-        let pairs =
-            pairs.map(|step| (step.value_iterated_to() as u32, step.count_since_last_iteration() as u32));
-        let dist = Dist { pairs: pairs.collect(), sum_ms: self.sum_ms };
-        self.histogram.reset();
-        self.sum_ms = 0.0;
-        dist
-    }
-}
-
-/// A distribution as it is kept: the values that occurred, in units of the histogram, and how often each.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Dist {
-    pairs: Box<[(u32, u32)]>,
-    sum_ms: f64,
-}
-
-impl Dist {
-    fn merged(&self, other: &Dist) -> Dist {
-        let mut pairs: Vec<(u32, u32)> = self.pairs.iter().chain(&other.pairs).copied().collect();
-        pairs.sort_unstable();
-        pairs.dedup_by(|next, first| {
-            let same = next.0 == first.0;
-            if same {
-                first.1 = first.1.saturating_add(next.1);
-            }
-            same
-        });
-        Dist { pairs: pairs.into(), sum_ms: self.sum_ms + other.sum_ms }
-    }
-
-    fn count(&self) -> u64 {
-        self.pairs.iter().map(|(_, n)| u64::from(*n)).sum()
-    }
-
-    /// A figure of the distribution, ms but for the count; nothing of a value where there is none.
-    fn part(&self, part: Part) -> Option<f64> {
-        let value = |units: &u32| f64::from(*units) * UNIT_MS;
-        match part {
-            Part::Count => Some(self.count() as f64),
-            Part::Sum => Some(self.sum_ms),
-            Part::Most => self.pairs.last().map(|(units, _)| value(units)),
-            Part::Quantile(thousandths) => {
-                let rank = (self.count() * u64::from(thousandths)).div_ceil(1000).max(1);
-                let mut seen = 0;
-                let mut reached = |n: u32| {
-                    seen += u64::from(n);
-                    seen >= rank
-                };
-                self.pairs.iter().find(|(_, n)| reached(*n)).map(|(units, _)| value(units))
-            }
-        }
-    }
-}
-
-/// What an interval leaves.
+/// The result of one reporting interval, or of several that were merged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Start of its slot, Unix s: the time of its points, unlike that of any other of this process.
+    /// Start of its time slot, Unix s: the timestamp of its points, unique within this process.
     pub slot_s: u64,
-    /// Slots that it stands for: more than one once it was merged.
+    /// Number of slots that it covers: more than one after a merge.
     pub slots: u32,
     /// When it began and ended, Unix ms.
     pub span_ms: (f64, f64),
-    /// Counts and sums since the start of the process, at its end.
+    /// Counters and sums since the start of the process, at its end.
     pub totals: Rc<[f64]>,
     /// Gauges at its end.
     pub gauges: Rc<[f64]>,
-    /// Distributions of what happened in it.
-    pub dists: Rc<[Dist]>,
+    /// Distributions of the values in it.
+    pub dists: Rc<[Distribution]>,
 }
 
+/// Memory of a snapshot beside its rows, bytes.
+const SNAPSHOT_OVERHEAD_BYTES: usize = 160;
+/// Memory of a distribution beside its buckets, bytes.
+const DISTRIBUTION_OVERHEAD_BYTES: usize = 24;
+
 impl Snapshot {
     /// Memory that it takes, bytes.
     pub fn bytes(&self) -> usize {
-        let pairs: usize = self.dists.iter().map(|dist| dist.pairs.len() * 8 + 24).sum();
-        (self.totals.len() + self.gauges.len()) * 8 + pairs + 160
+        let of_distribution =
+            |distribution: &Distribution| distribution.bytes() + DISTRIBUTION_OVERHEAD_BYTES;
+        let distributions: usize = self.dists.iter().map(of_distribution).sum();
+        let numbers = (self.totals.len() + self.gauges.len()) * size_of::<f64>();
+        numbers + distributions + SNAPSHOT_OVERHEAD_BYTES
     }
 
-    /// This and the one behind it as one: totals and gauges are those of the later, and its time.
+    /// This snapshot and the next one as one: totals, gauges and timestamp are those of the later.
     pub fn merged(&self, later: &Snapshot) -> Snapshot {
         let dists = self.dists.iter().zip(later.dists.iter()).map(|(a, b)| a.merged(b)).collect();
         Snapshot {
@@ -128,39 +54,41 @@
     }
 }
 
-/// How counts and sums are told.
+/// How counters and sums are reported (aggregation temporality, as in OpenTelemetry).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Counting {
-    /// What was added in the interval: the sum of all points is the truth.
+pub enum Temporality {
+    /// The increase within the interval: the points of all intervals add up.
     #[default]
-    Interval,
-    /// What was added since the start of the process: a lost point is healed by the next.
-    Total,
+    Delta,
+    /// The total since the start of the process: the next point makes up for a lost one.
+    Cumulative,
 }
 
-/// A snapshot with the totals before it: all that its points are made of.
+/// A snapshot and the totals before it: all that its points are made of.
 #[derive(Clone, Debug)]
 pub struct Interval {
-    /// The snapshot.
+    /// The snapshot at the end of the interval.
     pub snapshot: Snapshot,
-    /// Totals at the end of the one before it.
-    pub before: Rc<[f64]>,
+    /// Totals at the end of the previous interval.
+    pub previous_totals: Rc<[f64]>,
 }
 
 impl Interval {
-    /// The value of a point; nothing where the interval has none.
-    pub fn value(&self, schema: &Schema, counting: Counting, point: usize) -> Option<f64> {
+    /// The value of a point; nothing if the interval has none.
+    pub fn value(&self, schema: &Schema, temporality: Temporality, point: usize) -> Option<f64> {
         let snapshot = &self.snapshot;
-        let value = match schema.row(point) {
-            Row::Count(at) if counting == Counting::Total => snapshot.totals[at],
-            Row::Count(at) => snapshot.totals[at] - self.before[at],
-            Row::Gauge(at) if at + 1 == schema.gauges() => (snapshot.span_ms.1 - snapshot.span_ms.0) / 1000.0,
-            Row::Gauge(at) => snapshot.gauges[at],
-            Row::Dist(at, part) => snapshot.dists[at].part(part)?,
+        let value = match schema.location(point) {
+            ValueLocation::Counter(at) => match temporality {
+                Temporality::Cumulative => snapshot.totals[at],
+                Temporality::Delta => snapshot.totals[at] - self.previous_totals[at],
+            },
+            // `span_s`, the last of the gauges, changes when snapshots are merged.
+            ValueLocation::Gauge(at) if at + 1 == schema.gauges() => {
+                (snapshot.span_ms.1 - snapshot.span_ms.0) / 1000.0
+            }
+            ValueLocation::Gauge(at) => snapshot.gauges[at],
+            ValueLocation::Distribution(at, statistic) => snapshot.dists[at].statistic(statistic)?,
         };
         value.is_finite().then_some(value)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/pinepoint-telemetry/src/spool.rs
+++ b/crates/pinepoint-telemetry/src/spool.rs
@@ -1,5 +1,7 @@
-//! The intervals that a destination has not taken, oldest first. It owns their bounds in bytes and age, and what is given
-//! up at a bound: resolution, never a count. It must never know where points go.
+//! The intervals that a destination has not acknowledged yet, oldest first.
+//!
+//! The spool is bounded in bytes and age. At a bound it gives up time resolution, by merging neighbouring intervals, and
+//! never a count. Only an interval that was sent in part cannot be merged, and is dropped when it gets too old.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -9,174 +11,225 @@
 /// Bounds of a spool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Most memory, bytes.
+    /// Memory, bytes.
     pub bytes: usize,
-    /// Age past which an interval is merged into the one behind it, ms.
+    /// Age past which an interval is merged into the next one, ms.
     pub age_ms: f64,
-    /// Intervals of which points may be under way at once, the oldest ones.
+    /// How many of the oldest intervals may be in flight at once.
     pub window: usize,
 }
 
-/// What is known of an interval of which a point was ever sent: for each point a set of receivers, a bit each.
+/// For each point of an interval that was sent at least in part, two sets of receivers (a bit for each receiver slot).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Marks {
-    /// Those that took it.
-    pub taken: Box<[u32]>,
-    /// Those on whose connection it is under way.
-    pub flying: Box<[u32]>,
+pub struct AckState {
+    /// The receivers that acknowledged the point.
+    pub acknowledged: Box<[u32]>,
+    /// The receivers to which it is in flight.
+    pub in_flight: Box<[u32]>,
+}
+
+impl AckState {
+    fn new(points: usize) -> Self {
+        let nobody = vec![0_u32; points].into_boxed_slice();
+        AckState { acknowledged: nobody.clone(), in_flight: nobody }
+    }
+
+    fn bytes(points: usize) -> usize {
+        points * 2 * size_of::<u32>()
+    }
+
+    /// The receivers that have the point or are about to get it.
+    pub fn receivers(&self, point: usize) -> u32 {
+        self.acknowledged[point] | self.in_flight[point]
+    }
+
+    /// All receivers that any point knows.
+    pub fn all_receivers(&self) -> u32 {
+        self.acknowledged.iter().chain(&self.in_flight).fold(0, |all, receivers| all | receivers)
+    }
+
+    /// Forgets a receiver, given as its bit.
+    pub fn forget(&mut self, receiver: u32) {
+        for receivers in self.acknowledged.iter_mut().chain(&mut self.in_flight) {
+            *receivers &= !receiver;
+        }
+    }
 }
 
 /// One interval of the spool.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct SpooledInterval {
     /// Its number, counting up.
     pub number: u64,
     snapshot: Snapshot,
-    /// Nothing until a first point of it is sent: till then it may be merged.
-    pub marks: Option<Marks>,
+    /// Nothing until a first point of it is sent; until then it may be merged.
+    pub ack_state: Option<AckState>,
+}
+
+impl SpooledInterval {
+    fn bytes(&self) -> usize {
+        let ack_state = self.ack_state.as_ref().map_or(0, |state| AckState::bytes(state.acknowledged.len()));
+        self.snapshot.bytes() + ack_state
+    }
+}
+
+/// Intervals lost to the bounds, since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Losses {
+    /// Intervals that were merged into another.
+    pub merged: u64,
+    /// Intervals that were dropped.
+    pub dropped: u64,
 }
 
 /// The spool of one destination.
 #[derive(Clone, Debug)]
 pub struct Spool {
     bounds: Bounds,
-    /// Totals at the end of what was last removed.
-    base: Rc<[f64]>,
-    entries: VecDeque<Entry>,
+    /// Totals at the end of the interval that was removed last.
+    base_totals: Rc<[f64]>,
+    intervals: VecDeque<SpooledInterval>,
     bytes: usize,
-    next: u64,
-    merged: u64,
-    dropped: u64,
+    next_number: u64,
+    losses: Losses,
 }
 
 impl Spool {
-    /// An empty spool; `base` are the totals that its first interval counts from.
-    pub fn new(bounds: Bounds, base: Rc<[f64]>) -> Self {
-        Spool { bounds, base, entries: VecDeque::new(), bytes: 0, next: 0, merged: 0, dropped: 0 }
+    /// An empty spool. The first interval counts from `base_totals`.
+    pub fn new(bounds: Bounds, base_totals: Rc<[f64]>) -> Self {
+        Spool {
+            bounds,
+            base_totals,
+            intervals: VecDeque::new(),
+            bytes: 0,
+            next_number: 0,
+            losses: Losses::default(),
+        }
     }
 
-    /// Intervals and bytes in it.
+    /// Number of intervals, and their memory in bytes.
     pub fn size(&self) -> (usize, usize) {
-        (self.entries.len(), self.bytes)
+        (self.intervals.len(), self.bytes)
     }
 
-    /// Intervals that were merged into another, and that were dropped, since the start.
-    pub fn lost(&self) -> (u64, u64) {
-        (self.merged, self.dropped)
+    /// Intervals lost to the bounds, since the start.
+    pub fn losses(&self) -> Losses {
+        self.losses
     }
 
     /// Whether nothing is left to deliver.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.intervals.is_empty()
     }
 
-    /// Takes an interval, and gives up what is past the bounds for it. Returns its number.
+    /// Adds an interval and enforces the bounds. Returns its number.
     pub fn push(&mut self, now: f64, snapshot: Snapshot) -> u64 {
-        let number = self.next;
-        let entry = Entry { number: self.next, snapshot, marks: None };
-        self.next += 1;
-        self.bytes += bytes_of(&entry);
-        self.entries.push_back(entry);
-        self.keep_age(now);
-        while self.bytes > self.bounds.bytes && self.merge_one() {}
+        let number = self.next_number;
+        let interval = SpooledInterval { number, snapshot, ack_state: None };
+        self.next_number += 1;
+        self.bytes += interval.bytes();
+        self.intervals.push_back(interval);
+        self.enforce_max_age(now);
+        while self.bytes > self.bounds.bytes && self.merge_one_pair() {}
         number
     }
 
-    /// What is old goes into its successor. An interval in doubt can't: a receiver may know it under its own time.
-    fn keep_age(&mut self, now: f64) {
-        let age_ms = self.bounds.age_ms;
-        let old = |entry: &Entry| now - entry.snapshot.span_ms.1 > age_ms;
-        while self.entries.front().is_some_and(|entry| entry.marks.is_some() && old(entry)) {
-            self.dropped += 1;
-            self.pop();
+    /// Merges old intervals into their successors. One that was sent in part is dropped: a receiver may know some of it
+    /// under its own timestamp.
+    fn enforce_max_age(&mut self, now: f64) {
+        let max_age_ms = self.bounds.age_ms;
+        let is_old = |interval: &SpooledInterval| now - interval.snapshot.span_ms.1 > max_age_ms;
+        while self.intervals.front().is_some_and(|first| first.ack_state.is_some() && is_old(first)) {
+            self.losses.dropped += 1;
+            self.pop_oldest();
         }
-        while let Some(at) = self.first_unmarked().filter(|at| at + 1 < self.entries.len()) {
-            if !old(&self.entries[at]) {
+        while let Some(at) = self.first_unsent().filter(|at| at + 1 < self.intervals.len()) {
+            if !is_old(&self.intervals[at]) {
                 return;
             }
-            self.merge(at);
+            self.merge_with_next(at);
         }
     }
 
-    /// Merges two neighbours: of those pairs that stand for the fewest slots the oldest, so that resolution is halved
-    /// evenly from the old end. Tells whether there was a pair.
-    fn merge_one(&mut self) -> bool {
-        let Some(first) = self.first_unmarked() else { return false };
-        let slots =
-            |at: usize| self.entries[at].snapshot.slots.saturating_add(self.entries[at + 1].snapshot.slots);
-        let pairs = first..self.entries.len().saturating_sub(1);
+    /// Merges two neighbours: of the pairs that cover the fewest slots the oldest one, so that the resolution is halved
+    /// evenly from the old end. Returns whether there was a pair.
+    fn merge_one_pair(&mut self) -> bool {
+        let Some(first) = self.first_unsent() else { return false };
+        let slots = |at: usize| {
+            let (earlier, later) = (&self.intervals[at].snapshot, &self.intervals[at + 1].snapshot);
+            earlier.slots.saturating_add(later.slots)
+        };
+        let pairs = first..self.intervals.len().saturating_sub(1);
         let Some(at) = pairs.min_by_key(|at| slots(*at)) else { return false };
-        self.merge(at);
+        self.merge_with_next(at);
         true
     }
 
-    /// Only the oldest are ever sent, so those that were not stand together behind them.
-    fn first_unmarked(&self) -> Option<usize> {
-        let after = self.entries.iter().rposition(|entry| entry.marks.is_some()).map_or(0, |at| at + 1);
-        (after < self.entries.len()).then_some(after)
+    /// The oldest interval of which nothing was sent. Only the oldest intervals are sent, so all behind it are unsent too.
+    fn first_unsent(&self) -> Option<usize> {
+        let last_sent = self.intervals.iter().rposition(|interval| interval.ack_state.is_some());
+        let after = last_sent.map_or(0, |at| at + 1);
+        (after < self.intervals.len()).then_some(after)
     }
 
-    fn merge(&mut self, at: usize) {
-        let (earlier, later) = (&self.entries[at], &self.entries[at + 1]);
+    fn merge_with_next(&mut self, at: usize) {
+        let (earlier, later) = (&self.intervals[at], &self.intervals[at + 1]);
         let snapshot = earlier.snapshot.merged(&later.snapshot);
-        let before = bytes_of(earlier) + bytes_of(later);
-        self.entries.remove(at);
-        self.entries[at].snapshot = snapshot;
-        self.bytes = self.bytes - before + bytes_of(&self.entries[at]);
-        self.merged += 1;
+        let bytes_before = earlier.bytes() + later.bytes();
+        self.intervals.remove(at);
+        self.intervals[at].snapshot = snapshot;
+        self.bytes = self.bytes - bytes_before + self.intervals[at].bytes();
+        self.losses.merged += 1;
     }
 
     /// The intervals of which points may be sent now, oldest first.
-    pub fn window(&self) -> impl Iterator<Item = &Entry> {
-        self.entries.iter().take(self.bounds.window)
+    pub fn window(&self) -> impl Iterator<Item = &SpooledInterval> {
+        self.intervals.iter().take(self.bounds.window)
     }
 
-    /// What the points of an interval are made of.
+    /// The data of an interval; nothing if the spool no longer has it.
     pub fn interval(&self, number: u64) -> Option<Interval> {
-        let at = self.place(number)?;
-        let before = at.checked_sub(1).map_or(&self.base, |at| &self.entries[at].snapshot.totals).clone();
-        Some(Interval { snapshot: self.entries[at].snapshot.clone(), before })
-    }
-
-    /// What is known of an interval's points, all unknown at first.
-    pub fn marks(&mut self, number: u64, points: usize) -> Option<&mut Marks> {
-        let at = self.place(number)?;
-        let entry = &mut self.entries[at];
-        if entry.marks.is_none() {
-            let none = vec![0_u32; points].into_boxed_slice();
-            entry.marks = Some(Marks { taken: none.clone(), flying: none });
-            self.bytes += points * 8;
+        let at = self.position(number)?;
+        let previous = at.checked_sub(1).map(|at| &self.intervals[at].snapshot.totals);
+        let previous_totals = previous.unwrap_or(&self.base_totals).clone();
+        Some(Interval { snapshot: self.intervals[at].snapshot.clone(), previous_totals })
+    }
+
+    /// The acknowledgements of an interval with this number of points, created if it has none; nothing if the spool no
+    /// longer has the interval.
+    pub fn ack_state_mut(&mut self, number: u64, points: usize) -> Option<&mut AckState> {
+        let at = self.position(number)?;
+        let interval = &mut self.intervals[at];
+        if interval.ack_state.is_none() {
+            self.bytes += AckState::bytes(points);
         }
-        entry.marks.as_mut()
+        Some(interval.ack_state.get_or_insert_with(|| AckState::new(points)))
     }
 
-    /// All that is known of any interval.
-    pub fn all_marks(&mut self) -> impl Iterator<Item = &mut Marks> {
-        self.entries.iter_mut().filter_map(|entry| entry.marks.as_mut())
+    /// The acknowledgements of all intervals that have any.
+    pub fn ack_states_mut(&mut self) -> impl Iterator<Item = &mut AckState> {
+        self.intervals.iter_mut().filter_map(|interval| interval.ack_state.as_mut())
     }
 
-    /// Removes the oldest intervals as long as this holds for what is known of them.
-    pub fn settle(&mut self, is_settled: impl Fn(&Marks) -> bool) {
-        while self.entries.front().is_some_and(|entry| entry.marks.as_ref().is_some_and(&is_settled)) {
-            self.pop();
+    /// Removes the oldest intervals as long as they are delivered.
+    pub fn remove_delivered(&mut self, is_delivered: impl Fn(&AckState) -> bool) {
+        while self.intervals.front().is_some_and(|first| first.ack_state.as_ref().is_some_and(&is_delivered))
+        {
+            self.pop_oldest();
         }
     }
 
-    fn pop(&mut self) {
-        if let Some(entry) = self.entries.pop_front() {
-            self.bytes -= bytes_of(&entry);
-            self.base = entry.snapshot.totals;
+    fn pop_oldest(&mut self) {
+        if let Some(interval) = self.intervals.pop_front() {
+            self.bytes -= interval.bytes();
+            self.base_totals = interval.snapshot.totals;
         }
     }
 
-    fn place(&self, number: u64) -> Option<usize> {
-        self.entries.binary_search_by_key(&number, |entry| entry.number).ok()
+    fn position(&self, number: u64) -> Option<usize> {
+        self.intervals.binary_search_by_key(&number, |interval| interval.number).ok()
     }
 }
 
-fn bytes_of(entry: &Entry) -> usize {
-    entry.snapshot.bytes() + entry.marks.as_ref().map_or(0, |marks| marks.taken.len() * 8)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/pinepoint-telemetry/src/spool/tests.rs
+++ b/crates/pinepoint-telemetry/src/spool/tests.rs
@@ -15,12 +15,12 @@
 
 /// Slot and what was added, for each interval.
 fn told(spool: &Spool) -> Vec<(u64, f64)> {
-    let numbers: Vec<u64> = spool.entries.iter().map(|entry| entry.number).collect();
+    let numbers: Vec<u64> = spool.intervals.iter().map(|interval| interval.number).collect();
     let interval = |number| spool.interval(number).expect("in the spool");
     numbers
         .into_iter()
         .map(interval)
-        .map(|i| (i.snapshot.slot_s, i.snapshot.totals[0] - i.before[0]))
+        .map(|i| (i.snapshot.slot_s, i.snapshot.totals[0] - i.previous_totals[0]))
         .collect()
 }
 
@@ -40,11 +40,11 @@
         let told = told(&spool);
         assert!(spool.size().1 <= one * room);
         assert_eq!(told.iter().map(|(_, added)| added).sum::<f64>(), 700.0);
-        let slots: Vec<u32> = spool.entries.iter().map(|entry| entry.snapshot.slots).collect();
+        let slots: Vec<u32> = spool.intervals.iter().map(|interval| interval.snapshot.slots).collect();
         assert_eq!(slots.iter().sum::<u32>(), 100);
         let most = 100_u32.div_ceil(room as u32).next_power_of_two() * 2;
         assert!(slots.iter().all(|n| *n <= most), "room for {room}: {slots:?}");
-        assert_eq!(spool.lost(), (100 - told.len() as u64, 0));
+        assert_eq!(spool.losses(), Losses { merged: 100 - told.len() as u64, dropped: 0 });
     }
 }
 
@@ -55,8 +55,8 @@
     for n in 0..3 {
         spool.push(n as f64, snapshot(n));
     }
-    spool.marks(0, 2).expect("there").flying[1] = 1;
-    spool.marks(1, 2).expect("there");
+    spool.ack_state_mut(0, 2).expect("there").in_flight[1] = 1;
+    spool.ack_state_mut(1, 2).expect("there");
     for n in 3..50 {
         spool.push(n as f64, snapshot(n));
     }
@@ -71,12 +71,12 @@
     let kept = told(&spool);
     assert_eq!(kept.iter().map(|(_, added)| added).sum::<f64>(), 70.0);
     assert_eq!(kept[0], (60, 49.0), "{kept:?}");
-    let front = spool.entries[0].number;
-    spool.marks(front, 2).expect("there");
+    let front = spool.intervals[0].number;
+    spool.ack_state_mut(front, 2).expect("there");
     for n in 10..20 {
         spool.push((n + 1) as f64 * 10_000.0, snapshot(n));
     }
-    assert_eq!(spool.lost().1, 1);
+    assert_eq!(spool.losses().dropped, 1);
     assert_eq!(told(&spool).iter().map(|(_, added)| added).sum::<f64>(), 140.0 - 49.0);
 }
 
@@ -84,12 +84,12 @@
 fn the_settled_leave_from_the_old_end_and_the_next_counts_from_them() {
     let mut spool = filled(BOUNDS, 4);
     for number in [0, 2] {
-        spool.marks(number, 2).expect("there").taken = vec![1, 1].into();
+        spool.ack_state_mut(number, 2).expect("there").acknowledged = vec![1, 1].into();
     }
-    spool.settle(|marks| marks.taken.iter().all(|taken| *taken != 0));
+    spool.remove_delivered(|state| state.acknowledged.iter().all(|acknowledged| *acknowledged != 0));
     assert_eq!(told(&spool), [(10, 7.0), (20, 7.0), (30, 7.0)], "the third waits for the second");
-    spool.marks(1, 2).expect("there").taken = vec![1, 1].into();
-    spool.settle(|marks| marks.taken.iter().all(|taken| *taken != 0));
+    spool.ack_state_mut(1, 2).expect("there").acknowledged = vec![1, 1].into();
+    spool.remove_delivered(|state| state.acknowledged.iter().all(|acknowledged| *acknowledged != 0));
     assert_eq!(told(&spool), [(30, 7.0)]);
     assert_eq!(spool.size().1, snapshot(3).bytes());
 }
@@ -97,5 +97,5 @@
 #[test]
 fn only_the_oldest_may_be_sent() {
     let spool = filled(BOUNDS, 10);
-    assert_eq!(spool.window().map(|entry| entry.number).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert_eq!(spool.window().map(|interval| interval.number).collect::<Vec<_>>(), [0, 1, 2, 3]);
 }
--- a/crates/pinepoint-telemetry/tests/sim/mod.rs
+++ b/crates/pinepoint-telemetry/tests/sim/mod.rs
@@ -4,8 +4,11 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::rc::Rc;
 
-use pinepoint_telemetry::circuit;
-use pinepoint_telemetry::delivery::{Action, Break, Delivery, Event, Load, Notice, Receipts, Rules};
+use pinepoint_telemetry::circuit_breaker;
+use pinepoint_telemetry::delivery::{
+    AckMode, Action, ConnectionId, Delivery, DeliveryConfig, DisconnectReason, Event, Message, MinProgress,
+    Notice,
+};
 use pinepoint_telemetry::snapshot::{Interval, Snapshot};
 use pinepoint_telemetry::spool::Bounds;
 use rand_core::Rng;
@@ -15,19 +18,19 @@
 const LATENCY_MS: f64 = 2.0;
 pub const EVERY_MS: f64 = 10_000.0;
 
-pub fn rules() -> Rules {
-    Rules {
+pub fn config() -> DeliveryConfig {
+    DeliveryConfig {
         spool: Bounds { bytes: 60_000, age_ms: 86_400_000.0, window: 8 },
-        circuit: circuit::Rules::default(),
-        receipts: Receipts::OnClose,
-        copies: 1,
-        receipt_ms: 60_000.0,
-        connect_wait_ms: 3000.0,
-        receipt_wait_ms: 15_000.0,
-        progress: (256, 5000.0),
-        lag_ms: 60_000.0,
-        pace_ms: 1000.0,
-        spread_ms: 2500.0,
+        circuit_breaker: circuit_breaker::Config::default(),
+        ack_mode: AckMode::OnClose,
+        replication: 1,
+        ack_interval_ms: 60_000.0,
+        connect_timeout_ms: 3000.0,
+        ack_timeout_ms: 15_000.0,
+        min_progress: MinProgress { bytes: 256, period_ms: 5000.0 },
+        max_lag_ms: 60_000.0,
+        max_reconnect_pause_ms: 1000.0,
+        max_send_delay_ms: 2500.0,
     }
 }
 
@@ -39,7 +42,7 @@
     Stalled,
     /// Refuses.
     Down,
-    /// Reads one load in so many ms.
+    /// Reads one message in so many ms.
     Dripping(f64),
     /// Accepts, and its system has no room for what is sent.
     Clogged,
@@ -48,8 +51,8 @@
 }
 
 #[derive(Default)]
-struct Conn {
-    unread: Vec<(u64, Load)>,
+struct Connection {
+    unread: Vec<(u64, Message)>,
     read: u64,
     asked: bool,
     abandoned: bool,
@@ -57,7 +60,7 @@
 
 pub struct Rx {
     pub state: State,
-    conns: BTreeMap<(usize, u64), Conn>,
+    connections: BTreeMap<(usize, ConnectionId), Connection>,
     /// Value by node, point and slot.
     pub store: HashMap<(usize, u16), BTreeMap<u64, f64>>,
     /// When connections were made.
@@ -94,7 +97,7 @@
     things: HashMap<u64, Thing>,
     sequence: u64,
     pub last_interval_ms: f64,
-    receipts: Receipts,
+    ack_mode: AckMode,
 }
 
 pub fn name(at: usize) -> String {
@@ -102,13 +105,13 @@
 }
 
 impl World {
-    pub fn new(nodes: usize, receivers: usize, rules: Rules, seed: u64) -> Self {
+    pub fn new(nodes: usize, receivers: usize, config: DeliveryConfig, seed: u64) -> Self {
         let names: Vec<String> = (0..receivers).map(name).collect();
         let node = |at: usize| {
             let paths: Rc<[String]> = (0..POINTS).map(|point| format!("p.n{at}.stat{point}")).collect();
             let base: Rc<[f64]> = vec![0.0; POINTS].into();
             Node {
-                delivery: Delivery::new(rules, &names, paths, base, seed ^ (at as u64 * 7919 + 1)),
+                delivery: Delivery::new(config, &names, paths, base, seed ^ (at as u64 * 7919 + 1)),
                 totals: vec![0.0; POINTS],
                 notices: Vec::new(),
                 most_bytes: 0,
@@ -118,7 +121,7 @@
         };
         let rx = |_| Rx {
             state: State::Up,
-            conns: BTreeMap::new(),
+            connections: BTreeMap::new(),
             store: HashMap::new(),
             connects: Vec::new(),
             reads: Vec::new(),
@@ -133,7 +136,7 @@
             things: HashMap::new(),
             sequence: 0,
             last_interval_ms: f64::INFINITY,
-            receipts: rules.receipts,
+            ack_mode: config.ack_mode,
         };
         for at in 0..nodes {
             world.at(EVERY_MS, Thing::Interval(at));
@@ -164,7 +167,7 @@
             self.carry_out(node, action);
         }
         let entry = &mut self.nodes[node];
-        entry.most_bytes = entry.most_bytes.max(entry.delivery.figures().backlog_bytes);
+        entry.most_bytes = entry.most_bytes.max(entry.delivery.stats().backlog_bytes);
         if let Some(due) = entry.delivery.next_due() {
             assert!(
                 due > now || due <= 0.0,
@@ -180,43 +183,49 @@
     fn carry_out(&mut self, node: usize, action: Action) {
         let soon = self.now + LATENCY_MS;
         match action {
-            Action::Open { receiver, link } => {
-                let rx = &mut self.receivers[usize::from(receiver)];
+            Action::Connect { connection: id } => {
+                let rx = &mut self.receivers[usize::from(id.receiver)];
                 rx.connects.push(self.now);
                 if rx.state == State::Silent {
                     return;
                 }
                 let event = if rx.state == State::Down {
-                    Event::Broken { receiver, link, why: Break::Refused }
+                    Event::Disconnected { connection: id, reason: DisconnectReason::Refused }
                 } else {
-                    rx.conns.insert((node, link), Conn::default());
-                    Event::Opened { receiver, link }
+                    rx.connections.insert((node, id), Connection::default());
+                    Event::Connected { connection: id }
                 };
                 self.at(soon, Thing::Tell(node, event));
             }
-            Action::Send { receiver, link, send, load } => {
-                if let Some(conn) = self.receivers[usize::from(receiver)].conns.get_mut(&(node, link)) {
-                    conn.unread.push((send, load));
+            Action::Send { connection: id, sequence, message } => {
+                if let Some(connection) =
+                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
+                {
+                    connection.unread.push((sequence, message));
                 }
                 // The kernel takes it, whoever reads it.
-                let clogged = self.receivers[usize::from(receiver)].state == State::Clogged;
-                let (bytes, left) = if clogged { (10, 490) } else { (500, 0) };
-                self.at(soon, Thing::Tell(node, Event::Moved { receiver, link, bytes, left }));
-                self.at(soon, Thing::Read(usize::from(receiver)));
+                let clogged = self.receivers[usize::from(id.receiver)].state == State::Clogged;
+                let (bytes, pending) = if clogged { (10, 490) } else { (500, 0) };
+                self.at(soon, Thing::Tell(node, Event::Written { connection: id, bytes, pending }));
+                self.at(soon, Thing::Read(usize::from(id.receiver)));
             }
-            Action::Finish { receiver, link } => {
-                if let Some(conn) = self.receivers[usize::from(receiver)].conns.get_mut(&(node, link)) {
-                    conn.asked = true;
+            Action::RequestAck { connection: id } => {
+                if let Some(connection) =
+                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
+                {
+                    connection.asked = true;
                 }
-                self.at(soon, Thing::Read(usize::from(receiver)));
+                self.at(soon, Thing::Read(usize::from(id.receiver)));
             }
-            Action::Abandon { receiver, link } => {
+            Action::Disconnect { connection: id } => {
                 // What the receiver's kernel has, it may yet read.
-                if let Some(conn) = self.receivers[usize::from(receiver)].conns.get_mut(&(node, link)) {
-                    conn.abandoned = true;
+                if let Some(connection) =
+                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
+                {
+                    connection.abandoned = true;
                 }
             }
-            Action::Tell(notice) => self.nodes[node].notices.push((self.now, notice)),
+            Action::Notify(notice) => self.nodes[node].notices.push((self.now, notice)),
         }
     }
 
@@ -224,7 +233,7 @@
         let now = self.now;
         let mut told = Vec::new();
         let rx = &mut self.receivers[receiver];
-        let mut loads = match rx.state {
+        let mut messages = match rx.state {
             State::Up => usize::MAX,
             State::Dripping(ms) if now >= rx.drip_ms => {
                 rx.drip_ms = now + ms;
@@ -232,28 +241,32 @@
             }
             _ => 0,
         };
-        for ((node, link), conn) in &mut rx.conns {
-            let n = conn.unread.len().min(loads);
-            loads -= n;
-            for (send, load) in conn.unread.drain(..n) {
-                conn.read = send;
-                if let Load::Points(interval, points) = load {
+        for ((node, id), connection) in &mut rx.connections {
+            let n = connection.unread.len().min(messages);
+            messages -= n;
+            for (sequence, message) in connection.unread.drain(..n) {
+                connection.read = sequence;
+                if let Message::Points(interval, points) = message {
                     rx.reads.push((now, *node, points.len()));
                     store(&mut rx.store, *node, &interval, &points);
                 }
             }
             let reads = matches!(rx.state, State::Up | State::Dripping(_));
-            let over = self.receipts == Receipts::OnClose;
-            if reads && !conn.abandoned && (n > 0 && !over || over && conn.unread.is_empty() && conn.asked) {
+            let on_close = self.ack_mode == AckMode::OnClose;
+            if reads
+                && !connection.abandoned
+                && (n > 0 && !on_close || on_close && connection.unread.is_empty() && connection.asked)
+            {
                 told.push((
                     *node,
-                    Event::Taken { receiver: receiver as u8, link: *link, upto: conn.read, over },
+                    Event::Acknowledged { connection: *id, up_to: connection.read, closed: on_close },
                 ));
-                conn.abandoned = over;
+                connection.abandoned = on_close;
             }
         }
-        rx.conns.retain(|_, conn| !(conn.abandoned && conn.unread.is_empty()));
-        let more = matches!(rx.state, State::Dripping(_)) && rx.conns.values().any(|c| !c.unread.is_empty());
+        rx.connections.retain(|_, connection| !(connection.abandoned && connection.unread.is_empty()));
+        let more = matches!(rx.state, State::Dripping(_))
+            && rx.connections.values().any(|connection| !connection.unread.is_empty());
         let again = rx.drip_ms;
         for (node, event) in told {
             self.at(now + LATENCY_MS, Thing::Tell(node, event));
@@ -264,16 +277,20 @@
     }
 
     fn cut_off(&mut self, receiver: usize) {
-        let conns = std::mem::take(&mut self.receivers[receiver].conns);
-        for ((node, link), conn) in conns {
+        let connections = std::mem::take(&mut self.receivers[receiver].connections);
+        for ((node, id), connection) in connections {
             // A part of what was sent last may have been read.
-            if let Some((_, Load::Points(interval, points))) = conn.unread.first() {
+            if let Some((_, Message::Points(interval, points))) = connection.unread.first() {
                 let n = self.random.next_u32() as usize % (points.len() + 1);
                 store(&mut self.receivers[receiver].store, node, interval, &points[..n]);
             }
-            if !conn.abandoned {
-                let why = if conn.unread.is_empty() { Break::Closed } else { Break::Reset };
-                let event = Event::Broken { receiver: receiver as u8, link, why };
+            if !connection.abandoned {
+                let reason = if connection.unread.is_empty() {
+                    DisconnectReason::Closed
+                } else {
+                    DisconnectReason::Reset
+                };
+                let event = Event::Disconnected { connection: id, reason };
                 self.at(self.now + LATENCY_MS, Thing::Tell(node, event));
             }
         }
@@ -291,7 +308,7 @@
                 Thing::Tell(node, event) => self.tell(node, event),
                 Thing::Check(node) => {
                     self.nodes[node].checked_ms = f64::INFINITY;
-                    self.tell(node, Event::Time);
+                    self.tell(node, Event::Tick);
                 }
                 Thing::Interval(node) => {
                     if self.now <= self.last_interval_ms {
@@ -332,7 +349,7 @@
             gauges: Vec::new().into(),
             dists: Vec::new().into(),
         };
-        self.tell(node, Event::Interval(snapshot));
+        self.tell(node, Event::IntervalEnded(snapshot));
     }
 
     /// The sum of all points that any receiver has of a node, each slot once. Panics where two receivers were told
@@ -363,7 +380,7 @@
 ) {
     for point in points {
         let at = usize::from(*point);
-        let value = interval.snapshot.totals[at] - interval.before[at];
+        let value = interval.snapshot.totals[at] - interval.previous_totals[at];
         let known = store.entry((node, *point)).or_default().insert(interval.snapshot.slot_s, value);
         let slot = interval.snapshot.slot_s;
         assert!(known.is_none_or(|known| known == value), "point {point} of slot {slot} changed its value");
