--- a/crates/pinepoint-events/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -1,8 +1,9 @@
-//! The event vocabulary of pinepoint: what happens to requests and to the process, as small typed values, and the
-//! [`Observer`] trait through which the core reports them.
+//! The event vocabulary of pinepoint: what happens to requests and to the process, as small typed values, and
+//! the [`Observer`] trait through which the core reports them.
 //!
-//! A reason code ([`ReasonCode`]) reads the same in the log, the counters, the trace and the operators' pages. The crate
-//! allocates nothing while an event is reported, does no I/O and depends on no other crate of the workspace.
+//! A reason code ([`ReasonCode`]) reads the same in the log, the counters, the trace and the operators'
+//! pages. The crate allocates nothing while an event is reported, does no I/O and depends on no other crate
+//! of the workspace.
 //!
 //! ```
 //! use pinepoint_events::{RequestEvent, RequestEventKind, Observer, ReasonCode, RejectReason};
--- a/crates/pinepoint-events/src/reason_code.rs
+++ b/crates/pinepoint-events/src/reason_code.rs
@@ -4,7 +4,8 @@
 pub trait ReasonCode: Copy + Eq + 'static {
     /// All variants in declaration order, which is the order of [`ReasonCode::index`].
     const ALL: &'static [Self];
-    /// The code: lower-case letters and hyphens. Codes are part of metric names and log lines and never change.
+    /// The code: lower-case letters and hyphens. Codes are part of metric names and log lines and never
+    /// change.
     fn code(self) -> &'static str;
     /// The position in [`ReasonCode::ALL`].
     fn index(self) -> usize;
--- a/crates/pinepoint-events/src/reasons.rs
+++ b/crates/pinepoint-events/src/reasons.rs
@@ -1,4 +1,5 @@
-//! Reason codes of the core: why an attempt was rejected or failed, how calls and runs ended, and related enums.
+//! Reason codes of the core: why an attempt was rejected or failed, how calls and runs ended, and related
+//! enums.
 
 use crate::reason_codes;
 
--- a/crates/pinepoint-events/src/request_event.rs
+++ b/crates/pinepoint-events/src/request_event.rs
@@ -15,7 +15,8 @@
     Fail(FailureReason),
 }
 
-/// A final answer that was sent before the deadline; see [`RequestEventKind::DeadlineExceeded`] for the others.
+/// A final answer that was sent before the deadline; see [`RequestEventKind::DeadlineExceeded`] for the
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// With a result.
@@ -42,7 +43,8 @@
     pub kind: RequestEventKind,
 }
 
-/// What happened to a request. All durations are in milliseconds; `took_ms` counts from the arrival at the machine.
+/// What happened to a request. All durations are in milliseconds; `took_ms` counts from the arrival at the
+/// machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEventKind {
     /// It was read completely and passed to the core.
--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -1,4 +1,5 @@
-//! What telemetry costs: a event, a cut, the bytes of an interval in each protocol, the decisions of a delivery.
+//! What telemetry costs: a event, a cut, the bytes of an interval in each protocol, the decisions of a
+//! delivery.
 
 use std::rc::Rc;
 
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -57,7 +57,8 @@
 }
 
 impl Accounts {
-    /// Nothing counted yet. `classes` are in the order of the schema; `by_work` if weights count by work, not by request.
+    /// Nothing counted yet. `classes` are in the order of the schema; `by_work` if weights count by work, not
+    /// by request.
     pub fn new(schema: Rc<Schema>, classes: Vec<Class>, by_work: bool) -> Self {
         let hints = vec![HintMean::default(); classes.len()];
         let totals = vec![0.0; schema.counts()];
@@ -66,8 +67,8 @@
         Accounts { schema, classes, series, weight_by_work: by_work, hints, totals, distributions }
     }
 
-    /// Continues with other classes, at least as many as before. `series` has the class of the schema for each of them.
-    /// The schema is the current one or one widened from it; what was counted stays.
+    /// Continues with other classes, at least as many as before. `series` has the class of the schema for
+    /// each of them. The schema is the current one or one widened from it; what was counted stays.
     pub fn set_classes(
         &mut self,
         schema: Rc<Schema>,
@@ -185,9 +186,9 @@
         }
     }
 
-    /// The accounting error: by how many requests `read = served + refused + failed + expired + gone + open` is off, summed
-    /// over all classes. `open` is what the core counts in its own tables at this instant. 0 unless an event was missed
-    /// or reported twice.
+    /// The accounting error: by how many requests `read = served + refused + failed + expired + gone + open`
+    /// is off, summed over all classes. `open` is what the core counts in its own tables at this instant. 0
+    /// unless an event was missed or reported twice.
     pub fn law_off(&self, state: &CoreState) -> f64 {
         let open = self.open_by_series(state);
         open.iter().enumerate().map(|(class, open)| self.accounting_error(class, *open)).sum()
@@ -203,7 +204,8 @@
         (counter(ClassCounter::Received) - ended - open as f64).abs()
     }
 
-    /// Ends an interval: returns the totals as they stand, and the distributions, which start again with nothing.
+    /// Ends an interval: returns the totals as they stand, and the distributions, which start again with
+    /// nothing.
     pub fn cut(&mut self) -> (Rc<[f64]>, Rc<[Distribution]>) {
         let distributions = self.distributions.iter_mut().map(DistributionRecorder::take);
         (self.totals.as_slice().into(), distributions.collect())
--- a/crates/pinepoint-telemetry/src/circuit_breaker.rs
+++ b/crates/pinepoint-telemetry/src/circuit_breaker.rs
@@ -1,8 +1,9 @@
 //! Whether a receiver is in service, and when the next connection to it may be attempted.
 //!
-//! A circuit breaker (Nygard, "Release It!", 2007) with exponential backoff and full jitter (Brooker, "Exponential
-//! Backoff and Jitter", AWS Architecture Blog, 2015). After it closes again, traffic returns gradually (slow start). The
-//! caller passes the time and the random numbers; nothing here does I/O or reads a clock.
+//! A circuit breaker (Nygard, "Release It!", 2007) with exponential backoff and full jitter (Brooker,
+//! "Exponential Backoff and Jitter", AWS Architecture Blog, 2015). After it closes again, traffic returns
+//! gradually (slow start). The caller passes the time and the random numbers; nothing here does I/O or reads
+//! a clock.
 
 use rand_core::Rng;
 
@@ -85,7 +86,8 @@
         self.next_attempt_ms
     }
 
-    /// Records a failed attempt and starts a backoff. Returns whether this failure opened the circuit breaker.
+    /// Records a failed attempt and starts a backoff. Returns whether this failure opened the circuit
+    /// breaker.
     pub fn record_failure(&mut self, now: f64, random: &mut impl Rng) -> bool {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
@@ -113,7 +115,8 @@
         recovered
     }
 
-    /// The fraction of its traffic that has returned to the receiver, 0 to 1; 0 while the circuit breaker is open.
+    /// The fraction of its traffic that has returned to the receiver, 0 to 1; 0 while the circuit breaker is
+    /// open.
     pub fn slow_start_fraction(&self, now: f64) -> f64 {
         match self.state() {
             BreakerState::Open => 0.0,
--- a/crates/pinepoint-telemetry/src/collectd.rs
+++ b/crates/pinepoint-telemetry/src/collectd.rs
@@ -1,8 +1,8 @@
-//! collectd's protocols: the binary network protocol, plain, signed or encrypted ("Binary protocol", collectd wiki), and
-//! the plain-text protocol ("Plain text protocol", collectd wiki).
+//! collectd's protocols: the binary network protocol, plain, signed or encrypted ("Binary protocol", collectd
+//! wiki), and the plain-text protocol ("Plain text protocol", collectd wiki).
 //!
-//! Encodes intervals and notifications into bytes; sockets are not its concern. Counters are sent as derives, running
-//! totals since the start of the process, so that the next datagram makes up for a lost one.
+//! Encodes intervals and notifications into bytes; sockets are not its concern. Counters are sent as derives,
+//! running totals since the start of the process, so that the next datagram makes up for a lost one.
 
 mod network;
 mod security;
--- a/crates/pinepoint-telemetry/src/collectd/network.rs
+++ b/crates/pinepoint-telemetry/src/collectd/network.rs
@@ -22,8 +22,8 @@
 pub(super) const PART_HEADER_BYTES: usize = 4;
 
 impl ValueLists {
-    /// These value lists of an interval as packets that are not sealed yet. Each packet is complete in itself, so that a lost
-    /// one costs only its own values.
+    /// These value lists of an interval as packets that are not sealed yet. Each packet is complete in
+    /// itself, so that a lost one costs only its own values.
     pub fn packets(
         &self,
         schema: &Schema,
--- a/crates/pinepoint-telemetry/src/collectd/security.rs
+++ b/crates/pinepoint-telemetry/src/collectd/security.rs
@@ -16,7 +16,8 @@
 
 /// Bytes that a signature adds beside the user name: header and HMAC.
 const SIGNATURE_BYTES: usize = PART_HEADER_BYTES + 32;
-/// Bytes that encryption adds beside the user name: header, length of the name, initialization vector, digest.
+/// Bytes that encryption adds beside the user name: header, length of the name, initialization vector,
+/// digest.
 const ENCRYPTION_BYTES: usize = PART_HEADER_BYTES + 2 + 16 + 20;
 
 /// An initialization vector.
@@ -68,8 +69,8 @@
         }
     }
 
-    /// The datagram for these parts. The vector is only used for encryption, and must then be a new one for each datagram,
-    /// also across restarts.
+    /// The datagram for these parts. The vector is only used for encryption, and must then be a new one for
+    /// each datagram, also across restarts.
     pub fn seal(&self, parts: Vec<u8>, vector: InitializationVector) -> Vec<u8> {
         match self {
             PacketSecurity::None => parts,
--- a/crates/pinepoint-telemetry/src/collectd/text.rs
+++ b/crates/pinepoint-telemetry/src/collectd/text.rs
@@ -5,7 +5,8 @@
 use crate::snapshot::Interval;
 
 impl ValueLists {
-    /// Appends these value lists of an interval to `out` as `PUTVAL` commands. Returns the number of commands.
+    /// Appends these value lists of an interval to `out` as `PUTVAL` commands. Returns the number of
+    /// commands.
     pub fn write_commands(
         &self,
         out: &mut Vec<u8>,
--- a/crates/pinepoint-telemetry/src/config.rs
+++ b/crates/pinepoint-telemetry/src/config.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The delivery of a destination with this spool; what the destination says otherwise is for the caller to replace.
+    /// The delivery of a destination with this spool; what the destination says otherwise is for the caller
+    /// to replace.
     fn delivery_config(self, every_ms: f64) -> DeliveryConfig {
         DeliveryConfig {
             spool: self.bounds(),
--- a/crates/pinepoint-telemetry/src/config/collectd.rs
+++ b/crates/pinepoint-telemetry/src/config/collectd.rs
@@ -12,8 +12,8 @@
 /// The longest user name, bytes.
 const MAX_USERNAME_BYTES: usize = 64;
 
-/// Where collectd listens: an address for its network protocol or for text over TCP, or a path for text over a Unix
-/// socket.
+/// Where collectd listens: an address for its network protocol or for text over TCP, or a path for text over
+/// a Unix socket.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(try_from = "String")]
 pub enum CollectdAddress {
--- a/crates/pinepoint-telemetry/src/config/graphite.rs
+++ b/crates/pinepoint-telemetry/src/config/graphite.rs
@@ -28,8 +28,8 @@
     /// When the receiver closed the connection in order after we did: its process read all data.
     #[default]
     Closed,
-    /// When the receiver's kernel acknowledged it. For relays that never close connections; what such a relay had not
-    /// read when it crashed is lost.
+    /// When the receiver's kernel acknowledged it. For relays that never close connections; what such a relay
+    /// had not read when it crashed is lost.
     Acknowledged,
 }
 
--- a/crates/pinepoint-telemetry/src/delivery.rs
+++ b/crates/pinepoint-telemetry/src/delivery.rs
@@ -1,10 +1,12 @@
-//! The delivery to one destination: which points are sent to which receiver and when, and what was acknowledged.
+//! The delivery to one destination: which points are sent to which receiver and when, and what was
+//! acknowledged.
 //!
 //! A state machine without I/O that serves every protocol: events and the time go in, actions come out.
 //!
-//! For each point of an interval the spool knows which receivers acknowledged it and to which it is in flight. What is to
-//! be sent follows from that, from the hash ring and from which receivers are in service, and is computed anew after each
-//! event. Failover, recovery, and added or removed receivers are therefore no special cases.
+//! For each point of an interval the spool knows which receivers acknowledged it and to which it is in
+//! flight. What is to be sent follows from that, from the hash ring and from which receivers are in service,
+//! and is computed anew after each event. Failover, recovery, and added or removed receivers are therefore no
+//! special cases.
 
 mod acknowledgement;
 mod config;
@@ -59,8 +61,8 @@
 }
 
 impl Delivery {
-    /// The delivery to these receivers, at most [`MAX_RECEIVERS`](crate::hash_ring::MAX_RECEIVERS). `paths` names the
-    /// points, in order; the first interval counts from `base_totals`.
+    /// The delivery to these receivers, at most [`MAX_RECEIVERS`](crate::hash_ring::MAX_RECEIVERS). `paths`
+    /// names the points, in order; the first interval counts from `base_totals`.
     pub fn new(
         config: DeliveryConfig,
         receivers: &[String],
--- a/crates/pinepoint-telemetry/src/delivery/config.rs
+++ b/crates/pinepoint-telemetry/src/delivery/config.rs
@@ -42,10 +42,10 @@
     pub min_progress: MinProgress,
     /// How long a receiver may be the only one that others wait for, ms.
     pub max_lag_ms: f64,
-    /// Longest pause between a connection that was closed in order and the next, ms. The actual pause is random, so that
-    /// not all processes with a backlog for one receiver reconnect at once.
+    /// Longest pause between a connection that was closed in order and the next, ms. The actual pause is
+    /// random, so that not all processes with a backlog for one receiver reconnect at once.
     pub max_reconnect_pause_ms: f64,
-    /// Longest delay between the end of an interval and sending it, ms. The actual delay is random, so that not all
-    /// processes send at once.
+    /// Longest delay between the end of an interval and sending it, ms. The actual delay is random, so that
+    /// not all processes send at once.
     pub max_send_delay_ms: f64,
 }
--- a/crates/pinepoint-telemetry/src/delivery/connection.rs
+++ b/crates/pinepoint-telemetry/src/delivery/connection.rs
@@ -129,7 +129,8 @@
         is_ack_overdue.then_some(DisconnectReason::AckTimeout)
     }
 
-    /// Starts a new period of progress if the current one is over. Progress extends the timeout of an acknowledgement.
+    /// Starts a new period of progress if the current one is over. Progress extends the timeout of an
+    /// acknowledgement.
     pub(super) fn renew_progress(&mut self, now: f64, config: &DeliveryConfig) {
         let Some(progress) = self.progress else { return };
         if now < progress.since_ms + config.min_progress.period_ms {
--- a/crates/pinepoint-telemetry/src/delivery/lag.rs
+++ b/crates/pinepoint-telemetry/src/delivery/lag.rs
@@ -4,8 +4,8 @@
 use super::{Action, Delivery, DisconnectReason, Notice};
 
 impl Delivery {
-    /// Takes a receiver out of service that for too long was the only one that others waited for, so that its points go
-    /// to them.
+    /// Takes a receiver out of service that for too long was the only one that others waited for, so that its
+    /// points go to them.
     pub(super) fn enforce_max_lag(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.update_lag(now);
         for slot in self.occupied_slots() {
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Records since when each receiver has been lagging: the window is full, another receiver has nothing to do, and
-    /// this one has not acknowledged the oldest interval.
+    /// Records since when each receiver has been lagging: the window is full, another receiver has nothing to
+    /// do, and this one has not acknowledged the oldest interval.
     fn update_lag(&mut self, now: f64) {
         let Some(oldest) = self.spool.window().next().map(|interval| interval.number) else {
             self.receivers.iter_mut().flatten().for_each(|receiver| receiver.lagging_since_ms = None);
--- a/crates/pinepoint-telemetry/src/delivery/receiver.rs
+++ b/crates/pinepoint-telemetry/src/delivery/receiver.rs
@@ -11,7 +11,8 @@
     pub(super) name: String,
     pub(super) circuit_breaker: CircuitBreaker,
     pub(super) connection: Option<Connection>,
-    /// Intervals that may be in flight until the next acknowledgement. Grows as TCP's congestion window in slow start.
+    /// Intervals that may be in flight until the next acknowledgement. Grows as TCP's congestion window in
+    /// slow start.
     pub(super) send_window: usize,
     /// Points wait for it.
     pub(super) has_pending_points: bool,
--- a/crates/pinepoint-telemetry/src/delivery/sending.rs
+++ b/crates/pinepoint-telemetry/src/delivery/sending.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Opens a connection to a receiver with pending points, or to one that is out of service and due for a health check.
+    /// Opens a connection to a receiver with pending points, or to one that is out of service and due for a
+    /// health check.
     fn connect(&mut self, now: f64, slot: u8, actions: &mut Vec<Action>) {
         let is_in_service = self.receiver(slot).is_some_and(|receiver| receiver.is_in_service());
         let has_pending_points = is_in_service && self.next_batch(now, slot, 1).is_some();
@@ -68,7 +69,8 @@
         actions.push(Action::Send { connection: connection.id, sequence, message });
     }
 
-    /// Requests an acknowledgement if the send window is full, enough time has passed, or the process is about to end.
+    /// Requests an acknowledgement if the send window is full, enough time has passed, or the process is
+    /// about to end.
     fn request_ack_if_due(&mut self, now: f64, slot: u8, actions: &mut Vec<Action>) {
         let (config, shutting_down) = (self.config, self.shutting_down);
         let Some(receiver) = self.receiver_mut(slot) else { return };
@@ -104,9 +106,9 @@
         None
     }
 
-    /// The receivers that a point is to be sent to now, a bit each: those that the point prefers among the receivers that are
-    /// in service and neither have it nor are about to, as many as replicas are missing. During its slow start a
-    /// receiver gets only a part of its points, unless there is no other.
+    /// The receivers that a point is to be sent to now, a bit each: those that the point prefers among the
+    /// receivers that are in service and neither have it nor are about to, as many as replicas are missing.
+    /// During its slow start a receiver gets only a part of its points, unless there is no other.
     fn targets(&self, now: f64, point: usize, state: Option<&AckState>) -> u32 {
         let known = state.map_or(0, |state| state.receivers(point));
         let mut missing = self.config.replication.max(1).saturating_sub(known.count_ones());
--- a/crates/pinepoint-telemetry/src/distribution.rs
+++ b/crates/pinepoint-telemetry/src/distribution.rs
@@ -1,4 +1,5 @@
-//! Latency distributions: a recorder that never allocates while it records, and the compact form that snapshots keep.
+//! Latency distributions: a recorder that never allocates while it records, and the compact form that
+//! snapshots keep.
 
 use hdrhistogram::Histogram;
 
--- a/crates/pinepoint-telemetry/src/encoder.rs
+++ b/crates/pinepoint-telemetry/src/encoder.rs
@@ -70,7 +70,8 @@
         }
     }
 
-    /// A notification; nothing if the destination accepts none, or if the system has no random numbers for encryption.
+    /// A notification; nothing if the destination accepts none, or if the system has no random numbers for
+    /// encryption.
     pub(crate) fn notification(&self, now_ms: f64, notification: &Notification) -> Option<EncodedMessage> {
         match self {
             Encoder::Graphite(_) => None,
--- a/crates/pinepoint-telemetry/src/encoder/collectd.rs
+++ b/crates/pinepoint-telemetry/src/encoder/collectd.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// A random initialization vector. Two packets with the same one, even across restarts, would reveal what they have in
-/// common.
+/// A random initialization vector. Two packets with the same one, even across restarts, would reveal what
+/// they have in common.
 fn new_initialization_vector() -> Option<InitializationVector> {
     let mut vector = InitializationVector::default();
     getrandom::fill(&mut vector).ok().map(|()| vector)
--- a/crates/pinepoint-telemetry/src/graphite.rs
+++ b/crates/pinepoint-telemetry/src/graphite.rs
@@ -1,4 +1,5 @@
-//! Graphite's protocols: plaintext lines and pickled batches ("Feeding In Your Data", Graphite documentation).
+//! Graphite's protocols: plaintext lines and pickled batches ("Feeding In Your Data", Graphite
+//! documentation).
 //!
 //! Encodes points into bytes; sockets are not its concern.
 
--- a/crates/pinepoint-telemetry/src/hash_ring.rs
+++ b/crates/pinepoint-telemetry/src/hash_ring.rs
@@ -1,6 +1,7 @@
 //! A consistent-hash ring over receivers (Karger et al., "Consistent Hashing and Random Trees", 1997).
 //!
-//! It decides in which order a metric path prefers the receivers; which of them are in service is the caller's concern.
+//! It decides in which order a metric path prefers the receivers; which of them are in service is the
+//! caller's concern.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -9,8 +10,8 @@
 /// The most receivers of a ring; a set of receivers fits into the bits of a `u32`.
 pub const MAX_RECEIVERS: usize = 32;
 
-/// The ring. A receiver is known by a slot below [`MAX_RECEIVERS`]. Its points follow from its name alone, so that all
-/// processes with the same receivers agree, in whatever order the receivers are configured.
+/// The ring. A receiver is known by a slot below [`MAX_RECEIVERS`]. Its points follow from its name alone, so
+/// that all processes with the same receivers agree, in whatever order the receivers are configured.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
     /// Hash and slot, by hash.
@@ -50,7 +51,8 @@
     }
 }
 
-/// A hash of a path as a fraction, 0 to 1, independent of the ring: paths below a rising threshold move first.
+/// A hash of a path as a fraction, 0 to 1, independent of the ring: paths below a rising threshold move
+/// first.
 pub fn path_fraction(path: &str) -> f64 {
     // With the ring's own hash the paths of one receiver would have similar fractions.
     let hash = xxh3_64_with_seed(path.as_bytes(), 1);
--- a/crates/pinepoint-telemetry/src/interval_schedule.rs
+++ b/crates/pinepoint-telemetry/src/interval_schedule.rs
@@ -1,9 +1,10 @@
 //! When a reporting interval ends, and which time slot its points carry.
 //!
-//! Slots are aligned to multiples of the interval's length. No slot is reported twice, neither by this process nor by its
-//! predecessor under the same name. The caller passes the time.
+//! Slots are aligned to multiples of the interval's length. No slot is reported twice, neither by this
+//! process nor by its predecessor under the same name. The caller passes the time.
 
-/// The reporting intervals of a process. Time may stand still or jump ahead; if it goes back, slots still only go up.
+/// The reporting intervals of a process. Time may stand still or jump ahead; if it goes back, slots still
+/// only go up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IntervalSchedule {
     every_s: u64,
@@ -23,8 +24,9 @@
 }
 
 impl IntervalSchedule {
-    /// The schedule of a process that starts now, with intervals of `every_s` seconds. Its first interval carries the first
-    /// slot that begins after the start: the current one may hold the last points of its predecessor.
+    /// The schedule of a process that starts now, with intervals of `every_s` seconds. Its first interval
+    /// carries the first slot that begins after the start: the current one may hold the last points of its
+    /// predecessor.
     pub fn new(now: f64, every_s: u64) -> Self {
         let every_s = every_s.max(1);
         IntervalSchedule { every_s, slot_s: slot_at(now, every_s) + every_s, began_ms: now }
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -1,12 +1,12 @@
-//! Telemetry: counts what becomes of requests, and delivers the counts to Graphite and collectd through failures of the
-//! receivers.
+//! Telemetry: counts what becomes of requests, and delivers the counts to Graphite and collectd through
+//! failures of the receivers.
 //!
 //! Events of the core are counted ([`accounts`], [`distribution`]). At the end of each reporting interval
-//! ([`interval_schedule`]) a [`snapshot`] goes into a bounded spool for each destination ([`spool`]), from which it is
-//! delivered: [`delivery`] decides, over a [`hash_ring`] of receivers with a [`circuit_breaker`] each, in the formats of
-//! [`graphite`] and [`collectd`]. These modules do no I/O and read no clock; the private modules `telemetry` and
-//! `transport` carry their decisions out on sockets. `docs/design/telemetry.md` explains the design,
-//! `docs/operations/telemetry.md` the use.
+//! ([`interval_schedule`]) a [`snapshot`] goes into a bounded spool for each destination ([`spool`]), from
+//! which it is delivered: [`delivery`] decides, over a [`hash_ring`] of receivers with a [`circuit_breaker`]
+//! each, in the formats of [`graphite`] and [`collectd`]. These modules do no I/O and read no clock; the
+//! private modules `telemetry` and `transport` carry their decisions out on sockets.
+//! `docs/design/telemetry.md` explains the design, `docs/operations/telemetry.md` the use.
 //!
 //! ```
 //! use std::rc::Rc;
--- a/crates/pinepoint-telemetry/src/metric_names.rs
+++ b/crates/pinepoint-telemetry/src/metric_names.rs
@@ -1,7 +1,7 @@
 //! Names of metrics as receivers see them.
 //!
-//! Names of hosts, classes and prefixes come from configurations. They are sanitized and bounded here, so that none can
-//! be mistaken for the syntax of a receiver's protocol.
+//! Names of hosts, classes and prefixes come from configurations. They are sanitized and bounded here, so
+//! that none can be mistaken for the syntax of a receiver's protocol.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -14,8 +14,9 @@
 
 /// A component of a name that consists of letters, digits, hyphens and underscores only.
 ///
-/// A valid component is returned unchanged. In any other, invalid characters become underscores, the length is bounded
-/// by [`MAX_COMPONENT_BYTES`], and a hash of the original is appended so that different names stay different.
+/// A valid component is returned unchanged. In any other, invalid characters become underscores, the length
+/// is bounded by [`MAX_COMPONENT_BYTES`], and a hash of the original is appended so that different names stay
+/// different.
 pub fn sanitize(component: &str) -> String {
     let is_valid = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     if !component.is_empty() && component.len() <= MAX_COMPONENT_BYTES && component.chars().all(is_valid) {
@@ -26,7 +27,8 @@
     format!("{bounded}_{:08x}", xxh3_64(component.as_bytes()) as u32)
 }
 
-/// Several components with dots between them, such as a prefix, each sanitized; empty components are left out.
+/// Several components with dots between them, such as a prefix, each sanitized; empty components are left
+/// out.
 pub fn sanitize_dotted(components: &str) -> String {
     let components = components.split('.').filter(|component| !component.is_empty());
     components.map(sanitize).collect::<Vec<_>>().join(".")
@@ -47,7 +49,8 @@
     /// The path of each point of the schema, in order, all of them different.
     ///
     /// Untagged `PREFIX.HOST.class.CLASS.STAT`, `PREFIX.HOST.node.STAT` and so on; tagged
-    /// `PREFIX.class.STAT;class=CLASS;host=HOST` (Graphite's "Tag Support", tags in the order of their names).
+    /// `PREFIX.class.STAT;class=CLASS;host=HOST` (Graphite's "Tag Support", tags in the order of their
+    /// names).
     pub fn paths(&self, schema: &Schema) -> Vec<String> {
         let (prefix, host) = (sanitize_dotted(&self.prefix), sanitize(&self.host));
         let head = if prefix.is_empty() { String::new() } else { format!("{prefix}.") };
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -1,7 +1,7 @@
 //! The metrics of a process: which exist, what they are called and where their values stand in a snapshot.
 //!
-//! A schema never changes, so that a snapshot is a plain row of numbers. When classes are added, a wider schema replaces
-//! it.
+//! A schema never changes, so that a snapshot is a plain row of numbers. When classes are added, a wider
+//! schema replaces it.
 
 mod layout;
 mod stats;
@@ -94,7 +94,8 @@
 }
 
 impl Schema {
-    /// The metrics of a process with these request classes, counters of the node and gauges of the decision module.
+    /// The metrics of a process with these request classes, counters of the node and gauges of the decision
+    /// module.
     pub fn new(classes: &[String], node: &[&'static str], module: &[&'static str]) -> Self {
         let mut counters = Vec::new();
         let mut distributions = Vec::new();
@@ -164,7 +165,8 @@
         self.distributions.len()
     }
 
-    /// Number of points of a snapshot: one for each counter, sum and gauge, and the [`STATISTICS`] of each distribution.
+    /// Number of points of a snapshot: one for each counter, sum and gauge, and the [`STATISTICS`] of each
+    /// distribution.
     pub fn points(&self) -> usize {
         self.counters.len() + self.gauges.len() + self.distributions.len() * STATISTICS.len()
     }
--- a/crates/pinepoint-telemetry/src/schema/layout.rs
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -1,5 +1,5 @@
-//! Where the values of a snapshot stand: each class has a block of counters, then come those of the node and of
-//! telemetry itself; gauges and distributions are laid out alike.
+//! Where the values of a snapshot stand: each class has a block of counters, then come those of the node and
+//! of telemetry itself; gauges and distributions are laid out alike.
 
 use std::ops::Range;
 
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -1,7 +1,8 @@
-//! The result of one reporting interval: running totals and gauges at its end, and distributions of its values.
+//! The result of one reporting interval: running totals and gauges at its end, and distributions of its
+//! values.
 //!
-//! It defines how two neighbouring snapshots are merged and what the value of a point is. Where points are sent is not
-//! its concern.
+//! It defines how two neighbouring snapshots are merged and what the value of a point is. Where points are
+//! sent is not its concern.
 
 use std::rc::Rc;
 
--- a/crates/pinepoint-telemetry/src/spool.rs
+++ b/crates/pinepoint-telemetry/src/spool.rs
@@ -1,7 +1,8 @@
 //! The intervals that a destination has not acknowledged yet, oldest first.
 //!
-//! The spool is bounded in bytes and age. At a bound it gives up time resolution, by merging neighbouring intervals, and
-//! never a count. Only an interval that was sent in part cannot be merged, and is dropped when it gets too old.
+//! The spool is bounded in bytes and age. At a bound it gives up time resolution, by merging neighbouring
+//! intervals, and never a count. Only an interval that was sent in part cannot be merged, and is dropped when
+//! it gets too old.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -19,7 +20,8 @@
     pub window: usize,
 }
 
-/// For each point of an interval that was sent at least in part, two sets of receivers (a bit for each receiver slot).
+/// For each point of an interval that was sent at least in part, two sets of receivers (a bit for each
+/// receiver slot).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AckState {
     /// The receivers that acknowledged the point.
@@ -134,8 +136,8 @@
         number
     }
 
-    /// Merges old intervals into their successors. One that was sent in part is dropped: a receiver may know some of it
-    /// under its own timestamp.
+    /// Merges old intervals into their successors. One that was sent in part is dropped: a receiver may know
+    /// some of it under its own timestamp.
     fn enforce_max_age(&mut self, now: f64) {
         let max_age_ms = self.bounds.age_ms;
         let is_old = |interval: &SpooledInterval| now - interval.snapshot.span_ms.1 > max_age_ms;
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Merges two neighbours: of the pairs that cover the fewest slots the oldest one, so that the resolution is halved
-    /// evenly from the old end. Returns whether there was a pair.
+    /// Merges two neighbours: of the pairs that cover the fewest slots the oldest one, so that the resolution
+    /// is halved evenly from the old end. Returns whether there was a pair.
     fn merge_one_pair(&mut self) -> bool {
         let Some(first) = self.first_unsent() else { return false };
         let slots = |at: usize| {
@@ -165,7 +167,8 @@
         true
     }
 
-    /// The oldest interval of which nothing was sent. Only the oldest intervals are sent, so all behind it are unsent too.
+    /// The oldest interval of which nothing was sent. Only the oldest intervals are sent, so all behind it
+    /// are unsent too.
     fn first_unsent(&self) -> Option<usize> {
         let last_sent = self.intervals.iter().rposition(|interval| interval.ack_state.is_some());
         let after = last_sent.map_or(0, |at| at + 1);
@@ -195,8 +198,8 @@
         Some(Interval { snapshot: self.intervals[at].snapshot.clone(), previous_totals })
     }
 
-    /// The acknowledgements of an interval with this number of points, created if it has none; nothing if the spool no
-    /// longer has the interval.
+    /// The acknowledgements of an interval with this number of points, created if it has none; nothing if the
+    /// spool no longer has the interval.
     pub fn ack_state_mut(&mut self, number: u64, points: usize) -> Option<&mut AckState> {
         let at = self.position(number)?;
         let interval = &mut self.intervals[at];
--- a/crates/pinepoint-telemetry/src/telemetry.rs
+++ b/crates/pinepoint-telemetry/src/telemetry.rs
@@ -1,5 +1,5 @@
-//! The telemetry service of a process: it observes the core, ends the reporting intervals and hands their snapshots to
-//! the deliveries.
+//! The telemetry service of a process: it observes the core, ends the reporting intervals and hands their
+//! snapshots to the deliveries.
 //!
 //! It never delays the core: an event is counted at once, and everything else happens in tasks of its own.
 
@@ -102,8 +102,9 @@
         telemetry
     }
 
-    /// Takes over the receivers of a new setup. Whatever else of a destination changes, and switching one on or off, needs
-    /// a restart. Returns the names of the destinations that were switched on or off, which are left as they are.
+    /// Takes over the receivers of a new setup. Whatever else of a destination changes, and switching one on
+    /// or off, needs a restart. Returns the names of the destinations that were switched on or off, which are
+    /// left as they are.
     pub fn reload(&self, setup: &Setup) -> Vec<&'static str> {
         let mut needs_restart = Vec::new();
         for deliveries in &self.destinations {
@@ -116,8 +117,9 @@
         needs_restart
     }
 
-    /// Continues with these request classes, given by index: their names and how their answers are valued. The first of
-    /// them must be those there were. Classes of the same name share their metrics; a new name gets metrics of its own.
+    /// Continues with these request classes, given by index: their names and how their answers are valued.
+    /// The first of them must be those there were. Classes of the same name share their metrics; a new name
+    /// gets metrics of its own.
     pub fn set_classes(&self, names: &[String], classes: Vec<Class>, by_work: bool) {
         let schema_before = self.schema();
         let mut schema_classes = schema_before.classes().to_vec();
@@ -196,8 +198,8 @@
         self.deliveries(destination).set_current(running);
     }
 
-    /// The window, reduced so that a spool of so many bytes has room for some intervals beside it, however many classes
-    /// there are.
+    /// The window, reduced so that a spool of so many bytes has room for some intervals beside it, however
+    /// many classes there are.
     fn window_within(&self, spool_bytes: usize, points: usize, window: usize) -> usize {
         let schema = self.schema();
         let numbers = schema.counts() + schema.gauges() + points;
@@ -210,8 +212,8 @@
         let _ = self.notifications.0.try_send(Notification { severity, what, message });
     }
 
-    /// Delivers what is left after the core has ended, until `until_ms` (Unix ms) at the latest. Logs what could not be
-    /// delivered.
+    /// Delivers what is left after the core has ended, until `until_ms` (Unix ms) at the latest. Logs what
+    /// could not be delivered.
     pub async fn finish(&self, until_ms: f64) {
         let done: Vec<Receiver<()>> =
             self.destinations.iter().flat_map(DestinationDeliveries::shut_down).collect();
--- a/crates/pinepoint-telemetry/src/telemetry/destination.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/destination.rs
@@ -42,7 +42,8 @@
     pub(super) destination: Destination,
     /// Nothing if the destination is off.
     current: RefCell<Option<RunningDelivery>>,
-    /// Deliveries whose schema lacks classes that were added since: they send what they have and get no more intervals.
+    /// Deliveries whose schema lacks classes that were added since: they send what they have and get no more
+    /// intervals.
     superseded: RefCell<Vec<RunningDelivery>>,
     /// Counters of the superseded deliveries that are gone.
     past: Cell<DeliveryStats>,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Asks all deliveries to send the rest at once. Returns, for each, the channel that reports that it is done.
+    /// Asks all deliveries to send the rest at once. Returns, for each, the channel that reports that it is
+    /// done.
     pub(super) fn shut_down(&self) -> Vec<Receiver<()>> {
         let (superseded, current) = (self.superseded.borrow(), self.current.borrow());
         let all = superseded.iter().chain(current.iter());
--- a/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
@@ -13,7 +13,8 @@
 const CORE_STATE_TIMEOUT_MS: f64 = 1000.0;
 
 impl Telemetry {
-    /// Ends intervals forever: when one is due, the core is asked for its state, and its answer ends the interval.
+    /// Ends intervals forever: when one is due, the core is asked for its state, and its answer ends the
+    /// interval.
     pub(super) async fn end_intervals(&self) {
         loop {
             let due_ms = self.schedule.get().due_ms();
--- a/crates/pinepoint-telemetry/src/transport.rs
+++ b/crates/pinepoint-telemetry/src/transport.rs
@@ -1,7 +1,7 @@
 //! Connections to receivers: one task for each, which is sent commands and reports events.
 //!
-//! A task owns its socket. It does not decide when to connect, what to send or when to give up; dropping the task closes
-//! the connection.
+//! A task owns its socket. It does not decide when to connect, what to send or when to give up; dropping the
+//! task closes the connection.
 
 mod datagrams;
 mod lines;
--- a/crates/pinepoint-telemetry/src/transport/lines.rs
+++ b/crates/pinepoint-telemetry/src/transport/lines.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Whether a line is `STATUS TEXT`, where STATUS is 0 or, for an error, negative; above 0 it would announce further
-/// lines. An error counts as an answer: collectd would reject the value the second time too.
+/// Whether a line is `STATUS TEXT`, where STATUS is 0 or, for an error, negative; above 0 it would announce
+/// further lines. An error counts as an answer: collectd would reject the value the second time too.
 fn is_answer(line: &[u8]) -> bool {
     let status = line.split(|byte| *byte == b' ').next().unwrap_or_default();
     let status = std::str::from_utf8(status).ok().and_then(|text| text.trim().parse::<i32>().ok());
--- a/crates/pinepoint-telemetry/src/transport/stream.rs
+++ b/crates/pinepoint-telemetry/src/transport/stream.rs
@@ -1,4 +1,5 @@
-//! Graphite over TCP. The protocol has no acknowledgements; the orderly close of the connection serves as one.
+//! Graphite over TCP. The protocol has no acknowledgements; the orderly close of the connection serves as
+//! one.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -27,8 +28,8 @@
         let last_sequence = future::or(self.write_messages(&stream), closed_by_receiver(&stream)).await?;
         if ack_policy == AckPolicy::Closed {
             stream.get_ref().shutdown(Shutdown::Write).map_err(|_| DisconnectReason::Reset)?;
-            // The end of the stream says that the receiver's process has read everything and closed the connection. If it
-            // closes with unread data, its kernel sends a reset instead.
+            // The end of the stream says that the receiver's process has read everything and closed the
+            // connection. If it closes with unread data, its kernel sends a reset instead.
             read_to_end(&stream).await.map_err(|_| DisconnectReason::Reset)?;
         }
         self.wait_until_acknowledged(&stream).await?;
--- a/crates/pinepoint-telemetry/tests/delivery.rs
+++ b/crates/pinepoint-telemetry/tests/delivery.rs
@@ -1,5 +1,5 @@
-//! What becomes of the counts, whatever receivers do: simulated receivers, each failure of the issue, and random
-//! courses of failures by seed.
+//! What becomes of the counts, whatever receivers do: simulated receivers, each failure of the issue, and
+//! random courses of failures by seed.
 
 mod sim;
 
@@ -93,7 +93,8 @@
     check_sums(&world);
 }
 
-/// On the settable clock: an hour without any receiver, in a spool that holds a few minutes of full resolution.
+/// On the settable clock: an hour without any receiver, in a spool that holds a few minutes of full
+/// resolution.
 #[test]
 fn the_whole_group_down_for_an_hour_stays_within_the_bound_and_loses_no_count() {
     let bounds = Bounds { bytes: 20_000, ..config().spool };
@@ -191,8 +192,8 @@
     check_sums(&world);
 }
 
-/// Its receipts all come in time, and yet it takes less than is made: it falls behind, and holds up those that share
-/// the window with it.
+/// Its receipts all come in time, and yet it takes less than is made: it falls behind, and holds up those
+/// that share the window with it.
 #[test]
 fn a_receiver_that_never_fails_and_never_keeps_up_goes_out_of_service() {
     let mut world = World::new(1, 3, DeliveryConfig { ack_timeout_ms: 15.0 * MINUTE, ..config() }, 14);
--- a/crates/pinepoint-telemetry/tests/sim/mod.rs
+++ b/crates/pinepoint-telemetry/tests/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Receivers and a network in simulated time, for one delivery or for hundreds at once. Everything follows from a seed.
+//! Receivers and a network in simulated time, for one delivery or for hundreds at once. Everything follows
+//! from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -352,8 +353,8 @@
         self.tell(node, Event::IntervalEnded(snapshot));
     }
 
-    /// The sum of all points that any receiver has of a node, each slot once. Panics where two receivers were told
-    /// different values of one point.
+    /// The sum of all points that any receiver has of a node, each slot once. Panics where two receivers were
+    /// told different values of one point.
     pub fn sums(&self, node: usize) -> Vec<f64> {
         let sum = |point: u16| {
             let mut slots = BTreeMap::new();
