--- a/crates/pinepoint-telemetry/tests/sim/mod.rs
+++ b/crates/pinepoint-telemetry/tests/sim/mod.rs
@@ -1,24 +1,29 @@
 //! Receivers and a network in simulated time, for one delivery or for hundreds at once. Everything follows
 //! from a seed.
 
+mod receiver;
+
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::rc::Rc;
 
 use pinepoint_telemetry::circuit_breaker;
-use pinepoint_telemetry::delivery::{
-    AckMode, Action, ConnectionId, Delivery, DeliveryConfig, DisconnectReason, Event, Message, MinProgress,
-    Notice,
-};
-use pinepoint_telemetry::snapshot::{Interval, Snapshot};
+use pinepoint_telemetry::delivery::{AckMode, Action, Delivery, DeliveryConfig, Event, MinProgress, Notice};
+use pinepoint_telemetry::snapshot::Snapshot;
 use pinepoint_telemetry::spool::Bounds;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 
+pub use receiver::{Read, Receiver, ReceiverState};
+
+/// Points of each node.
 pub const POINTS: usize = 12;
-const LATENCY_MS: f64 = 2.0;
+/// Length of a reporting interval, ms.
 pub const EVERY_MS: f64 = 10_000.0;
+/// Between an action and its effect, ms.
+const LATENCY_MS: f64 = 2.0;
 
+/// The configuration of deliveries unless a test says otherwise.
 pub fn config() -> DeliveryConfig {
     DeliveryConfig {
         spool: Bounds { bytes: 60_000, age_ms: 86_400_000.0, window: 8 },
@@ -35,355 +40,246 @@
     }
 }
 
-/// What a receiver does.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum State {
-    Up,
-    /// Accepts and reads nothing.
-    Stalled,
-    /// Refuses.
-    Down,
-    /// Reads one message in so many ms.
-    Dripping(f64),
-    /// Accepts, and its system has no room for what is sent.
-    Clogged,
-    /// Not even a refusal comes back.
-    Silent,
-}
-
-#[derive(Default)]
-struct Connection {
-    unread: Vec<(u64, Message)>,
-    read: u64,
-    asked: bool,
-    abandoned: bool,
-}
-
-pub struct Rx {
-    pub state: State,
-    connections: BTreeMap<(usize, ConnectionId), Connection>,
-    /// Value by node, point and slot.
-    pub store: HashMap<(usize, u16), BTreeMap<u64, f64>>,
-    /// When connections were made.
-    pub connects: Vec<f64>,
-    /// Points read: when, of which node, how many.
-    pub reads: Vec<(f64, usize, usize)>,
-    drip_ms: f64,
+/// The name of a receiver.
+pub fn name(receiver: usize) -> String {
+    format!("10.0.0.{receiver}:2003")
 }
 
+/// A process with one delivery.
 pub struct Node {
     pub delivery: Delivery,
+    /// The totals of its counters.
     pub totals: Vec<f64>,
+    /// Notices of the delivery, with their time.
     pub notices: Vec<(f64, Notice)>,
-    pub most_bytes: usize,
-    number: u64,
-    checked_ms: f64,
+    /// The most bytes that its spool has held.
+    pub max_backlog_bytes: usize,
+    intervals: u64,
+    /// The time of its next scheduled tick.
+    next_tick_ms: f64,
+}
+
+impl Node {
+    fn new(at: usize, config: DeliveryConfig, receivers: &[String], seed: u64) -> Self {
+        let paths: Rc<[String]> = (0..POINTS).map(|point| format!("p.n{at}.stat{point}")).collect();
+        let base_totals: Rc<[f64]> = vec![0.0; POINTS].into();
+        Node {
+            delivery: Delivery::new(config, receivers, paths, base_totals, seed ^ (at as u64 * 7919 + 1)),
+            totals: vec![0.0; POINTS],
+            notices: Vec::new(),
+            max_backlog_bytes: 0,
+            intervals: 0,
+            next_tick_ms: f64::INFINITY,
+        }
+    }
 }
 
-enum Thing {
-    Tell(usize, Event),
-    Check(usize),
+/// What is scheduled for some time. Nodes and receivers are given by index.
+enum Scheduled {
+    /// A node handles an event.
+    NodeEvent(usize, Event),
+    /// A node is woken up.
+    Tick(usize),
+    /// An interval of a node ends, and the next one begins.
     Interval(usize),
-    Fault(usize, State),
+    /// A receiver changes its state.
+    Fault(usize, ReceiverState),
+    /// A receiver goes down and comes up so much later, ms.
     Restart(usize, f64),
+    /// A receiver reads.
     Read(usize),
 }
 
-pub struct World {
+/// Nodes, receivers and the time.
+pub struct Simulation {
     pub now: f64,
     pub nodes: Vec<Node>,
-    pub receivers: Vec<Rx>,
-    pub random: Pcg64Mcg,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
-    things: HashMap<u64, Thing>,
-    sequence: u64,
+    pub receivers: Vec<Receiver>,
+    /// No interval ends after this time.
     pub last_interval_ms: f64,
+    random: Pcg64Mcg,
+    /// Time in microseconds and sequence number, earliest first.
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// By sequence number.
+    scheduled: HashMap<u64, Scheduled>,
+    last_sequence: u64,
     ack_mode: AckMode,
 }
 
-pub fn name(at: usize) -> String {
-    format!("10.0.0.{at}:2003")
-}
-
-impl World {
+impl Simulation {
     pub fn new(nodes: usize, receivers: usize, config: DeliveryConfig, seed: u64) -> Self {
         let names: Vec<String> = (0..receivers).map(name).collect();
-        let node = |at: usize| {
-            let paths: Rc<[String]> = (0..POINTS).map(|point| format!("p.n{at}.stat{point}")).collect();
-            let base: Rc<[f64]> = vec![0.0; POINTS].into();
-            Node {
-                delivery: Delivery::new(config, &names, paths, base, seed ^ (at as u64 * 7919 + 1)),
-                totals: vec![0.0; POINTS],
-                notices: Vec::new(),
-                most_bytes: 0,
-                number: 0,
-                checked_ms: f64::INFINITY,
-            }
-        };
-        let rx = |_| Rx {
-            state: State::Up,
-            connections: BTreeMap::new(),
-            store: HashMap::new(),
-            connects: Vec::new(),
-            reads: Vec::new(),
-            drip_ms: 0.0,
-        };
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0.0,
-            nodes: (0..nodes).map(node).collect(),
-            receivers: (0..receivers).map(rx).collect(),
+            nodes: (0..nodes).map(|at| Node::new(at, config, &names, seed)).collect(),
+            receivers: (0..receivers).map(|_| Receiver::new()).collect(),
+            last_interval_ms: f64::INFINITY,
             random: Pcg64Mcg::new(u128::from(seed)),
             queue: BinaryHeap::new(),
-            things: HashMap::new(),
-            sequence: 0,
-            last_interval_ms: f64::INFINITY,
+            scheduled: HashMap::new(),
+            last_sequence: 0,
             ack_mode: config.ack_mode,
         };
         for at in 0..nodes {
-            world.at(EVERY_MS, Thing::Interval(at));
+            simulation.schedule(EVERY_MS, Scheduled::Interval(at));
         }
-        world
+        simulation
     }
 
-    fn at(&mut self, ms: f64, thing: Thing) {
-        self.sequence += 1;
-        self.queue.push(Reverse(((ms * 1000.0).ceil() as u64 + 1, self.sequence)));
-        self.things.insert(self.sequence, thing);
+    fn schedule(&mut self, at_ms: f64, what: Scheduled) {
+        self.last_sequence += 1;
+        let at_us = (at_ms * 1000.0).ceil() as u64 + 1;
+        self.queue.push(Reverse((at_us, self.last_sequence)));
+        self.scheduled.insert(self.last_sequence, what);
     }
 
-    pub fn fault(&mut self, ms: f64, receiver: usize, state: State) {
-        self.at(ms, Thing::Fault(receiver, state));
+    /// Changes the state of a receiver at some time.
+    pub fn fault(&mut self, at_ms: f64, receiver: usize, state: ReceiverState) {
+        self.schedule(at_ms, Scheduled::Fault(receiver, state));
     }
 
-    /// Ends what a receiver has, and starts it again so much later.
-    pub fn restart(&mut self, ms: f64, receiver: usize, down_ms: f64) {
-        self.at(ms, Thing::Restart(receiver, down_ms));
+    /// Takes a receiver down at some time, and up again so much later.
+    pub fn restart(&mut self, at_ms: f64, receiver: usize, down_ms: f64) {
+        self.schedule(at_ms, Scheduled::Restart(receiver, down_ms));
     }
 
-    pub fn tell(&mut self, node: usize, event: Event) {
-        let mut out = Vec::new();
+    /// Hands an event to a node now, and carries out what follows.
+    pub fn handle(&mut self, node: usize, event: Event) {
+        let mut actions = Vec::new();
         let now = self.now;
-        self.nodes[node].delivery.handle(now, event, &mut out);
-        for action in out {
+        self.nodes[node].delivery.handle(now, event, &mut actions);
+        for action in actions {
             self.carry_out(node, action);
         }
-        let entry = &mut self.nodes[node];
-        entry.most_bytes = entry.most_bytes.max(entry.delivery.stats().backlog_bytes);
-        if let Some(due) = entry.delivery.next_due() {
-            assert!(
-                due > now || due <= 0.0,
-                "node {node} wants to be told the time at once, for ever: {due} at {now}"
-            );
-            if due < entry.checked_ms || entry.checked_ms <= now {
-                entry.checked_ms = due;
-                self.at(due, Thing::Check(node));
-            }
+        let state = &mut self.nodes[node];
+        state.max_backlog_bytes = state.max_backlog_bytes.max(state.delivery.stats().backlog_bytes);
+        let Some(due) = state.delivery.next_due() else { return };
+        assert!(due > now || due <= 0.0, "node {node} wants a tick at once, forever: {due} at {now}");
+        if due < state.next_tick_ms || state.next_tick_ms <= now {
+            state.next_tick_ms = due;
+            self.schedule(due, Scheduled::Tick(node));
         }
     }
 
     fn carry_out(&mut self, node: usize, action: Action) {
         let soon = self.now + LATENCY_MS;
         match action {
-            Action::Connect { connection: id } => {
-                let rx = &mut self.receivers[usize::from(id.receiver)];
-                rx.connects.push(self.now);
-                if rx.state == State::Silent {
-                    return;
+            Action::Connect { connection } => {
+                let receiver = &mut self.receivers[usize::from(connection.receiver)];
+                if let Some(event) = receiver.connect(self.now, node, connection) {
+                    self.schedule(soon, Scheduled::NodeEvent(node, event));
                 }
-                let event = if rx.state == State::Down {
-                    Event::Disconnected { connection: id, reason: DisconnectReason::Refused }
-                } else {
-                    rx.connections.insert((node, id), Connection::default());
-                    Event::Connected { connection: id }
-                };
-                self.at(soon, Thing::Tell(node, event));
             }
-            Action::Send { connection: id, sequence, message } => {
-                if let Some(connection) =
-                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
-                {
-                    connection.unread.push((sequence, message));
-                }
-                // The kernel takes it, whoever reads it.
-                let clogged = self.receivers[usize::from(id.receiver)].state == State::Clogged;
-                let (bytes, pending) = if clogged { (10, 490) } else { (500, 0) };
-                self.at(soon, Thing::Tell(node, Event::Written { connection: id, bytes, pending }));
-                self.at(soon, Thing::Read(usize::from(id.receiver)));
+            Action::Send { connection, sequence, message } => {
+                let at = usize::from(connection.receiver);
+                let event = self.receivers[at].send(node, connection, sequence, message);
+                self.schedule(soon, Scheduled::NodeEvent(node, event));
+                self.schedule(soon, Scheduled::Read(at));
             }
-            Action::RequestAck { connection: id } => {
-                if let Some(connection) =
-                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
-                {
-                    connection.asked = true;
-                }
-                self.at(soon, Thing::Read(usize::from(id.receiver)));
+            Action::RequestAck { connection } => {
+                let at = usize::from(connection.receiver);
+                self.receivers[at].request_ack(node, connection);
+                self.schedule(soon, Scheduled::Read(at));
             }
-            Action::Disconnect { connection: id } => {
-                // What the receiver's kernel has, it may yet read.
-                if let Some(connection) =
-                    self.receivers[usize::from(id.receiver)].connections.get_mut(&(node, id))
-                {
-                    connection.abandoned = true;
-                }
+            Action::Disconnect { connection } => {
+                self.receivers[usize::from(connection.receiver)].disconnect(node, connection);
             }
             Action::Notify(notice) => self.nodes[node].notices.push((self.now, notice)),
         }
     }
 
     fn read(&mut self, receiver: usize) {
-        let now = self.now;
-        let mut told = Vec::new();
-        let rx = &mut self.receivers[receiver];
-        let mut messages = match rx.state {
-            State::Up => usize::MAX,
-            State::Dripping(ms) if now >= rx.drip_ms => {
-                rx.drip_ms = now + ms;
-                1
-            }
-            _ => 0,
-        };
-        for ((node, id), connection) in &mut rx.connections {
-            let n = connection.unread.len().min(messages);
-            messages -= n;
-            for (sequence, message) in connection.unread.drain(..n) {
-                connection.read = sequence;
-                if let Message::Points(interval, points) = message {
-                    rx.reads.push((now, *node, points.len()));
-                    store(&mut rx.store, *node, &interval, &points);
-                }
-            }
-            let reads = matches!(rx.state, State::Up | State::Dripping(_));
-            let on_close = self.ack_mode == AckMode::OnClose;
-            if reads
-                && !connection.abandoned
-                && (n > 0 && !on_close || on_close && connection.unread.is_empty() && connection.asked)
-            {
-                told.push((
-                    *node,
-                    Event::Acknowledged { connection: *id, up_to: connection.read, closed: on_close },
-                ));
-                connection.abandoned = on_close;
-            }
-        }
-        rx.connections.retain(|_, connection| !(connection.abandoned && connection.unread.is_empty()));
-        let more = matches!(rx.state, State::Dripping(_))
-            && rx.connections.values().any(|connection| !connection.unread.is_empty());
-        let again = rx.drip_ms;
-        for (node, event) in told {
-            self.at(now + LATENCY_MS, Thing::Tell(node, event));
+        let acknowledgements = self.receivers[receiver].read(self.now, self.ack_mode);
+        for (node, event) in acknowledgements {
+            self.schedule(self.now + LATENCY_MS, Scheduled::NodeEvent(node, event));
         }
-        if more {
-            self.at(again.max(now + 1.0), Thing::Read(receiver));
+        if let Some(next_ms) = self.receivers[receiver].next_read_ms(self.now) {
+            self.schedule(next_ms, Scheduled::Read(receiver));
         }
     }
 
-    fn cut_off(&mut self, receiver: usize) {
-        let connections = std::mem::take(&mut self.receivers[receiver].connections);
-        for ((node, id), connection) in connections {
-            // A part of what was sent last may have been read.
-            if let Some((_, Message::Points(interval, points))) = connection.unread.first() {
-                let n = self.random.next_u32() as usize % (points.len() + 1);
-                store(&mut self.receivers[receiver].store, node, interval, &points[..n]);
-            }
-            if !connection.abandoned {
-                let reason = if connection.unread.is_empty() {
-                    DisconnectReason::Closed
-                } else {
-                    DisconnectReason::Reset
-                };
-                let event = Event::Disconnected { connection: id, reason };
-                self.at(self.now + LATENCY_MS, Thing::Tell(node, event));
-            }
+    fn lose_connections(&mut self, receiver: usize) {
+        for (node, event) in self.receivers[receiver].lose_connections(&mut self.random) {
+            self.schedule(self.now + LATENCY_MS, Scheduled::NodeEvent(node, event));
         }
     }
 
-    /// Plays up to this time.
-    pub fn run(&mut self, until: f64) {
-        while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
-            if at as f64 / 1000.0 > until {
+    /// Runs up to this time.
+    pub fn run(&mut self, until_ms: f64) {
+        while let Some(Reverse((at_us, sequence))) = self.queue.peek().copied() {
+            let at_ms = at_us as f64 / 1000.0;
+            if at_ms > until_ms {
                 break;
             }
             self.queue.pop();
-            self.now = self.now.max(at as f64 / 1000.0);
-            match self.things.remove(&sequence).expect("queued") {
-                Thing::Tell(node, event) => self.tell(node, event),
-                Thing::Check(node) => {
-                    self.nodes[node].checked_ms = f64::INFINITY;
-                    self.tell(node, Event::Tick);
-                }
-                Thing::Interval(node) => {
-                    if self.now <= self.last_interval_ms {
-                        self.interval(node);
-                        self.at(self.now + EVERY_MS, Thing::Interval(node));
-                    }
-                }
-                Thing::Fault(receiver, state) => {
-                    if state == State::Down {
-                        self.cut_off(receiver);
-                    }
-                    self.receivers[receiver].state = state;
-                    self.read(receiver);
+            self.now = self.now.max(at_ms);
+            let what = self.scheduled.remove(&sequence).expect("scheduled");
+            self.happen(what);
+        }
+        self.now = self.now.max(until_ms);
+    }
+
+    fn happen(&mut self, what: Scheduled) {
+        match what {
+            Scheduled::NodeEvent(node, event) => self.handle(node, event),
+            Scheduled::Tick(node) => {
+                self.nodes[node].next_tick_ms = f64::INFINITY;
+                self.handle(node, Event::Tick);
+            }
+            Scheduled::Interval(node) => {
+                if self.now <= self.last_interval_ms {
+                    self.end_interval(node);
+                    self.schedule(self.now + EVERY_MS, Scheduled::Interval(node));
                 }
-                Thing::Restart(receiver, down_ms) => {
-                    self.cut_off(receiver);
-                    self.receivers[receiver].state = State::Down;
-                    self.at(self.now + down_ms, Thing::Fault(receiver, State::Up));
+            }
+            Scheduled::Fault(receiver, state) => {
+                if state == ReceiverState::Down {
+                    self.lose_connections(receiver);
                 }
-                Thing::Read(receiver) => self.read(receiver),
+                self.receivers[receiver].state = state;
+                self.read(receiver);
+            }
+            Scheduled::Restart(receiver, down_ms) => {
+                self.lose_connections(receiver);
+                self.receivers[receiver].state = ReceiverState::Down;
+                self.fault(self.now + down_ms, receiver, ReceiverState::Up);
             }
+            Scheduled::Read(receiver) => self.read(receiver),
         }
-        self.now = self.now.max(until);
     }
 
-    /// Ends an interval of a node.
-    pub fn interval(&mut self, node: usize) {
-        let entry = &mut self.nodes[node];
-        for (n, total) in entry.totals.iter_mut().enumerate() {
-            *total += (self.random.next_u32() % 50) as f64 + n as f64;
+    /// Ends an interval of a node, in which its counters grew.
+    pub fn end_interval(&mut self, node: usize) {
+        let state = &mut self.nodes[node];
+        for (point, total) in state.totals.iter_mut().enumerate() {
+            *total += (self.random.next_u32() % 50) as f64 + point as f64;
         }
-        entry.number += 1;
+        state.intervals += 1;
         let snapshot = Snapshot {
-            slot_s: entry.number * 10,
+            slot_s: state.intervals * 10,
             slots: 1,
             span_ms: (self.now - EVERY_MS, self.now),
-            totals: entry.totals.as_slice().into(),
+            totals: state.totals.as_slice().into(),
             gauges: Vec::new().into(),
             dists: Vec::new().into(),
         };
-        self.tell(node, Event::IntervalEnded(snapshot));
+        self.handle(node, Event::IntervalEnded(snapshot));
     }
 
-    /// The sum of all points that any receiver has of a node, each slot once. Panics where two receivers were
-    /// told different values of one point.
+    /// For each point of a node the sum of its values at all receivers, each slot once. Panics if two
+    /// receivers have different values of one point.
     pub fn sums(&self, node: usize) -> Vec<f64> {
-        let sum = |point: u16| {
-            let mut slots = BTreeMap::new();
-            for rx in &self.receivers {
-                for (slot, value) in rx.store.get(&(node, point)).into_iter().flatten() {
-                    let known = slots.insert(*slot, *value);
-                    assert!(
-                        known.is_none_or(|known| known == *value),
-                        "point {point} of slot {slot} has two values"
-                    );
-                }
-            }
-            slots.values().sum()
-        };
-        (0..POINTS as u16).map(sum).collect()
+        (0..POINTS as u16).map(|point| self.sum(node, point)).collect()
     }
-}
 
-fn store(
-    store: &mut HashMap<(usize, u16), BTreeMap<u64, f64>>,
-    node: usize,
-    interval: &Interval,
-    points: &[u16],
-) {
-    for point in points {
-        let at = usize::from(*point);
-        let value = interval.snapshot.totals[at] - interval.previous_totals[at];
-        let known = store.entry((node, *point)).or_default().insert(interval.snapshot.slot_s, value);
-        let slot = interval.snapshot.slot_s;
-        assert!(known.is_none_or(|known| known == value), "point {point} of slot {slot} changed its value");
+    fn sum(&self, node: usize, point: u16) -> f64 {
+        let mut slots = BTreeMap::new();
+        let stores = self.receivers.iter().filter_map(|receiver| receiver.store.get(&(node, point)));
+        for (slot, value) in stores.flatten() {
+            let known = slots.insert(*slot, *value);
+            let is_same = known.is_none_or(|known| known == *value);
+            assert!(is_same, "point {point} of slot {slot} has two values");
+        }
+        slots.values().sum()
     }
 }
