--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What telemetry costs: a event, a cut, the bytes of an interval in each protocol, the decisions of a
-//! delivery.
+//! The cost of telemetry: counting an event, ending an interval, encoding it for each protocol, and
+//! delivering it. delivery.
 
 use std::rc::Rc;
 
@@ -33,8 +33,8 @@
     Accounts::new(schema(), vec![class; 3], true)
 }
 
-/// The facts of a request that makes one call.
-fn life(n: u32) -> [RequestEvent; 7] {
+/// The events of a request with one downstream call.
+fn request_events(n: u32) -> [RequestEvent; 7] {
     let ms = f64::from(n % 977);
     let kinds = [
         RequestEventKind::Received {
@@ -57,20 +57,20 @@
     kinds.map(|kind| RequestEvent { id: n, class: n as usize % 3, kind })
 }
 
-/// Seven facts, a request's whole life.
+/// All seven events of a request.
 #[divan::bench]
-fn facts_of_one_request(bencher: Bencher) {
+fn events_of_one_request(bencher: Bencher) {
     let mut accounts = accounts();
     let mut n = 0;
     bencher.bench_local(|| {
         n += 1;
-        life(n).iter().for_each(|event| accounts.note(black_box(event)));
+        request_events(n).iter().for_each(|event| accounts.note(black_box(event)));
     });
 }
 
 fn busy() -> Accounts {
     let mut accounts = accounts();
-    (0..3000).for_each(|n| life(n).iter().for_each(|event| accounts.note(event)));
+    (0..3000).for_each(|n| request_events(n).iter().for_each(|event| accounts.note(event)));
     accounts
 }
 
@@ -120,7 +120,7 @@
     });
 }
 
-/// From an interval to its receipts, with so many receivers.
+/// From the end of an interval to its acknowledgements, with so many receivers.
 #[divan::bench(args = [1, 3, 10])]
 fn decisions_for_an_interval(bencher: Bencher, receivers: usize) {
     let config = DeliveryConfig {
@@ -159,7 +159,7 @@
                 }
             }
         }
-        // What was held back for its spread.
+        // What was delayed so that not all processes send at once.
         delivery.handle(now + 1.0, Event::Tick, &mut out);
         for action in out.drain(..) {
             if let Action::Send { connection, sequence, .. } = action {
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counts of the program at stand-in receivers that fail: what arrives in the end is what happened.
+//! The counts of the program at fake receivers that fail: what arrives in the end is what happened.
 
 mod scenario;
 
@@ -9,7 +9,7 @@
 use pinepoint_lab::graphite::{Form, Graphite, GraphiteUdp, Mode, Points};
 use scenario::{Options, World};
 
-/// An engine that ends every run at once, but for those with the body `slow`.
+/// An engine that completes every run at once, except those with the body `slow`.
 fn engine() -> scenario::Answer {
     let mut notice = 0;
     Box::new(move |text| {
@@ -44,22 +44,23 @@
     world
 }
 
-/// Requests of known ends: by class and outcome what the program has to tell in the end.
-struct Load {
+/// Requests with known outcomes, and the counters that the program has to report for them in the end.
+struct Workload {
     sent: u32,
-    ends: BTreeMap<&'static str, u32>,
+    expected: BTreeMap<&'static str, u32>,
 }
 
-impl Load {
-    fn new() -> Load {
-        Load { sent: 0, ends: BTreeMap::new() }
+impl Workload {
+    fn new() -> Workload {
+        Workload { sent: 0, expected: BTreeMap::new() }
     }
 
-    fn end(&mut self, name: &'static str, n: u32) {
-        *self.ends.entry(name).or_default() += n;
+    fn expect(&mut self, name: &'static str, n: u32) {
+        *self.expected.entry(name).or_default() += n;
     }
 
-    /// Served reads and writes over both fronts, a repeat, an expired one, one whose caller leaves, a bad time.
+    /// Sends one round of requests: served reads and writes over both frontends, a retry, one past its
+    /// deadline, one that its caller cancels, and one with an invalid arrival time.
     fn round(&mut self, world: &mut World) {
         self.sent += 1;
         let n = self.sent;
@@ -82,25 +83,25 @@
              ajp{n} expect status 200 *
              ajp{n} wait end 1"
         ));
-        self.end("class.look.read", 5);
-        self.end("class.look.served_in_aim", 2);
-        self.end("class.look.failed.bad-time", 1);
-        self.end("class.look.refused.too-late", 1);
-        self.end("class.look.gone", 1);
-        self.end("class.write.read", 2);
-        self.end("class.write.read_again", 1);
-        self.end("class.write.served_in_aim", 2);
-        self.end("class.write.reused", 1);
-        self.end("class.write.runs", 1);
-        self.end("class.write.worth_served", 6);
-        self.end("class.look.run_end.complete", 2);
-        self.end("class.write.total.count", 2);
+        self.expect("class.look.read", 5);
+        self.expect("class.look.served_in_aim", 2);
+        self.expect("class.look.failed.bad-time", 1);
+        self.expect("class.look.refused.too-late", 1);
+        self.expect("class.look.gone", 1);
+        self.expect("class.write.read", 2);
+        self.expect("class.write.read_again", 1);
+        self.expect("class.write.served_in_aim", 2);
+        self.expect("class.write.reused", 1);
+        self.expect("class.write.runs", 1);
+        self.expect("class.write.worth_served", 6);
+        self.expect("class.look.run_end.complete", 2);
+        self.expect("class.write.total.count", 2);
     }
 
     fn check(&self, points: &Points, path: impl Fn(&str) -> String) {
         assert_eq!((points.bad, points.changed), (0, 0));
-        for (name, n) in &self.ends {
-            // What else the class had says where one went that is missing.
+        for (name, n) in &self.expected {
+            // The other counters of the class show where a missing one went.
             let head = path(name.rsplit_once('.').map_or(name, |(head, _)| head));
             let others: Vec<_> = points.values.keys().filter(|path| path.starts_with(&head)).collect();
             let others: Vec<_> = others
@@ -108,7 +109,7 @@
                 .map(|path| (path, points.sum(path)))
                 .filter(|(_, sum)| *sum > 0.0)
                 .collect();
-            let sum: f64 = alike(name).iter().map(|name| points.sum(&path(name))).sum();
+            let sum: f64 = alternatives(name).iter().map(|name| points.sum(&path(name))).sum();
             assert_eq!(sum, f64::from(*n), "{name} among {others:?}");
         }
         let off = points.values.get(&path("telemetry.law_off")).expect("told");
@@ -116,9 +117,9 @@
     }
 }
 
-/// The series among which this one's counts are: a read that comes with 10 ms left is turned away when it is read, or
-/// after a moment in the hold where this machine is slow.
-fn alike(name: &str) -> Vec<String> {
+/// The metrics that count the same requests as this one together: a request that arrives 10 ms before its
+/// deadline is rejected when it is received or, on a slow machine, after a short time in the queue.
+fn alternatives(name: &str) -> Vec<String> {
     let mut names = vec![name.to_owned()];
     if name.contains("too-late") {
         names.push(name.replace("too-late", "given-up"));
@@ -126,8 +127,8 @@
     names
 }
 
-/// Ends the program and waits for it.
-fn leave(world: &mut World) {
+/// Shuts the program down gracefully and waits for its exit.
+fn shut_down(world: &mut World) {
     world.run("node send TERM\nnode wait ended *\nnode wait exit 0");
 }
 
@@ -147,13 +148,13 @@
 fn what_arrives_over_plaintext_adds_up_the_last_interval_included() {
     let graphite = Graphite::start(Form::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 2\n", graphite.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("the first interval", || graphite.points().sum(&plain("class.look.read")) >= 4.0);
-    load.round(&mut world);
-    load.round(&mut world);
-    leave(&mut world);
-    load.check(&graphite.points(), plain);
+    workload.round(&mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
+    workload.check(&graphite.points(), plain);
 }
 
 #[test]
@@ -165,11 +166,11 @@
         receivers[0].address(),
         receivers[1].address()
     ));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("both have points", || receivers.iter().all(|r| r.points().values.len() > 20));
-    load.round(&mut world);
-    leave(&mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
     let (mut all, second) = (receivers[0].points(), receivers[1].points());
     let shared = all.values.keys().filter(|path| second.values.contains_key(*path)).count();
     assert_eq!(shared, 0, "no path is at both");
@@ -178,40 +179,41 @@
         ["class", class, stat @ ..] => format!("sko.edge.class.{};class={class};host=n1", stat.join(".")),
         _ => format!("sko.edge.{name};host=n1"),
     };
-    load.check(&all, tagged);
+    workload.check(&all, tagged);
 }
 
 #[test]
 fn a_receiver_that_restarts_and_one_that_resets_in_the_middle_of_a_line_cost_nothing() {
     let graphite = Graphite::start(Form::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     graphite.set(Mode::ResetAfter(1234));
     wait_for("a reset", || graphite.points().connections >= 2);
-    load.round(&mut world);
+    workload.round(&mut world);
     graphite.set(Mode::Good);
     wait_for("it is taken again", || graphite.points().sum(&plain("class.look.read")) >= 10.0);
     graphite.stop();
-    load.round(&mut world);
+    workload.round(&mut world);
     world.run("node wait receiver-lost to=graphite *");
     graphite.start_again().expect("it listens");
     world.run("node wait receiver-back to=graphite *");
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 15.0);
-    leave(&mut world);
-    load.check(&graphite.points(), plain);
+    shut_down(&mut world);
+    workload.check(&graphite.points(), plain);
 }
 
-/// It is stalled for the whole run: requests are answered as ever, the end is not held up, and what was lost is told.
+/// The receiver is stalled for the whole run: requests are answered as usual, the exit is not delayed, and
+/// what was lost is logged.
 #[test]
 fn a_stalled_receiver_slows_nothing_and_holds_up_no_end() {
     let graphite = Graphite::start(Form::Plaintext).expect("it listens");
     graphite.set(Mode::Stalled);
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("a connection", || graphite.points().connections >= 1);
-    load.round(&mut world);
+    workload.round(&mut world);
     world.run("node send TERM\nnode wait telemetry-lost-at-exit to=graphite *\nnode wait exit 0");
     assert!(graphite.points().values.is_empty());
 }
@@ -224,62 +226,65 @@
     );
     let section = |address| format!("[graphite]\naddress = \"{address}\"\n");
     let mut world = start(&section(old.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("the old one has it", || old.points().sum(&plain("class.look.read")) >= 5.0);
     world.write_edge("[graphite]\naddress = \"nowhere\"\n");
     world.run("node send HUP\nnode wait edge-reload-failed receivers=kept *");
     world.write_edge(&section(new.address()));
     world.run("node send HUP\nnode wait edge-reloaded*");
-    load.round(&mut world);
+    workload.round(&mut world);
     wait_for("the new one has it", || new.points().sum(&plain("class.look.read")) >= 5.0);
-    leave(&mut world);
+    shut_down(&mut world);
     let mut all = old.points();
     all.merge(&new.points());
-    load.check(&all, plain);
+    workload.check(&all, plain);
 }
 
 #[test]
 fn over_udp_totals_heal_what_is_lost() {
     let graphite = GraphiteUdp::start().expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nprotocol = \"udp\"\n", graphite.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
-    load.round(&mut world);
-    leave(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
     let points = graphite.points();
     let last = |name: &str| points.values[&plain(name)].values().next_back().copied();
     assert_eq!(last("class.look.read"), Some(10.0));
     assert_eq!(last("class.write.reused"), Some(2.0));
 }
 
-/// A comparer and a prefix whose names are another syntax's words.
+/// A host name and a prefix that contain the syntax of Graphite's protocol.
 #[test]
 fn names_that_are_no_names_break_no_line() {
     let graphite = Graphite::start(Form::Plaintext).expect("it listens");
     let edge = format!("[graphite]\naddress = \"{}\"\nprefix = \"a b.c;d=e\\nf 1 2\"\n", graphite.address());
     let mut world = start_as("n1.x y;z=\\n/../", &edge);
-    let mut load = Load::new();
-    load.round(&mut world);
-    leave(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
+    shut_down(&mut world);
     let points = graphite.points();
     let path = points.values.keys().find(|path| path.ends_with(".class.look.read")).expect("told").clone();
     let head = path.strip_suffix("class.look.read").expect("just found");
     assert_eq!(path.split('.').count(), 6, "{path}");
-    load.check(&points, |name| format!("{head}{name}"));
+    workload.check(&points, |name| format!("{head}{name}"));
 }
 
 fn collectd_edge(collectd: &Collectd, more: &str) -> String {
     format!("[collectd]\naddress = \"{}\"\n{more}\n", collectd.place())
 }
 
-fn check_collectd(load: &Load, taken: &Taken) {
+fn check_collectd(workload: &Workload, taken: &Taken) {
     assert_eq!(taken.refused, 0);
-    for (name, n) in load.ends.iter().filter(|(name, _)| !name.contains("worth") && !name.contains("total")) {
+    for (name, n) in
+        workload.expected.iter().filter(|(name, _)| !name.contains("worth") && !name.contains("total"))
+    {
         let (class, stat) =
             name.strip_prefix("class.").and_then(|name| name.split_once('.')).expect("of a class");
         let series = format!("n1/pinepoint-{class}/derive-{}", stat.replace('.', "-"));
-        let others = alike(&series).into_iter().skip(1).filter_map(|series| taken.last(&series)).sum::<f64>();
+        let others =
+            alternatives(&series).into_iter().skip(1).filter_map(|series| taken.last(&series)).sum::<f64>();
         assert_eq!(taken.last(&series).map(|sum| sum + others), Some(f64::from(*n)), "{series}");
     }
     assert_eq!(taken.last("n1/pinepoint-telemetry/gauge-law_off"), Some(0.0));
@@ -289,15 +294,15 @@
 fn over_collectds_network_protocol_lost_datagrams_are_healed_by_the_next() {
     let collectd = Collectd::network(Wanted::Nothing, 7).expect("it listens");
     let mut world = start(&collectd_edge(&collectd, ""));
-    let mut load = Load::new();
+    let mut workload = Workload::new();
     collectd.lose(500);
-    load.round(&mut world);
+    workload.round(&mut world);
     wait_for("something came through", || !collectd.taken().values.is_empty());
     collectd.lose(0);
-    load.round(&mut world);
-    leave(&mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
     let taken = collectd.taken();
-    check_collectd(&load, &taken);
+    check_collectd(&workload, &taken);
     assert_eq!(taken.interval_s, 1.0);
     assert!(taken.notifications.iter().any(|n| n.severity == 2 && n.type_instance == "drain"));
 }
@@ -317,16 +322,16 @@
         };
         let right = Collectd::network(wanted(), 1).expect("it listens");
         let mut world = start(&collectd_edge(&right, &more("point")));
-        let mut load = Load::new();
-        load.round(&mut world);
-        leave(&mut world);
-        check_collectd(&load, &right.taken());
+        let mut workload = Workload::new();
+        workload.round(&mut world);
+        shut_down(&mut world);
+        check_collectd(&workload, &right.taken());
         let hold = &right.taken().values["n1/pinepoint-look/pinepoint_dist-hold"];
         assert_eq!(hold.last().expect("told").1.len(), 7, "a list of several values");
         let wrong = Collectd::network(wanted(), 1).expect("it listens");
         let mut world = start(&collectd_edge(&wrong, &more("wrong")));
-        load.round(&mut world);
-        leave(&mut world);
+        workload.round(&mut world);
+        shut_down(&mut world);
         let taken = wrong.taken();
         assert!(taken.refused > 0 && taken.values.is_empty(), "{security}: {} refused", taken.refused);
     }
@@ -337,37 +342,37 @@
     let folder = std::env::temp_dir().join(format!("pinepoint-collectd-{}", std::process::id()));
     let collectd = Collectd::text_at(&folder).expect("it listens");
     let mut world = start(&collectd_edge(&collectd, "protocol = \"text\""));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("a first value", || collectd.taken().last("n1/pinepoint-look/derive-read") == Some(5.0));
     collectd.stall(true);
-    load.round(&mut world);
+    workload.round(&mut world);
     std::thread::sleep(Duration::from_secs(2));
     collectd.stall(false);
-    load.round(&mut world);
-    leave(&mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
     let taken = collectd.taken();
-    check_collectd(&load, &taken);
+    check_collectd(&workload, &taken);
     assert_eq!(taken.old, 0);
 }
 
-/// A monitor that is down from the start and comes up later; another that stays away.
+/// One receiver is down from the start and comes up later; another never comes up.
 #[test]
 fn one_that_is_down_from_the_start_gets_everything_once_it_is_up() {
     let (port, away) = (scenario::down().1, scenario::down().1);
     let mut world = start(&format!("[graphite]\naddress = \"{port}\"\n[collectd]\naddress = \"{away}\"\n"));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     world.run("node wait receiver-lost *");
     let graphite = Graphite::start_at(port, Form::Plaintext).expect("it listens");
     world.run("node wait receiver-back to=graphite *");
-    load.round(&mut world);
+    workload.round(&mut world);
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 10.0);
-    leave(&mut world);
-    load.check(&graphite.points(), plain);
+    shut_down(&mut world);
+    workload.check(&graphite.points(), plain);
 }
 
-/// The classes change: `brief` goes, `extra` comes.
+/// Replaces the class `brief` by the class `extra`.
 fn change_classes(world: &mut World) {
     let brief = r#" {"name":"brief","effect":"read_like","promiseMs":900,"deadlineMs":1500,"worth":1},"#;
     let extra = brief.replace("brief", "extra");
@@ -377,38 +382,38 @@
     world.run("node send HUP\nnode wait reloaded *");
 }
 
-/// One read of the class that a reload added.
-fn round_of_extra(load: &mut Load, world: &mut World) {
-    load.sent += 1;
-    let n = load.sent;
+/// Sends one request of the class that a reload added.
+fn send_extra(workload: &mut Workload, world: &mut World) {
+    workload.sent += 1;
+    let n = workload.sent;
     world.run(&format!("rpc{n} send 1 extra rid={n}1|paper\nrpc{n} expect [1 1 nil *"));
-    load.end("class.extra.read", 1);
-    load.end("class.extra.served_in_aim", 1);
-    load.end("class.extra.run_end.complete", 1);
-    load.end("class.extra.total.count", 1);
+    workload.expect("class.extra.read", 1);
+    workload.expect("class.extra.served_in_aim", 1);
+    workload.expect("class.extra.run_end.complete", 1);
+    workload.expect("class.extra.total.count", 1);
 }
 
 #[test]
 fn a_class_that_a_reload_adds_has_series_of_its_own_and_the_others_go_on() {
     let graphite = Graphite::start(Form::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("the first interval", || graphite.points().sum(&plain("class.look.read")) >= 5.0);
-    // In the middle of an interval, and with one that the receiver does not take in time.
+    // In the middle of an interval, while the receiver has not acknowledged an earlier one.
     graphite.stop();
-    load.round(&mut world);
+    workload.round(&mut world);
     world.run("node wait receiver-lost to=graphite *");
     change_classes(&mut world);
-    round_of_extra(&mut load, &mut world);
-    load.round(&mut world);
+    send_extra(&mut workload, &mut world);
+    workload.round(&mut world);
     graphite.start_again().expect("it listens");
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 15.0);
     wait_for("the new class is told", || graphite.points().sum(&plain("class.extra.read")) >= 1.0);
     world.run("node send USR1\nnode wait counters * reloads=1 *");
-    leave(&mut world);
+    shut_down(&mut world);
     let points = graphite.points();
-    load.check(&points, plain);
+    workload.check(&points, plain);
     assert_eq!(points.sum(&plain("node.reloads")), 1.0);
     let sent = &points.values[&plain("telemetry.graphite.points_sent")];
     assert!(sent.values().all(|sent| *sent >= 0.0), "counts of the delivery go on: {sent:?}");
@@ -418,12 +423,12 @@
 fn over_collectd_too_the_series_of_all_classes_go_on_over_a_reload() {
     let collectd = Collectd::network(Wanted::Nothing, 7).expect("it listens");
     let mut world = start(&collectd_edge(&collectd, ""));
-    let mut load = Load::new();
-    load.round(&mut world);
+    let mut workload = Workload::new();
+    workload.round(&mut world);
     wait_for("the first interval", || collectd.taken().last("n1/pinepoint-look/derive-read") == Some(5.0));
     change_classes(&mut world);
-    round_of_extra(&mut load, &mut world);
-    load.round(&mut world);
-    leave(&mut world);
-    check_collectd(&load, &collectd.taken());
+    send_extra(&mut workload, &mut world);
+    workload.round(&mut world);
+    shut_down(&mut world);
+    check_collectd(&workload, &collectd.taken());
 }
