--- a/src/bin/pinepoint-adapter/wire.rs
+++ b/src/bin/pinepoint-adapter/wire.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use pinepoint::settings::Site;
-use pinepoint::*;
+use pinepoint::admission::*;
+use pinepoint::config::site::Site;
 
 /// What was wrong with the input, in one plain line.
 #[derive(Debug)]
--- a/src/bin/pinepoint/check.rs
+++ b/src/bin/pinepoint/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use crate::config::{Config, Edge, FileError};
+use crate::edge_config::{Config, Edge, FileError};
 use crate::environment::named_config;
 use crate::start_error::UNUSABLE;
 
--- a/src/bin/pinepoint/config.rs
+++ b/src/bin/pinepoint/edge_config.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-pub use pinepoint::configuration::{Config, FileError};
-use pinepoint::configuration::{line_and_column, read_text};
+pub use pinepoint::config::{Config, FileError};
+use pinepoint::config::{line_and_column, read_text};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
@@ -48,7 +48,7 @@
     type Error = String;
 
     fn try_from(kb: f64) -> Result<Self, String> {
-        let most = pinepoint::node::rpc::MEM_BELOW_KB;
+        let most = pinepoint::server::frontend::rpc::MEM_BELOW_KB;
         if kb > 0.0 && kb < most {
             Ok(MemKb(kb))
         } else {
--- a/src/bin/pinepoint/environment.rs
+++ b/src/bin/pinepoint/environment.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use crate::config::Config;
+use crate::edge_config::Config;
 use crate::start_error::StartError;
 
 /// Names the management address, before the configuration does.
--- a/src/bin/pinepoint/limits.rs
+++ b/src/bin/pinepoint/limits.rs
@@ -1,6 +1,6 @@
 //! How the descriptors of the process are shared out.
 
-use pinepoint::node::management;
+use pinepoint::server::control::management;
 
 /// Descriptors kept for links, listeners, signals and the like: a part of all, as a divisor, between two bounds.
 /// The program holds about a dozen beside its connections, and one for each call in hand, of which the share of a
--- a/src/bin/pinepoint/main.rs
+++ b/src/bin/pinepoint/main.rs
@@ -5,7 +5,7 @@
 mod ask;
 mod bind;
 mod check;
-mod config;
+mod edge_config;
 mod environment;
 mod limits;
 mod reload;
@@ -20,7 +20,7 @@
 
 use clap::{Parser, Subcommand};
 
-use config::Edge;
+use edge_config::Edge;
 use environment::{MANAGEMENT, configuration};
 use signals::Signs;
 use start_error::StartError;
--- a/src/bin/pinepoint/reload.rs
+++ b/src/bin/pinepoint/reload.rs
@@ -3,10 +3,10 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use pinepoint::node::reload::Reloader;
+use pinepoint::server::control::reload::Reloader;
 use pinepoint_telemetry::Telemetry;
 
-use crate::config::Edge;
+use crate::edge_config::Edge;
 
 /// What a reload needs.
 pub struct Reload {
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -6,25 +6,28 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use pinepoint::deployment::Deployment;
-use pinepoint::node::core::{Core, HandoverParts, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::front::Front;
-use pinepoint::node::listen::{self, Door};
-use pinepoint::node::management::{self, Management};
-use pinepoint::node::port::Input;
-use pinepoint::node::reload::Reloader;
-use pinepoint::node::room::Room;
-use pinepoint::node::status::Status;
-use pinepoint::node::{ajp, fleet, handover, links, rpc, telemetry};
-use pinepoint::settings::Site;
+use pinepoint::config::active::Deployment;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::handover;
+use pinepoint::server::control::management::{self, Management};
+use pinepoint::server::control::reload::Reloader;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::Input;
+use pinepoint::server::core::{Core, HandoverParts, Parts};
+use pinepoint::server::frontend::context::Front;
+use pinepoint::server::frontend::limiter::Room;
+use pinepoint::server::frontend::listener::{self, Door};
+use pinepoint::server::frontend::{ajp, rpc};
+use pinepoint::server::observability::counters::Counters;
+use pinepoint::server::observability::{membership, telemetry};
+use pinepoint::server::upstream;
 use pinepoint_clock::Clock;
 use pinepoint_events::{NoopObserver, Observer};
 use pinepoint_membership::io::MembershipService;
 use pinepoint_telemetry::Telemetry;
 
 use crate::bind::{Bound, bind};
-use crate::config::{self, Config, Edge};
+use crate::edge_config::{self, Config, Edge};
 use crate::environment::{management_address, named_config};
 use crate::limits::ConnectionLimits;
 use crate::reload::Reload;
@@ -99,22 +102,22 @@
 
 /// The links to engine, store and membership service.
 struct ServiceLinks {
-    peers: Rc<links::Peers>,
-    engine: Rc<links::EngineLink>,
-    store: Rc<links::StoreLink>,
+    peers: Rc<upstream::Peers>,
+    engine: Rc<upstream::EngineLink>,
+    store: Rc<upstream::StoreLink>,
 }
 
 impl ServiceLinks {
     fn new(config: &Config, process: &Process) -> Self {
-        let peers = Rc::new(links::Peers::new(config.engine, config.store, config.members));
-        let store = links::StoreLink::new(
+        let peers = Rc::new(upstream::Peers::new(config.engine, config.store, config.members));
+        let store = upstream::StoreLink::new(
             peers.clone(),
             process.queue.clone(),
             process.clock.clone(),
             process.counters.clone(),
             process.executor.clone(),
         );
-        ServiceLinks { peers, engine: Rc::new(links::EngineLink::default()), store: Rc::new(store) }
+        ServiceLinks { peers, engine: Rc::new(upstream::EngineLink::default()), store: Rc::new(store) }
     }
 }
 
@@ -217,7 +220,7 @@
         let Some(config) = &edge.fleet else { return Ok(Watched { observer, member: None }) };
         let settings = &self.site.settings;
         let keys_most = settings.memory_kb / settings.key_kb;
-        let watch = Rc::new(fleet::Watch::new(
+        let watch = Rc::new(membership::Watch::new(
             observer,
             self.status.clone(),
             self.clock.clone(),
@@ -254,24 +257,24 @@
     fn listen_for_ajp(
         &self,
         (listener, address): Bound,
-        options: config::Ajp,
+        options: edge_config::Ajp,
         most: usize,
         front: &Rc<Front>,
     ) {
         tracing::info!(listen = %address, "ajp");
-        let config::Ajp { secret, mem_kb, .. } = options;
+        let edge_config::Ajp { secret, mem_kb, .. } = options;
         let options = Rc::new(ajp::Options { secret, mem_kb: mem_kb.0, seed: self.seed });
         let own = front.clone();
         let serve = move |stream, guest| ajp::serve(stream, guest, own.clone(), options.clone());
         let door = Door::new(listener, &front.room);
-        let listen = listen::listen("ajp", door, most, front.clone(), self.executor.clone(), serve);
+        let listen = listener::listen("ajp", door, most, front.clone(), self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
     fn listen_for_rpc(&self, door: Door, most: usize, front: Rc<Front>) {
         let own = front.clone();
         let serve = move |stream, guest| rpc::serve(stream, guest, own.clone());
-        let listen = listen::listen("rpc", door, most, front, self.executor.clone(), serve);
+        let listen = listener::listen("rpc", door, most, front, self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
@@ -342,9 +345,9 @@
 
     /// Keeps the links to the engine and to the membership service up; the store is connected for each call.
     fn connect(&self, ServiceLinks { peers, engine, .. }: ServiceLinks) {
-        let engine = links::engine(peers.clone(), engine, self.queue.clone(), self.clock.clone());
+        let engine = upstream::engine(peers.clone(), engine, self.queue.clone(), self.clock.clone());
         self.executor.spawn(engine).detach();
-        let members = links::members(
+        let members = upstream::members(
             peers,
             self.name.clone(),
             self.status.clone(),
--- a/src/bin/pinepoint/signals.rs
+++ b/src/bin/pinepoint/signals.rs
@@ -6,8 +6,8 @@
 
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::status::Status;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 
 use crate::reload::Reload;
--- a/src/bin/pinepoint/start_error.rs
+++ b/src/bin/pinepoint/start_error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::process::ExitCode;
 
-use crate::config::FileError;
+use crate::edge_config::FileError;
 
 /// Exit status for a command line or a file that cannot be used.
 pub const UNUSABLE: u8 = 2;
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use pinepoint::node::core::{HandoverParts, longest_window_ms};
-use pinepoint::node::handover::{Host, Links};
-use pinepoint::node::listen::bind_shared;
-use pinepoint::node::port::{PeerInbox, PeerInput};
-use pinepoint::settings::Site;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::handover::{Host, Links};
+use pinepoint::server::core::api::{PeerInbox, PeerInput};
+use pinepoint::server::core::{HandoverParts, longest_window_ms};
+use pinepoint::server::frontend::listener::bind_shared;
 use pinepoint_clock::Clock;
 use pinepoint_handover::io::{Connected, connect, socket_path};
 use pinepoint_handover::ownership::{NoPredecessor, Rules};
--- a/src/deployment.rs
+++ b/src/config/active.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use crate::settings::Site;
+use crate::config::site::Site;
 
 /// The settings in force.
 #[derive(Debug)]
--- a/src/configuration.rs
+++ b/src/config/mod.rs
@@ -10,10 +10,12 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::settings::Site;
+use crate::config::site::Site;
 
+pub mod active;
 mod position;
 mod required;
+pub mod site;
 
 pub use position::line_and_column;
 
--- a/src/settings.rs
+++ b/src/config/site.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::interface::*;
+use crate::admission::*;
 
 type Object = Map<String, Value>;
 
--- a/src/node/handover.rs
+++ b/src/server/control/handover.rs
@@ -13,10 +13,10 @@
 use pinepoint_handover::message::Message;
 use pinepoint_handover::successor::RECONNECT_MS;
 
-use super::port::{HandoverPort, PeerInbox, PeerInput};
-use super::room::Room;
-use super::status::Status;
-use super::sync::Signal;
+use crate::server::control::status::Status;
+use crate::server::core::api::{HandoverPort, PeerInbox, PeerInput};
+use crate::server::frontend::limiter::Room;
+use crate::server::sync::Signal;
 
 /// Descriptors that the other process holds beside the connections of its callers.
 const OTHER_DESCRIPTORS: usize = 20;
--- a/src/node/management.rs
+++ b/src/server/control/management.rs
@@ -12,12 +12,12 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use pinepoint_clock::Clock;
 
-use super::connection::discard;
-use super::counters::{ClassCounters, Counters};
-use super::lifecycle::Phase;
-use super::status::Status;
-use super::sync::Signal;
-use crate::deployment::Deployment;
+use crate::config::active::Deployment;
+use crate::server::control::lifecycle::Phase;
+use crate::server::control::status::Status;
+use crate::server::frontend::connection::discard;
+use crate::server::observability::counters::{ClassCounters, Counters};
+use crate::server::sync::Signal;
 
 /// Connections at a time, as a part of the descriptors and between two bounds. One that has not sent its line gives way to
 /// the next, the oldest first.
--- a/src/node/reload.rs
+++ b/src/server/control/reload.rs
@@ -8,13 +8,13 @@
 use pinepoint_clock::Clock;
 use pinepoint_telemetry::Telemetry;
 
-use super::counters::{Counters, count};
-use super::links::Peers;
-use super::port::{Input, NewSettings};
-use super::room::Room;
-use super::telemetry;
-use crate::configuration::Config;
-use crate::deployment::Deployment;
+use crate::config::Config;
+use crate::config::active::Deployment;
+use crate::server::core::api::{Input, NewSettings};
+use crate::server::frontend::limiter::Room;
+use crate::server::observability::counters::{Counters, count};
+use crate::server::observability::telemetry;
+use crate::server::upstream::Peers;
 
 /// Reads the configuration again when it is told to.
 pub struct Reloader {
--- a/src/node/status.rs
+++ b/src/server/control/status.rs
@@ -2,8 +2,8 @@
 
 use std::cell::Cell;
 
-use super::lifecycle::Phase;
-use super::sync::{Gate, Signal, Switch};
+use crate::server::control::lifecycle::Phase;
+use crate::server::sync::{Gate, Signal, Switch};
 
 /// What the core publishes for the fronts and the membership report to read.
 #[derive(Debug)]
--- a/src/node/port.rs
+++ b/src/server/core/api.rs
@@ -9,8 +9,8 @@
 use pinepoint_handover::message::{Hello, Message};
 use pinepoint_handover::ownership::NoPredecessor;
 
-use crate::settings::Site;
-use crate::{FailureReason, Outcome, RejectReason};
+use crate::admission::{FailureReason, Outcome, RejectReason};
+use crate::config::site::Site;
 
 /// One end of a connection on which requests came. The core answers through it and never waits for it.
 pub trait Caller {
--- a/src/node/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -12,11 +12,11 @@
 use pinepoint_handover::successor::{self, Successor};
 
 use super::{Core, EngineStart, Key, Life, UNREAD_MORE_MS, UNREAD_MOST};
-use crate::Outcome;
-use crate::node::counters::count;
-use crate::node::keys::{KEYED, Record, TryResult};
-use crate::node::port::{Arrival, HandoverPort, PeerInbox, PeerInput, Reply};
-use crate::settings::Site;
+use crate::admission::Outcome;
+use crate::config::site::Site;
+use crate::server::core::api::{Arrival, HandoverPort, PeerInbox, PeerInput, Reply};
+use crate::server::core::keys::{KEYED, Record, TryResult};
+use crate::server::observability::counters::count;
 
 /// Added to the longest window in which keys may be unknown, ms.
 const WINDOW_MARGIN_MS: f64 = 1000.0;
--- a/src/node/core.rs
+++ b/src/server/core/mod.rs
@@ -15,18 +15,23 @@
 };
 use pinepoint_handover::ownership::UnknownKey;
 
+pub mod api;
 mod handover;
+pub mod keys;
+pub mod requests;
 
 use self::handover::Handover;
 pub use self::handover::{HandoverParts, HandoverState, longest_window_ms};
-use super::counters::{Counters, count};
-use super::keys::{Joined, KEYED, Key, Keys, Start, TryResult};
-use super::lifecycle::{Left, Lifecycle, Phase as Life, Times};
-use super::port::{Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store};
-use super::requests::{Feed, Open, Phase, Requests};
-use super::status::Status;
-use crate::settings::Site;
-use crate::{Action, Controller, Effect, Event, FailureReason, Halting, Outcome, RejectReason, Request};
+use crate::admission::{
+    Action, Controller, Effect, Event, FailureReason, Halting, Outcome, RejectReason, Request,
+};
+use crate::config::site::Site;
+use crate::server::control::lifecycle::{Left, Lifecycle, Phase as Life, Times};
+use crate::server::control::status::Status;
+use crate::server::core::api::{Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store};
+use crate::server::core::keys::{Joined, KEYED, Key, Keys, Start, TryResult};
+use crate::server::core::requests::{Feed, Open, Phase, Requests};
+use crate::server::observability::counters::{Counters, count};
 
 /// Wait for the gauges after a timer is due, ms: due times hang on timers, so a silent engine must not hold
 /// them up. Several rounds of a loaded loopback, and well under the slack of an answer.
--- a/src/node/requests.rs
+++ b/src/server/core/requests.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use super::keys::Key;
-use super::port::Caller;
+use crate::server::core::api::Caller;
+use crate::server::core::keys::Key;
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/node/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -9,15 +9,15 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connection::{self, Intake, Stop, Writer};
-use super::connection_state::{Guest, MESSAGE_MS};
-use super::counters::count;
-use super::front::Front;
-use super::port::{Arrival, Caller, Input, Reply};
-use super::rpc::{BODY_MOST, EST_MOST, MEM_BELOW_KB};
-use super::sync::Signal;
-use crate::Effect;
-use crate::settings::Site;
+use crate::admission::Effect;
+use crate::config::site::Site;
+use crate::server::core::api::{Arrival, Caller, Input, Reply};
+use crate::server::frontend::connection::{self, Intake, Stop, Writer};
+use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
+use crate::server::frontend::context::Front;
+use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, MEM_BELOW_KB};
+use crate::server::observability::counters::count;
+use crate::server::sync::Signal;
 
 /// Longest packet with its head of four bytes, bytes.
 const PACKET_MOST: usize = 8192;
--- a/src/node/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -13,11 +13,11 @@
 use futures_lite::{AsyncReadExt, future};
 use pinepoint_events::{ProcessEvent, ResourceLimit};
 
-use super::connection_state::Guest;
-use super::front::Front;
-use super::outbox::Outbox;
-use super::port::Input;
-use super::sync::{Gate, Signal};
+use crate::server::core::api::Input;
+use crate::server::frontend::connection_state::Guest;
+use crate::server::frontend::context::Front;
+use crate::server::sync::{Gate, Signal};
+use crate::server::write_buffer::Outbox;
 
 /// Queued bytes past which a connection is not read, and past which it is given up: its reader is too slow.
 const QUEUE_PAUSE: usize = 64 * 1024;
--- a/src/node/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 use pinepoint_clock::Clock;
 
-use super::sync::Signal;
+use crate::server::sync::Signal;
 
 /// Time in which a new connection has to bring its first whole message, and any the rest of one that has begun,
 /// ms. A router connects when it has something to say; what says nothing is owed an end within 3 s.
--- a/src/node/front.rs
+++ b/src/server/frontend/context.rs
@@ -6,11 +6,11 @@
 use pinepoint_clock::Clock;
 use pinepoint_events::Observer;
 
-use super::counters::Counters;
-use super::port::Input;
-use super::room::Room;
-use super::status::Status;
-use crate::deployment::Deployment;
+use crate::config::active::Deployment;
+use crate::server::control::status::Status;
+use crate::server::core::api::Input;
+use crate::server::frontend::limiter::Room;
+use crate::server::observability::counters::Counters;
 
 /// What every connection of every front needs.
 pub struct Front {
--- a/src/node/room.rs
+++ b/src/server/frontend/limiter.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use super::connection_state::Guest;
-use super::port::Doors;
-use super::sync::Signal;
+use crate::server::core::api::Doors;
+use crate::server::frontend::connection_state::Guest;
+use crate::server::sync::Signal;
 
 /// Bytes that may be queued over all connections, as a part of the process memory: hundreds that read nothing must
 /// not fill it. Past it each may still queue an even share, so that those who read don't pay for those who don't.
--- a/src/node/listen.rs
+++ b/src/server/frontend/listener.rs
@@ -12,11 +12,11 @@
 use pinepoint_events::{ProcessEvent, ResourceLimit};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 
-use super::connection_state::Guest;
-use super::counters::count;
-use super::front::Front;
-use super::port::Input;
-use super::room::{OpenDoor, Room};
+use crate::server::core::api::Input;
+use crate::server::frontend::connection_state::Guest;
+use crate::server::frontend::context::Front;
+use crate::server::frontend::limiter::{OpenDoor, Room};
+use crate::server::observability::counters::count;
 
 /// Wait before another look for a free descriptor, ms.
 const FULL_MS: f64 = 20.0;
--- /dev/null
+++ b/src/server/frontend/mod.rs
@@ -0,0 +1,11 @@
+//! Connections of callers: [`listener`] accepts them, [`limiter`] bounds their number, [`connection`] and
+//! [`connection_state`] carry each of them, and [`rpc`] and [`ajp`] speak their protocols. [`context`] is what all of
+//! them share.
+
+pub mod ajp;
+pub mod connection;
+pub mod connection_state;
+pub mod context;
+pub mod limiter;
+pub mod listener;
+pub mod rpc;
--- a/src/node/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -9,13 +9,13 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connection::{self, Intake, Stop, Writer};
-use super::connection_state::{Guest, MESSAGE_MS};
-use super::counters::count;
-use super::front::Front;
-use super::port::{Arrival, Caller, Input, Reply};
-use crate::Effect;
-use crate::settings::Site;
+use crate::admission::Effect;
+use crate::config::site::Site;
+use crate::server::core::api::{Arrival, Caller, Input, Reply};
+use crate::server::frontend::connection::{self, Intake, Stop, Writer};
+use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
+use crate::server::frontend::context::Front;
+use crate::server::observability::counters::count;
 
 /// Longest body of a request, bytes.
 pub const BODY_MOST: usize = 2048;
--- a/src/node/fleet.rs
+++ b/src/server/observability/membership.rs
@@ -10,8 +10,8 @@
 use pinepoint_membership::io::StatusSource;
 use pinepoint_membership::member::{Load, Phase};
 
-use super::port::Input;
-use super::status::Status;
+use crate::server::control::status::Status;
+use crate::server::core::api::Input;
 
 /// A machine that started cold is told as such for so long, ms: nobody tells when it is warm.
 const COLD_MS: f64 = 30_000.0;
--- a/src/node/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -10,10 +10,10 @@
 use pinepoint_telemetry::schema::Schema;
 use pinepoint_telemetry::{Parts, Setup, Source, Telemetry};
 
-use super::counters::Counters;
-use super::port::Input;
-use crate::View;
-use crate::settings::Site;
+use crate::admission::View;
+use crate::config::site::Site;
+use crate::server::core::api::Input;
+use crate::server::observability::counters::Counters;
 
 /// The node, as telemetry sees it.
 struct Node {
@@ -70,7 +70,7 @@
 
 /// Name and terms of each class, by index.
 fn classes_of(site: &Site) -> (Vec<String>, Vec<Class>) {
-    let terms = |class: &crate::Class| Class {
+    let terms = |class: &crate::admission::Class| Class {
         aim_ms: class.aim_ms,
         aim_stretch: class.aim_stretch,
         worth: class.worth,
--- a/src/node/links.rs
+++ b/src/server/upstream/mod.rs
@@ -14,12 +14,12 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use pinepoint_clock::Clock;
 
-use super::counters::{Counters, count};
-use super::outbox::Outbox;
-use super::port::{self, Input, RunEnd};
-use super::status::Status;
-use super::sync::Signal;
-use crate::Outcome;
+use crate::admission::Outcome;
+use crate::server::control::status::Status;
+use crate::server::core::api::{self, Input, RunEnd};
+use crate::server::observability::counters::{Counters, count};
+use crate::server::sync::Signal;
+use crate::server::write_buffer::Outbox;
 
 /// Longest line that is read, bytes.
 const LINE_MOST: usize = 512;
@@ -180,7 +180,7 @@
     }
 }
 
-impl port::Engine for EngineLink {
+impl api::Engine for EngineLink {
     fn run(&self, rid: &str, class: &str, body: &[u8]) {
         self.command(|out| with_body(out, &format!("RUN {rid} {class}"), body));
     }
@@ -500,7 +500,7 @@
     }
 }
 
-impl port::Store for StoreLink {
+impl api::Store for StoreLink {
     /// One that must not be made twice gets a connection of its own: the reset of a used one, forgotten by the
     /// store, would leave it uncertain though it never ran.
     fn call(self: Rc<Self>, call: u64, rid: &str, patience_ms: f64, body: &[u8], once: bool) {
--- a/src/node/outbox.rs
+++ b/src/server/write_buffer.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::{AsyncWrite, AsyncWriteExt};
 
-use super::sync::Signal;
+use crate::server::sync::Signal;
 
 /// The writer queue of one connection: bytes that wait to be written. Whoever fills it never waits.
 #[derive(Debug, Default)]
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -5,12 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use pinepoint::node::core::{Core, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::port::{Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store};
-use pinepoint::node::status::Status;
-use pinepoint::settings::Site;
-use pinepoint::{Effect, Outcome};
+use pinepoint::admission::{Effect, Outcome};
+use pinepoint::config::site::Site;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::{
+    Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store,
+};
+use pinepoint::server::core::{Core, Parts};
+use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::{CoreState, Observer, ProcessEvent, Protocol, RequestEvent, RequestEventKind};
 
@@ -127,7 +129,7 @@
     pub fn with_room(memory_mb: f64, memory_kb: f64) -> Self {
         let mut site = Site::default();
         site.listed_by_health = true;
-        site.settings = pinepoint::Settings {
+        site.settings = pinepoint::admission::Settings {
             cores: 2.0,
             memory_kb,
             calls_share: if memory_kb > 10_000.0 { 8.0 } else { 0.0 },
@@ -135,11 +137,17 @@
             run_factor: 4.0,
             ..Default::default()
         };
-        let class =
-            pinepoint::Class { deadline_ms: 3000.0, aim_ms: 900.0, calls: true, ..Default::default() };
-        let keyed = pinepoint::Class { effect: Effect::Keyed, key_window_ms: 5000.0, ..class.clone() };
-        site.settings.classes = vec![pinepoint::Class { worth_without: 0.3, ..class }, keyed];
-        site.settings.gauges = vec![pinepoint::Gauge::BusyShare, pinepoint::Gauge::Runnable];
+        let class = pinepoint::admission::Class {
+            deadline_ms: 3000.0,
+            aim_ms: 900.0,
+            calls: true,
+            ..Default::default()
+        };
+        let keyed =
+            pinepoint::admission::Class { effect: Effect::Keyed, key_window_ms: 5000.0, ..class.clone() };
+        site.settings.classes = vec![pinepoint::admission::Class { worth_without: 0.3, ..class }, keyed];
+        site.settings.gauges =
+            vec![pinepoint::admission::Gauge::BusyShare, pinepoint::admission::Gauge::Runnable];
         site.settings.rules.answer_slack_ms = 100.0;
         site.settings.rules.drain_grace_ms = 1000.0;
         Bench::with_site(site, memory_mb, 2000.0)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A server around one controller: carries out its actions far enough to check the rules.
 #![allow(dead_code)]
 
-use pinepoint::*;
+use pinepoint::admission::*;
 
 pub struct Bench {
     pub controller: Controller,
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use pinepoint::configuration::Config;
+use pinepoint::config::Config;
 
 const GOOD: &str = r#"{"name":"n1","listen":"127.0.0.1:0","engine":"127.0.0.1:1",
  "members":"127.0.0.1:2","store":"127.0.0.1:3","seed":"8c1f","stop_ms":3000,
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -4,8 +4,8 @@
 mod bench;
 
 use bench::{Bench, Step};
-use pinepoint::Outcome;
-use pinepoint::node::port::{Input, Reply};
+use pinepoint::admission::Outcome;
+use pinepoint::server::core::api::{Input, Reply};
 use pinepoint_events::{Answer, ProcessEvent, RequestEventKind};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pinepoint::*;
+use pinepoint::admission::*;
 
 fn calling() -> Settings {
     let mut set = settings();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -5,7 +5,7 @@
 #[path = "handover/mod.rs"]
 mod world;
 
-use pinepoint::node::lifecycle::Phase as Life;
+use pinepoint::server::control::lifecycle::Phase as Life;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use world::*;
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -6,13 +6,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pinepoint::Effect;
-use pinepoint::node::core::{Core, HandoverParts, HandoverState, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::lifecycle::Phase as Life;
-use pinepoint::node::port::{Arrival, HandoverPort, Input, NewSettings, PeerInbox, PeerInput, Reply, RunEnd};
-use pinepoint::node::status::Status;
-use pinepoint::settings::Site;
+use pinepoint::admission::Effect;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::lifecycle::Phase as Life;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::{
+    Arrival, HandoverPort, Input, NewSettings, PeerInbox, PeerInput, Reply, RunEnd,
+};
+use pinepoint::server::core::{Core, HandoverParts, HandoverState, Parts};
+use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::Protocol;
 use pinepoint_handover::message::Message;
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use pinepoint::*;
+use pinepoint::admission::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,6 +1,6 @@
 //! The table of keys by itself: what runs once, what is told to repeats, and what it takes.
 
-use pinepoint::node::keys::{AlreadyRan, Joined, Key, Keys, Start, TryResult};
+use pinepoint::server::core::keys::{AlreadyRan, Joined, Key, Keys, Start, TryResult};
 
 /// What no try that comes in time can name any more is gone this much after its window, ms.
 const LONG_AFTER: f64 = 20_000.0;
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The life of the process by itself: which phase may follow on which, whatever comes in whatever order.
 
-use pinepoint::node::lifecycle::{Left, Lifecycle, Phase, Published, Times};
+use pinepoint::server::control::lifecycle::{Left, Lifecycle, Phase, Published, Times};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use bench::{Bench, Client, Step, run_end};
-use pinepoint::node::port::Input;
-use pinepoint::{Outcome, View};
+use pinepoint::admission::{Outcome, View};
+use pinepoint::server::core::api::Input;
 use pinepoint_telemetry::accounts::{Accounts, Class};
 use pinepoint_telemetry::schema::Schema;
 use pinepoint_telemetry::snapshot::Snapshot;
--- a/tests/loops.rs
+++ b/tests/loops.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pinepoint::*;
+use pinepoint::admission::*;
 
 /// Two cores that are never out of work, unless told so.
 struct Busy {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 
 use bench::Bench;
-use pinepoint::configuration::{Config, FileError};
-use pinepoint::node::port::{Input, Reply, RunEnd};
-use pinepoint::settings::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
-use pinepoint::{
+use pinepoint::admission::{
     Action, Class, Controller, Effect, Event, FailureReason, Gauge, Request, Settings, SettingsError, Tenant,
 };
+use pinepoint::config::site::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
+use pinepoint::config::{Config, FileError};
+use pinepoint::server::core::api::{Input, Reply, RunEnd};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use scenario::World;
@@ -343,7 +343,11 @@
         controller.handle(now, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
         controller.handle(now, Event::Settled, &mut out);
         // A core that gets something done is not taken for one that hangs.
-        controller.handle(now, Event::Finished { id: 99, outcome: pinepoint::Outcome::Done }, &mut out);
+        controller.handle(
+            now,
+            Event::Finished { id: 99, outcome: pinepoint::admission::Outcome::Done },
+            &mut out,
+        );
     }
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
@@ -369,7 +373,11 @@
             }
             if step % 11 == 0 && !running.is_empty() {
                 let id = running.remove(0);
-                controller.handle(now, Event::Finished { id, outcome: pinepoint::Outcome::Done }, &mut out);
+                controller.handle(
+                    now,
+                    Event::Finished { id, outcome: pinepoint::admission::Outcome::Done },
+                    &mut out,
+                );
             }
             if reload && step % 50 == 0 {
                 controller.reconfigure(settings(&[900.0, 3000.0])).expect("sound");
@@ -430,7 +438,7 @@
     bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         bench.seen.answers.borrow()[&(1, 4)],
-        [Reply::Failed { late: false, why: pinepoint::FailureReason::OtherBody }]
+        [Reply::Failed { late: false, why: pinepoint::admission::FailureReason::OtherBody }]
     );
     // Within the window that the run was begun with.
     bench.pass(t0 + 4900.0 - bench.now, 0.5);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,9 +4,9 @@
 mod bench;
 
 use bench::{Bench, Step};
-use pinepoint::node::lifecycle::Phase;
-use pinepoint::node::port::Input;
-use pinepoint::settings::Site;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::lifecycle::Phase;
+use pinepoint::server::core::api::Input;
 use pinepoint_events::ProcessEvent;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -204,7 +204,7 @@
         let settings = json!({"services": [{"name": "look"}, class], "specifics": {"cores": 2}});
         Site::read(&settings).map(|site| site.settings.classes[1].deadline_ms).map_err(|e| e.to_string())
     };
-    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::Class::default().deadline_ms));
+    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().deadline_ms));
     assert_eq!(with(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
     for wrong in [json!(null), json!("900"), json!(0), json!(-5), json!(-0.0), json!([900]), json!(true)] {
         let told = with(json!({"name": "write", "deadlineMs": wrong.clone()})).expect_err("refused");
