--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -10,25 +10,25 @@
 //!
 //! # What a host must do
 //!
-//! - Construct a [`Controller`] at each start of the server, with [`Settings`] and a seed. Every field of
+//! - Construct a [`AdmissionController`] at each start of the server, with [`Settings`] and a seed. Every field of
 //!   [`Settings`] has a default that switches off what it is for; settings that make no sense come
 //!   back as a [`SettingsError`].
-//! - Send [`Event::Begin`] first, and [`Event::Settled`] after the last event of each instant: arrivals are
+//! - Send [`Event::Started`] first, and [`Event::BatchEnded`] after the last event of each instant: arrivals are
 //!   decided and runs and calls started there. No arrival is answered before it.
-//! - Send [`Event::Arrived`] once for each request read, with an id never used before. It is owed one final
-//!   answer: a run that ends, [`Action::Refuse`] or [`Action::Fail`].
-//! - For each [`Action::Start`] and each [`Action::Reuse`] send one [`Event::Finished`] when the work ends, also
-//!   after a [`Action::Fail`] or [`Action::Halt`] of running work; a success answers the caller by itself.
-//! - Send [`Event::NeedsCall`] where running work stops before a call, and [`Event::CallEnded`] for each
-//!   [`Action::Call`]; after a success the work goes on, after anything else it waits as before.
+//! - Send [`Event::RequestArrived`] once for each request read, with an id never used before. It is owed one final
+//!   answer: a run that ends, [`Action::Reject`] or [`Action::Fail`].
+//! - For each [`Action::StartRun`] and each [`Action::ReuseResult`] send one [`Event::RunEnded`] when the work ends, also
+//!   after a [`Action::Fail`] or [`Action::CancelRun`] of running work; a success answers the caller by itself.
+//! - Send [`Event::CallNeeded`] where running work stops before a call, and [`Event::CallEnded`] for each
+//!   [`Action::StartCall`]; after a success the work goes on, after anything else it waits as before.
 //! - Send [`Event::CallerGone`] where the host hears of it; nothing is owed from then on.
-//! - For each [`Action::Timer`] send [`Event::Timer`] with the token and the gauges of
-//!   [`Settings::gauges`]; the first comes of [`Event::Begin`] and each timer asks for the next. Due times
+//! - For each [`Action::SetTimer`] send [`Event::TimerFired`] with the token and the gauges of
+//!   [`Settings::gauges`]; the first comes of [`Event::Started`] and each timer asks for the next. Due times
 //!   are kept by these timers: a host that drops them loses answers.
-//! - Where settings change, call [`Controller::reconfigure`]: classes and tenants keep their indexes, new ones come behind
+//! - Where settings change, call [`AdmissionController::reconfigure`]: classes and tenants keep their indexes, new ones come behind
 //!   them, and one that is dropped stays for what is open of it.
-//! - Enter and drop keys as [`Action::Remember`] and [`Action::Forget`] say, and name the kept request in
-//!   [`Request::repeats`] when it is repeated: this is how no effect happens twice.
+//! - Enter and drop keys as [`Action::RetainKey`] and [`Action::ReleaseKey`] say, and name the kept request in
+//!   [`Request::duplicate_of`] when it is repeated: this is how no effect happens twice.
 //!
 //! An event about a request that is over changes nothing. An action that the host cannot carry out (the
 //! request ended in the meantime) may be dropped.
@@ -36,39 +36,39 @@
 //! # The life of a request
 //!
 //! ```
-//! use pinepoint::admission::{Action, Controller, Event, Gauge, Outcome, Request, Settings};
+//! use pinepoint::admission::{Action, AdmissionController, Event, Gauge, Outcome, Request, Settings};
 //!
 //! let settings = Settings { gauges: vec![Gauge::BusyShare, Gauge::Runnable], ..Settings::default() };
-//! let mut controller = Controller::new(settings, 7)?;
+//! let mut controller = AdmissionController::new(settings, 7)?;
 //! let mut actions = Vec::new();
-//! controller.handle(0.0, Event::Begin, &mut actions);
+//! controller.handle(0.0, Event::Started, &mut actions);
 //! let timer = actions.iter().find_map(|a| match a {
-//!     Action::Timer { after_ms, token } => Some((*after_ms, *token)),
+//!     Action::SetTimer { after_ms, token } => Some((*after_ms, *token)),
 //!     _ => None,
 //! });
 //! let (after_ms, token) = timer.expect("the first timer comes of the beginning");
 //!
 //! // One core: the first request runs, the second is held.
 //! for id in [1, 2] {
-//!     let request = Request { id, due_ms: Some(900.0), mem_kb: 20.0, ..Request::default() };
-//!     controller.handle(5.0, Event::Arrived(request), &mut actions);
+//!     let request = Request { id, deadline_ms: Some(900.0), mem_kb: 20.0, ..Request::default() };
+//!     controller.handle(5.0, Event::RequestArrived(request), &mut actions);
 //! }
 //! actions.clear();
-//! controller.handle(5.0, Event::Settled, &mut actions);
-//! assert_eq!(actions, [Action::Start { id: 1 }]);
+//! controller.handle(5.0, Event::BatchEnded, &mut actions);
+//! assert_eq!(actions, [Action::StartRun { id: 1 }]);
 //!
 //! // The timer brings the gauges: one core busy, one run on it.
 //! actions.clear();
-//! controller.handle(after_ms, Event::Timer { token, gauges: vec![1.0, 1.0] }, &mut actions);
-//! controller.handle(after_ms, Event::Settled, &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Timer { .. })), "each timer asks for the next");
+//! controller.handle(after_ms, Event::TimerFired { token, gauges: vec![1.0, 1.0] }, &mut actions);
+//! controller.handle(after_ms, Event::BatchEnded, &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "each timer asks for the next");
 //!
 //! // The first ends late; what cannot be done in time any more is refused, not run.
 //! actions.clear();
-//! controller.handle(890.0, Event::Finished { id: 1, outcome: Outcome::Done }, &mut actions);
-//! controller.handle(890.0, Event::Timer { token, gauges: vec![1.0, 0.0] }, &mut actions);
-//! controller.handle(890.0, Event::Settled, &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: 2, .. })));
+//! controller.handle(890.0, Event::RunEnded { id: 1, outcome: Outcome::Done }, &mut actions);
+//! controller.handle(890.0, Event::TimerFired { token, gauges: vec![1.0, 0.0] }, &mut actions);
+//! controller.handle(890.0, Event::BatchEnded, &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: 2, .. })));
 //! # Ok::<(), pinepoint::admission::SettingsError>(())
 //! ```
 
@@ -80,7 +80,7 @@
 pub mod snapshot;
 mod types;
 
-pub use snapshot::View;
+pub use snapshot::AdmissionSnapshot;
 pub use types::*;
 
 /// Setpoint CT of the busy-cores share, 1. The paper leaves it open. Two cores are all busy by chance for a
@@ -276,8 +276,8 @@
     /// An answer is still owed.
     owed: bool,
     arrived_ms: f64,
-    due_ms: f64,
-    aim_ms: f64,
+    deadline_ms: f64,
+    latency_objective_ms: f64,
     /// Core time received by any one run until this one began, ms; waits for calls move it on.
     share_at_start: f64,
     calls: f64,
@@ -298,7 +298,7 @@
 
 /// Decides for one server. Feed it events in order and carry out the actions.
 #[derive(Clone, Debug)]
-pub struct Controller(Module);
+pub struct AdmissionController(Module);
 
 #[derive(Clone, Debug, Default)]
 struct Module {
@@ -360,7 +360,7 @@
     said: f64,
 }
 
-impl Controller {
+impl AdmissionController {
     /// A controller for a server that starts with these settings; `seed` feeds its only random numbers.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
@@ -369,7 +369,11 @@
             alpha_loop: Pi { kp: BUSY_KP, ki: BUSY_KI, integral: 0.0 },
             start_loop: Pi { kp: START_KP, ki: START_KI, integral: 0.0 },
             core_share: 1.0,
-            stretch: if settings.cold { 1.0 / settings.rules.cold_speed.clamp(0.05, 1.0) } else { 1.0 },
+            stretch: if settings.cold {
+                1.0 / settings.rules.warm_up_initial_speed.clamp(0.05, 1.0)
+            } else {
+                1.0
+            },
             hints: (HINT_FIRST * FEW_SEEN, FEW_SEEN),
             call_ms: FIRST_CALL_MS,
             part_at_call: FIRST_PART_AT_CALL,
@@ -379,7 +383,7 @@
             ..Module::default()
         };
         new.take_settings(settings);
-        Ok(Controller(new))
+        Ok(AdmissionController(new))
     }
 
     /// Goes on under these settings. The classes and tenants there were keep their indexes, more may follow;
@@ -406,31 +410,31 @@
         settings.servers = settings.servers.max(1.0);
         for class in &settings.classes[self.work.len()..] {
             self.work.push((0.0, 0.0, 0.0));
-            self.waits_ms.push(class.deadline_ms);
+            self.waits_ms.push(class.timeout_ms);
             self.calls_per_run.push(if class.calls { 1.0 } else { 0.0 });
         }
         self.tenant_rate.resize(settings.tenants.len(), 0.0);
         self.tenant_since.resize(settings.tenants.len(), 0.0);
         // What callers were told before holds no longer if it meant something else.
-        self.said = if settings.advice == self.set.advice { self.said } else { f64::NAN };
-        if settings.idle_ms != self.set.idle_ms {
-            self.idle_kept_ms = settings.idle_ms;
+        self.said = if settings.load_report == self.set.load_report { self.said } else { f64::NAN };
+        if settings.caller_idle_timeout_ms != self.set.caller_idle_timeout_ms {
+            self.idle_kept_ms = settings.caller_idle_timeout_ms;
         }
         self.set = settings;
     }
 
     fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Begin => {
+            Event::Started => {
                 (self.began_ms, self.sampled_ms, self.calls_paid_ms) = (now, now, now);
-                out.push(Action::Health { good: true, from_store: true });
+                out.push(Action::SetHealth { good: true, from_store: true });
                 self.close_idle(0.0, out);
-                out.push(Action::Timer { after_ms: self.period_ms(), token: 0 });
+                out.push(Action::SetTimer { after_ms: self.period_ms(), token: 0 });
             }
-            Event::Arrived(request) => self.arrived(now, request),
-            Event::Settled => self.settle(now, out),
-            Event::Finished { id, outcome } => self.finished(now, id, outcome, out),
-            Event::NeedsCall { id } => {
+            Event::RequestArrived(request) => self.arrived(now, request),
+            Event::BatchEnded => self.settle(now, out),
+            Event::RunEnded { id, outcome } => self.finished(now, id, outcome, out),
+            Event::CallNeeded { id } => {
                 let share = self.share_now(now);
                 self.progress_ms = now;
                 if let Some(entry) = self.entries.get_mut(&id) {
@@ -441,12 +445,12 @@
             }
             Event::CallEnded { id, outcome, took_ms } => self.call_ended(now, id, outcome, took_ms, out),
             Event::CallerGone { id } => self.caller_gone(id, out),
-            Event::Leave { kill_ms } => {
+            Event::DrainStarted { kill_ms } => {
                 self.leave = Some((now, kill_ms));
                 self.healthy = false;
-                out.push(Action::Health { good: false, from_store: true });
+                out.push(Action::SetHealth { good: false, from_store: true });
             }
-            Event::Timer { gauges, .. } => self.sample(now, &gauges, out),
+            Event::TimerFired { gauges, .. } => self.sample(now, &gauges, out),
         }
     }
 
@@ -462,7 +466,7 @@
     }
 
     fn sample(&mut self, now: f64, gauges: &[f64], out: &mut Vec<Action>) {
-        out.push(Action::Timer { after_ms: self.period_ms(), token: 0 });
+        out.push(Action::SetTimer { after_ms: self.period_ms(), token: 0 });
         let dt = ((now - self.sampled_ms) / 1000.0).max(1e-6);
         let cores = self.set.cores;
         self.share_total = self.share_now(now);
@@ -510,21 +514,22 @@
         let class = &self.set.classes[request.class];
         let queued = request.queued_ms.max(0.0);
         let arrived_ms = now - queued;
-        let due_ms = request.due_ms.unwrap_or(arrived_ms + class.deadline_ms);
+        let deadline_ms = request.deadline_ms.unwrap_or(arrived_ms + class.timeout_ms);
         // A caller may give each try a part of the deadline only: a further one is as old as it waits less
         // than first ones do, or all of them would look hopeless beside idle cores.
-        let (waits_ms, usual_ms) = (due_ms - arrived_ms, &mut self.waits_ms[request.class]);
+        let (waits_ms, usual_ms) = (deadline_ms - arrived_ms, &mut self.waits_ms[request.class]);
         *usual_ms += if request.retry { 0.0 } else { (waits_ms - *usual_ms) * WORK_WEIGHT };
         let lost_ms = if request.retry { (*usual_ms - waits_ms).max(0.0) } else { 0.0 };
-        let stretch = class.aim_stretch * request.hint_ms.unwrap_or(0.0);
-        let aim_ms = (arrived_ms - lost_ms + class.aim_ms + stretch).min(due_ms);
+        let stretch = class.objective_per_work * request.work_hint_ms.unwrap_or(0.0);
+        let latency_objective_ms =
+            (arrived_ms - lost_ms + class.latency_objective_ms + stretch).min(deadline_ms);
         self.arrived_since += 1.0;
         self.turned_share -= self.turned_share / TURNED_OVER;
         self.retried += (f64::from(u8::from(request.retry)) - self.retried) / TURNED_OVER;
         self.intake_ms += (queued - self.intake_ms) * WORK_WEIGHT * 2.0;
         self.least_intake_ms *= INTAKE_DRIFT;
-        let usable = self.work_ms(&request) / self.core_share < due_ms - now;
-        self.dead += (f64::from(u8::from(queued > due_ms - now && !usable)) - self.dead) * WORK_WEIGHT;
+        let usable = self.work_ms(&request) / self.core_share < deadline_ms - now;
+        self.dead += (f64::from(u8::from(queued > deadline_ms - now && !usable)) - self.dead) * WORK_WEIGHT;
         let id = request.id;
         self.fresh.push_back(id);
         let entry = Entry {
@@ -533,8 +538,8 @@
             follows: None,
             owed: true,
             arrived_ms,
-            due_ms,
-            aim_ms,
+            deadline_ms,
+            latency_objective_ms,
             share_at_start: 0.0,
             calls: 0.0,
             stopped_share: 0.0,
@@ -557,19 +562,21 @@
     fn decide(&mut self, now: f64, id: u32, out: &mut Vec<Action>) {
         let entry = self.entries[&id].clone();
         let class = self.set.classes[entry.request.class].clone();
-        let keyed = class.effect == Effect::Keyed;
+        let keyed = class.idempotency == Idempotency::Keyed;
         let too_late = self.leave.is_some_and(|(since, _)| {
             // Drain rule: what reached the machine after the grace is never run, whatever else holds.
             entry.arrived_ms > since + self.set.rules.drain_grace_ms
         });
         let key_kb = if keyed { self.set.key_kb } else { 0.0 };
         let no_room = self.memory_kb() + key_kb > MEMORY_HOLD_PART * self.set.memory_kb;
-        if let Some(first) = entry.request.repeats.filter(|f| *f != id && class.effect != Effect::Unsafe) {
+        if let Some(first) =
+            entry.request.duplicate_of.filter(|f| *f != id && class.idempotency != Idempotency::NonIdempotent)
+        {
             let state = self.entries.get(&first).map(|e| e.state);
             if keyed && state == Some(State::Held) && !too_late {
                 // Neither try has run: the later one, whose caller still waits, takes the place.
                 self.keys.remove(&first);
-                out.push(Action::Forget { id: first });
+                out.push(Action::ReleaseKey { id: first });
                 self.fail(first, FailureReason::Superseded, out);
             } else if keyed || !matches!(state, Some(State::Waiting | State::Held)) {
                 // It runs, ran, or may have run: a second run is out of the question, its result is not.
@@ -577,7 +584,7 @@
                     self.fail(id, FailureReason::NoRoom, out);
                 } else {
                     self.entries.get_mut(&id).expect("just seen").state = State::Waiting;
-                    out.push(Action::Reuse { id });
+                    out.push(Action::ReuseResult { id });
                 }
                 return;
             } else if state == Some(State::Held) && !too_late && !no_room {
@@ -588,7 +595,9 @@
         }
         let score = self.score(&entry, now + self.wait_ms(&entry, now));
         let rank = self.rank(score);
-        let shares = class.effect == Effect::Read && self.set.fresh_ms > 0.0 && entry.request.has_subject;
+        let shares = class.idempotency == Idempotency::ReadOnly
+            && self.set.read_result_ttl_ms > 0.0
+            && entry.request.has_subject;
         let must_wait = self.on_core() >= self.set.cores;
         // Taken although the wait makes it late, it would be answered late or turned away after the wait.
         let spoilt = must_wait && score < self.score(&entry, now);
@@ -606,9 +615,9 @@
             return;
         }
         if keyed {
-            self.remember(now, id, class.key_window_ms - (now - entry.arrived_ms) + 1.0, out);
+            self.remember(now, id, class.dedup_window_ms - (now - entry.arrived_ms) + 1.0, out);
         } else if shares {
-            self.remember(now, id, entry.due_ms - now + self.set.fresh_ms, out);
+            self.remember(now, id, entry.deadline_ms - now + self.set.read_result_ttl_ms, out);
         }
     }
 
@@ -631,12 +640,12 @@
     /// Read in the instant in hand and not decided yet: nothing else may tell it that its request never ran.
     fn may_repeat_a_run(&self, id: u32, entry: &Entry) -> bool {
         let may_have_run = |f: u32| self.entries.get(&f).is_none_or(|e| e.state != State::Held);
-        self.fresh.contains(&id) && entry.request.repeats.is_some_and(may_have_run)
+        self.fresh.contains(&id) && entry.request.duplicate_of.is_some_and(may_have_run)
     }
 
-    fn remember(&mut self, now: f64, id: u32, for_ms: f64, out: &mut Vec<Action>) {
-        self.keys.insert(id, now + for_ms);
-        out.push(Action::Remember { id, for_ms });
+    fn remember(&mut self, now: f64, id: u32, ttl_ms: f64, out: &mut Vec<Action>) {
+        self.keys.insert(id, now + ttl_ms);
+        out.push(Action::RetainKey { id, ttl_ms });
     }
 
     /// Share of recent arrivals that scored less: refusing below alpha refuses a share of alpha, the least
@@ -661,7 +670,7 @@
         let (work, hint, seen) = &mut self.work[request.class];
         // A mean of few is mostly below the true one: taken at its word, every server would look slowed.
         let trust = *seen / (*seen + FEW_SEEN);
-        if let (Some(own), true) = (request.hint_ms, *hint > 0.0) {
+        if let (Some(own), true) = (request.work_hint_ms, *hint > 0.0) {
             let hinted = (own / *hint).ln().clamp(-HINT_MOST, HINT_MOST);
             let worked = (took_ms / (*work * self.stretch)).ln().clamp(-HINT_MOST, HINT_MOST);
             self.hints = (self.hints.0 + hinted * worked, self.hints.1 + hinted * hinted);
@@ -671,16 +680,16 @@
         self.run_ms += (took_ms - self.run_ms) * WORK_WEIGHT;
         let weight = NOMINAL_WEIGHT.max(1.0 / *seen);
         *work += (took_ms / self.stretch - *work) * weight;
-        *hint += (request.hint_ms.unwrap_or(0.0) - *hint) * weight;
+        *hint += (request.work_hint_ms.unwrap_or(0.0) - *hint) * weight;
     }
 
     /// Work that a request is expected to take of one core of this server, ms. A hint is rough: it counts by
     /// a power beside the mean of its class, the slope of work on hints seen here (least squares of logs).
     fn work_ms(&self, request: &Request) -> f64 {
         let (work, hint, seen) = self.work[request.class];
-        let first = self.set.classes[request.class].aim_ms * FIRST_WORK;
-        let mean = if seen > 0.0 { work } else { request.hint_ms.unwrap_or(first) };
-        let of_mean = match request.hint_ms {
+        let first = self.set.classes[request.class].latency_objective_ms * FIRST_WORK;
+        let mean = if seen > 0.0 { work } else { request.work_hint_ms.unwrap_or(first) };
+        let of_mean = match request.work_hint_ms {
             Some(own) if hint > 0.0 => (own / hint).powf((self.hints.0 / self.hints.1).clamp(0.0, 1.0)),
             _ => 1.0,
         };
@@ -698,21 +707,21 @@
         let (own_calls, call_line) = self.call_wait_ms(entry);
         let in_time = |end: f64| {
             let hopeful_end = end - (1.0 - HOPEFUL_PART) * run_ms;
-            if end <= entry.aim_ms {
-                let left = (entry.aim_ms - entry.arrived_ms - work) / class.deadline_ms.max(1.0);
+            if end <= entry.latency_objective_ms {
+                let left = (entry.latency_objective_ms - entry.arrived_ms - work) / class.timeout_ms.max(1.0);
                 let stale = if entry.request.retry { self.retried * (1.0 - left).max(0.0) } else { 0.0 };
-                1.0 - stale * (1.0 - class.late_worth)
-            } else if hopeful_end <= entry.aim_ms {
-                SHORT_RUN.max(class.late_worth)
-            } else if hopeful_end <= entry.due_ms {
-                class.late_worth
+                1.0 - stale * (1.0 - class.late_weight)
+            } else if hopeful_end <= entry.latency_objective_ms {
+                SHORT_RUN.max(class.late_weight)
+            } else if hopeful_end <= entry.deadline_ms {
+                class.late_weight
             } else {
                 0.0
             }
         };
-        let without = class.worth_without * in_time(start_ms + run_ms);
+        let without = class.weight_without_call * in_time(start_ms + run_ms);
         let in_time = in_time(start_ms + run_ms + own_calls + call_line).max(without);
-        let worth = class.worth * if self.set.worth_by_work { work } else { 1.0 };
+        let worth = class.weight * if self.set.weight_by_work { work } else { 1.0 };
         worth * self.within_share(entry.request.tenant) * in_time / work
     }
 
@@ -722,15 +731,16 @@
         if own == 0.0 || entry.state != State::Held {
             return (0.0, 0.0);
         }
-        let line = self.calls_to_come(self.set.classes[entry.request.class].worth_without);
+        let line = self.calls_to_come(self.set.classes[entry.request.class].weight_without_call);
         let unearned = ((own + line) * self.call_ms - self.call_credit_ms).max(0.0);
         (own * self.call_ms, unearned / self.call_rate())
     }
 
     /// Calls that are yet to be made for what was started, of classes that earn no more than this without.
-    fn calls_to_come(&self, worth_without: f64) -> f64 {
+    fn calls_to_come(&self, weight_without_call: f64) -> f64 {
         let first = self.entries.values().filter(|e| e.state != State::Held && e.owed);
-        let first = first.filter(|e| self.set.classes[e.request.class].worth_without <= worth_without);
+        let first =
+            first.filter(|e| self.set.classes[e.request.class].weight_without_call <= weight_without_call);
         first.map(|e| (self.calls_per_run[e.request.class] - e.calls).max(0.0)).sum()
     }
 
@@ -738,11 +748,11 @@
     /// slow server serves nobody's allowance, and would take everything from the one that floods the fleet.
     fn within_share(&self, tenant: Option<usize>) -> f64 {
         let Some(t) = tenant else { return 1.0 };
-        let all: f64 = self.set.tenants.iter().filter(|t| !t.retired).map(|t| t.allowance_per_s).sum();
+        let all: f64 = self.set.tenants.iter().filter(|t| !t.retired).map(|t| t.quota_per_s).sum();
         let served = self.tenant_rate.iter().sum::<f64>() / all.max(1e-9);
-        let allowed = self.set.tenants[t].allowance_per_s * served.min(1.0 / self.set.servers);
+        let allowed = self.set.tenants[t].quota_per_s * served.min(1.0 / self.set.servers);
         let within = (allowed / self.tenant_rate[t].max(1e-9)).min(1.0).powi(2);
-        within + (1.0 - within) * self.set.over_share_worth
+        within + (1.0 - within) * self.set.over_quota_weight
     }
 
     /// Expected wait in the hold, ms: the work of those that would start before it.
@@ -774,19 +784,19 @@
     /// Runs that the server survives, disk waiters included, should all want a core at once.
     fn crowd_limit(&self, now: f64) -> f64 {
         let rules = &self.set.rules;
-        let speed = if self.set.cold && rules.cold_ms > 0.0 {
-            let warmed = ((now - self.began_ms) / rules.cold_ms).clamp(0.0, 1.0);
-            rules.cold_speed + (1.0 - rules.cold_speed) * warmed
+        let speed = if self.set.cold && rules.warm_up_ms > 0.0 {
+            let warmed = ((now - self.began_ms) / rules.warm_up_ms).clamp(0.0, 1.0);
+            rules.warm_up_initial_speed + (1.0 - rules.warm_up_initial_speed) * warmed
         } else {
             1.0
         };
-        (CROWD_PART * self.set.cores * (1.0 + (rules.crowd_per_core - 1.0).max(0.0) * speed)).max(1.0)
+        (CROWD_PART * self.set.cores * (1.0 + (rules.max_running_per_core - 1.0).max(0.0) * speed)).max(1.0)
     }
 
     fn memory_kb(&self) -> f64 {
         let each = |e: &Entry| match e.state {
             State::Held | State::Waiting => e.request.mem_kb,
-            _ => e.request.mem_kb * self.set.run_factor.max(1.0),
+            _ => e.request.mem_kb * self.set.running_memory_factor.max(1.0),
         };
         self.entries.values().map(each).sum::<f64>() + self.keys.len() as f64 * self.set.key_kb
     }
@@ -794,7 +804,7 @@
     fn start_held(&mut self, now: f64, out: &mut Vec<Action>) {
         while let Some(id) = self.next_to_start(now) {
             let on_core = self.on_core();
-            let room = self.entries[&id].request.mem_kb * (self.set.run_factor - 1.0).max(0.0);
+            let room = self.entries[&id].request.mem_kb * (self.set.running_memory_factor - 1.0).max(0.0);
             if self.count(State::Running) >= self.crowd_limit(now)
                 || on_core >= self.run_limit()
                 || self.memory_kb() + room > MEMORY_PART * self.set.memory_kb
@@ -816,11 +826,11 @@
             if let Some(t) = entry.request.tenant {
                 self.tenant_since[t] += 1.0;
             }
-            out.push(Action::Start { id });
+            out.push(Action::StartRun { id });
             for (follower, entry) in &mut self.entries {
                 if entry.follows == Some(id) && entry.state == State::Held {
                     entry.state = State::Waiting;
-                    out.push(Action::Reuse { id: *follower });
+                    out.push(Action::ReuseResult { id: *follower });
                 }
             }
         }
@@ -828,7 +838,8 @@
 
     fn next_to_start(&self, now: f64) -> Option<u32> {
         let held = self.entries.iter().filter(|(_, e)| e.state == State::Held);
-        let ranked = held.map(|(id, e)| (self.score(e, now), -e.aim_ms, std::cmp::Reverse(*id)));
+        let ranked =
+            held.map(|(id, e)| (self.score(e, now), -e.latency_objective_ms, std::cmp::Reverse(*id)));
         let best = ranked.filter(|(score, ..)| *score > 0.0);
         let (.., std::cmp::Reverse(id)) =
             best.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)))?;
@@ -840,7 +851,7 @@
         let share = self.share_now(now);
         self.progress_ms = now;
         let Some(entry) = self.entries.remove(&id) else { return };
-        let effect = self.set.classes[entry.request.class].effect;
+        let idempotency = self.set.classes[entry.request.class].idempotency;
         if entry.state == State::Waiting {
             return;
         }
@@ -859,12 +870,12 @@
                 self.part_at_call += (part - self.part_at_call) * WORK_WEIGHT;
             }
         }
-        if effect == Effect::Read && self.keys.contains_key(&id) {
+        if idempotency == Idempotency::ReadOnly && self.keys.contains_key(&id) {
             if outcome == Outcome::Done {
-                self.remember(now, id, self.set.fresh_ms, out);
+                self.remember(now, id, self.set.read_result_ttl_ms, out);
             } else {
                 self.keys.remove(&id);
-                out.push(Action::Forget { id });
+                out.push(Action::ReleaseKey { id });
             }
         }
     }
@@ -877,7 +888,7 @@
         // call a server holds many times what the dependency survives.
         let elapsed = now - self.calls_paid_ms;
         let earned = (self.call_rate() - self.calls_charged) * elapsed;
-        let most = CALLS_SAVED * self.set.calls_over_ms * self.call_rate();
+        let most = CALLS_SAVED * self.set.call_quota_window_ms * self.call_rate();
         self.call_credit_ms = (self.call_credit_ms + earned).min(most);
         self.calls_paid_ms = now;
         self.abandoned.retain(|until| *until > now);
@@ -893,10 +904,10 @@
             self.call_ms = low_pass(self.call_ms, 0.0, elapsed / 1000.0, FORGET_S);
         }
         let at_call = self.entries.iter().filter(|(_, e)| e.state == State::AtCall && e.owed);
-        let without = |e: &Entry| self.set.classes[e.request.class].worth_without;
+        let without = |e: &Entry| self.set.classes[e.request.class].weight_without_call;
         let gain = |e: &Entry| self.score(e, now + self.call_ms) * (1.0 - without(e));
         let mut waiting: Vec<(f64, f64, u32, f64)> =
-            at_call.map(|(id, e)| (gain(e), e.aim_ms, *id, without(e))).collect();
+            at_call.map(|(id, e)| (gain(e), e.latency_objective_ms, *id, without(e))).collect();
         // In the order of their aims: one let in for a call that others then overtake is work for nothing.
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         let kept_back = self.calls_to_come(0.0);
@@ -917,10 +928,13 @@
             entry.state = State::Calling;
             entry.calls += 1.0;
             entry.called_ms = now;
-            let again = self.set.classes[entry.request.class].effect == Effect::Read;
+            let again = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
             let least_ms = if again { CALL_AGAIN_LEAST_MS } else { CALL_PATIENCE_LEAST_MS };
-            let patience_ms = (self.call_ms * CALL_PATIENCE).max(least_ms);
-            out.push(Action::Call { id, patience_ms: patience_ms.min(entry.due_ms - now).max(1.0) });
+            let call_timeout_ms = (self.call_ms * CALL_PATIENCE).max(least_ms);
+            out.push(Action::StartCall {
+                id,
+                call_timeout_ms: call_timeout_ms.min(entry.deadline_ms - now).max(1.0),
+            });
         }
     }
 
@@ -929,14 +943,14 @@
     fn go_without(&mut self, now: f64, id: u32, score: f64, out: &mut Vec<Action>) {
         let share = self.share_now(now);
         let entry = &self.entries[&id];
-        let may = self.set.classes[entry.request.class].worth_without > 0.0;
+        let may = self.set.classes[entry.request.class].weight_without_call > 0.0;
         let soon = now + self.call_ms.max(2.0 * self.period_ms());
         if may && self.score(entry, now) > 0.0 && (score <= 0.0 || self.score(entry, soon) <= 0.0) {
             let entry = self.entries.get_mut(&id).expect("just seen");
             entry.state = State::Running;
             entry.calls += 1.0;
             entry.share_at_start += share - entry.stopped_share;
-            out.push(Action::Skip { id });
+            out.push(Action::SkipCall { id });
         } else if score <= 0.0 {
             self.fail(id, FailureReason::NoCall, out);
         }
@@ -944,13 +958,13 @@
 
     /// Calls that may be in hand. After a failure one at a time feels out whether the dependency is back.
     fn most_calls(&self) -> f64 {
-        if self.call_failures >= 1.0 { 1.0 } else { self.set.calls_share.max(1.0) }
+        if self.call_failures >= 1.0 { 1.0 } else { self.set.call_quota.max(1.0) }
     }
 
     /// Calls that may be in hand in the mean: call time that is earned in a unit of time.
     fn call_rate(&self) -> f64 {
         // A server that was told no share has only the count to go by.
-        if self.set.calls_share > 0.0 { self.set.calls_share * CALLS_PART } else { 1.0 }
+        if self.set.call_quota > 0.0 { self.set.call_quota * CALLS_PART } else { 1.0 }
     }
 
     fn call_ended(&mut self, now: f64, id: u32, outcome: Outcome, took_ms: f64, out: &mut Vec<Action>) {
@@ -981,7 +995,7 @@
         if outcome == Outcome::Done {
             entry.share_at_start += share - entry.stopped_share;
         }
-        let safe = self.set.classes[entry.request.class].effect == Effect::Read;
+        let safe = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
         let unseen = matches!(outcome, Outcome::Declined | Outcome::Unreachable);
         entry.state = if outcome == Outcome::Done { State::Running } else { State::AtCall };
         if outcome != Outcome::Done && !unseen && !safe {
@@ -999,21 +1013,22 @@
         *self.turned_away.entry(why).or_default() += 1;
         if self.turned_away.values().sum::<u32>() >= NOTE_EVERY {
             let text = format!("turned away: {:?}", std::mem::take(&mut self.turned_away));
-            out.push(Action::Note { text });
+            out.push(Action::Log { text });
         }
         if self.keys.remove(&id).is_some() {
-            out.push(Action::Forget { id });
+            out.push(Action::ReleaseKey { id });
         }
         let jammed = self.busy_slow > JAM_BUSY && self.intake_ms - self.least_intake_ms > INTAKE_JAM_MS;
         let away = self.hung || self.is_going();
         let stay_away_ms = if away { f64::INFINITY } else { self.intake_ms };
         // One given up after a wait is told to come back when what is held has had its turn.
         let back_ms = if given_up { self.hold_ms().max(self.period_ms()) } else { 0.0 };
-        let pause_ms = if away || jammed { stay_away_ms } else { back_ms }.min(self.set.longest_pause_ms);
+        let retry_after_ms =
+            if away || jammed { stay_away_ms } else { back_ms }.min(self.set.max_retry_after_ms);
         // All share the dependency: callers of one that finds no call need not go on.
-        out.push(Action::Refuse {
+        out.push(Action::Reject {
             id,
-            pause_ms,
+            retry_after_ms,
             last: why == RejectReason::NoCall || (jammed && !away),
             why,
         });
@@ -1035,10 +1050,11 @@
         let slack = self.set.rules.answer_slack_ms * SLACK_PART;
         let (mut refused, mut failed) = (Vec::new(), Vec::new());
         for (id, entry) in self.entries.iter().filter(|(id, e)| !self.may_repeat_a_run(**id, e)) {
-            let over = || late >= entry.due_ms || late >= kill || self.hung || self.score(entry, now) <= 0.0;
+            let over =
+                || late >= entry.deadline_ms || late >= kill || self.hung || self.score(entry, now) <= 0.0;
             if entry.state == State::Held && entry.owed && over() {
                 refused.push(*id);
-            } else if entry.owed && (late >= entry.due_ms + slack || late >= kill) {
+            } else if entry.owed && (late >= entry.deadline_ms + slack || late >= kill) {
                 failed.push(*id);
             }
         }
@@ -1055,7 +1071,7 @@
         if matches!(entry.state, State::Held | State::Waiting) {
             self.entries.remove(&id);
             if self.keys.remove(&id).is_some() {
-                out.push(Action::Forget { id });
+                out.push(Action::ReleaseKey { id });
             }
         } else {
             self.halt_useless(id, out);
@@ -1065,9 +1081,9 @@
     /// Stops a run whose result no one can use. An effect is never cut short: its repeat wants the result.
     fn halt_useless(&mut self, id: u32, out: &mut Vec<Action>) {
         let Some(entry) = self.entries.get(&id) else { return };
-        let safe = self.set.classes[entry.request.class].effect == Effect::Read;
-        if self.set.halting != Halting::Never && safe && entry.state == State::Running && !entry.owed {
-            out.push(Action::Halt { id });
+        let safe = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
+        if self.set.preemption != Preemption::Never && safe && entry.state == State::Running && !entry.owed {
+            out.push(Action::CancelRun { id });
         }
     }
 
@@ -1096,7 +1112,7 @@
         let good = !lost && self.leave.is_none();
         if good != self.healthy {
             self.healthy = good;
-            out.push(Action::Health { good, from_store: true });
+            out.push(Action::SetHealth { good, from_store: true });
         }
     }
 
@@ -1112,10 +1128,11 @@
             self.turned_share = low_pass(self.turned_share, 0.0, dt, FORGET_S);
         }
         let shut = ((self.turned_share - SHUT_FROM) / (SHUT_ALL - SHUT_FROM)).clamp(0.0, 1.0);
-        let kept_ms = self.set.idle_ms.min(IDLE_KEPT_MS).powf(1.0 - shut) * self.set.idle_ms.powf(shut);
+        let kept_ms = self.set.caller_idle_timeout_ms.min(IDLE_KEPT_MS).powf(1.0 - shut)
+            * self.set.caller_idle_timeout_ms.powf(shut);
         if (kept_ms / self.idle_kept_ms).ln().abs() > IDLE_STEP {
             self.idle_kept_ms = kept_ms;
-            out.push(Action::CloseIdle { after_ms: kept_ms });
+            out.push(Action::CloseIdleConnections { after_ms: kept_ms });
         }
     }
 
@@ -1141,15 +1158,15 @@
         let delay = wait + (self.intake_ms - self.least_intake_ms).max(0.0);
         let traffic = (-delay / ADVICE_DELAY_MS).exp().max(ADVICE_FLOOR);
         let traffic = if self.is_going() || self.hung { 0.0 } else { traffic };
-        let value = match self.set.advice {
-            AdviceKind::Silent => return,
-            AdviceKind::Weight => traffic,
-            AdviceKind::Level => 1.0 - traffic,
-            AdviceKind::Credit => traffic * (2.0 * self.run_limit() / self.set.callers.max(1.0)).max(1.0),
+        let value = match self.set.load_report {
+            LoadReportKind::Silent => return,
+            LoadReportKind::Weight => traffic,
+            LoadReportKind::Level => 1.0 - traffic,
+            LoadReportKind::Credit => traffic * (2.0 * self.run_limit() / self.set.callers.max(1.0)).max(1.0),
         };
         if self.said.is_nan() || (value - self.said).abs() > 0.02 || (value == 0.0 && self.said != 0.0) {
             self.said = value;
-            out.push(Action::Advise { value });
+            out.push(Action::ReportLoad { value });
         }
     }
 }
--- a/src/admission/snapshot.rs
+++ b/src/admission/snapshot.rs
@@ -1,11 +1,11 @@
 //! A read-only view of the decision module, for those that watch it. It owns no state and decides nothing: were
 //! it removed, no action would change.
 
-use super::{Controller, Module, State};
+use super::{AdmissionController, Module, State};
 
-/// What a [`Controller`] knows and wants at one instant.
+/// What a [`AdmissionController`] knows and wants at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
+pub struct AdmissionSnapshot {
     /// Share of arrivals that loop 1 refuses at read, 0 to 1.
     pub refusal_share: f64,
     /// Rate of starts that loop 2 allows, 1/s.
@@ -34,8 +34,8 @@
     pub hung: bool,
 }
 
-impl View {
-    /// The names of [`View::figures`].
+impl AdmissionSnapshot {
+    /// The names of [`AdmissionSnapshot::figures`].
     pub const NAMES: [&'static str; 13] = [
         "refusal_share",
         "start_rate_per_s",
@@ -73,16 +73,16 @@
     }
 }
 
-impl Controller {
+impl AdmissionController {
     /// The state at the last event.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> AdmissionSnapshot {
         self.0.view()
     }
 }
 
 impl Module {
-    fn view(&self) -> View {
-        View {
+    fn view(&self) -> AdmissionSnapshot {
+        AdmissionSnapshot {
             refusal_share: self.alpha,
             start_rate_per_s: self.start_rate,
             busy_share: self.busy,
--- a/src/admission/types.rs
+++ b/src/admission/types.rs
@@ -13,7 +13,7 @@
     /// Memory for held and running requests and kept keys.
     pub memory_kb: f64,
     /// A running request takes this many times its held memory.
-    pub run_factor: f64,
+    pub running_memory_factor: f64,
     /// Memory of one entry in the table of keys.
     pub key_kb: f64,
     /// The shortest time between two batches of events.
@@ -23,25 +23,25 @@
     /// Callers that send to them.
     pub callers: f64,
     /// How long the answer to a read may serve other reads of its subject; 0 for never.
-    pub fresh_ms: f64,
+    pub read_result_ttl_ms: f64,
     /// Which kind of free value callers read.
-    pub advice: AdviceKind,
+    pub load_report: LoadReportKind,
     /// Whether and how running work can be stopped.
-    pub halting: Halting,
+    pub preemption: Preemption,
     /// Longest pause that callers honour after a refusal; 0 where pauses are not passed on.
-    pub longest_pause_ms: f64,
+    pub max_retry_after_ms: f64,
     /// Callers close connections idle for this long.
-    pub idle_ms: f64,
+    pub caller_idle_timeout_ms: f64,
     /// This server's part of the calls that the dependency survives, as a mean number in hand.
-    pub calls_share: f64,
+    pub call_quota: f64,
     /// Averaging window of that mean.
-    pub calls_over_ms: f64,
+    pub call_quota_window_ms: f64,
     /// An abandoned call may stay with the dependency for this long.
     pub call_linger_ms: f64,
     /// Worth counts for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Worth of a request beyond its tenant's allowance, as a part of the ordinary worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The figures of the rules that no run may break.
     pub rules: Rules,
     /// Classes of requests, addressed by index.
@@ -58,21 +58,21 @@
             cold: false,
             cores: 1.0,
             memory_kb: f64::INFINITY,
-            run_factor: 1.0,
+            running_memory_factor: 1.0,
             key_kb: 0.0,
             tick_ms: 1.0,
             servers: 1.0,
             callers: 1.0,
-            fresh_ms: 0.0,
-            advice: AdviceKind::Silent,
-            halting: Halting::Never,
-            longest_pause_ms: 0.0,
-            idle_ms: 0.0,
-            calls_share: 0.0,
-            calls_over_ms: 0.0,
+            read_result_ttl_ms: 0.0,
+            load_report: LoadReportKind::Silent,
+            preemption: Preemption::Never,
+            max_retry_after_ms: 0.0,
+            caller_idle_timeout_ms: 0.0,
+            call_quota: 0.0,
+            call_quota_window_ms: 0.0,
             call_linger_ms: 0.0,
-            worth_by_work: false,
-            over_share_worth: 1.0,
+            weight_by_work: false,
+            over_quota_weight: 1.0,
             rules: Rules::default(),
             classes: vec![Class::default()],
             tenants: Vec::new(),
@@ -113,8 +113,8 @@
 
 impl Settings {
     /// The longest time that a client of any class waits.
-    pub fn longest_deadline_ms(&self) -> f64 {
-        self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
+    pub fn longest_timeout_ms(&self) -> f64 {
+        self.classes.iter().map(|class| class.timeout_ms).fold(0.0, f64::max)
     }
 
     /// Tells whether the settings make sense. Only [`Settings::memory_kb`] may be infinite, for no limit.
@@ -123,36 +123,36 @@
         let mut figures = vec![
             ("cores", self.cores),
             ("memory_kb", if self.memory_kb == f64::INFINITY { 0.0 } else { self.memory_kb }),
-            ("run_factor", self.run_factor),
+            ("run_factor", self.running_memory_factor),
             ("key_kb", self.key_kb),
             ("tick_ms", self.tick_ms),
             ("servers", self.servers),
             ("callers", self.callers),
-            ("fresh_ms", self.fresh_ms),
-            ("longest_pause_ms", self.longest_pause_ms),
-            ("idle_ms", self.idle_ms),
-            ("calls_share", self.calls_share),
-            ("calls_over_ms", self.calls_over_ms),
+            ("fresh_ms", self.read_result_ttl_ms),
+            ("longest_pause_ms", self.max_retry_after_ms),
+            ("idle_ms", self.caller_idle_timeout_ms),
+            ("calls_share", self.call_quota),
+            ("calls_over_ms", self.call_quota_window_ms),
             ("call_linger_ms", self.call_linger_ms),
-            ("over_share_worth", self.over_share_worth),
+            ("over_share_worth", self.over_quota_weight),
             ("rules.answer_slack_ms", rules.answer_slack_ms),
             ("rules.drain_grace_ms", rules.drain_grace_ms),
-            ("rules.crowd_per_core", rules.crowd_per_core),
-            ("rules.cold_speed", rules.cold_speed),
-            ("rules.cold_ms", rules.cold_ms),
+            ("rules.crowd_per_core", rules.max_running_per_core),
+            ("rules.cold_speed", rules.warm_up_initial_speed),
+            ("rules.cold_ms", rules.warm_up_ms),
         ];
         for class in &self.classes {
             figures.extend([
-                ("class.aim_ms", class.aim_ms),
-                ("class.deadline_ms", class.deadline_ms),
-                ("class.worth", class.worth),
-                ("class.late_worth", class.late_worth),
-                ("class.worth_without", class.worth_without),
-                ("class.aim_stretch", class.aim_stretch),
-                ("class.key_window_ms", class.key_window_ms),
+                ("class.aim_ms", class.latency_objective_ms),
+                ("class.deadline_ms", class.timeout_ms),
+                ("class.worth", class.weight),
+                ("class.late_worth", class.late_weight),
+                ("class.worth_without", class.weight_without_call),
+                ("class.aim_stretch", class.objective_per_work),
+                ("class.key_window_ms", class.dedup_window_ms),
             ]);
         }
-        figures.extend(self.tenants.iter().map(|t| ("tenant.allowance_per_s", t.allowance_per_s)));
+        figures.extend(self.tenants.iter().map(|t| ("tenant.allowance_per_s", t.quota_per_s)));
         let bad = figures.iter().find(|(_, value)| !(0.0..=FIGURE_MOST).contains(value));
         match bad {
             Some((name, _)) => Err(SettingsError::Figure(name)),
@@ -171,11 +171,11 @@
     /// What reached the machine later than this after the notice to leave is not run.
     pub drain_grace_ms: f64,
     /// Requests on the cores, for each core, that a warm server survives.
-    pub crowd_per_core: f64,
+    pub max_running_per_core: f64,
     /// A cold server starts with this share of its speed, or more.
-    pub cold_speed: f64,
+    pub warm_up_initial_speed: f64,
     /// A cold server is warm after this time at the latest.
-    pub cold_ms: f64,
+    pub warm_up_ms: f64,
 }
 
 impl Default for Rules {
@@ -183,44 +183,44 @@
         Rules {
             answer_slack_ms: 0.0,
             drain_grace_ms: 0.0,
-            crowd_per_core: 4.0,
-            cold_speed: 1.0,
-            cold_ms: 0.0,
+            max_running_per_core: 4.0,
+            warm_up_initial_speed: 1.0,
+            warm_up_ms: 0.0,
         }
     }
 }
 
 /// How a request may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// A read: running it twice does no harm.
     #[default]
-    Read,
+    ReadOnly,
     /// Has an effect, and an idempotency key by which repeats are known.
     Keyed,
     /// Has an effect and no key.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time of the first try earns the full worth.
-    pub aim_ms: f64,
+    pub latency_objective_ms: f64,
     /// A client waits this long in all.
-    pub deadline_ms: f64,
+    pub timeout_ms: f64,
     /// Worth of a request (or of a unit of its work).
-    pub worth: f64,
+    pub weight: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Part of the worth that an answer made without its call still earns; 0: it must not go on without.
-    pub worth_without: f64,
+    pub weight_without_call: f64,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// How it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long after its arrival a keyed request can come again.
-    pub key_window_ms: f64,
+    pub dedup_window_ms: f64,
     /// Its requests may call the dependency.
     pub calls: bool,
 }
@@ -228,14 +228,14 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim_ms: 1000.0,
-            deadline_ms: 3000.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            worth_without: 0.0,
-            aim_stretch: 0.0,
-            effect: Effect::Read,
-            key_window_ms: 0.0,
+            latency_objective_ms: 1000.0,
+            timeout_ms: 3000.0,
+            weight: 1.0,
+            late_weight: 0.0,
+            weight_without_call: 0.0,
+            objective_per_work: 0.0,
+            idempotency: Idempotency::ReadOnly,
+            dedup_window_ms: 0.0,
             calls: false,
         }
     }
@@ -245,14 +245,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tenant {
     /// Requests a second, over all servers, within its allowance.
-    pub allowance_per_s: f64,
+    pub quota_per_s: f64,
     /// It is no longer one of the site's: its allowance holds for what it has open, and adds nothing to the sum of all.
     pub retired: bool,
 }
 
 /// What callers make of the free value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AdviceKind {
+pub enum LoadReportKind {
     /// Nothing may be said.
     #[default]
     Silent,
@@ -266,14 +266,14 @@
 
 /// Whether running work can be stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Halting {
+pub enum Preemption {
     /// It cannot.
     #[default]
     Never,
     /// Stopping loses what was done.
-    Drops,
+    Drop,
     /// Stopped work keeps what was done, and its running memory, until it is started again.
-    Pauses,
+    Pause,
 }
 
 /// Meaning of one value that comes with a timer.
@@ -297,9 +297,9 @@
     /// Index of its tenant.
     pub tenant: Option<usize>,
     /// When the caller stops waiting, where callers say so.
-    pub due_ms: Option<f64>,
+    pub deadline_ms: Option<f64>,
     /// Rough work on a standard core, where hinted.
-    pub hint_ms: Option<f64>,
+    pub work_hint_ms: Option<f64>,
     /// Memory while held.
     pub mem_kb: f64,
     /// Marked as a further try or a second copy.
@@ -307,7 +307,7 @@
     /// Time since it reached the machine.
     pub queued_ms: f64,
     /// The kept request that this one repeats.
-    pub repeats: Option<u32>,
+    pub duplicate_of: Option<u32>,
     /// It names a subject, so that reads of it may share an answer.
     pub has_subject: bool,
 }
@@ -330,27 +330,27 @@
     /// The run was stopped, or ended with its answer already given.
     Cancelled,
     /// Nothing was started: the request was already over.
-    Moot,
+    NotStarted,
 }
 
 /// What the host tells the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The first event: the server is up.
-    Begin,
+    Started,
     /// A request was read.
-    Arrived(Request),
+    RequestArrived(Request),
     /// All events of this instant are in; arrivals are decided and starts made now.
-    Settled,
+    BatchEnded,
     /// A run, or an answer from a kept result, is over.
-    Finished {
+    RunEnded {
         /// The request.
         id: u32,
         /// How it ended.
         outcome: Outcome,
     },
     /// A running request cannot go on without a call.
-    NeedsCall {
+    CallNeeded {
         /// The request.
         id: u32,
     },
@@ -369,13 +369,13 @@
         id: u32,
     },
     /// The server is to leave and will be stopped at the stated time.
-    Leave {
+    DrainStarted {
         /// Time of the kill.
         kill_ms: f64,
     },
     /// A timer went off.
-    Timer {
-        /// The token given with [`Action::Timer`].
+    TimerFired {
+        /// The token given with [`Action::SetTimer`].
         token: u32,
         /// The gauges, in the order of [`Settings::gauges`].
         gauges: Vec<f64>,
@@ -386,16 +386,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Begin a held request.
-    Start {
+    StartRun {
         /// The request.
         id: u32,
     },
     /// Final answer: no; this try never ran.
-    Refuse {
+    Reject {
         /// The request.
         id: u32,
         /// How long the caller should stay away; 0 for no advice.
-        pause_ms: f64,
+        retry_after_ms: f64,
         /// Ask the caller not to try another server.
         last: bool,
         /// Why.
@@ -409,65 +409,65 @@
         why: FailureReason,
     },
     /// Stop running work.
-    Halt {
+    CancelRun {
         /// The request.
         id: u32,
     },
     /// Make the call that a request waits for.
-    Call {
+    StartCall {
         /// The request.
         id: u32,
         /// Give the call up after this time.
-        patience_ms: f64,
+        call_timeout_ms: f64,
     },
     /// Go on without the call that a request waits for.
-    Skip {
+    SkipCall {
         /// The request.
         id: u32,
     },
     /// Keep an entry by which repeats of the request are known.
-    Remember {
+    RetainKey {
         /// The request.
         id: u32,
         /// Lifetime of the entry from now.
-        for_ms: f64,
+        ttl_ms: f64,
     },
     /// Remove the entry of a request.
-    Forget {
+    ReleaseKey {
         /// The request.
         id: u32,
     },
     /// Answer a held request with the result of the one it repeats.
-    Reuse {
+    ReuseResult {
         /// The request.
         id: u32,
     },
     /// Answer health checks so from now on.
-    Health {
+    SetHealth {
         /// Whether the server is well.
         good: bool,
         /// Answer from this setting alone, without real work.
         from_store: bool,
     },
     /// Send this free value along with every answer from now on.
-    Advise {
-        /// The value; its meaning is given by [`Settings::advice`].
+    ReportLoad {
+        /// The value; its meaning is given by [`Settings::load_report`].
         value: f64,
     },
     /// Close connections that carried nothing for this long.
-    CloseIdle {
+    CloseIdleConnections {
         /// The idle time.
         after_ms: f64,
     },
-    /// Send [`Event::Timer`] after this time.
-    Timer {
+    /// Send [`Event::TimerFired`] after this time.
+    SetTimer {
         /// Time from now.
         after_ms: f64,
         /// Comes back with the event.
         token: u32,
     },
     /// A line for the log.
-    Note {
+    Log {
         /// The line.
         text: String,
     },
--- a/src/bin/pinepoint-adapter/wire.rs
+++ b/src/bin/pinepoint-adapter/wire.rs
@@ -104,7 +104,7 @@
 }
 
 struct Host {
-    controller: Controller,
+    controller: AdmissionController,
     class_names: BTreeMap<String, usize>,
     tenant_names: BTreeMap<String, usize>,
 }
@@ -148,7 +148,7 @@
             }
             if kind == "Enlist" {
                 let mut host = enlist(&message)?;
-                host.controller.handle(now, Event::Begin, actions);
+                host.controller.handle(now, Event::Started, actions);
                 hosts.insert(server, host);
                 continue;
             }
@@ -163,7 +163,7 @@
                 continue;
             };
             let mut actions = pending.remove(&server).unwrap_or_default();
-            host.controller.handle(now, Event::Settled, &mut actions);
+            host.controller.handle(now, Event::BatchEnded, &mut actions);
             for action in &actions {
                 write_line(&mut reply, &line(server, action))?;
             }
@@ -245,23 +245,23 @@
         "econnrefused" => Outcome::Unreachable,
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
-        "skipped" => Outcome::Moot,
+        "skipped" => Outcome::NotStarted,
         other => return Err(Fault(format!("{kind}: field code has unknown value {other}"))),
     })
 }
 
 fn event(message: &Object, kind: &str, host: &Host) -> Result<Event, Fault> {
     Ok(match kind {
-        "Inbound" => Event::Arrived(request(message, kind, host)?),
-        "WoundUp" => Event::Finished { id: id_of(message, kind)?, outcome: outcome(message, kind)? },
-        "Awaiting" => Event::NeedsCall { id: id_of(message, kind)? },
+        "Inbound" => Event::RequestArrived(request(message, kind, host)?),
+        "WoundUp" => Event::RunEnded { id: id_of(message, kind)?, outcome: outcome(message, kind)? },
+        "Awaiting" => Event::CallNeeded { id: id_of(message, kind)? },
         "CallEnded" => Event::CallEnded {
             id: id_of(message, kind)?,
             outcome: outcome(message, kind)?,
             took_ms: optional(message, kind, "tookMs")?.unwrap_or(0.0),
         },
         "Withdrawn" => Event::CallerGone { id: id_of(message, kind)? },
-        "Sigterm" => Event::Leave { kill_ms: number(message, kind, "deadlineMs")? },
+        "Sigterm" => Event::DrainStarted { kill_ms: number(message, kind, "deadlineMs")? },
         "DeadlineHit" => {
             let handle = text_of(message, kind, "handle")?;
             let token = handle.parse().map_err(|_| bad(kind, "handle", "a handle given by this server"))?;
@@ -273,7 +273,7 @@
                     .collect::<Result<_, _>>()?,
                 Some(_) => return Err(bad(kind, "load", "a row of numbers")),
             };
-            Event::Timer { token, gauges }
+            Event::TimerFired { token, gauges }
         }
         other => return Err(Fault(format!("unknown message {other}"))),
     })
@@ -290,12 +290,12 @@
         id: id_of(message, kind)?,
         class,
         tenant,
-        due_ms: positive("deadlineMs")?,
-        hint_ms: positive("estimateMs")?,
+        deadline_ms: positive("deadlineMs")?,
+        work_hint_ms: positive("estimateMs")?,
         mem_kb: optional(message, kind, "memKb")?.unwrap_or(0.0),
         retry: message.get("repeat").and_then(Value::as_bool).unwrap_or(false),
         queued_ms: optional(message, kind, "queuedForMs")?.unwrap_or(0.0),
-        repeats: positive("original")?.map(|v| v as u32),
+        duplicate_of: positive("original")?.map(|v| v as u32),
         has_subject: message.contains_key("pathKey"),
     })
 }
@@ -308,30 +308,34 @@
         .ok_or_else(|| bad("Enlist", "rngSeed", "a whole number"))?;
     let info = message.get("info").ok_or_else(|| bad("Enlist", "info", "an object"))?;
     let site = Site::read(info).map_err(|e| Fault(format!("Enlist: {e}")))?;
-    let controller = Controller::new(site.settings, seed)
+    let controller = AdmissionController::new(site.settings, seed)
         .map_err(|e| Fault(format!("Enlist: field info is unusable: {e}")))?;
     Ok(Host { controller, class_names: site.class_names, tenant_names: site.tenant_names })
 }
 
 fn line(server: u64, action: &Action) -> Line<'_> {
     match *action {
-        Action::Start { id } => Line::Admit { server, txn: id },
-        Action::Refuse { id, pause_ms, last, .. } => {
-            Line::TurnAway { server, txn: id, pause_ms, dont_retry: last }
+        Action::StartRun { id } => Line::Admit { server, txn: id },
+        Action::Reject { id, retry_after_ms, last, .. } => {
+            Line::TurnAway { server, txn: id, pause_ms: retry_after_ms, dont_retry: last }
         }
         Action::Fail { id, .. } => Line::Error { server, txn: id },
-        Action::Halt { id } => Line::Preempt { server, txn: id },
-        Action::Call { id, patience_ms } => Line::GoCall { server, txn: id, patience_ms },
-        Action::Skip { id } => Line::DoWithout { server, txn: id },
-        Action::Remember { id, for_ms } => Line::StoreKey { server, txn: id, for_time_ms: for_ms },
-        Action::Forget { id } => Line::ReleaseKey { server, txn: id },
-        Action::Reuse { id } => Line::Echo { server, txn: id },
-        Action::Health { good, from_store } => Line::ReportHealth { server, enable: good, light: from_store },
-        Action::Advise { value } => Line::Stamp { server, value },
-        Action::CloseIdle { after_ms } => Line::CloseIdle { server, for_time_ms: after_ms },
-        Action::Timer { after_ms, token } => {
+        Action::CancelRun { id } => Line::Preempt { server, txn: id },
+        Action::StartCall { id, call_timeout_ms } => {
+            Line::GoCall { server, txn: id, patience_ms: call_timeout_ms }
+        }
+        Action::SkipCall { id } => Line::DoWithout { server, txn: id },
+        Action::RetainKey { id, ttl_ms } => Line::StoreKey { server, txn: id, for_time_ms: ttl_ms },
+        Action::ReleaseKey { id } => Line::ReleaseKey { server, txn: id },
+        Action::ReuseResult { id } => Line::Echo { server, txn: id },
+        Action::SetHealth { good, from_store } => {
+            Line::ReportHealth { server, enable: good, light: from_store }
+        }
+        Action::ReportLoad { value } => Line::Stamp { server, value },
+        Action::CloseIdleConnections { after_ms } => Line::CloseIdle { server, for_time_ms: after_ms },
+        Action::SetTimer { after_ms, token } => {
             Line::After { server, offset_ms: after_ms, handle: token.to_string() }
         }
-        Action::Note { ref text } => Line::Journal { server, msg: text },
+        Action::Log { ref text } => Line::Journal { server, msg: text },
     }
 }
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -179,19 +179,19 @@
             }
             class_table.push(Named::new(name));
             classes.push(Class {
-                aim_ms: c.num("promiseMs", plain.aim_ms)?,
-                deadline_ms: c.positive("deadlineMs", plain.deadline_ms)?,
-                worth: c.num("worth", plain.worth)?,
-                late_worth: c.num("lateWorth", plain.late_worth)?,
-                worth_without: without.get(i).and_then(Value::as_f64).unwrap_or(0.0),
-                aim_stretch: c.num("aimStretch", plain.aim_stretch)?,
-                effect: match c.text("effect")? {
-                    "idempotency_key" => Effect::Keyed,
-                    "non_idempotent" => Effect::Unsafe,
-                    "read_like" | "" => Effect::Read,
+                latency_objective_ms: c.num("promiseMs", plain.latency_objective_ms)?,
+                timeout_ms: c.positive("deadlineMs", plain.timeout_ms)?,
+                weight: c.num("worth", plain.weight)?,
+                late_weight: c.num("lateWorth", plain.late_weight)?,
+                weight_without_call: without.get(i).and_then(Value::as_f64).unwrap_or(0.0),
+                objective_per_work: c.num("aimStretch", plain.objective_per_work)?,
+                idempotency: match c.text("effect")? {
+                    "idempotency_key" => Idempotency::Keyed,
+                    "non_idempotent" => Idempotency::NonIdempotent,
+                    "read_like" | "" => Idempotency::ReadOnly,
                     _ => return Err(c.bad("effect", "a known kind of class")),
                 },
-                key_window_ms: c.num("keyTtlMs", plain.key_window_ms)?,
+                dedup_window_ms: c.num("keyTtlMs", plain.dedup_window_ms)?,
                 calls: flags.get(i).and_then(Value::as_bool).unwrap_or(false),
             });
         }
@@ -201,7 +201,7 @@
             let t = Section::from(entry, &format!("projects[{i}]"))?;
             tenant_names.insert(t.text("name")?.to_owned(), i);
             tenant_table.push(Named::new(t.text("name")?));
-            tenants.push(Tenant { allowance_per_s: t.num("allowancePerS", 0.0)?, retired: false });
+            tenants.push(Tenant { quota_per_s: t.num("allowancePerS", 0.0)?, retired: false });
         }
         let gauge = |name: &Value| match name.as_str().unwrap_or("") {
             "cpu_busy" => Gauge::BusyShare,
@@ -212,42 +212,42 @@
             cold: own.flag("cold")?,
             cores: own.num("cores", base.cores)?,
             memory_kb: own.num("heapKb", base.memory_kb)?,
-            run_factor: own.num("runFactor", base.run_factor)?,
+            running_memory_factor: own.num("runFactor", base.running_memory_factor)?,
             key_kb: own.num("keyKb", base.key_kb)?,
             tick_ms: top.num("tickMs", base.tick_ms)?,
             servers: top.num("servers", base.servers)?,
             callers: own.num("clientsTotal", base.callers)?,
-            fresh_ms: own.num("freshForMs", base.fresh_ms)?,
-            advice: match own.text("signal")? {
-                "level" => AdviceKind::Level,
-                "credit" => AdviceKind::Credit,
-                "weight" => AdviceKind::Weight,
-                "silent" | "" => AdviceKind::Silent,
+            read_result_ttl_ms: own.num("freshForMs", base.read_result_ttl_ms)?,
+            load_report: match own.text("signal")? {
+                "level" => LoadReportKind::Level,
+                "credit" => LoadReportKind::Credit,
+                "weight" => LoadReportKind::Weight,
+                "silent" | "" => LoadReportKind::Silent,
                 _ => return Err(own.bad("signal", "a known kind of advice")),
             },
-            halting: match own.text("preemption")? {
-                "drop" => Halting::Drops,
-                "pause" => Halting::Pauses,
-                "silent" | "" => Halting::Never,
+            preemption: match own.text("preemption")? {
+                "drop" => Preemption::Drop,
+                "pause" => Preemption::Pause,
+                "silent" | "" => Preemption::Never,
                 _ => return Err(own.bad("preemption", "a known way to stop work")),
             },
-            longest_pause_ms: if limits.flag("retryAfter")? {
+            max_retry_after_ms: if limits.flag("retryAfter")? {
                 limits.num("maxRetryAfterMs", 0.0)?
             } else {
                 0.0
             },
-            idle_ms: own.num("callerIdleMs", base.idle_ms)?,
-            calls_share: own.num("callsOut", base.calls_share)?,
-            calls_over_ms: own.num("callsOverMs", base.calls_over_ms)?,
+            caller_idle_timeout_ms: own.num("callerIdleMs", base.caller_idle_timeout_ms)?,
+            call_quota: own.num("callsOut", base.call_quota)?,
+            call_quota_window_ms: own.num("callsOverMs", base.call_quota_window_ms)?,
             call_linger_ms: own.num("lingerMs", base.call_linger_ms)?,
-            worth_by_work: top.text("worthBy")? == "work",
-            over_share_worth: top.num("overShareWorth", base.over_share_worth)?,
+            weight_by_work: top.text("worthBy")? == "work",
+            over_quota_weight: top.num("overShareWorth", base.over_quota_weight)?,
             rules: Rules {
                 answer_slack_ms: rules.num("answerSlackMs", base.rules.answer_slack_ms)?,
                 drain_grace_ms: rules.num("drainGraceMs", base.rules.drain_grace_ms)?,
-                crowd_per_core: rules.num("fallMultiple", base.rules.crowd_per_core)?,
-                cold_speed: rules.num("startCapacity", base.rules.cold_speed)?,
-                cold_ms: rules.num("coldMs", base.rules.cold_ms)?,
+                max_running_per_core: rules.num("fallMultiple", base.rules.max_running_per_core)?,
+                warm_up_initial_speed: rules.num("startCapacity", base.rules.warm_up_initial_speed)?,
+                warm_up_ms: rules.num("coldMs", base.rules.warm_up_ms)?,
             },
             classes,
             tenants,
@@ -317,7 +317,8 @@
     fn enter_class(&mut self, named: Named, class: Class) {
         let classes = &mut self.settings.classes;
         let mut indexes = self.class_table.iter().zip(classes.iter());
-        let is_same = |(known, old): (&Named, &Class)| known.name == named.name && old.effect == class.effect;
+        let is_same =
+            |(known, old): (&Named, &Class)| known.name == named.name && old.idempotency == class.idempotency;
         let index = match indexes.position(is_same) {
             Some(index) => index,
             None => {
--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -42,7 +42,7 @@
 /// apart by numbers of the core's own: the name of the request may stand for a later call of it, or for another request.
 pub trait Store {
     /// Makes a call for this request; `once` if it must not be made twice.
-    fn call(self: Rc<Self>, call: u64, rid: &str, patience_ms: f64, body: &[u8], once: bool);
+    fn call(self: Rc<Self>, call: u64, rid: &str, call_timeout_ms: f64, body: &[u8], once: bool);
     /// Gives a call up; nothing is told of its end.
     fn drop_call(&self, call: u64);
 }
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -23,7 +23,7 @@
 
 /// The longest time for which a key of these classes may be kept, with a margin, ms.
 pub fn longest_window_ms(site: &Site) -> f64 {
-    let windows = site.settings.classes.iter().map(|class| class.key_window_ms.max(class.deadline_ms));
+    let windows = site.settings.classes.iter().map(|class| class.dedup_window_ms.max(class.timeout_ms));
     windows.fold(0.0, f64::max) + WINDOW_MARGIN_MS
 }
 
@@ -181,7 +181,7 @@
     /// When a request that waits for a claim is answered in any case, ms.
     fn overdue_ms(&self, arrival: &Arrival) -> f64 {
         let class = &self.parts.site.settings.classes[arrival.class];
-        arrival.t0 + class.deadline_ms + self.overdue_slack_ms()
+        arrival.t0 + class.timeout_ms + self.overdue_slack_ms()
     }
 
     /// Ends the waits that are over.
@@ -254,7 +254,7 @@
             }
             Action::BeginServing => self.begin_serving(now),
             Action::Import(record) => self.import(now, record),
-            Action::DiscardImports => self.end_remote_tries(Outcome::Moot),
+            Action::DiscardImports => self.end_remote_tries(Outcome::NotStarted),
             Action::FailPeerKeys => self.end_remote_tries(Outcome::Failed),
             Action::KeysUnknownUntil(until_ms) => self.keys_unknown_until(now, until_ms),
             Action::DecideClaim(claim) => self.decide_claim(now, claim),
@@ -401,8 +401,8 @@
             TryResult::Failed => KeyState::Failed,
         };
         // A request that is held beyond the window of its key must not be overtaken by a run of the other process.
-        let due_ms = self.requests.get(id).map_or(0.0, |open| open.due_ms);
-        KeyRecord { key: key_name, digest, until_ms: until.max(due_ms), state }
+        let deadline_ms = self.requests.get(id).map_or(0.0, |open| open.deadline_ms);
+        KeyRecord { key: key_name, digest, until_ms: until.max(deadline_ms), state }
     }
 
     // ---- keys that the other process tells of ----
@@ -424,7 +424,7 @@
                 self.key_ended(&key, id, Outcome::Done, TryResult::Done(bytes.into()));
             }
             KeyState::Failed => self.key_ended(&key, id, Outcome::Failed, TryResult::Failed),
-            KeyState::Released => self.key_ended(&key, id, Outcome::Moot, TryResult::Failed),
+            KeyState::Released => self.key_ended(&key, id, Outcome::NotStarted, TryResult::Failed),
         }
     }
 
@@ -446,7 +446,7 @@
     /// Asks the other process whether this key may run here; the request waits for that.
     pub(super) fn claim(&mut self, now: f64, key: Key, digest: u64, arrival: Arrival) {
         let class = &self.parts.site.settings.classes[arrival.class];
-        let until_ms = arrival.t0 + class.key_window_ms.max(class.deadline_ms) + 1.0;
+        let until_ms = arrival.t0 + class.dedup_window_ms.max(class.timeout_ms) + 1.0;
         let shared = shared_key(&key);
         let Some(handover) = &mut self.handover else { return };
         if let Some(claim) = handover.claims.values_mut().find(|claim| claim.key == key) {
@@ -558,7 +558,7 @@
             self.settle(now);
         }
         // The claim does not say when its request reached the machine: it may have lain unread for so long.
-        let unread_most_ms = self.parts.site.settings.longest_deadline_ms() * UNREAD_MOST + UNREAD_MORE_MS;
+        let unread_most_ms = self.parts.site.settings.longest_timeout_ms() * UNREAD_MOST + UNREAD_MORE_MS;
         let waits = self.handover.iter().flat_map(|h| h.claims.values()).any(|claim| claim.key == *key);
         !waits && !self.keys.is_known(key, now - unread_most_ms) && self.unknown_key(now) == UnknownKey::Run
     }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -23,7 +23,8 @@
 use self::handover::Handover;
 pub use self::handover::{HandoverParts, HandoverState, longest_window_ms};
 use crate::admission::{
-    Action, Controller, Effect, Event, FailureReason, Halting, Outcome, RejectReason, Request,
+    Action, AdmissionController, Event, FailureReason, Idempotency, Outcome, Preemption, RejectReason,
+    Request,
 };
 use crate::config::site::Site;
 use crate::server::control::lifecycle::{Left, Lifecycle, Phase as Life, Times};
@@ -101,7 +102,7 @@
 pub struct Core {
     parts: Parts,
     life: Lifecycle,
-    controller: Option<Controller>,
+    controller: Option<AdmissionController>,
     callers: BTreeMap<u64, Rc<dyn Caller>>,
     requests: Requests,
     keys: Keys,
@@ -116,7 +117,7 @@
     gauges: Vec<f64>,
     watched_ms: f64,
     swept_ms: f64,
-    idle_ms: Option<f64>,
+    caller_idle_timeout_ms: Option<f64>,
     instant_keys: Vec<Key>,
     /// Requests with keys that ended in the instant in hand: number, key, digest.
     ended: Vec<(u32, Key, u64)>,
@@ -149,7 +150,7 @@
             gauges: Vec::new(),
             watched_ms: 0.0,
             swept_ms: 0.0,
-            idle_ms: None,
+            caller_idle_timeout_ms: None,
             instant_keys: Vec::new(),
             ended: Vec::new(),
             now_ms: 0.0,
@@ -312,7 +313,7 @@
                     self.requests.call_over(call);
                     self.emit(id, class, kind);
                 }
-                self.tell(now, Event::NeedsCall { id });
+                self.tell(now, Event::CallNeeded { id });
                 if over {
                     self.end_at_call(id);
                 }
@@ -342,11 +343,11 @@
         }
         let (old, settings) = (&self.parts.site.settings, &site.settings);
         // What the module said before meant something else; it says it anew.
-        if old.advice != settings.advice {
+        if old.load_report != settings.load_report {
             self.parts.status.hint.set(None);
         }
-        if old.idle_ms != settings.idle_ms {
-            self.idle_ms = None;
+        if old.caller_idle_timeout_ms != settings.caller_idle_timeout_ms {
+            self.caller_idle_timeout_ms = None;
         }
         self.life.reconfigure(times(&site, stop_ms), site.listed_by_health);
         self.keys.set_results_most(results_most(memory_mb));
@@ -364,15 +365,15 @@
     /// let this one run its key.
     fn admit(&mut self, now: f64, arrival: Arrival, claimed: bool) {
         let class = &self.parts.site.settings.classes[arrival.class];
-        let key = match class.effect {
-            Effect::Keyed => arrival.token.clone().map(|token| (KEYED, token)),
-            Effect::Read if self.parts.site.settings.fresh_ms > 0.0 => {
+        let key = match class.idempotency {
+            Idempotency::Keyed => arrival.token.clone().map(|token| (KEYED, token)),
+            Idempotency::ReadOnly if self.parts.site.settings.read_result_ttl_ms > 0.0 => {
                 arrival.subject.clone().map(|subject| (arrival.class, subject))
             }
             _ => None,
         };
-        let effect = class.effect;
-        let due_ms = arrival.t0 + class.deadline_ms;
+        let idempotency = class.idempotency;
+        let deadline_ms = arrival.t0 + class.timeout_ms;
         // All that was read before has its answer, and the process ends in a moment.
         if self.life.phase() >= Life::Finishing {
             self.turn_back(now, &arrival, &Reply::Failed { late: true, why: FailureReason::Stop });
@@ -386,14 +387,16 @@
         }
         // A name in use would mix up two runs. This try has not run, but another of its request may have an effect.
         if self.requests.by_rid(&arrival.rid).is_some() {
-            let reply = match class.effect {
-                Effect::Read => Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::NameInUse },
+            let reply = match class.idempotency {
+                Idempotency::ReadOnly => {
+                    Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::NameInUse }
+                }
                 _ => Reply::Failed { late: false, why: FailureReason::NameInUse },
             };
             self.turn_back(now, &arrival, &reply);
             return;
         }
-        let unread_most = class.deadline_ms * UNREAD_MOST + UNREAD_MORE_MS;
+        let unread_most = class.timeout_ms * UNREAD_MOST + UNREAD_MORE_MS;
         if !(-AHEAD_MOST_MS..=unread_most).contains(&(now - arrival.t0)) {
             count(&self.parts.counters.bad_times);
             self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::BadTime });
@@ -413,8 +416,8 @@
             self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::OtherBody });
             return;
         }
-        let repeats = key.as_ref().and_then(|key| self.keys.kept_try(key, arrival.t0));
-        if let (Effect::Keyed, Some(key), None, false) = (effect, &key, repeats, claimed) {
+        let duplicate_of = key.as_ref().and_then(|key| self.keys.kept_try(key, arrival.t0));
+        if let (Idempotency::Keyed, Some(key), None, false) = (idempotency, &key, duplicate_of, claimed) {
             match self.unknown_key(now) {
                 UnknownKey::Run => {}
                 UnknownKey::Fail => {
@@ -428,12 +431,12 @@
                 }
             }
         }
-        if repeats.is_some() {
+        if duplicate_of.is_some() {
             count(&self.parts.counters.repeats);
         }
         let (has_subject, retry) = (arrival.subject.is_some(), arrival.again);
         let (class, tenant, mem_kb, t0) = (arrival.class, arrival.tenant, arrival.mem_kb, arrival.t0);
-        let hint_ms = arrival.est_ms;
+        let work_hint_ms = arrival.est_ms;
         let read = read_kind(now, &arrival);
         let id = self.requests.enter(Open {
             caller_id: arrival.caller.id(),
@@ -444,14 +447,14 @@
             t0,
             read_ms: now,
             began_ms: now,
-            hint_ms,
+            work_hint_ms,
             degraded: false,
-            due_ms,
+            deadline_ms,
             key,
             body: arrival.body,
             digest,
             phase: Phase::Held,
-            repeats,
+            duplicate_of,
             need: (0, Vec::new()),
             feed: None,
             fed: None,
@@ -466,15 +469,15 @@
             id,
             class,
             tenant,
-            due_ms: None,
-            hint_ms,
+            deadline_ms: None,
+            work_hint_ms,
             mem_kb,
             retry,
             queued_ms,
-            repeats,
+            duplicate_of,
             has_subject,
         };
-        self.tell(now, Event::Arrived(request));
+        self.tell(now, Event::RequestArrived(request));
     }
 
     /// Answers a request that the module does not get to see.
@@ -536,9 +539,9 @@
         }
         let mut settings = self.parts.site.settings.clone();
         settings.cold = cold;
-        match Controller::new(settings, self.parts.seed) {
+        match AdmissionController::new(settings, self.parts.seed) {
             Ok(mut controller) => {
-                controller.handle(began_ms, Event::Begin, &mut self.actions);
+                controller.handle(began_ms, Event::Started, &mut self.actions);
                 self.controller = Some(controller);
                 self.emit_process_event(ProcessEvent::Started { cold });
                 self.life.set_healthy(true);
@@ -583,7 +586,7 @@
             && let Some(asked) = self.asked.remove(at)
         {
             let gauges = self.gauges.clone();
-            self.tell(now, Event::Timer { token: asked.token, gauges });
+            self.tell(now, Event::TimerFired { token: asked.token, gauges });
         }
     }
 
@@ -601,7 +604,7 @@
             RunEnd::Complete(bytes) => (Outcome::Done, RunOutcome::Complete, Ok(bytes)),
             RunEnd::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunError)),
             RunEnd::Cancelled => (Outcome::Cancelled, RunOutcome::Stopped, Err(FailureReason::RunStopped)),
-            RunEnd::Unknown => (Outcome::Moot, RunOutcome::Unknown, Err(FailureReason::RunUnknown)),
+            RunEnd::Unknown => (Outcome::NotStarted, RunOutcome::Unknown, Err(FailureReason::RunUnknown)),
         };
         if calling {
             self.emit_for(id, |open| call_dropped(now, open));
@@ -611,7 +614,7 @@
             Ok(bytes) => self.answer(id, Reply::Served(bytes.clone()), false),
             Err(why) => self.answer(id, Reply::Failed { late: false, why: *why }, false),
         }
-        self.tell(now, Event::Finished { id, outcome });
+        self.tell(now, Event::RunEnded { id, outcome });
         let key = self.requests.get(id).and_then(|open| open.key.clone());
         self.forget_request(id);
         if let Some(key) = key {
@@ -623,7 +626,7 @@
     /// have run, it leaves nothing: the next try is a first one.
     fn key_ended(&mut self, key: &Key, id: u32, outcome: Outcome, result: TryResult) {
         self.touch(key);
-        let (waiters, dropped) = self.keys.ended(key, id, result.clone(), outcome == Outcome::Moot);
+        let (waiters, dropped) = self.keys.ended(key, id, result.clone(), outcome == Outcome::NotStarted);
         for waiter in waiters {
             self.answer_repeat(waiter, &result);
         }
@@ -650,7 +653,7 @@
         };
         self.forget_request(id);
         // Told after the batch in hand, as this may be the carrying out of an action.
-        self.follow_up.push_back(Event::Finished { id, outcome });
+        self.follow_up.push_back(Event::RunEnded { id, outcome });
     }
 
     fn call_ended(&mut self, now: f64, call: u64, outcome: Outcome, reply: Option<Vec<u8>>) {
@@ -664,7 +667,7 @@
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::Unreachable => CallOutcome::Unreachable,
             Outcome::Reset => CallOutcome::Reset,
-            Outcome::Failed | Outcome::Cancelled | Outcome::Moot => CallOutcome::Failed,
+            Outcome::Failed | Outcome::Cancelled | Outcome::NotStarted => CallOutcome::Failed,
         };
         let class = open.class;
         match (outcome, reply) {
@@ -712,7 +715,7 @@
         let kill_ms = at_ms + self.parts.stop_ms;
         self.publish();
         self.emit_process_event(ProcessEvent::Draining { kill_ms });
-        self.tell(at_ms, Event::Leave { kill_ms });
+        self.tell(at_ms, Event::DrainStarted { kill_ms });
         // One that never served goes at once.
         if self.life.phase() == Life::Closing {
             self.close_doors();
@@ -812,7 +815,7 @@
             if let Some(asked) = self.asked.pop_front() {
                 count(&self.parts.counters.stale_gauges);
                 let gauges = self.gauges.clone();
-                self.tell(now, Event::Timer { token: asked.token, gauges });
+                self.tell(now, Event::TimerFired { token: asked.token, gauges });
             }
         }
         if now >= self.watched_ms + WATCH_MS {
@@ -842,12 +845,12 @@
     fn watch(&mut self, now: f64) {
         let slack = self.overdue_slack_ms();
         let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
-        let late = owed.filter(|(_, open)| now >= open.due_ms + slack);
+        let late = owed.filter(|(_, open)| now >= open.deadline_ms + slack);
         for id in late.map(|(id, _)| id).collect::<Vec<_>>() {
             count(&self.parts.counters.overdue);
             self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Overdue });
         }
-        if let Some(after_ms) = self.idle_ms {
+        if let Some(after_ms) = self.caller_idle_timeout_ms {
             self.callers.values().for_each(|caller| caller.leave_if_idle(now - after_ms));
         }
         self.tell_connections(now);
@@ -870,7 +873,7 @@
             while let Some(event) = self.follow_up.pop_front() {
                 self.tell(now, event);
             }
-            self.tell(now, Event::Settled);
+            self.tell(now, Event::BatchEnded);
             let actions = std::mem::take(&mut self.actions);
             actions.into_iter().for_each(|action| self.carry_out(now, action));
             if self.follow_up.is_empty() {
@@ -883,20 +886,20 @@
 
     fn carry_out(&mut self, now: f64, action: Action) {
         match action {
-            Action::Start { id } => self.start(now, id),
-            Action::Refuse { id, pause_ms, last, why } => {
+            Action::StartRun { id } => self.start(now, id),
+            Action::Reject { id, retry_after_ms, last, why } => {
                 self.emit_for(id, |_| RequestEventKind::Decided(Decision::Reject(why)));
-                self.answer(id, Reply::Refused { backoff_ms: pause_ms, last, why }, false);
+                self.answer(id, Reply::Refused { backoff_ms: retry_after_ms, last, why }, false);
                 self.drop_unrun(id);
             }
             Action::Fail { id, why } => {
-                let late = self.requests.get(id).is_some_and(|open| now + WATCH_MS >= open.due_ms);
+                let late = self.requests.get(id).is_some_and(|open| now + WATCH_MS >= open.deadline_ms);
                 self.emit_for(id, |_| RequestEventKind::Decided(Decision::Fail(why)));
                 self.answer(id, Reply::Failed { late, why }, false);
                 self.drop_unrun(id);
                 self.end_at_call(id);
             }
-            Action::Halt { id } => {
+            Action::CancelRun { id } => {
                 if let Some(open) = self.requests.in_phase(id, Phase::Running) {
                     count(&self.parts.counters.halts);
                     open.halted = true;
@@ -904,18 +907,19 @@
                     self.parts.engine.halt(&open.rid);
                 }
             }
-            Action::Call { id, patience_ms } => {
+            Action::StartCall { id, call_timeout_ms } => {
                 if self.requests.in_phase(id, Phase::AtCall).is_some()
                     && let Some(call) = self.requests.called(id, now)
                     && let Some(open) = self.requests.get(id)
                 {
                     count(&self.parts.counters.calls);
-                    let once = self.parts.site.settings.classes[open.class].effect != Effect::Read;
-                    self.parts.store.clone().call(call, &open.rid, patience_ms, &open.need.1, once);
+                    let once =
+                        self.parts.site.settings.classes[open.class].idempotency != Idempotency::ReadOnly;
+                    self.parts.store.clone().call(call, &open.rid, call_timeout_ms, &open.need.1, once);
                     self.emit_for(id, |_| RequestEventKind::CallStarted);
                 }
             }
-            Action::Skip { id } => {
+            Action::SkipCall { id } => {
                 if let Some(open) = self.requests.in_phase(id, Phase::AtCall) {
                     open.degraded = true;
                     self.emit_for(id, |_| RequestEventKind::CallSkipped);
@@ -923,36 +927,36 @@
                     self.go_on(id, Feed::Nothing);
                 }
             }
-            Action::Remember { id, for_ms } => self.remember(now, id, for_ms),
-            Action::Forget { id } => {
+            Action::RetainKey { id, ttl_ms } => self.remember(now, id, ttl_ms),
+            Action::ReleaseKey { id } => {
                 if let Some((key, _)) = self.key_of(id) {
                     self.touch(&key);
                     self.keys.forget(&key, id);
                 }
             }
-            Action::Reuse { id } => self.reuse(id),
-            Action::Health { good, .. } => {
+            Action::ReuseResult { id } => self.reuse(id),
+            Action::SetHealth { good, .. } => {
                 self.life.set_healthy(good);
                 self.publish();
             }
-            Action::Advise { value } => self.parts.status.hint.set(Some(value)),
-            Action::CloseIdle { after_ms } => self.idle_ms = Some(after_ms),
-            Action::Timer { after_ms, token } => self.timers.push((now + after_ms, token)),
-            Action::Note { text } => tracing::info!(text, "module"),
+            Action::ReportLoad { value } => self.parts.status.hint.set(Some(value)),
+            Action::CloseIdleConnections { after_ms } => self.caller_idle_timeout_ms = Some(after_ms),
+            Action::SetTimer { after_ms, token } => self.timers.push((now + after_ms, token)),
+            Action::Log { text } => tracing::info!(text, "module"),
         }
     }
 
     fn start(&mut self, now: f64, id: u32) {
         let Some(open) = self.requests.in_phase(id, Phase::Held) else { return };
         let class = &self.parts.site.settings.classes[open.class];
-        if let (Effect::Keyed, Some(key)) = (class.effect, &open.key) {
-            let until = open.t0 + class.key_window_ms + 1.0;
+        if let (Idempotency::Keyed, Some(key)) = (class.idempotency, &open.key) {
+            let until = open.t0 + class.dedup_window_ms + 1.0;
             let start = Start { id, digest: open.digest, t0: open.t0, until };
             if self.keys.start(key, start).is_err() {
                 count(&self.parts.counters.doubles_prevented);
                 self.answer(id, Reply::Failed { late: false, why: FailureReason::AlreadyRan }, false);
                 self.forget_request(id);
-                self.follow_up.push_back(Event::Finished { id, outcome: Outcome::Moot });
+                self.follow_up.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
                 return;
             }
         }
@@ -978,17 +982,17 @@
         })
     }
 
-    fn remember(&mut self, now: f64, id: u32, for_ms: f64) {
+    fn remember(&mut self, now: f64, id: u32, ttl_ms: f64) {
         if let Some((key, digest)) = self.key_of(id) {
             self.touch(&key);
-            self.keys.remember(key, id, digest, now + for_ms);
+            self.keys.remember(key, id, digest, now + ttl_ms);
         }
     }
 
     fn reuse(&mut self, id: u32) {
         let Some(open) = self.requests.in_phase(id, Phase::Held) else { return };
         open.phase = Phase::Waiting;
-        let (key, first) = (open.key.clone(), open.repeats);
+        let (key, first) = (open.key.clone(), open.duplicate_of);
         self.emit_for(id, |_| RequestEventKind::Decided(Decision::ReuseResult));
         let remote = key.as_ref().and_then(|key| self.keys.remote_try(key));
         let under_way =
@@ -1005,7 +1009,11 @@
         let ticket = open.ticket;
         self.count_answer(open.class, &reply);
         let took_ms = self.now_ms - open.t0;
-        self.emit(id, open.class, answer_kind(&reply, deduplicated, open.degraded, open.hint_ms, took_ms));
+        self.emit(
+            id,
+            open.class,
+            answer_kind(&reply, deduplicated, open.degraded, open.work_hint_ms, took_ms),
+        );
         caller.answer(ticket, &reply);
     }
 
@@ -1025,7 +1033,7 @@
             open.phase = Phase::AtCall;
             dropped = Some((open.call, open.class, call_dropped(self.now_ms, open)));
         }
-        let may_halt = self.parts.site.settings.halting != Halting::Never;
+        let may_halt = self.parts.site.settings.preemption != Preemption::Never;
         if open.phase == Phase::AtCall && !open.halted && may_halt {
             open.halted = true;
             open.commanded = self.asks;
@@ -1049,7 +1057,7 @@
 
 /// The times of a drain.
 fn times(site: &Site, stop_ms: f64) -> Times {
-    let longest_ms = site.settings.longest_deadline_ms().min(HANDOVER_DEADLINE_MOST_MS);
+    let longest_ms = site.settings.longest_timeout_ms().min(HANDOVER_DEADLINE_MOST_MS);
     let handover_stop_ms = stop_ms.min(longest_ms + HANDOVER_MARGIN_MS);
     Times { grace_ms: site.settings.rules.drain_grace_ms, stop_ms, handover_stop_ms }
 }
@@ -1060,15 +1068,20 @@
 }
 
 fn read_kind(now: f64, arrival: &Arrival) -> RequestEventKind {
-    let (protocol, retry, hint_ms) = (arrival.front, arrival.again, arrival.est_ms);
-    RequestEventKind::Received { protocol, retry, hint_ms, read_delay_ms: (now - arrival.t0).max(0.0) }
+    let (protocol, retry, work_hint_ms) = (arrival.front, arrival.again, arrival.est_ms);
+    RequestEventKind::Received {
+        protocol,
+        retry,
+        hint_ms: work_hint_ms,
+        read_delay_ms: (now - arrival.t0).max(0.0),
+    }
 }
 
 fn answer_kind(
     reply: &Reply,
     deduplicated: bool,
     degraded: bool,
-    hint_ms: Option<f64>,
+    work_hint_ms: Option<f64>,
     took_ms: f64,
 ) -> RequestEventKind {
     let answer = match reply {
@@ -1079,7 +1092,7 @@
         Reply::Refused { why, .. } => Answer::Rejected(*why),
         Reply::Failed { why, .. } => Answer::Failed(*why),
     };
-    RequestEventKind::Answered { answer, hint_ms, took_ms }
+    RequestEventKind::Answered { answer, hint_ms: work_hint_ms, took_ms }
 }
 
 fn call_dropped(now: f64, open: &Open) -> RequestEventKind {
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -50,11 +50,11 @@
     /// When its run was begun, ms.
     pub began_ms: f64,
     /// Work hint, ms.
-    pub hint_ms: Option<f64>,
+    pub work_hint_ms: Option<f64>,
     /// Its run went on without a call.
     pub degraded: bool,
     /// When its caller stops waiting, ms.
-    pub due_ms: f64,
+    pub deadline_ms: f64,
     /// Its key, or the subject that reads share.
     pub key: Option<Key>,
     /// The work.
@@ -64,7 +64,7 @@
     /// Where it stands.
     pub phase: Phase,
     /// The kept try whose result it asks for.
-    pub repeats: Option<u32>,
+    pub duplicate_of: Option<u32>,
     /// The notice that asked for the call, and what the call is to carry.
     pub need: (u64, Vec<u8>),
     /// What the run goes on with after its last call, until a later notice shows that the engine has it.
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use futures_lite::future;
 
-use crate::admission::Effect;
+use crate::admission::Idempotency;
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, Input, Reply};
 use crate::server::frontend::connection::{self, Intake, Stop, Writer};
@@ -277,12 +277,12 @@
         let name = self.path.strip_prefix('/').unwrap_or_default();
         let class = site.class_of(name, now_ms).ok_or(Status(404))?;
         let token = self.word("token")?;
-        if site.settings.classes[class].effect == Effect::Keyed && token.is_none() {
+        if site.settings.classes[class].idempotency == Idempotency::Keyed && token.is_none() {
             return Err(Status(400));
         }
         let est_ms = self.number("est")?;
         let mem_kb = self.number("mem")?;
-        let est_below = site.settings.classes[class].deadline_ms * EST_MOST;
+        let est_below = site.settings.classes[class].timeout_ms * EST_MOST;
         // As strict as the other front: what is out of range is not clamped, it is nobody's figure.
         let out_of = |value: Option<f64>, below: f64| value.is_some_and(|v| v <= 0.0 || v >= below);
         if out_of(est_ms, est_below) || out_of(mem_kb, MEM_BELOW_KB) {
@@ -526,7 +526,7 @@
         Ok(head) => head,
         Err(Status(status)) => return bad(status, length == BodyLength::Known(0) && status != 403),
     };
-    let until = t0 + site.settings.classes[head.class].deadline_ms;
+    let until = t0 + site.settings.classes[head.class].timeout_ms;
     let mut body = Vec::new();
     let wanted = match length {
         BodyLength::Known(n) if n > BODY_MOST => return bad(413, false),
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -71,7 +71,8 @@
 /// Completes when the connection should go, or all that is left was answered.
 fn guard(guest: Rc<Guest>, front: Rc<Front>) -> Pin<Box<dyn Future<Output = Event>>> {
     Box::pin(async move {
-        let should_go = async { Event::ShouldGo(guest.should_go(&front.clock, front.idle_ms()).await) };
+        let should_go =
+            async { Event::ShouldGo(guest.should_go(&front.clock, front.caller_idle_timeout_ms()).await) };
         let finishing = async {
             front.status.finishing.passed().await;
             Event::Finishing
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -127,14 +127,14 @@
     }
 
     /// Completes, with the reason, when the connection should go: nothing is under way on it, and it made way or said
-    /// nothing for too long. `idle_ms` is the time after which routers close idle ones themselves: what is left after it
+    /// nothing for too long. `caller_idle_timeout_ms` is the time after which routers close idle ones themselves: what is left after it
     /// belongs to none that lives.
-    pub async fn should_go(&self, clock: &Clock, idle_ms: f64) -> &'static str {
+    pub async fn should_go(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
         loop {
             let (limit_ms, reason) = match (self.spoke.get(), self.told_ms.get()) {
                 (false, _) => (MESSAGE_MS, "silent"),
                 (true, Some(stays_ms)) => (stays_ms, "told-to-go"),
-                (true, None) => (idle_ms, "idle"),
+                (true, None) => (caller_idle_timeout_ms, "idle"),
             };
             let now = clock.now();
             let at = self.used_ms.get() + limit_ms;
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -32,7 +32,9 @@
 
 impl Front {
     /// Time after which callers close idle connections, ms. Not told, it is left to them and to the want of room.
-    pub fn idle_ms(&self) -> f64 {
-        Some(self.deployment.site().settings.idle_ms).filter(|ms| *ms > 0.0).unwrap_or(f64::INFINITY)
+    pub fn caller_idle_timeout_ms(&self) -> f64 {
+        Some(self.deployment.site().settings.caller_idle_timeout_ms)
+            .filter(|ms| *ms > 0.0)
+            .unwrap_or(f64::INFINITY)
     }
 }
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use futures_lite::future;
 
-use crate::admission::Effect;
+use crate::admission::Idempotency;
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, Input, Reply};
 use crate::server::frontend::connection::{self, Intake, Stop, Writer};
@@ -328,13 +328,13 @@
     let hex = |word: &str, n: usize| word.len() == n && word.bytes().all(|b| b.is_ascii_hexdigit());
     let rid = text("rid")?.filter(|word| hex(word, 16)).ok_or("BadField")?;
     let settings = &site.settings.classes[class];
-    let keyed = settings.effect == Effect::Keyed;
+    let keyed = settings.idempotency == Idempotency::Keyed;
     let (token, subject, again) = (text("token")?, text("obj")?, text("again")?);
     let fits = |word: Option<&str>| word.is_none_or(|w| (1..=64).contains(&w.len()));
     if keyed && token.is_none() || !fits(token) || !fits(subject) || again.is_some_and(|word| word != "1") {
         return Err("BadField");
     }
-    let est_ms = within("est", f64::MIN_POSITIVE, settings.deadline_ms * EST_MOST)?;
+    let est_ms = within("est", f64::MIN_POSITIVE, settings.timeout_ms * EST_MOST)?;
     let mem_kb = within("mem", f64::MIN_POSITIVE, MEM_BELOW_KB)?.unwrap_or(0.0);
     within("prio", 0.0, 1.0)?;
     within("peer", 0.0, f64::INFINITY)?;
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -10,7 +10,7 @@
 use pinepoint_telemetry::schema::Schema;
 use pinepoint_telemetry::{Parts, Setup, Source, Telemetry};
 
-use crate::admission::View;
+use crate::admission::AdmissionSnapshot;
 use crate::config::site::Site;
 use crate::server::core::api::Input;
 use crate::server::observability::counters::Counters;
@@ -65,17 +65,17 @@
 /// Tells telemetry of the classes in force, before anything happens to a request of a new one.
 pub fn set_classes(telemetry: &Telemetry, site: &Site) {
     let (names, classes) = classes_of(site);
-    telemetry.set_classes(&names, classes, site.settings.worth_by_work);
+    telemetry.set_classes(&names, classes, site.settings.weight_by_work);
 }
 
 /// Name and terms of each class, by index.
 fn classes_of(site: &Site) -> (Vec<String>, Vec<Class>) {
     let terms = |class: &crate::admission::Class| Class {
-        aim_ms: class.aim_ms,
-        aim_stretch: class.aim_stretch,
-        worth: class.worth,
-        late_worth: class.late_worth,
-        worth_without: class.worth_without,
+        aim_ms: class.latency_objective_ms,
+        aim_stretch: class.objective_per_work,
+        worth: class.weight,
+        late_worth: class.late_weight,
+        worth_without: class.weight_without_call,
     };
     let classes = site.settings.classes.iter();
     classes.enumerate().map(|(at, class)| (site.class_name(at).to_owned(), terms(class))).unzip()
@@ -86,11 +86,11 @@
     let Host { name, site, seed, clock, executor, queue, counters } = host;
     let (names, classes) = classes_of(&site);
     let node: Vec<&'static str> = counters.list().into_iter().map(|(name, _)| name).collect();
-    let module = View::NAMES;
+    let module = AdmissionSnapshot::NAMES;
     let parts = Parts {
         schema: Rc::new(Schema::new(&names, &node, &module)),
         classes,
-        by_work: site.settings.worth_by_work,
+        by_work: site.settings.weight_by_work,
         host: name,
         clock,
         executor,
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -414,7 +414,7 @@
         &self,
         rid: &str,
         call: &[u8],
-        patience_ms: f64,
+        call_timeout_ms: f64,
         once: bool,
     ) -> Result<(Outcome, Option<Vec<u8>>), Outcome> {
         let used = if once { None } else { self.used(rid) };
@@ -432,7 +432,7 @@
         };
         connection.rid = rid.to_owned();
         // From here on it may have run, whatever becomes of the connection.
-        let until = self.clock.now() + patience_ms + CALL_MARGIN_MS;
+        let until = self.clock.now() + call_timeout_ms + CALL_MARGIN_MS;
         let end = self.reply(rid, call, until, &connection.stream).await;
         match end {
             Ok((line, outcome, alone)) => {
@@ -503,13 +503,13 @@
 impl api::Store for StoreLink {
     /// One that must not be made twice gets a connection of its own: the reset of a used one, forgotten by the
     /// store, would leave it uncertain though it never ran.
-    fn call(self: Rc<Self>, call: u64, rid: &str, patience_ms: f64, body: &[u8], once: bool) {
-        let patience_ms = patience_ms.max(1.0);
+    fn call(self: Rc<Self>, call: u64, rid: &str, call_timeout_ms: f64, body: &[u8], once: bool) {
+        let call_timeout_ms = call_timeout_ms.max(1.0);
         let mut bytes = Vec::new();
-        with_body(&mut bytes, &format!("CALL {rid} {patience_ms:.0}"), body);
+        with_body(&mut bytes, &format!("CALL {rid} {call_timeout_ms:.0}"), body);
         let (link, rid) = (self.clone(), rid.to_owned());
         let conversation = async move {
-            let (outcome, reply) = match link.converse(&rid, &bytes, patience_ms, once).await {
+            let (outcome, reply) = match link.converse(&rid, &bytes, call_timeout_ms, once).await {
                 Ok((outcome, reply)) => (outcome, reply),
                 Err(outcome) => (outcome, None),
             };
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use pinepoint::admission::{Effect, Outcome};
+use pinepoint::admission::{Idempotency, Outcome};
 use pinepoint::config::site::Site;
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::{
@@ -132,20 +132,24 @@
         site.settings = pinepoint::admission::Settings {
             cores: 2.0,
             memory_kb,
-            calls_share: if memory_kb > 10_000.0 { 8.0 } else { 0.0 },
-            calls_over_ms: if memory_kb > 10_000.0 { 5000.0 } else { 0.0 },
-            run_factor: 4.0,
+            call_quota: if memory_kb > 10_000.0 { 8.0 } else { 0.0 },
+            call_quota_window_ms: if memory_kb > 10_000.0 { 5000.0 } else { 0.0 },
+            running_memory_factor: 4.0,
             ..Default::default()
         };
         let class = pinepoint::admission::Class {
-            deadline_ms: 3000.0,
-            aim_ms: 900.0,
+            timeout_ms: 3000.0,
+            latency_objective_ms: 900.0,
             calls: true,
             ..Default::default()
         };
-        let keyed =
-            pinepoint::admission::Class { effect: Effect::Keyed, key_window_ms: 5000.0, ..class.clone() };
-        site.settings.classes = vec![pinepoint::admission::Class { worth_without: 0.3, ..class }, keyed];
+        let keyed = pinepoint::admission::Class {
+            idempotency: Idempotency::Keyed,
+            dedup_window_ms: 5000.0,
+            ..class.clone()
+        };
+        site.settings.classes =
+            vec![pinepoint::admission::Class { weight_without_call: 0.3, ..class }, keyed];
         site.settings.gauges =
             vec![pinepoint::admission::Gauge::BusyShare, pinepoint::admission::Gauge::Runnable];
         site.settings.rules.answer_slack_ms = 100.0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use pinepoint::admission::*;
 
 pub struct Bench {
-    pub controller: Controller,
+    pub controller: AdmissionController,
     pub now: f64,
     pub log: Vec<Action>,
     pub timers: Vec<(f64, u32)>,
@@ -14,14 +14,19 @@
     Settings {
         cores: 2.0,
         memory_kb: 100_000.0,
-        run_factor: 4.0,
+        running_memory_factor: 4.0,
         key_kb: 10.0,
         tick_ms: 5.0,
-        longest_pause_ms: 1000.0,
-        advice: AdviceKind::Weight,
+        max_retry_after_ms: 1000.0,
+        load_report: LoadReportKind::Weight,
         classes: vec![
-            Class { worth: 1.0, ..Class::default() },
-            Class { worth: 3.0, effect: Effect::Keyed, key_window_ms: 8000.0, ..Class::default() },
+            Class { weight: 1.0, ..Class::default() },
+            Class {
+                weight: 3.0,
+                idempotency: Idempotency::Keyed,
+                dedup_window_ms: 8000.0,
+                ..Class::default()
+            },
         ],
         rules: Rules { answer_slack_ms: 60.0, drain_grace_ms: 500.0, ..Rules::default() },
         gauges: vec![Gauge::BusyShare, Gauge::Runnable],
@@ -30,18 +35,18 @@
 }
 
 pub fn request(id: u32, class: usize) -> Request {
-    Request { id, class, mem_kb: 20.0, due_ms: None, ..Request::default() }
+    Request { id, class, mem_kb: 20.0, deadline_ms: None, ..Request::default() }
 }
 
 impl Bench {
     pub fn new(settings: Settings) -> Self {
         let mut bench = Bench {
-            controller: Controller::new(settings, 1).expect("sound settings"),
+            controller: AdmissionController::new(settings, 1).expect("sound settings"),
             now: 0.0,
             log: vec![],
             timers: vec![],
         };
-        bench.tell(Event::Begin);
+        bench.tell(Event::Started);
         bench
     }
 
@@ -49,7 +54,7 @@
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
-        self.controller.handle(self.now, Event::Settled, &mut out);
+        self.controller.handle(self.now, Event::BatchEnded, &mut out);
         self.note(&out);
         out
     }
@@ -60,14 +65,14 @@
         for event in events {
             self.controller.handle(self.now, event, &mut out);
         }
-        self.controller.handle(self.now, Event::Settled, &mut out);
+        self.controller.handle(self.now, Event::BatchEnded, &mut out);
         self.note(&out);
         out
     }
 
     fn note(&mut self, out: &[Action]) {
         for action in out {
-            if let Action::Timer { after_ms, token } = action {
+            if let Action::SetTimer { after_ms, token } = action {
                 self.timers.push((self.now + after_ms, *token));
             }
         }
@@ -75,7 +80,7 @@
     }
 
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Arrived(request))
+        self.tell(Event::RequestArrived(request))
     }
 
     /// Lets time pass; timers go off with these gauges.
@@ -89,7 +94,7 @@
             let index = self.timers.iter().position(|t| t.0 == at).expect("just found");
             let (_, token) = self.timers.remove(index);
             self.now = at;
-            all.extend(self.tell(Event::Timer { token, gauges: vec![busy, runnable] }));
+            all.extend(self.tell(Event::TimerFired { token, gauges: vec![busy, runnable] }));
         }
         self.now = until;
         all
@@ -97,11 +102,11 @@
 }
 
 pub fn started(actions: &[Action], id: u32) -> bool {
-    actions.contains(&Action::Start { id })
+    actions.contains(&Action::StartRun { id })
 }
 
 pub fn refused(actions: &[Action], id: u32) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
 pub fn failed(actions: &[Action], id: u32) -> bool {
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -70,7 +70,8 @@
     let facts = bench.seen.facts.borrow();
     let words: Vec<String> =
         facts.iter().map(|f| format!("{:?}", f.kind).split([' ', '(']).next().unwrap().to_owned()).collect();
-    assert_eq!(words, ["Read", "Decided", "RunBegan", "CallMade", "CallOver", "RunOver", "Answered"]);
+    let expected = ["Received", "Decided", "RunStarted", "CallStarted", "CallEnded", "RunEnded", "Answered"];
+    assert_eq!(words, expected);
     assert!(facts.iter().all(|fact| fact.id == 1));
     assert_eq!(*bench.seen.turns.borrow(), [ProcessEvent::Started { cold: false }]);
 }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pinepoint::admission::Effect;
+use pinepoint::admission::Idempotency;
 use pinepoint::config::site::Site;
 use pinepoint::server::control::lifecycle::Phase as Life;
 use pinepoint::server::control::status::Status;
@@ -57,8 +57,8 @@
 pub fn site(classes: &[ClassSpec]) -> Site {
     let services: Vec<Value> = classes
         .iter()
-        .map(|(name, effect)| {
-            json!({"name": name, "effect": effect, "promiseMs": 900, "deadlineMs": DEADLINE_MS, "worth": 1,
+        .map(|(name, idempotency)| {
+            json!({"name": name, "effect": idempotency, "promiseMs": 900, "deadlineMs": DEADLINE_MS, "worth": 1,
                 "keyTtlMs": WINDOW_MS})
         })
         .collect();
@@ -141,7 +141,7 @@
 pub struct Read {
     pub ticket: u64,
     pub read_ms: f64,
-    pub due_ms: f64,
+    pub deadline_ms: f64,
     /// It was given up, or its connection was closed, by its caller.
     pub given_up: bool,
     caller: u64,
@@ -306,7 +306,7 @@
     ) -> Option<String> {
         let process = &self.processes[index];
         let class_index = process.site.class_of(class, self.now)?;
-        let keyed = process.site.settings.classes[class_index].effect == Effect::Keyed;
+        let keyed = process.site.settings.classes[class_index].idempotency == Idempotency::Keyed;
         self.tickets += 1;
         let ticket = self.tickets;
         let rid = format!("r{ticket}");
@@ -328,7 +328,7 @@
             subject: None,
             tenant: None,
         };
-        let read = Read { ticket, read_ms: self.now, due_ms: t0 + DEADLINE_MS, given_up: false, caller };
+        let read = Read { ticket, read_ms: self.now, deadline_ms: t0 + DEADLINE_MS, given_up: false, caller };
         self.processes[index].reads.push(read);
         self.turn(index, |core, now| core.take(now, Input::Request(Box::new(arrival))));
         Some(rid)
@@ -643,12 +643,12 @@
         for read in &process.reads {
             let answers = process.answers(read).len();
             assert!(answers <= 1, "{} answered {answers} times by process {index}", read.ticket);
-            let late = now > read.due_ms.max(read.read_ms) + ANSWER_SLACK_MS;
+            let late = now > read.deadline_ms.max(read.read_ms) + ANSWER_SLACK_MS;
             assert!(
                 answers == 1 || read.given_up || !late,
                 "{} of process {index}, due at {}, read at {}, is not answered at {now}",
                 read.ticket,
-                read.due_ms,
+                read.deadline_ms,
                 read.read_ms
             );
         }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -77,7 +77,7 @@
     due: f64,
     arrived: f64,
     read: f64,
-    effect: bool,
+    idempotency: bool,
     without: bool,
     starts: u32,
     answers: u32,
@@ -101,18 +101,18 @@
         let ran: Vec<u32> = self.known.iter().filter(|(_, e)| e.starts > 0).map(|(id, _)| *id).collect();
         for action in actions {
             match *action {
-                Action::Start { id } => {
+                Action::StartRun { id } => {
                     let entry = self.known.get_mut(&id).expect("only requests that arrived are started");
                     assert_eq!((entry.answers, entry.starts), (0, 0), "request {id} started again or late");
-                    assert!(!entry.effect || self.kept.contains_key(&id), "keyed run without an entry");
+                    assert!(!entry.idempotency || self.kept.contains_key(&id), "keyed run without an entry");
                     let late = self.left.is_some_and(|since| entry.arrived > since + 500.0);
                     assert!(!late, "run after the grace of the drain");
                     entry.starts += 1;
                     entry.running = true;
                 }
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+                Action::Reject { id, .. } | Action::Fail { id, .. } => {
                     let entry = self.known.get_mut(&id).expect("only requests that arrived are answered");
-                    let refusal = matches!(action, Action::Refuse { .. });
+                    let refusal = matches!(action, Action::Reject { .. });
                     assert!(!refusal || entry.starts == 0, "request {id} ran and was turned away");
                     let ran = entry.original.is_some_and(|first| ran.contains(&first));
                     assert!(!refusal || !ran, "request {id} repeats what ran and was told that it never did");
@@ -121,21 +121,21 @@
                     assert_eq!(entry.answers, 1);
                     entry.over = !entry.running;
                 }
-                Action::Reuse { id } => {
+                Action::ReuseResult { id } => {
                     assert!(self.known[&id].original.is_some(), "nothing to reuse");
                 }
-                Action::Remember { id, for_ms } => {
-                    self.kept.insert(id, now + for_ms);
+                Action::RetainKey { id, ttl_ms } => {
+                    self.kept.insert(id, now + ttl_ms);
                 }
-                Action::Forget { id } => {
+                Action::ReleaseKey { id } => {
                     self.kept.remove(&id);
                 }
-                Action::Skip { id } => {
+                Action::SkipCall { id } => {
                     let entry = self.known.get_mut(&id).expect("known");
                     assert!(entry.at_call && entry.without, "{id} does not stop, or must not go on without");
                     entry.at_call = false;
                 }
-                Action::Call { id, .. } => {
+                Action::StartCall { id, .. } => {
                     let entry = self.known.get_mut(&id).expect("known");
                     assert!(entry.at_call, "no call is awaited");
                     (entry.at_call, entry.calling) = (false, true);
@@ -157,12 +157,14 @@
 
     fn arrive(&mut self, id: u32, now: f64, read: Read) -> Request {
         let Read { class, wait, queued, repeat } = read;
-        let original = self.pick(id as usize, |e| repeat && class == 1 && e.effect);
+        let original = self.pick(id as usize, |e| repeat && class == 1 && e.idempotency);
         let (due, arrived) = (now + wait, now - queued);
-        let (effect, without) = (class == 1, class == 2);
-        self.known
-            .insert(id, Known { due, arrived, read: now, effect, without, original, ..Known::default() });
-        Request { due_ms: Some(due), queued_ms: queued, repeats: original, ..request(id, class) }
+        let (idempotency, without) = (class == 1, class == 2);
+        self.known.insert(
+            id,
+            Known { due, arrived, read: now, idempotency, without, original, ..Known::default() },
+        );
+        Request { deadline_ms: Some(due), queued_ms: queued, duplicate_of: original, ..request(id, class) }
     }
 
     fn pick(&self, index: usize, wanted: impl Fn(&Known) -> bool) -> Option<u32> {
@@ -173,8 +175,8 @@
 
 fn play(steps: &[Step]) {
     let mut set = Settings { memory_kb: MEMORY_KB, ..settings() };
-    set.calls_share = 3.0;
-    set.classes.push(Class { calls: true, worth_without: 0.3, ..Class::default() });
+    set.call_quota = 3.0;
+    set.classes.push(Class { calls: true, weight_without_call: 0.3, ..Class::default() });
     let mut bench = Bench::new(set);
     let mut world = World::default();
     let mut next = 0;
@@ -193,9 +195,9 @@
                 let mut events = Vec::new();
                 for read in reads {
                     next += 1;
-                    events.push(Event::Arrived(world.arrive(next, bench.now, *read)));
+                    events.push(Event::RequestArrived(world.arrive(next, bench.now, *read)));
                 }
-                events.push(Event::Timer { token, gauges: vec![0.5, runnable] });
+                events.push(Event::TimerFired { token, gauges: vec![0.5, runnable] });
                 bench.batch(events)
             }
             Step::Finish { pick, ok } => {
@@ -203,13 +205,13 @@
                 let entry = world.known.get_mut(&id).expect("picked");
                 (entry.running, entry.over) = (false, true);
                 let outcome = if ok { Outcome::Done } else { Outcome::Failed };
-                bench.tell(Event::Finished { id, outcome })
+                bench.tell(Event::RunEnded { id, outcome })
             }
             Step::Need { pick } => {
                 let free = |e: &Known| e.running && !e.at_call && !e.calling && e.answers == 0;
                 let Some(id) = world.pick(pick, free) else { continue };
                 world.known.get_mut(&id).expect("picked").at_call = true;
-                bench.tell(Event::NeedsCall { id })
+                bench.tell(Event::CallNeeded { id })
             }
             Step::CallOutcome { pick, outcome } => {
                 let Some(id) = world.pick(pick, |e| e.calling) else { continue };
@@ -234,7 +236,7 @@
             }
             Step::Leave if world.left.is_none() => {
                 world.left = Some(bench.now);
-                bench.tell(Event::Leave { kill_ms: bench.now + 60_000.0 })
+                bench.tell(Event::DrainStarted { kill_ms: bench.now + 60_000.0 })
             }
             Step::Leave => continue,
         };
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use bench::{Bench, Client, Step, run_end};
-use pinepoint::admission::{Outcome, View};
+use pinepoint::admission::{AdmissionSnapshot, Outcome};
 use pinepoint::server::core::api::Input;
 use pinepoint_telemetry::accounts::{Accounts, Class};
 use pinepoint_telemetry::schema::Schema;
@@ -57,7 +57,7 @@
     fn new(seed: u64) -> Life {
         let mut bench = Bench::with_room(0.1, 40_000.0);
         bench.run(&Step::Up);
-        let schema = Rc::new(Schema::new(&["look".into(), "write".into()], &[], &View::NAMES));
+        let schema = Rc::new(Schema::new(&["look".into(), "write".into()], &[], &AdmissionSnapshot::NAMES));
         let class =
             Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
         let accounts = Accounts::new(schema.clone(), vec![class; 2], false);
--- a/tests/loops.rs
+++ b/tests/loops.rs
@@ -15,7 +15,8 @@
 impl Busy {
     fn new() -> Self {
         let mut set = settings();
-        set.classes[0] = Class { aim_ms: 900_000.0, deadline_ms: 1_000_000.0, ..Class::default() };
+        set.classes[0] =
+            Class { latency_objective_ms: 900_000.0, timeout_ms: 1_000_000.0, ..Class::default() };
         let mut busy = Busy { bench: Bench::new(set), next: 0, running: Vec::new() };
         busy.arrive(5.0);
         busy.arrive(5.0);
@@ -25,15 +26,15 @@
     /// Whether the next arrival is refused.
     fn arrive(&mut self, queued_ms: f64) -> bool {
         self.next += 1;
-        let due_ms = Some(self.bench.now + 1_000_000.0);
-        let out = self.bench.arrive(Request { queued_ms, due_ms, ..request(self.next, 0) });
+        let deadline_ms = Some(self.bench.now + 1_000_000.0);
+        let out = self.bench.arrive(Request { queued_ms, deadline_ms, ..request(self.next, 0) });
         self.follow(&out);
         refused(&out, self.next)
     }
 
     fn follow(&mut self, out: &[Action]) {
         self.running.extend(out.iter().filter_map(|a| match a {
-            Action::Start { id } => Some(*id),
+            Action::StartRun { id } => Some(*id),
             _ => None,
         }));
     }
@@ -50,7 +51,7 @@
                 self.follow(&out);
             }
             let id = self.running.remove(0);
-            let out = self.bench.tell(Event::Finished { id, outcome: Outcome::Done });
+            let out = self.bench.tell(Event::RunEnded { id, outcome: Outcome::Done });
             self.follow(&out);
         }
         refusals / count
@@ -92,10 +93,10 @@
 fn starts_wait_for_a_free_core_and_follow_at_once() {
     let mut bench = Busy::new().bench;
     for id in 10..13 {
-        assert!(!started(&bench.arrive(Request { due_ms: Some(1_000_000.0), ..request(id, 0) }), id));
+        assert!(!started(&bench.arrive(Request { deadline_ms: Some(1_000_000.0), ..request(id, 0) }), id));
     }
-    let starts = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Start { .. })).count();
+    let starts = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::StartRun { .. })).count();
     assert_eq!(starts(&bench.pass(1_000.0, 1.0, 2.0)), 0, "whatever the start loop has saved");
-    assert_eq!(starts(&bench.tell(Event::Finished { id: 1, outcome: Outcome::Done })), 1);
-    assert_eq!(starts(&bench.tell(Event::Finished { id: 2, outcome: Outcome::Done })), 1);
+    assert_eq!(starts(&bench.tell(Event::RunEnded { id: 1, outcome: Outcome::Done })), 1);
+    assert_eq!(starts(&bench.tell(Event::RunEnded { id: 2, outcome: Outcome::Done })), 1);
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -10,7 +10,8 @@
 
 use bench::Bench;
 use pinepoint::admission::{
-    Action, Class, Controller, Effect, Event, FailureReason, Gauge, Request, Settings, SettingsError, Tenant,
+    Action, AdmissionController, Class, Event, FailureReason, Gauge, Idempotency, Request, Settings,
+    SettingsError, Tenant,
 };
 use pinepoint::config::site::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
 use pinepoint::config::{Config, FileError};
@@ -20,8 +21,8 @@
 use scenario::World;
 use serde_json::{Value, json};
 
-fn service(name: &str, effect: &str) -> Value {
-    json!({"name": name, "effect": effect, "promiseMs": 900, "deadlineMs": 3000, "worth": 1, "lateWorth": 0.2,
+fn service(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "effect": idempotency, "promiseMs": 900, "deadlineMs": 3000, "worth": 1, "lateWorth": 0.2,
         "keyTtlMs": 5000})
 }
 
@@ -64,7 +65,7 @@
 }
 
 fn site(classes: &[(&str, &str)]) -> Site {
-    let classes: Vec<Value> = classes.iter().map(|(name, effect)| service(name, effect)).collect();
+    let classes: Vec<Value> = classes.iter().map(|(name, idempotency)| service(name, idempotency)).collect();
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 2, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
@@ -240,7 +241,7 @@
     let other =
         dropped.merged_with(site(&[("look", READ), ("write", "non_idempotent")]), 9000.0).expect("taken");
     assert_eq!(other.class_of("write", 1e9), Some(2), "keys of the old one stay under the old index");
-    assert_eq!(other.settings.classes[1].effect, Effect::Keyed);
+    assert_eq!(other.settings.classes[1].idempotency, Idempotency::Keyed);
     assert!(other.is_retired(1) && !other.is_retired(2));
 
     let again = other.merged_with(first.clone(), 10_000.0).expect("taken");
@@ -253,7 +254,7 @@
     let first = site(&[("look", READ), ("write", KEYED)]);
     let changed = first.merged_with(site(&[("look", READ), ("write", READ)]), 1000.0).expect("taken");
     assert_eq!(changed.class_of("write", 1000.0), Some(2));
-    assert_eq!(changed.settings.classes[1].effect, Effect::Keyed);
+    assert_eq!(changed.settings.classes[1].idempotency, Idempotency::Keyed);
     assert_eq!((changed.class_name(1), changed.class_name(2)), ("write", "write"));
 }
 
@@ -278,10 +279,7 @@
     assert_eq!((index("a"), index("b"), index("c"), index("d")), (Some(0), Some(1), Some(2), None));
     assert_eq!(site.tenant_of("a", 1000.0 + RETIRED_GRACE_MS), None);
     let wanted = [(10.0, true), (25.0, false), (5.0, false)];
-    assert_eq!(
-        site.settings.tenants,
-        wanted.map(|(allowance_per_s, retired)| Tenant { allowance_per_s, retired })
-    );
+    assert_eq!(site.settings.tenants, wanted.map(|(quota_per_s, retired)| Tenant { quota_per_s, retired }));
 }
 
 #[test]
@@ -309,7 +307,7 @@
 // ---- the decision module ----
 
 fn settings(classes: &[f64]) -> Settings {
-    let class = |deadline_ms: &f64| Class { deadline_ms: *deadline_ms, ..Class::default() };
+    let class = |timeout_ms: &f64| Class { timeout_ms: *timeout_ms, ..Class::default() };
     Settings {
         classes: classes.iter().map(class).collect(),
         gauges: vec![Gauge::BusyShare, Gauge::Runnable],
@@ -319,7 +317,7 @@
 
 #[test]
 fn the_module_refuses_settings_that_take_an_index_away() {
-    let mut controller = Controller::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
+    let mut controller = AdmissionController::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
     assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::Removed));
     let bad = Settings { cores: 0.0, ..settings(&[3000.0; 2]) };
     assert_eq!(controller.reconfigure(bad), Err(SettingsError::NoCores));
@@ -328,69 +326,74 @@
 
 #[test]
 fn the_module_keeps_the_due_time_of_what_is_open() {
-    let mut controller = Controller::new(settings(&[3000.0]), 1).expect("sound");
+    let mut controller = AdmissionController::new(settings(&[3000.0]), 1).expect("sound");
     let (mut out, mut now) = (Vec::new(), 0.0);
-    controller.handle(now, Event::Begin, &mut out);
+    controller.handle(now, Event::Started, &mut out);
     // The first runs on the one core, the second is held.
     for id in [1, 2] {
-        controller.handle(now, Event::Arrived(Request { id, mem_kb: 1.0, ..Request::default() }), &mut out);
+        controller.handle(
+            now,
+            Event::RequestArrived(Request { id, mem_kb: 1.0, ..Request::default() }),
+            &mut out,
+        );
     }
-    controller.handle(now, Event::Settled, &mut out);
+    controller.handle(now, Event::BatchEnded, &mut out);
     controller.reconfigure(settings(&[400.0])).expect("sound");
     out.clear();
     while now < 2500.0 {
         now += 20.0;
-        controller.handle(now, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-        controller.handle(now, Event::Settled, &mut out);
+        controller.handle(now, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
+        controller.handle(now, Event::BatchEnded, &mut out);
         // A core that gets something done is not taken for one that hangs.
         controller.handle(
             now,
-            Event::Finished { id: 99, outcome: pinepoint::admission::Outcome::Done },
+            Event::RunEnded { id: 99, outcome: pinepoint::admission::Outcome::Done },
             &mut out,
         );
     }
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
-    controller.handle(3200.0, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
+    controller.handle(3200.0, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
     assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::Late }), "{out:?}");
 }
 
 #[test]
 fn unchanged_settings_change_no_decision() {
     let run = |reload: bool| {
-        let mut controller = Controller::new(settings(&[900.0, 3000.0]), 3).expect("sound");
+        let mut controller = AdmissionController::new(settings(&[900.0, 3000.0]), 3).expect("sound");
         let (mut log, mut out, mut running) = (Vec::new(), Vec::new(), Vec::new());
-        controller.handle(0.0, Event::Begin, &mut out);
+        controller.handle(0.0, Event::Started, &mut out);
         for step in 0..4000_u32 {
             let now = f64::from(step) * 5.0;
             if step % 3 != 0 {
                 let class = (step % 2) as usize;
                 let request = Request { id: step + 1, class, mem_kb: 1.0, ..Request::default() };
-                controller.handle(now, Event::Arrived(request), &mut out);
+                controller.handle(now, Event::RequestArrived(request), &mut out);
             }
             if step % 4 == 0 {
-                controller.handle(now, Event::Timer { token: 0, gauges: vec![1.0, 2.0] }, &mut out);
+                controller.handle(now, Event::TimerFired { token: 0, gauges: vec![1.0, 2.0] }, &mut out);
             }
             if step % 11 == 0 && !running.is_empty() {
                 let id = running.remove(0);
                 controller.handle(
                     now,
-                    Event::Finished { id, outcome: pinepoint::admission::Outcome::Done },
+                    Event::RunEnded { id, outcome: pinepoint::admission::Outcome::Done },
                     &mut out,
                 );
             }
             if reload && step % 50 == 0 {
                 controller.reconfigure(settings(&[900.0, 3000.0])).expect("sound");
             }
-            controller.handle(now, Event::Settled, &mut out);
-            let started = |action: &Action| if let Action::Start { id } = action { Some(*id) } else { None };
+            controller.handle(now, Event::BatchEnded, &mut out);
+            let started =
+                |action: &Action| if let Action::StartRun { id } = action { Some(*id) } else { None };
             running.extend(out.iter().filter_map(started));
             log.append(&mut out);
         }
         log
     };
     let (with, without) = (run(true), run(false));
-    assert!(without.iter().filter(|a| matches!(a, Action::Start { .. })).count() > 100);
+    assert!(without.iter().filter(|a| matches!(a, Action::StartRun { .. })).count() > 100);
     assert_eq!(with, without);
 }
 
@@ -421,7 +424,7 @@
     assert_eq!(bench.seen.run_classes.borrow()["r1"], "write");
     // One before it is dropped, and its window shrinks to nothing.
     let mut changed = site(&[("look", READ), ("write", KEYED), ("more", KEYED)]);
-    changed.settings.classes[1].key_window_ms = 1.0;
+    changed.settings.classes[1].dedup_window_ms = 1.0;
     let changed = Rc::new(first.merged_with(changed, bench.now).expect("taken"));
     bench.reload(changed.clone(), 1.0, 2000.0);
     let write = changed.class_of("write", bench.now).expect("known");
@@ -487,7 +490,7 @@
     let mut bench = serving(&first);
     bench.arrive_as(1, 0, None, 7, 0.0);
     let mut shorter = first.clone();
-    shorter.settings.classes[0].deadline_ms = 600.0;
+    shorter.settings.classes[0].timeout_ms = 600.0;
     bench.reload(Rc::new(first.merged_with(shorter, bench.now).expect("taken")), 1.0, 2000.0);
     bench.arrive_as(1, 0, None, 8, 0.0);
     bench.pass(800.0, 0.5);
@@ -570,8 +573,8 @@
     let unique: BTreeMap<usize, _> = classes.iter().map(|class| (class.0, class)).collect();
     let mut classes: Vec<Value> = unique
         .into_values()
-        .map(|(name, effect, deadline, window)| {
-            let mut class = service(NAMES[*name], EFFECTS[*effect]);
+        .map(|(name, idempotency, deadline, window)| {
+            let mut class = service(NAMES[*name], EFFECTS[*idempotency]);
             (class["deadlineMs"], class["keyTtlMs"]) = (json!(deadline), json!(window));
             class
         })
@@ -590,7 +593,7 @@
     name: &'static str,
     key: Option<(usize, String)>,
     t0: f64,
-    due_ms: f64,
+    deadline_ms: f64,
 }
 
 proptest! {
@@ -619,7 +622,7 @@
                     for class in 0..before.settings.classes.len() {
                         prop_assert_eq!(site.class_name(class), before.class_name(class));
                         prop_assert_eq!(
-                            site.settings.classes[class].effect, before.settings.classes[class].effect
+                            site.settings.classes[class].idempotency, before.settings.classes[class].idempotency
                         );
                     }
                     bench.reload(site.clone(), 1.0, 2000.0);
@@ -627,13 +630,13 @@
                 Step::Arrive { name, token } => {
                     if let Some(class) = site.class_of(NAMES[*name], bench.now) {
                         let settings = &site.settings.classes[class];
-                        let token = (settings.effect == Effect::Keyed).then(|| format!("k{token}"));
+                        let token = (settings.idempotency == Idempotency::Keyed).then(|| format!("k{token}"));
                         came.push(Came {
                             class,
                             name: NAMES[*name],
                             key: token.clone().map(|token| (class, token)),
                             t0: bench.now,
-                            due_ms: bench.now + settings.deadline_ms,
+                            deadline_ms: bench.now + settings.timeout_ms,
                         });
                         bench.arrive_as(1, class, token, 7, 0.0);
                     }
@@ -658,7 +661,7 @@
                 let request = &came[number - 1];
                 prop_assert_eq!(&bench.seen.run_classes.borrow()[rid], request.name);
                 if let Some(key) = &request.key {
-                    let window_ms = site.settings.classes[request.class].key_window_ms;
+                    let window_ms = site.settings.classes[request.class].dedup_window_ms;
                     let until = windows.insert(key.clone(), request.t0 + window_ms);
                     prop_assert!(until.is_none_or(|until| request.t0 >= until), "{:?} ran twice: {}", key, rid);
                 }
@@ -676,7 +679,7 @@
                 let ticket = number as u64 + 1;
                 let answered = bench.seen.answers.borrow().contains_key(&(1, ticket));
                 prop_assert!(
-                    answered || gone.contains(&ticket) || bench.now < request.due_ms + 200.0,
+                    answered || gone.contains(&ticket) || bench.now < request.deadline_ms + 200.0,
                     "{} of {:?} is open at {}", ticket, request, bench.now
                 );
             }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -48,10 +48,11 @@
 }
 
 fn class(name: usize) -> BoxedStrategy<Value> {
-    let effect = prop_oneof![Just("read_like"), Just("idempotency_key"), Just("non_idempotent"), Just("")];
+    let idempotency =
+        prop_oneof![Just("read_like"), Just("idempotency_key"), Just("non_idempotent"), Just("")];
     let figures = (figure(), positive_figure(), figure(), figure(), figure(), figure());
-    (effect, figures).prop_map(move |(effect, (aim, deadline, worth, late, stretch, window))| {
-        json!({"name": format!("c{name}"), "effect": effect, "promiseMs": aim, "deadlineMs": deadline, "worth": worth,
+    (idempotency, figures).prop_map(move |(idempotency, (aim, deadline, worth, late, stretch, window))| {
+        json!({"name": format!("c{name}"), "effect": idempotency, "promiseMs": aim, "deadlineMs": deadline, "worth": worth,
             "lateWorth": late, "aimStretch": stretch, "keyTtlMs": window})
     })
     .boxed()
@@ -202,9 +203,9 @@
 fn a_deadline_that_is_given_is_a_number_above_0() {
     let with = |class: Value| {
         let settings = json!({"services": [{"name": "look"}, class], "specifics": {"cores": 2}});
-        Site::read(&settings).map(|site| site.settings.classes[1].deadline_ms).map_err(|e| e.to_string())
+        Site::read(&settings).map(|site| site.settings.classes[1].timeout_ms).map_err(|e| e.to_string())
     };
-    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().deadline_ms));
+    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().timeout_ms));
     assert_eq!(with(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
     for wrong in [json!(null), json!("900"), json!(0), json!(-5), json!(-0.0), json!([900]), json!(true)] {
         let told = with(json!({"name": "write", "deadlineMs": wrong.clone()})).expect_err("refused");
