--- a/crates/pinepoint-events/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -68,25 +68,25 @@
     /// Why a try was turned away. It never ran.
     RejectReason {
         /// It reached the machine after the grace of a drain.
-        Leaving = "leaving",
+        Draining = "leaving",
         /// Memory for held and running requests and keys is used up.
-        NoRoom = "no-room",
+        MemoryFull = "no-room",
         /// No run gets anywhere.
-        Hung = "hung",
+        Stalled = "hung",
         /// The call it needs can't be made in time.
-        NoCall = "no-call",
+        CallUnavailable = "no-call",
         /// It would not end in time.
         TooLate = "too-late",
         /// It is among the least worthy of the share that loop 1 refuses.
-        Surplus = "surplus",
+        LoadShed = "surplus",
         /// Held until no time was left.
-        GivenUp = "given-up",
+        QueueTimeout = "given-up",
         /// Held, and one worth more took its place.
         Displaced = "displaced",
         /// The engine is not up yet.
-        NotUp = "not-up",
+        NotReady = "not-up",
         /// The name of the try is in use.
-        NameInUse = "name-in-use",
+        AttemptIdInUse = "name-in-use",
     }
 }
 
@@ -94,41 +94,41 @@
     /// Why a try failed. It may have run.
     FailureReason {
         /// Its time was over.
-        Late = "late",
+        DeadlineExceeded = "late",
         /// The stop of the process was near.
-        Stop = "stop",
+        Shutdown = "stop",
         /// The decisions had not answered by its time; the core did.
         Overdue = "overdue",
         /// A later try of its key took its place; neither had run.
         Superseded = "superseded",
         /// There is no memory to wait for the result of the try that it repeats.
-        NoRoom = "no-room",
+        MemoryFull = "no-room",
         /// Its run stood at a call that could not be made in time.
-        NoCall = "no-call",
+        CallUnavailable = "no-call",
         /// Its call may have taken effect and must not be made again.
-        CallInDoubt = "call-in-doubt",
+        CallOutcomeUnknown = "call-in-doubt",
         /// The engine said that the run failed.
-        RunError = "run-error",
+        RunFailed = "run-error",
         /// The run was stopped.
-        RunStopped = "run-stopped",
+        RunCancelled = "run-stopped",
         /// The engine started nothing.
-        RunUnknown = "run-unknown",
+        RunNotStarted = "run-unknown",
         /// The try that it repeats failed, or its result is no longer kept.
-        RepeatFailed = "repeat-failed",
+        OriginalFailed = "repeat-failed",
         /// Its key is known and stands for another body.
-        OtherBody = "other-body",
+        BodyMismatch = "other-body",
         /// Its time of arrival can't be.
-        BadTime = "bad-time",
+        InvalidArrivalTime = "bad-time",
         /// Another try of its key had run, and the core did not start it.
         AlreadyRan = "already-ran",
         /// Its key may have run in another process of this server that cannot be asked.
-        KeyUnknown = "key-unknown",
+        KeyStateUnknown = "key-unknown",
         /// The other process of this server, which owns the keys, did not let this one run it.
         ClaimDenied = "claim-denied",
         /// What came behind it on its connection is no message.
-        SpoiltConnection = "spoilt-connection",
+        ProtocolError = "spoilt-connection",
         /// The name of the try is in use, and the effect of another may be under way.
-        NameInUse = "name-in-use",
+        AttemptIdInUse = "name-in-use",
     }
 }
 
@@ -140,7 +140,7 @@
         /// It failed and may have taken effect.
         Failed = "failed",
         /// It was turned away and never ran.
-        Declined = "declined",
+        Rejected = "declined",
         /// It was given up and may have taken effect.
         TimedOut = "timed-out",
         /// What lies below could not be reached: it never ran.
@@ -160,9 +160,9 @@
         /// It failed.
         Error = "error",
         /// It was stopped.
-        Stopped = "stopped",
+        Cancelled = "stopped",
         /// Nothing was started.
-        Unknown = "unknown",
+        NotStarted = "unknown",
     }
 }
 
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -254,16 +254,16 @@
         let ends = [
             served(10.0, false, None),
             RequestEventKind::Answered {
-                answer: Answer::Rejected(RejectReason::Hung),
+                answer: Answer::Rejected(RejectReason::Stalled),
                 hint_ms: None,
                 took_ms: 1.0,
             },
             RequestEventKind::Answered {
-                answer: Answer::Failed(FailureReason::RunError),
+                answer: Answer::Failed(FailureReason::RunFailed),
                 hint_ms: None,
                 took_ms: 1.0,
             },
-            RequestEventKind::DeadlineExceeded { why: FailureReason::Late, took_ms: 1.0 },
+            RequestEventKind::DeadlineExceeded { why: FailureReason::DeadlineExceeded, took_ms: 1.0 },
             RequestEventKind::CallerGone { took_ms: 1.0 },
         ];
         for kind in ends {
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -364,9 +364,9 @@
         };
         assert_eq!(told(schema.plain(1, Plain::Expired)), "Class(1) expired");
         assert_eq!(told(schema.refused(1, RejectReason::TooLate)), "Class(1) refused.too-late");
-        assert_eq!(told(schema.failed(0, FailureReason::Stop)), "Class(0) failed.stop");
+        assert_eq!(told(schema.failed(0, FailureReason::Shutdown)), "Class(0) failed.stop");
         assert_eq!(told(schema.call(1, CallOutcome::Reset)), "Class(1) call.reset");
-        assert_eq!(told(schema.run(1, RunOutcome::Unknown)), "Class(1) run_end.unknown");
+        assert_eq!(told(schema.run(1, RunOutcome::NotStarted)), "Class(1) run_end.unknown");
         assert_eq!(told(schema.node().start + 1), "Node pings");
         assert_eq!(told(schema.delivery(1).0), "Telemetry collectd.intervals_merged");
         assert_eq!(told(schema.log_lines()), "Telemetry log_lines_left_out");
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -581,7 +581,7 @@
             } else if keyed || !matches!(state, Some(State::Waiting | State::Held)) {
                 // It runs, ran, or may have run: a second run is out of the question, its result is not.
                 if no_room {
-                    self.fail(id, FailureReason::NoRoom, out);
+                    self.fail(id, FailureReason::MemoryFull, out);
                 } else {
                     self.entries.get_mut(&id).expect("just seen").state = State::Waiting;
                     out.push(Action::ReuseResult { id });
@@ -602,15 +602,15 @@
         // Taken although the wait makes it late, it would be answered late or turned away after the wait.
         let spoilt = must_wait && score < self.score(&entry, now);
         let reason_codes = [
-            (too_late, RejectReason::Leaving),
-            (no_room, RejectReason::NoRoom),
-            (self.hung, RejectReason::Hung),
-            (score <= 0.0 && self.call_wait_ms(&entry).1 > 0.0, RejectReason::NoCall),
+            (too_late, RejectReason::Draining),
+            (no_room, RejectReason::MemoryFull),
+            (self.hung, RejectReason::Stalled),
+            (score <= 0.0 && self.call_wait_ms(&entry).1 > 0.0, RejectReason::CallUnavailable),
             (score <= 0.0 || spoilt, RejectReason::TooLate),
         ];
         let hopeless = reason_codes.iter().find(|(applies, _)| *applies).map(|(_, why)| *why);
         let mut surplus = || must_wait && rank < self.alpha && !self.finds_place(now, id, out);
-        if let Some(why) = hopeless.or_else(|| surplus().then_some(RejectReason::Surplus)) {
+        if let Some(why) = hopeless.or_else(|| surplus().then_some(RejectReason::LoadShed)) {
             self.refuse(id, why, out);
             return;
         }
@@ -952,7 +952,7 @@
             entry.share_at_start += share - entry.stopped_share;
             out.push(Action::SkipCall { id });
         } else if score <= 0.0 {
-            self.fail(id, FailureReason::NoCall, out);
+            self.fail(id, FailureReason::CallUnavailable, out);
         }
     }
 
@@ -996,18 +996,18 @@
             entry.share_at_start += share - entry.stopped_share;
         }
         let safe = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
-        let unseen = matches!(outcome, Outcome::Declined | Outcome::Unreachable);
+        let unseen = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
         entry.state = if outcome == Outcome::Done { State::Running } else { State::AtCall };
         if outcome != Outcome::Done && !unseen && !safe {
             // The call may have taken effect: making it again could do it twice.
-            self.fail(id, FailureReason::CallInDoubt, out);
+            self.fail(id, FailureReason::CallOutcomeUnknown, out);
         }
     }
 
     // ---- answers and due times ----
 
     fn refuse(&mut self, id: u32, why: RejectReason, out: &mut Vec<Action>) {
-        let given_up = matches!(why, RejectReason::GivenUp | RejectReason::Displaced);
+        let given_up = matches!(why, RejectReason::QueueTimeout | RejectReason::Displaced);
         self.entries.remove(&id);
         self.turned_share += 1.0 / TURNED_OVER;
         *self.turned_away.entry(why).or_default() += 1;
@@ -1029,7 +1029,7 @@
         out.push(Action::Reject {
             id,
             retry_after_ms,
-            last: why == RejectReason::NoCall || (jammed && !away),
+            last: why == RejectReason::CallUnavailable || (jammed && !away),
             why,
         });
     }
@@ -1058,9 +1058,13 @@
                 failed.push(*id);
             }
         }
-        refused.into_iter().for_each(|id| self.refuse(id, RejectReason::GivenUp, out));
+        refused.into_iter().for_each(|id| self.refuse(id, RejectReason::QueueTimeout, out));
         for id in failed {
-            self.fail(id, if late >= kill { FailureReason::Stop } else { FailureReason::Late }, out);
+            self.fail(
+                id,
+                if late >= kill { FailureReason::Shutdown } else { FailureReason::DeadlineExceeded },
+                out,
+            );
             self.halt_useless(id, out);
         }
     }
--- a/src/admission/types.rs
+++ b/src/admission/types.rs
@@ -320,7 +320,7 @@
     /// It failed and may have taken effect.
     Failed,
     /// The call was declined unseen: it never ran.
-    Declined,
+    Rejected,
     /// The call was given up and may have taken effect.
     TimedOut,
     /// What lies below could not be reached: the call never ran.
--- a/src/bin/pinepoint-adapter/wire.rs
+++ b/src/bin/pinepoint-adapter/wire.rs
@@ -240,7 +240,7 @@
     Ok(match text_of(object, kind, "code")? {
         "done" => Outcome::Done,
         "err" => Outcome::Failed,
-        "busy" => Outcome::Declined,
+        "busy" => Outcome::Rejected,
         "etimedout" => Outcome::TimedOut,
         "econnrefused" => Outcome::Unreachable,
         "econnreset" => Outcome::Reset,
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -497,7 +497,7 @@
 
     /// What came on a connection is no message of its wire: what waits for a claim on it fails.
     pub(super) fn claimants_spoilt(&mut self, now: f64, caller: u64) {
-        let reply = Reply::Failed { late: false, why: FailureReason::SpoiltConnection };
+        let reply = Reply::Failed { late: false, why: FailureReason::ProtocolError };
         for arrival in self.take_claimants(|_, arrival| arrival.caller.id() == caller) {
             self.turn_back(now, &arrival, &reply);
         }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -279,11 +279,7 @@
             }
             Input::Spoilt(caller) => {
                 for id in self.requests.owed_to(caller) {
-                    self.give_up(
-                        now,
-                        id,
-                        Reply::Failed { late: false, why: FailureReason::SpoiltConnection },
-                    );
+                    self.give_up(now, id, Reply::Failed { late: false, why: FailureReason::ProtocolError });
                 }
                 self.claimants_spoilt(now, caller);
             }
@@ -376,12 +372,12 @@
         let deadline_ms = arrival.t0 + class.timeout_ms;
         // All that was read before has its answer, and the process ends in a moment.
         if self.life.phase() >= Life::Finishing {
-            self.turn_back(now, &arrival, &Reply::Failed { late: true, why: FailureReason::Stop });
+            self.turn_back(now, &arrival, &Reply::Failed { late: true, why: FailureReason::Shutdown });
             return;
         }
         // Without a module nothing runs.
         if self.controller.is_none() {
-            let why = RejectReason::NotUp;
+            let why = RejectReason::NotReady;
             self.turn_back(now, &arrival, &Reply::Refused { backoff_ms: 0.0, last: false, why });
             return;
         }
@@ -389,9 +385,9 @@
         if self.requests.by_rid(&arrival.rid).is_some() {
             let reply = match class.idempotency {
                 Idempotency::ReadOnly => {
-                    Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::NameInUse }
+                    Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::AttemptIdInUse }
                 }
-                _ => Reply::Failed { late: false, why: FailureReason::NameInUse },
+                _ => Reply::Failed { late: false, why: FailureReason::AttemptIdInUse },
             };
             self.turn_back(now, &arrival, &reply);
             return;
@@ -399,7 +395,11 @@
         let unread_most = class.timeout_ms * UNREAD_MOST + UNREAD_MORE_MS;
         if !(-AHEAD_MOST_MS..=unread_most).contains(&(now - arrival.t0)) {
             count(&self.parts.counters.bad_times);
-            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::BadTime });
+            self.turn_back(
+                now,
+                &arrival,
+                &Reply::Failed { late: false, why: FailureReason::InvalidArrivalTime },
+            );
             return;
         }
         if let Some(key) = &key {
@@ -413,7 +413,7 @@
         // Another request under a known key: its sender must not get what was made of the first, nor run.
         if key.as_ref().is_some_and(|key| self.keys.is_other(key, arrival.t0, digest)) {
             count(&self.parts.counters.refused_bodies);
-            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::OtherBody });
+            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::BodyMismatch });
             return;
         }
         let duplicate_of = key.as_ref().and_then(|key| self.keys.kept_try(key, arrival.t0));
@@ -421,7 +421,7 @@
             match self.unknown_key(now) {
                 UnknownKey::Run => {}
                 UnknownKey::Fail => {
-                    let reply = Reply::Failed { late: false, why: FailureReason::KeyUnknown };
+                    let reply = Reply::Failed { late: false, why: FailureReason::KeyStateUnknown };
                     self.turn_back(now, &arrival, &reply);
                     return;
                 }
@@ -602,9 +602,13 @@
         count(&self.parts.counters.runs_ended);
         let (outcome, end, result) = match end {
             RunEnd::Complete(bytes) => (Outcome::Done, RunOutcome::Complete, Ok(bytes)),
-            RunEnd::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunError)),
-            RunEnd::Cancelled => (Outcome::Cancelled, RunOutcome::Stopped, Err(FailureReason::RunStopped)),
-            RunEnd::Unknown => (Outcome::NotStarted, RunOutcome::Unknown, Err(FailureReason::RunUnknown)),
+            RunEnd::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunFailed)),
+            RunEnd::Cancelled => {
+                (Outcome::Cancelled, RunOutcome::Cancelled, Err(FailureReason::RunCancelled))
+            }
+            RunEnd::Unknown => {
+                (Outcome::NotStarted, RunOutcome::NotStarted, Err(FailureReason::RunNotStarted))
+            }
         };
         if calling {
             self.emit_for(id, |open| call_dropped(now, open));
@@ -647,7 +651,7 @@
                 Outcome::Done
             }
             _ => {
-                self.answer(id, Reply::Failed { late: false, why: FailureReason::RepeatFailed }, true);
+                self.answer(id, Reply::Failed { late: false, why: FailureReason::OriginalFailed }, true);
                 Outcome::Failed
             }
         };
@@ -663,7 +667,7 @@
         let took_ms = now - open.called_ms;
         let end = match outcome {
             Outcome::Done => CallOutcome::Done,
-            Outcome::Declined => CallOutcome::Declined,
+            Outcome::Rejected => CallOutcome::Rejected,
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::Unreachable => CallOutcome::Unreachable,
             Outcome::Reset => CallOutcome::Reset,
@@ -765,7 +769,7 @@
                     let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
                     for id in owed.map(|(id, _)| id).collect::<Vec<_>>() {
                         count(&self.parts.counters.overdue);
-                        self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Stop });
+                        self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Shutdown });
                     }
                     self.deny_all_claims(now);
                     self.parts.status.finishing.open();
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -482,7 +482,7 @@
                 let outcome = match line.words.get(1).map(String::as_str) {
                     Some("OK") if line.words.len() == 3 => Outcome::Done,
                     // Nothing waits for the call any more: like one turned away, it never ran.
-                    Some("BUSY" | "VOID") => Outcome::Declined,
+                    Some("BUSY" | "VOID") => Outcome::Rejected,
                     Some("ERR") => Outcome::Failed,
                     Some("LATE") => Outcome::TimedOut,
                     _ => return Err(LineError::Malformed.code()),
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -253,7 +253,7 @@
                     self.seen.calls.borrow_mut().retain(|c| *c != call);
                     let (outcome, reply) = match how % 4 {
                         0 | 1 => (Outcome::Done, Some(vec![how])),
-                        2 => (Outcome::Declined, None),
+                        2 => (Outcome::Rejected, None),
                         _ => (Outcome::Reset, None),
                     };
                     self.tell(Input::CallEnded(call, outcome, reply));
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -215,7 +215,7 @@
             }
             Step::CallOutcome { pick, outcome } => {
                 let Some(id) = world.pick(pick, |e| e.calling) else { continue };
-                let all = [Outcome::Done, Outcome::Declined, Outcome::TimedOut, Outcome::Unreachable];
+                let all = [Outcome::Done, Outcome::Rejected, Outcome::TimedOut, Outcome::Unreachable];
                 let entry = world.known.get_mut(&id).expect("picked");
                 (entry.calling, entry.at_call) = (false, outcome != 0);
                 bench.tell(Event::CallEnded { id, outcome: all[outcome], took_ms: 40.0 })
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -93,7 +93,7 @@
     fn end_call(&mut self, pick: usize, how: u8) {
         let Some(call) = taken_out(&self.bench.seen.calls, pick) else { return };
         let (outcome, reply) = match how % 16 {
-            0 => (Outcome::Declined, None),
+            0 => (Outcome::Rejected, None),
             1 => (Outcome::Reset, None),
             _ => (Outcome::Done, Some(vec![how])),
         };
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -354,7 +354,7 @@
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
     controller.handle(3200.0, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-    assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::Late }), "{out:?}");
+    assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::DeadlineExceeded }), "{out:?}");
 }
 
 #[test]
@@ -441,7 +441,7 @@
     bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         bench.seen.answers.borrow()[&(1, 4)],
-        [Reply::Failed { late: false, why: pinepoint::admission::FailureReason::OtherBody }]
+        [Reply::Failed { late: false, why: pinepoint::admission::FailureReason::BodyMismatch }]
     );
     // Within the window that the run was begun with.
     bench.pass(t0 + 4900.0 - bench.now, 0.5);
@@ -500,7 +500,10 @@
     );
     assert_eq!(of_first, None, "it waits for its own time");
     assert!(
-        matches!(of_second.as_deref(), Some([Reply::Failed { late: true, why: FailureReason::Late }])),
+        matches!(
+            of_second.as_deref(),
+            Some([Reply::Failed { late: true, why: FailureReason::DeadlineExceeded }])
+        ),
         "{of_second:?}"
     );
     bench.pass(2400.0, 0.5);
