--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -254,23 +254,23 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum RequestState {
     /// Read, not started.
-    Held,
+    Queued,
     /// On the cores or at the disk.
     Running,
     /// Stopped before a call.
-    AtCall,
+    AwaitingCall,
     /// In a call.
-    Calling,
+    InCall,
     /// Waits for the result of the request it repeats.
-    Waiting,
+    AwaitingResult,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     request: Request,
-    state: State,
+    state: RequestState,
     /// Held read of the same subject whose run it will share.
     follows: Option<u32>,
     /// An answer is still owed.
@@ -438,7 +438,7 @@
                 let share = self.share_now(now);
                 self.progress_ms = now;
                 if let Some(entry) = self.entries.get_mut(&id) {
-                    entry.state = State::AtCall;
+                    entry.state = RequestState::AwaitingCall;
                     entry.stopped_share = share;
                     entry.done_ms = (share - entry.share_at_start).max(0.1);
                 }
@@ -471,7 +471,7 @@
         let cores = self.set.cores;
         self.share_total = self.share_now(now);
         self.sampled_ms = now;
-        let running = self.count(State::Running);
+        let running = self.count(RequestState::Running);
         let busy_cores = self.gauge(Gauge::BusyShare, gauges).map_or(running, |share| share * cores);
         self.runnable = self.gauge(Gauge::Runnable, gauges).unwrap_or(busy_cores);
         let busy = (self.runnable / cores).clamp(0.0, 1.0);
@@ -486,7 +486,7 @@
         }
         (self.started_since, self.arrived_since) = (0.0, 0.0);
         self.alpha = self.alpha_loop.step(self.busy + unread / UNREAD_FULL_MS - BUSY_SETPOINT, dt, 0.0, 1.0);
-        let held = self.count(State::Held);
+        let held = self.count(RequestState::Queued);
         let most = STARTS_MOST * cores / dt.max(0.001);
         self.start_rate = self.start_loop.step(held - QUEUE_TIME_S * self.rate_per_s, dt, 0.0, most);
         self.credit = (self.credit + self.start_rate * dt).min(1.0 + self.start_rate * dt);
@@ -497,7 +497,7 @@
         self.advise(dt, out);
     }
 
-    fn count(&self, state: State) -> f64 {
+    fn count(&self, state: RequestState) -> f64 {
         self.entries.values().filter(|e| e.state == state).count() as f64
     }
 
@@ -534,7 +534,7 @@
         self.fresh.push_back(id);
         let entry = Entry {
             request,
-            state: State::Held,
+            state: RequestState::Queued,
             follows: None,
             owed: true,
             arrived_ms,
@@ -551,7 +551,7 @@
 
     fn settle(&mut self, now: f64, out: &mut Vec<Action>) {
         while let Some(id) = self.fresh.pop_front() {
-            if self.entries.get(&id).is_some_and(|e| e.state == State::Held) {
+            if self.entries.get(&id).is_some_and(|e| e.state == RequestState::Queued) {
                 self.decide(now, id, out);
             }
         }
@@ -573,21 +573,21 @@
             entry.request.duplicate_of.filter(|f| *f != id && class.idempotency != Idempotency::NonIdempotent)
         {
             let state = self.entries.get(&first).map(|e| e.state);
-            if keyed && state == Some(State::Held) && !too_late {
+            if keyed && state == Some(RequestState::Queued) && !too_late {
                 // Neither try has run: the later one, whose caller still waits, takes the place.
                 self.keys.remove(&first);
                 out.push(Action::ReleaseKey { id: first });
                 self.fail(first, FailureReason::Superseded, out);
-            } else if keyed || !matches!(state, Some(State::Waiting | State::Held)) {
+            } else if keyed || !matches!(state, Some(RequestState::AwaitingResult | RequestState::Queued)) {
                 // It runs, ran, or may have run: a second run is out of the question, its result is not.
                 if no_room {
                     self.fail(id, FailureReason::MemoryFull, out);
                 } else {
-                    self.entries.get_mut(&id).expect("just seen").state = State::Waiting;
+                    self.entries.get_mut(&id).expect("just seen").state = RequestState::AwaitingResult;
                     out.push(Action::ReuseResult { id });
                 }
                 return;
-            } else if state == Some(State::Held) && !too_late && !no_room {
+            } else if state == Some(RequestState::Queued) && !too_late && !no_room {
                 // Tied to a request that may yet be refused, it would fail with it: it joins at the start.
                 self.entries.get_mut(&id).expect("just seen").follows = Some(first);
                 return;
@@ -608,10 +608,10 @@
             (score <= 0.0 && self.call_wait_ms(&entry).1 > 0.0, RejectReason::CallUnavailable),
             (score <= 0.0 || spoilt, RejectReason::TooLate),
         ];
-        let hopeless = reason_codes.iter().find(|(applies, _)| *applies).map(|(_, why)| *why);
+        let hopeless = reason_codes.iter().find(|(applies, _)| *applies).map(|(_, reason)| *reason);
         let mut surplus = || must_wait && rank < self.alpha && !self.finds_place(now, id, out);
-        if let Some(why) = hopeless.or_else(|| surplus().then_some(RejectReason::LoadShed)) {
-            self.refuse(id, why, out);
+        if let Some(reason) = hopeless.or_else(|| surplus().then_some(RejectReason::LoadShed)) {
+            self.refuse(id, reason, out);
             return;
         }
         if keyed {
@@ -625,7 +625,7 @@
     /// instead. Reading alone keeps the cores busy in a flood, alpha stands at 1, the hold runs dry, and
     /// whatever comes when a run ends takes the core: mostly late retries.
     fn finds_place(&mut self, now: f64, id: u32, out: &mut Vec<Action>) -> bool {
-        let held = self.entries.iter().filter(|(other, e)| e.state == State::Held && **other != id);
+        let held = self.entries.iter().filter(|(other, e)| e.state == RequestState::Queued && **other != id);
         let scored: Vec<(f64, u32)> = held.map(|(other, e)| (self.score(e, now), *other)).collect();
         if (scored.len() as f64) < self.set.cores {
             return true;
@@ -639,7 +639,7 @@
 
     /// Read in the instant in hand and not decided yet: nothing else may tell it that its request never ran.
     fn may_repeat_a_run(&self, id: u32, entry: &Entry) -> bool {
-        let may_have_run = |f: u32| self.entries.get(&f).is_none_or(|e| e.state != State::Held);
+        let may_have_run = |f: u32| self.entries.get(&f).is_none_or(|e| e.state != RequestState::Queued);
         self.fresh.contains(&id) && entry.request.duplicate_of.is_some_and(may_have_run)
     }
 
@@ -700,7 +700,7 @@
     fn score(&self, entry: &Entry, start_ms: f64) -> f64 {
         let class = &self.set.classes[entry.request.class];
         // What ran until its call shows its true work, however wrong its hint was.
-        let (at_call, part) = (entry.state == State::AtCall, self.part_at_call);
+        let (at_call, part) = (entry.state == RequestState::AwaitingCall, self.part_at_call);
         let work = if at_call { entry.done_ms / part } else { self.work_ms(&entry.request) };
         let left_ms = if at_call { work * (1.0 - part) } else { work };
         let run_ms = left_ms / self.core_share;
@@ -728,7 +728,7 @@
     /// Time that a request not started yet will lose to calls: its own, after those in line before it.
     fn call_wait_ms(&self, entry: &Entry) -> (f64, f64) {
         let own = self.calls_per_run[entry.request.class];
-        if own == 0.0 || entry.state != State::Held {
+        if own == 0.0 || entry.state != RequestState::Queued {
             return (0.0, 0.0);
         }
         let line = self.calls_to_come(self.set.classes[entry.request.class].weight_without_call);
@@ -738,7 +738,7 @@
 
     /// Calls that are yet to be made for what was started, of classes that earn no more than this without.
     fn calls_to_come(&self, weight_without_call: f64) -> f64 {
-        let first = self.entries.values().filter(|e| e.state != State::Held && e.owed);
+        let first = self.entries.values().filter(|e| e.state != RequestState::Queued && e.owed);
         let first =
             first.filter(|e| self.set.classes[e.request.class].weight_without_call <= weight_without_call);
         first.map(|e| (self.calls_per_run[e.request.class] - e.calls).max(0.0)).sum()
@@ -762,7 +762,7 @@
         }
         let mine = self.score(entry, now);
         let mut ahead = self.work_ms(&entry.request) * 0.5;
-        let held = self.entries.values().filter(|e| e.state == State::Held);
+        let held = self.entries.values().filter(|e| e.state == RequestState::Queued);
         let others = held.filter(|other| other.request.id != entry.request.id);
         for other in others.filter(|other| self.score(other, now) >= mine) {
             ahead += self.work_ms(&other.request);
@@ -774,7 +774,7 @@
 
     /// Runs that need a core now: those waiting for the disk are not in the gauge.
     fn on_core(&self) -> f64 {
-        self.count(State::Running).min(self.runnable + self.started_since)
+        self.count(RequestState::Running).min(self.runnable + self.started_since)
     }
 
     fn run_limit(&self) -> f64 {
@@ -795,7 +795,7 @@
 
     fn memory_kb(&self) -> f64 {
         let each = |e: &Entry| match e.state {
-            State::Held | State::Waiting => e.request.mem_kb,
+            RequestState::Queued | RequestState::AwaitingResult => e.request.mem_kb,
             _ => e.request.mem_kb * self.set.running_memory_factor.max(1.0),
         };
         self.entries.values().map(each).sum::<f64>() + self.keys.len() as f64 * self.set.key_kb
@@ -805,7 +805,7 @@
         while let Some(id) = self.next_to_start(now) {
             let on_core = self.on_core();
             let room = self.entries[&id].request.mem_kb * (self.set.running_memory_factor - 1.0).max(0.0);
-            if self.count(State::Running) >= self.crowd_limit(now)
+            if self.count(RequestState::Running) >= self.crowd_limit(now)
                 || on_core >= self.run_limit()
                 || self.memory_kb() + room > MEMORY_PART * self.set.memory_kb
             {
@@ -821,15 +821,15 @@
             self.started_since += 1.0;
             let share = self.share_now(now);
             let entry = self.entries.get_mut(&id).expect("chosen from the hold");
-            entry.state = State::Running;
+            entry.state = RequestState::Running;
             entry.share_at_start = share;
             if let Some(t) = entry.request.tenant {
                 self.tenant_since[t] += 1.0;
             }
             out.push(Action::StartRun { id });
             for (follower, entry) in &mut self.entries {
-                if entry.follows == Some(id) && entry.state == State::Held {
-                    entry.state = State::Waiting;
+                if entry.follows == Some(id) && entry.state == RequestState::Queued {
+                    entry.state = RequestState::AwaitingResult;
                     out.push(Action::ReuseResult { id: *follower });
                 }
             }
@@ -837,14 +837,14 @@
     }
 
     fn next_to_start(&self, now: f64) -> Option<u32> {
-        let held = self.entries.iter().filter(|(_, e)| e.state == State::Held);
+        let held = self.entries.iter().filter(|(_, e)| e.state == RequestState::Queued);
         let ranked =
             held.map(|(id, e)| (self.score(e, now), -e.latency_objective_ms, std::cmp::Reverse(*id)));
         let best = ranked.filter(|(score, ..)| *score > 0.0);
         let (.., std::cmp::Reverse(id)) =
             best.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)))?;
         let first = self.entries[&id].follows;
-        first.filter(|f| self.entries.get(f).is_some_and(|e| e.state == State::Held)).or(Some(id))
+        first.filter(|f| self.entries.get(f).is_some_and(|e| e.state == RequestState::Queued)).or(Some(id))
     }
 
     fn finished(&mut self, now: f64, id: u32, outcome: Outcome, out: &mut Vec<Action>) {
@@ -852,10 +852,10 @@
         self.progress_ms = now;
         let Some(entry) = self.entries.remove(&id) else { return };
         let idempotency = self.set.classes[entry.request.class].idempotency;
-        if entry.state == State::Waiting {
+        if entry.state == RequestState::AwaitingResult {
             return;
         }
-        if entry.state == State::Calling {
+        if entry.state == RequestState::InCall {
             self.abandoned.push(now + self.set.call_linger_ms);
         }
         if outcome == Outcome::Done {
@@ -892,18 +892,19 @@
         self.call_credit_ms = (self.call_credit_ms + earned).min(most);
         self.calls_paid_ms = now;
         self.abandoned.retain(|until| *until > now);
-        self.calls_in_hand = self.count(State::Calling) + self.abandoned.len() as f64;
+        self.calls_in_hand = self.count(RequestState::InCall) + self.abandoned.len() as f64;
         // A call far beyond its time has ended below, and its reply is lost: it fills the share, which holds
         // whatever it is, but earns no less for the good ones. Where calls fail in a row nothing is known.
         let overdue_ms = (CALL_OVERDUE * self.call_ms).max(CALL_OVERDUE_LEAST_MS);
-        let calling = self.entries.values().filter(|e| e.state == State::Calling && self.call_failures < 1.0);
+        let calling =
+            self.entries.values().filter(|e| e.state == RequestState::InCall && self.call_failures < 1.0);
         let overdue = calling.filter(|e| now - e.called_ms > overdue_ms).count() as f64;
         self.calls_charged = self.calls_in_hand - overdue;
         if self.calls_in_hand == 0.0 {
             // Refusing all that needs a call would otherwise keep alive the slow time that is its reason.
             self.call_ms = low_pass(self.call_ms, 0.0, elapsed / 1000.0, FORGET_S);
         }
-        let at_call = self.entries.iter().filter(|(_, e)| e.state == State::AtCall && e.owed);
+        let at_call = self.entries.iter().filter(|(_, e)| e.state == RequestState::AwaitingCall && e.owed);
         let without = |e: &Entry| self.set.classes[e.request.class].weight_without_call;
         let gain = |e: &Entry| self.score(e, now + self.call_ms) * (1.0 - without(e));
         let mut waiting: Vec<(f64, f64, u32, f64)> =
@@ -925,7 +926,7 @@
             self.calls_in_hand += 1.0;
             self.calls_charged += 1.0;
             let entry = self.entries.get_mut(&id).expect("just listed");
-            entry.state = State::Calling;
+            entry.state = RequestState::InCall;
             entry.calls += 1.0;
             entry.called_ms = now;
             let again = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
@@ -947,7 +948,7 @@
         let soon = now + self.call_ms.max(2.0 * self.period_ms());
         if may && self.score(entry, now) > 0.0 && (score <= 0.0 || self.score(entry, soon) <= 0.0) {
             let entry = self.entries.get_mut(&id).expect("just seen");
-            entry.state = State::Running;
+            entry.state = RequestState::Running;
             entry.calls += 1.0;
             entry.share_at_start += share - entry.stopped_share;
             out.push(Action::SkipCall { id });
@@ -997,7 +998,8 @@
         }
         let safe = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
         let unseen = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
-        entry.state = if outcome == Outcome::Done { State::Running } else { State::AtCall };
+        entry.state =
+            if outcome == Outcome::Done { RequestState::Running } else { RequestState::AwaitingCall };
         if outcome != Outcome::Done && !unseen && !safe {
             // The call may have taken effect: making it again could do it twice.
             self.fail(id, FailureReason::CallOutcomeUnknown, out);
@@ -1006,11 +1008,11 @@
 
     // ---- answers and due times ----
 
-    fn refuse(&mut self, id: u32, why: RejectReason, out: &mut Vec<Action>) {
-        let given_up = matches!(why, RejectReason::QueueTimeout | RejectReason::Displaced);
+    fn refuse(&mut self, id: u32, reason: RejectReason, out: &mut Vec<Action>) {
+        let given_up = matches!(reason, RejectReason::QueueTimeout | RejectReason::Displaced);
         self.entries.remove(&id);
         self.turned_share += 1.0 / TURNED_OVER;
-        *self.turned_away.entry(why).or_default() += 1;
+        *self.turned_away.entry(reason).or_default() += 1;
         if self.turned_away.values().sum::<u32>() >= NOTE_EVERY {
             let text = format!("turned away: {:?}", std::mem::take(&mut self.turned_away));
             out.push(Action::Log { text });
@@ -1029,17 +1031,17 @@
         out.push(Action::Reject {
             id,
             retry_after_ms,
-            last: why == RejectReason::CallUnavailable || (jammed && !away),
-            why,
+            last: reason == RejectReason::CallUnavailable || (jammed && !away),
+            reason,
         });
     }
 
-    fn fail(&mut self, id: u32, why: FailureReason, out: &mut Vec<Action>) {
+    fn fail(&mut self, id: u32, reason: FailureReason, out: &mut Vec<Action>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if std::mem::replace(&mut entry.owed, false) {
-            out.push(Action::Fail { id, why });
+            out.push(Action::Fail { id, reason });
         }
-        if matches!(entry.state, State::Held | State::Waiting) {
+        if matches!(entry.state, RequestState::Queued | RequestState::AwaitingResult) {
             self.entries.remove(&id);
         }
     }
@@ -1052,7 +1054,7 @@
         for (id, entry) in self.entries.iter().filter(|(id, e)| !self.may_repeat_a_run(**id, e)) {
             let over =
                 || late >= entry.deadline_ms || late >= kill || self.hung || self.score(entry, now) <= 0.0;
-            if entry.state == State::Held && entry.owed && over() {
+            if entry.state == RequestState::Queued && entry.owed && over() {
                 refused.push(*id);
             } else if entry.owed && (late >= entry.deadline_ms + slack || late >= kill) {
                 failed.push(*id);
@@ -1072,7 +1074,7 @@
     fn caller_gone(&mut self, id: u32, out: &mut Vec<Action>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.owed = false;
-        if matches!(entry.state, State::Held | State::Waiting) {
+        if matches!(entry.state, RequestState::Queued | RequestState::AwaitingResult) {
             self.entries.remove(&id);
             if self.keys.remove(&id).is_some() {
                 out.push(Action::ReleaseKey { id });
@@ -1086,7 +1088,11 @@
     fn halt_useless(&mut self, id: u32, out: &mut Vec<Action>) {
         let Some(entry) = self.entries.get(&id) else { return };
         let safe = self.set.classes[entry.request.class].idempotency == Idempotency::ReadOnly;
-        if self.set.preemption != Preemption::Never && safe && entry.state == State::Running && !entry.owed {
+        if self.set.preemption != Preemption::Never
+            && safe
+            && entry.state == RequestState::Running
+            && !entry.owed
+        {
             out.push(Action::CancelRun { id });
         }
     }
@@ -1095,7 +1101,7 @@
 
     /// Watches for runs that no longer get anywhere.
     fn watch_progress(&mut self, now: f64, dt: f64) {
-        let runs = self.entries.values().filter(|e| e.state == State::Running);
+        let runs = self.entries.values().filter(|e| e.state == RequestState::Running);
         let (count, work) = runs.fold((0.0, 0.0), |(n, w), e| (n + 1.0, w + self.work_ms(&e.request)));
         if count < 1.0 || dt * 1000.0 > 3.0 * self.period_ms() {
             // Nothing runs, or the process itself stood still: no one is to blame for the silence.
@@ -1148,7 +1154,7 @@
 
     /// Time in which all that is held now could run, ms.
     fn hold_ms(&self) -> f64 {
-        let held = self.entries.values().filter(|e| e.state == State::Held);
+        let held = self.entries.values().filter(|e| e.state == RequestState::Queued);
         held.map(|e| self.work_ms(&e.request)).sum::<f64>() / (self.run_limit() * self.core_share)
     }
 
--- a/src/admission/snapshot.rs
+++ b/src/admission/snapshot.rs
@@ -1,7 +1,7 @@
 //! A read-only view of the decision module, for those that watch it. It owns no state and decides nothing: were
 //! it removed, no action would change.
 
-use super::{AdmissionController, Module, State};
+use super::{AdmissionController, Module, RequestState};
 
 /// What a [`AdmissionController`] knows and wants at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -87,7 +87,7 @@
             start_rate_per_s: self.start_rate,
             busy_share: self.busy,
             arrivals_per_s: self.rate_per_s,
-            held: self.count(State::Held),
+            held: self.count(RequestState::Queued),
             hold_ms: self.hold_ms(),
             unread_ms: self.intake_ms,
             stretch: self.stretch,
--- a/src/admission/types.rs
+++ b/src/admission/types.rs
@@ -399,14 +399,14 @@
         /// Ask the caller not to try another server.
         last: bool,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// Final answer: an error.
     Fail {
         /// The request.
         id: u32,
         /// Why.
-        why: FailureReason,
+        reason: FailureReason,
     },
     /// Stop running work.
     CancelRun {
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -12,7 +12,7 @@
 use pinepoint::server::control::management::{self, Management};
 use pinepoint::server::control::reload::Reloader;
 use pinepoint::server::control::status::Status;
-use pinepoint::server::core::api::Input;
+use pinepoint::server::core::api::CoreInput;
 use pinepoint::server::core::{Core, HandoverParts, Parts};
 use pinepoint::server::frontend::context::Front;
 use pinepoint::server::frontend::limiter::Room;
@@ -160,12 +160,12 @@
     clock: Clock,
     status: Rc<Status>,
     counters: Rc<Counters>,
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Process {
-    fn new(config: &Config, queue: Sender<Input>) -> Self {
+    fn new(config: &Config, queue: Sender<CoreInput>) -> Self {
         Process {
             name: config.name.clone(),
             site: config.site.clone(),
@@ -358,7 +358,7 @@
     }
 
     /// Runs everything until the core has ended and the last of it is told.
-    fn run(&self, core: Core, inputs: Receiver<Input>, ending: &Ending) {
+    fn run(&self, core: Core, inputs: Receiver<CoreInput>, ending: &Ending) {
         async_io::block_on(self.executor.run(async {
             let kill_ms = core.run(inputs).await;
             ending.finish(kill_ms, &self.clock).await;
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -8,7 +8,7 @@
 
 use pinepoint::config::site::Site;
 use pinepoint::server::control::handover::{Host, Links};
-use pinepoint::server::core::api::{PeerInbox, PeerInput};
+use pinepoint::server::core::api::{PeerEvent, PeerInbox};
 use pinepoint::server::core::{HandoverParts, longest_window_ms};
 use pinepoint::server::frontend::listener::bind_shared;
 use pinepoint_clock::Clock;
@@ -79,11 +79,11 @@
         let (names, listeners) = self.opened.into_iter().unzip();
         let link = match self.found {
             Ok(Connected { hello, link, task, .. }) => {
-                inbox.push(PeerInput::PredecessorFound(hello));
+                inbox.push(PeerEvent::PredecessorFound(hello));
                 Some((link, task))
             }
             Err(why) => {
-                inbox.push(PeerInput::NoPredecessor(why));
+                inbox.push(PeerEvent::NoPredecessor(why));
                 None
             }
         };
--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -14,7 +14,7 @@
 use pinepoint_handover::successor::RECONNECT_MS;
 
 use crate::server::control::status::Status;
-use crate::server::core::api::{HandoverPort, PeerInbox, PeerInput};
+use crate::server::core::api::{HandoverTransport, PeerEvent, PeerInbox};
 use crate::server::frontend::limiter::Room;
 use crate::server::sync::Signal;
 
@@ -47,17 +47,17 @@
 }
 
 impl Side {
-    fn message(self, message: Message) -> PeerInput {
+    fn message(self, message: Message) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerInput::FromPredecessor(message),
-            Side::Successor => PeerInput::FromSuccessor(message),
+            Side::Predecessor => PeerEvent::FromPredecessor(message),
+            Side::Successor => PeerEvent::FromSuccessor(message),
         }
     }
 
-    fn lost(self) -> PeerInput {
+    fn lost(self) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerInput::PredecessorLost,
-            Side::Successor => PeerInput::SuccessorLost,
+            Side::Predecessor => PeerEvent::PredecessorLost,
+            Side::Successor => PeerEvent::SuccessorLost,
         }
     }
 }
@@ -124,7 +124,7 @@
         self.current(side).borrow().as_ref().is_some_and(|link| link.number() == number)
     }
 
-    fn tell(&self, input: PeerInput) {
+    fn tell(&self, input: PeerEvent) {
         self.host.inbox.push(input);
         self.host.status.notice.wake();
     }
@@ -183,14 +183,14 @@
                     continue;
                 }
                 self.attach(Side::Successor, link, task);
-                self.tell(PeerInput::SuccessorFound);
+                self.tell(PeerEvent::SuccessorFound);
             }
         };
         future::or(acceptor, take).await;
     }
 }
 
-impl HandoverPort for Links {
+impl HandoverTransport for Links {
     fn send_to_predecessor(&self, message: &Message) {
         self.send(Side::Predecessor, message);
     }
@@ -215,9 +215,9 @@
                 // Its listening sockets are those that this process has already.
                 Ok(Connected { hello, listeners: _, link, task }) => {
                     this.attach(Side::Predecessor, link, task);
-                    this.tell(PeerInput::PredecessorFound(hello));
+                    this.tell(PeerEvent::PredecessorFound(hello));
                 }
-                Err(why) => this.tell(PeerInput::NoPredecessor(why)),
+                Err(why) => this.tell(PeerEvent::NoPredecessor(why)),
             }
         };
         self.host.executor.spawn(find).detach();
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::config::active::Deployment;
-use crate::server::core::api::{Input, NewSettings};
+use crate::server::core::api::{CoreInput, Reconfiguration};
 use crate::server::frontend::limiter::Room;
 use crate::server::observability::counters::{Counters, count};
 use crate::server::observability::telemetry;
@@ -35,7 +35,7 @@
     /// The clock.
     pub clock: Clock,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
 }
 
 impl Reloader {
@@ -65,12 +65,12 @@
             tracing::warn!(engine = %config.engine, "engine-kept-as-the-file-is-for-another-process");
         }
         let Config { engine, store, members, memory_mb, stop_ms, .. } = config;
-        let settings = NewSettings { site: config.site.clone(), stop_ms, memory_mb };
+        let settings = Reconfiguration { site: config.site.clone(), stop_ms, memory_mb };
         // Telemetry before any fact about a new class, and the core before the fronts: a request of a new class, read once the fronts know it, comes behind this in the queue.
         if let Some(telemetry) = &self.telemetry {
             telemetry::set_classes(telemetry, &config.site);
         }
-        let _ = self.queue.send(Input::Settings(settings)).await;
+        let _ = self.queue.send(CoreInput::Reconfigure(settings)).await;
         self.deployment.replace(config.site.clone());
         self.room.set_memory(memory_mb);
         self.peers.set(engine, store, members);
--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -16,40 +16,40 @@
 pub trait Caller {
     /// Tells callers apart, over all fronts.
     fn id(&self) -> u64;
-    /// Queues the one answer to the request that this caller named `ticket`.
-    fn answer(&self, ticket: u64, reply: &Reply);
+    /// Queues the one answer to the request that this caller named `correlation_id`.
+    fn answer(&self, correlation_id: u64, reply: &Reply);
     /// No new request should come on this connection; it may go once everything on it is answered.
     fn leave(&self);
     /// Leaves if nothing was carried since this time.
-    fn leave_if_idle(&self, since_ms: f64);
+    fn go_away_if_idle(&self, since_ms: f64);
 }
 
 /// The engine, as the core commands it. Commands are queued; while there is no link they are dropped.
 pub trait Engine {
     /// Begins a run.
-    fn run(&self, rid: &str, class: &str, body: &[u8]);
+    fn run(&self, attempt_id: &str, class: &str, body: &[u8]);
     /// Stops a run.
-    fn halt(&self, rid: &str);
+    fn halt(&self, attempt_id: &str);
     /// Hands a run the reply to its call; tells whether there is a link that it goes to.
-    fn feed(&self, rid: &str, reply: &[u8]) -> bool;
+    fn feed(&self, attempt_id: &str, reply: &[u8]) -> bool;
     /// Lets a run go on without the call that this notice asked for; tells whether there is a link.
-    fn skip(&self, rid: &str, notice: u64) -> bool;
+    fn skip(&self, attempt_id: &str, notice: u64) -> bool;
     /// Asks for the gauges.
     fn stat(&self, tag: u64);
 }
 
-/// The store, as the core calls it: each call ends with one [`Input::CallEnded`] unless it is dropped. Calls are told
+/// The store, as the core calls it: each call ends with one [`CoreInput::CallEnded`] unless it is dropped. Calls are told
 /// apart by numbers of the core's own: the name of the request may stand for a later call of it, or for another request.
 pub trait Store {
     /// Makes a call for this request; `once` if it must not be made twice.
-    fn call(self: Rc<Self>, call: u64, rid: &str, call_timeout_ms: f64, body: &[u8], once: bool);
+    fn call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
     /// Gives a call up; nothing is told of its end.
-    fn drop_call(&self, call: u64);
+    fn cancel_call(&self, call: u64);
 }
 
 /// The other process of this server during an upgrade, as the core reaches it: the predecessor that it takes over from, or the
 /// successor that takes over from it. Nothing here waits.
-pub trait HandoverPort {
+pub trait HandoverTransport {
     /// Sends to the predecessor; nothing is sent where there is none.
     fn send_to_predecessor(&self, message: &Message);
     /// Sends to the successor; nothing is sent where there is none.
@@ -58,7 +58,7 @@
     fn drop_predecessor(&self);
     /// Ends the link to the successor; nothing is told of it any more.
     fn drop_successor(&self);
-    /// Looks for the predecessor again, which is told by [`PeerInput`].
+    /// Looks for the predecessor again, which is told by [`PeerEvent`].
     fn find_predecessor(&self);
     /// Listens for a successor, in place of whoever listened before.
     fn listen_for_successor(&self);
@@ -70,7 +70,7 @@
 
 /// What the core is told of the other process of this server.
 #[derive(Debug)]
-pub enum PeerInput {
+pub enum PeerEvent {
     /// A predecessor was found, and said this.
     PredecessorFound(Hello),
     /// None was found.
@@ -90,22 +90,22 @@
 /// What the other process has told and the core has not taken yet. It does not stand in line behind requests: it is bounded by
 /// what the other process may have on its way.
 #[derive(Debug, Default)]
-pub struct PeerInbox(RefCell<VecDeque<PeerInput>>);
+pub struct PeerInbox(RefCell<VecDeque<PeerEvent>>);
 
 impl PeerInbox {
     /// Puts one in.
-    pub fn push(&self, input: PeerInput) {
+    pub fn push(&self, input: PeerEvent) {
         self.0.borrow_mut().push_back(input);
     }
 
     /// Takes the oldest out.
-    pub fn pop(&self) -> Option<PeerInput> {
+    pub fn pop(&self) -> Option<PeerEvent> {
         self.0.borrow_mut().pop_front()
     }
 }
 
 /// The doors of the process, as one that leaves looks at them.
-pub trait Doors {
+pub trait OpenSockets {
     /// Listening sockets that are open, or that someone stands before.
     fn open(&self) -> usize;
     /// Connections of callers that are not closed, whether the core has heard of them or not.
@@ -117,21 +117,21 @@
 pub enum Reply {
     /// The result that the engine made.
     Served(Rc<[u8]>),
-    /// This try never ran. The caller should stay away for `backoff_ms`, and not try elsewhere if `last`.
-    Refused {
+    /// This try never ran. The caller should stay away for `retry_after_ms`, and not try elsewhere if `last`.
+    Rejected {
         /// 0 for no advice.
-        backoff_ms: f64,
+        retry_after_ms: f64,
         /// Ask for no further try.
         last: bool,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// It failed; nothing is promised. `late` if there was no time left.
     Failed {
         /// It was out of time.
         late: bool,
         /// Why.
-        why: FailureReason,
+        reason: FailureReason,
     },
 }
 
@@ -142,13 +142,13 @@
     /// The front that read it.
     pub front: Protocol,
     /// The caller's own name for it, not in use.
-    pub ticket: u64,
+    pub correlation_id: u64,
     /// The name that engine and store know it by, new with every try.
-    pub rid: String,
+    pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, Unix ms.
-    pub t0: f64,
+    pub arrived_ms: f64,
     /// Marked as a further try.
     pub again: bool,
     /// Work hint, ms.
@@ -167,7 +167,7 @@
 
 /// How the engine ended a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RunEnd {
+pub enum RunResult {
     /// With this result.
     Complete(Rc<[u8]>),
     /// It failed.
@@ -179,7 +179,7 @@
 }
 
 /// What a reload changes for the core.
-pub struct NewSettings {
+pub struct Reconfiguration {
     /// Settings and names, with all indexes as they were.
     pub site: Rc<Site>,
     /// From the notice to leave to the kill, ms.
@@ -189,38 +189,38 @@
 }
 
 /// What reaches the core.
-pub enum Input {
+pub enum CoreInput {
     /// A connection was accepted.
-    Opened(Rc<dyn Caller>),
+    ConnectionOpened(Rc<dyn Caller>),
     /// A connection is over; nobody waits for what is left on it.
-    Closed(u64),
+    ConnectionClosed(u64),
     /// A request was read.
-    Request(Box<Arrival>),
+    RequestReceived(Box<Arrival>),
     /// The caller gave this request up.
-    Gone(u64, u64),
+    CallerGone(u64, u64),
     /// What came on a connection is no message of its wire: what was read on it before is to be failed.
-    Spoilt(u64),
+    ProtocolError(u64),
     /// The engine answered an attach.
-    EngineUp {
+    EngineAttached {
         /// It started cold.
         cold: bool,
         /// That long ago, ms.
         ms: f64,
     },
     /// The link to the engine broke.
-    EngineDown,
+    EngineDetached,
     /// A run is over.
-    Done(String, RunEnd),
+    RunEnded(String, RunResult),
     /// A run stands before a call, told by the notice of this number, with this body.
-    Need(String, u64, Vec<u8>),
+    CallNeeded(String, u64, Vec<u8>),
     /// The gauges that were asked for with this tag.
-    Stats(u64, Vec<f64>),
+    Gauges(u64, Vec<f64>),
     /// The engine did not carry out a command for this request.
-    Declined(String, String),
+    CommandRejected(String, String),
     /// The call of this number is over, with the reply if it went well.
     CallEnded(u64, Outcome, Option<Vec<u8>>),
     /// A question for the state, which the observer is told.
-    Look,
+    ReportState,
     /// These settings are in force for all that comes behind this.
-    Settings(NewSettings),
+    Reconfigure(Reconfiguration),
 }
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -11,11 +11,11 @@
 use pinepoint_handover::predecessor::{self, Predecessor};
 use pinepoint_handover::successor::{self, Successor};
 
-use super::{Core, EngineStart, Key, Life, UNREAD_MORE_MS, UNREAD_MOST};
+use super::{Core, EngineStart, Key, LifecyclePhase, MAX_READ_DELAY_FACTOR, READ_DELAY_MARGIN_MS};
 use crate::admission::Outcome;
 use crate::config::site::Site;
-use crate::server::core::api::{Arrival, HandoverPort, PeerInbox, PeerInput, Reply};
-use crate::server::core::keys::{KEYED, Record, TryResult};
+use crate::server::core::api::{Arrival, HandoverTransport, PeerEvent, PeerInbox, Reply};
+use crate::server::core::keys::{ANY_KEYED_CLASS, AttemptResult, Record};
 use crate::server::observability::counters::count;
 
 /// Added to the longest window in which keys may be unknown, ms.
@@ -30,7 +30,7 @@
 /// What a handover takes.
 pub struct HandoverParts {
     /// The way to the other process.
-    pub port: Rc<dyn HandoverPort>,
+    pub port: Rc<dyn HandoverTransport>,
     /// What the other process tells.
     pub inbox: Rc<PeerInbox>,
     /// Bounds and waits.
@@ -51,7 +51,7 @@
     /// Requests that wait for a claim, by class index.
     pub waiting: Vec<u64>,
     /// Tries under way in another process that still keep their keys from running.
-    pub remote_tries: usize,
+    pub remote_attempts: usize,
 }
 
 /// The state of the handover.
@@ -94,9 +94,9 @@
     pub fn handover_state(&self, now: f64) -> HandoverState {
         let mut state = HandoverState {
             waiting: vec![0; self.parts.site.settings.classes.len()],
-            remote_tries: self
+            remote_attempts: self
                 .keys
-                .remote_tries()
+                .remote_attempts()
                 .iter()
                 .filter(|(key, _)| self.keys.is_known(key, now))
                 .count(),
@@ -115,24 +115,24 @@
         self.now_ms = now;
         while let Some(input) = self.handover.as_ref().and_then(|handover| handover.parts.inbox.pop()) {
             match input {
-                PeerInput::PredecessorFound(hello) => {
+                PeerEvent::PredecessorFound(hello) => {
                     tracing::info!(drained = hello.drained, "predecessor-found");
                     self.keys.set_digest_key(hello.digest_key);
                     self.successor_event(now, successor::Event::PeerConnected(hello));
                 }
-                PeerInput::NoPredecessor(why) => {
+                PeerEvent::NoPredecessor(why) => {
                     tracing::info!(reason = %why, "no-predecessor");
                     self.successor_event(now, successor::Event::NoPredecessor(why));
                 }
-                PeerInput::FromPredecessor(message) => {
+                PeerEvent::FromPredecessor(message) => {
                     self.successor_event(now, successor::Event::Message(message));
                 }
-                PeerInput::PredecessorLost => self.successor_event(now, successor::Event::PeerLost),
-                PeerInput::SuccessorFound => self.predecessor_event(now, predecessor::Event::PeerConnected),
-                PeerInput::FromSuccessor(message) => {
+                PeerEvent::PredecessorLost => self.successor_event(now, successor::Event::PeerLost),
+                PeerEvent::SuccessorFound => self.predecessor_event(now, predecessor::Event::PeerConnected),
+                PeerEvent::FromSuccessor(message) => {
                     self.predecessor_event(now, predecessor::Event::Message(message));
                 }
-                PeerInput::SuccessorLost => self.predecessor_event(now, predecessor::Event::PeerLost),
+                PeerEvent::SuccessorLost => self.predecessor_event(now, predecessor::Event::PeerLost),
             }
         }
     }
@@ -181,7 +181,7 @@
     /// When a request that waits for a claim is answered in any case, ms.
     fn overdue_ms(&self, arrival: &Arrival) -> f64 {
         let class = &self.parts.site.settings.classes[arrival.class];
-        arrival.t0 + class.timeout_ms + self.overdue_slack_ms()
+        arrival.arrived_ms + class.timeout_ms + self.overdue_slack_ms()
     }
 
     /// Ends the waits that are over.
@@ -310,7 +310,7 @@
 
     /// This process owns the keys and can serve: from here on it may be taken over from itself.
     fn begin_serving(&mut self, now: f64) {
-        let drained = self.life.phase() == Life::StartingDrained;
+        let drained = self.life.phase() == LifecyclePhase::StartingDrained;
         let digest_key = self.keys.digest_key();
         let Some(handover) = &mut self.handover else { return };
         let listeners = handover.parts.listeners.clone();
@@ -322,7 +322,7 @@
         if let Some(start) = start {
             self.begin(start);
         }
-        if self.life.phase() < Life::Leaving {
+        if self.life.phase() < LifecyclePhase::Leaving {
             port.listen_for_successor();
             self.parts.status.accepting.set(true);
         }
@@ -396,9 +396,9 @@
         };
         let state = match result {
             _ if !ran => KeyState::Held,
-            TryResult::Pending => KeyState::Ran,
-            TryResult::Done(bytes) => KeyState::Done(bytes.to_vec()),
-            TryResult::Failed => KeyState::Failed,
+            AttemptResult::Pending => KeyState::Ran,
+            AttemptResult::Done(bytes) => KeyState::Done(bytes.to_vec()),
+            AttemptResult::Failed => KeyState::Failed,
         };
         // A request that is held beyond the window of its key must not be overtaken by a run of the other process.
         let deadline_ms = self.requests.get(id).map_or(0.0, |open| open.deadline_ms);
@@ -410,7 +410,7 @@
     /// Enters what the other process tells of a key. What this process knows itself stays as it is.
     fn import(&mut self, now: f64, record: KeyRecord) {
         let key = local_key(record.key);
-        let known = self.keys.remote_try(&key);
+        let known = self.keys.remote_attempt(&key);
         if known.is_none() && (record.state == KeyState::Released || self.keys.is_known(&key, now)) {
             return;
         }
@@ -421,17 +421,17 @@
         match record.state {
             KeyState::Held | KeyState::Ran => self.touch(&key),
             KeyState::Done(bytes) => {
-                self.key_ended(&key, id, Outcome::Done, TryResult::Done(bytes.into()));
+                self.key_ended(&key, id, Outcome::Done, AttemptResult::Done(bytes.into()));
             }
-            KeyState::Failed => self.key_ended(&key, id, Outcome::Failed, TryResult::Failed),
-            KeyState::Released => self.key_ended(&key, id, Outcome::NotStarted, TryResult::Failed),
+            KeyState::Failed => self.key_ended(&key, id, Outcome::Failed, AttemptResult::Failed),
+            KeyState::Released => self.key_ended(&key, id, Outcome::NotStarted, AttemptResult::Failed),
         }
     }
 
     /// Ends all tries that were under way in the other process.
     fn end_remote_tries(&mut self, outcome: Outcome) {
-        for (key, id) in self.keys.remote_tries() {
-            self.key_ended(&key, id, outcome, TryResult::Failed);
+        for (key, id) in self.keys.remote_attempts() {
+            self.key_ended(&key, id, outcome, AttemptResult::Failed);
         }
     }
 
@@ -446,7 +446,7 @@
     /// Asks the other process whether this key may run here; the request waits for that.
     pub(super) fn claim(&mut self, now: f64, key: Key, digest: u64, arrival: Arrival) {
         let class = &self.parts.site.settings.classes[arrival.class];
-        let until_ms = arrival.t0 + class.dedup_window_ms.max(class.timeout_ms) + 1.0;
+        let until_ms = arrival.arrived_ms + class.dedup_window_ms.max(class.timeout_ms) + 1.0;
         let shared = shared_key(&key);
         let Some(handover) = &mut self.handover else { return };
         if let Some(claim) = handover.claims.values_mut().find(|claim| claim.key == key) {
@@ -484,27 +484,28 @@
     }
 
     /// The callers of these requests, if they wait for a claim, are gone: none of them is run.
-    pub(super) fn claimants_gone(&mut self, now: f64, caller: u64, ticket: Option<u64>) {
+    pub(super) fn claimants_gone(&mut self, now: f64, caller: u64, correlation_id: Option<u64>) {
         let is_meant = |_: &Core, arrival: &Arrival| {
-            arrival.caller.id() == caller && ticket.is_none_or(|ticket| arrival.ticket == ticket)
+            arrival.caller.id() == caller
+                && correlation_id.is_none_or(|correlation_id| arrival.correlation_id == correlation_id)
         };
         for arrival in self.take_claimants(is_meant) {
             self.emit(0, arrival.class, super::read_kind(now, &arrival));
-            self.emit(0, arrival.class, RequestEventKind::CallerGone { took_ms: now - arrival.t0 });
+            self.emit(0, arrival.class, RequestEventKind::CallerGone { took_ms: now - arrival.arrived_ms });
             self.parts.counters.count_class(arrival.class, |class| &class.gone);
         }
     }
 
     /// What came on a connection is no message of its wire: what waits for a claim on it fails.
     pub(super) fn claimants_spoilt(&mut self, now: f64, caller: u64) {
-        let reply = Reply::Failed { late: false, why: FailureReason::ProtocolError };
+        let reply = Reply::Failed { late: false, reason: FailureReason::ProtocolError };
         for arrival in self.take_claimants(|_, arrival| arrival.caller.id() == caller) {
             self.turn_back(now, &arrival, &reply);
         }
     }
 
     fn fail_overdue_claimants(&mut self, now: f64) {
-        let reply = Reply::Failed { late: true, why: FailureReason::Overdue };
+        let reply = Reply::Failed { late: true, reason: FailureReason::Overdue };
         for arrival in self.take_claimants(|core, arrival| now >= core.overdue_ms(arrival)) {
             count(&self.parts.counters.overdue);
             self.turn_back(now, &arrival, &reply);
@@ -529,7 +530,7 @@
         let Some(WaitingClaim { arrivals, .. }) = self.take_claim(id) else { return };
         tracing::info!(reason = %why, requests = arrivals.len(), "claim-denied");
         for arrival in arrivals {
-            let reply = Reply::Failed { late: false, why: FailureReason::ClaimDenied };
+            let reply = Reply::Failed { late: false, reason: FailureReason::ClaimDenied };
             self.turn_back(now, &arrival, &reply);
         }
     }
@@ -558,14 +559,15 @@
             self.settle(now);
         }
         // The claim does not say when its request reached the machine: it may have lain unread for so long.
-        let unread_most_ms = self.parts.site.settings.longest_timeout_ms() * UNREAD_MOST + UNREAD_MORE_MS;
+        let unread_most_ms =
+            self.parts.site.settings.longest_timeout_ms() * MAX_READ_DELAY_FACTOR + READ_DELAY_MARGIN_MS;
         let waits = self.handover.iter().flat_map(|h| h.claims.values()).any(|claim| claim.key == *key);
         !waits && !self.keys.is_known(key, now - unread_most_ms) && self.unknown_key(now) == UnknownKey::Run
     }
 }
 
 fn is_keyed(key: &Key) -> bool {
-    key.0 == KEYED
+    key.0 == ANY_KEYED_CLASS
 }
 
 /// The key as the other process knows it. Tokens count in all keyed classes, so none is named.
@@ -574,5 +576,5 @@
 }
 
 fn local_key(key: SharedKey) -> Key {
-    (KEYED, key.token)
+    (ANY_KEYED_CLASS, key.token)
 }
--- a/src/server/core/keys.rs
+++ b/src/server/core/keys.rs
@@ -18,16 +18,16 @@
 const ROOM_LEAST: usize = 64;
 
 /// A name by which requests are known, and the class in which it counts: the subject of a read counts in its class, the token of
-/// a keyed request in all keyed classes, which stand under [`KEYED`].
+/// a keyed request in all keyed classes, which stand under [`ANY_KEYED_CLASS`].
 pub type Key = (usize, String);
 
 /// Stands for all keyed classes. Tries of one request may come under different ones: a reload that adds a class moves callers to
 /// it between two tries.
-pub const KEYED: usize = usize::MAX;
+pub const ANY_KEYED_CLASS: usize = usize::MAX;
 
 /// What is known of the try of a key that ran.
 #[derive(Clone, Debug, PartialEq)]
-pub enum TryResult {
+pub enum AttemptResult {
     /// Nothing yet.
     Pending,
     /// It went well, with this result.
@@ -38,7 +38,7 @@
 
 /// A try that others of its key are held against.
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct Attempt {
     id: u32,
     /// Digest of its body: all tries of one request carry the same.
     digest: u64,
@@ -50,15 +50,15 @@
 #[derive(Debug)]
 struct Entry {
     /// The try that the decision module wants kept.
-    holder: Option<Try>,
+    holder: Option<Attempt>,
     /// The try that was started, in keyed classes; no other may be before its window ends.
-    ran: Option<Try>,
+    ran: Option<Attempt>,
     /// The one that had run before, past its window: tries that came within it may still be read, and count again if the
     /// later one proves not to have run.
-    ran_before: Option<Try>,
+    ran_before: Option<Attempt>,
     /// The try whose result is kept here, and that result.
     of: u32,
-    result: TryResult,
+    result: AttemptResult,
     /// Repeats that wait, each with the try whose result it waits for.
     waiters: Vec<(u32, u32)>,
     /// The try that is under way in another process of this server: it counts as one that ran.
@@ -67,13 +67,13 @@
 
 impl Entry {
     fn new(of: u32) -> Self {
-        let result = TryResult::Pending;
+        let result = AttemptResult::Pending;
         Entry { holder: None, ran: None, ran_before: None, of, result, waiters: Vec::new(), remote: None }
     }
 
     /// The try that one which came at this time repeats.
-    fn known(&self, t0: f64) -> Option<Try> {
-        let covers = |known: &Try| t0 < known.until;
+    fn known(&self, arrived_ms: f64) -> Option<Attempt> {
+        let covers = |known: &Attempt| arrived_ms < known.until;
         self.ran.filter(covers).or(self.holder.filter(covers))
     }
 
@@ -83,7 +83,7 @@
     }
 
     fn bytes(&self) -> usize {
-        if let TryResult::Done(bytes) = &self.result { bytes.len() } else { 0 }
+        if let AttemptResult::Done(bytes) = &self.result { bytes.len() } else { 0 }
     }
 }
 
@@ -95,7 +95,7 @@
     /// Digest of its body.
     pub digest: u64,
     /// When it reached the machine, ms.
-    pub t0: f64,
+    pub arrived_ms: f64,
     /// No other try may be started until this time, ms.
     pub until: f64,
 }
@@ -106,17 +106,17 @@
 
 /// What becomes of a repeat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Joined {
+pub enum JoinOutcome {
     /// It waits for the try that is under way.
     Waits,
     /// That try is over, with this result.
-    Over(TryResult),
+    Over(AttemptResult),
 }
 
 /// The table. Its kept results are bounded in bytes; its entries by the decision module, which books memory for
 /// each.
 #[derive(Debug)]
-pub struct Keys {
+pub struct KeyTable {
     entries: HashMap<Key, Entry>,
     /// Bytes of all results; what takes one out of an entry, or the entry out of the table, takes its bytes off.
     results: usize,
@@ -137,7 +137,7 @@
     /// Whether the try was started. One that was not may yet be refused.
     pub ran: bool,
     /// Its result.
-    pub result: TryResult,
+    pub result: AttemptResult,
 }
 
 /// A key for digests that nobody can guess.
@@ -150,10 +150,10 @@
     key
 }
 
-impl Keys {
+impl KeyTable {
     /// An empty table that keeps results up to so many bytes.
     pub fn new(results_most: f64) -> Self {
-        Keys { entries: HashMap::new(), results: 0, results_most, digest_key: random_key() }
+        KeyTable { entries: HashMap::new(), results: 0, results_most, digest_key: random_key() }
     }
 
     /// Keeps results up to so many bytes from now on; those that are kept stay for their time.
@@ -191,23 +191,23 @@
     /// What another process has to know of this key; nothing if nothing is known of it.
     pub fn record(&self, key: &Key) -> Option<Record> {
         let entry = self.entries.get(key)?;
-        let Try { id, digest, until } = entry.ran.or(entry.holder)?;
-        let result = if entry.of == id { entry.result.clone() } else { TryResult::Failed };
+        let Attempt { id, digest, until } = entry.ran.or(entry.holder)?;
+        let result = if entry.of == id { entry.result.clone() } else { AttemptResult::Failed };
         Some(Record { id, digest, until, ran: entry.ran.is_some(), result })
     }
 
     /// Whether anything known of the key covers tries that reach the machine at this time.
-    pub fn is_known(&self, key: &Key, t0: f64) -> bool {
-        self.entries.get(key).is_some_and(|entry| entry.known(t0).is_some())
+    pub fn is_known(&self, key: &Key, arrived_ms: f64) -> bool {
+        self.entries.get(key).is_some_and(|entry| entry.known(arrived_ms).is_some())
     }
 
     /// The try of this key that is under way in another process.
-    pub fn remote_try(&self, key: &Key) -> Option<u32> {
+    pub fn remote_attempt(&self, key: &Key) -> Option<u32> {
         self.entries.get(key)?.remote
     }
 
     /// All keys with a try that is under way in another process.
-    pub fn remote_tries(&self) -> Vec<(Key, u32)> {
+    pub fn remote_attempts(&self) -> Vec<(Key, u32)> {
         self.entries.iter().filter_map(|(key, entry)| Some((key.clone(), entry.remote?))).collect()
     }
 
@@ -224,34 +224,37 @@
         }
         if entry.of != id {
             self.results -= entry.bytes();
-            (entry.of, entry.result) = (id, TryResult::Pending);
+            (entry.of, entry.result) = (id, AttemptResult::Pending);
         }
         entry.holder = None;
-        entry.ran_before = entry.ran.replace(Try { id, digest, until });
+        entry.ran_before = entry.ran.replace(Attempt { id, digest, until });
         entry.remote = Some(id);
     }
 
     /// The try that a request with this key repeats, if it reached the machine while the entry lived.
-    pub fn kept_try(&self, key: &Key, t0: f64) -> Option<u32> {
-        Some(self.entries.get(key)?.known(t0)?.id)
+    pub fn retained_attempt(&self, key: &Key, arrived_ms: f64) -> Option<u32> {
+        Some(self.entries.get(key)?.known(arrived_ms)?.id)
     }
 
     /// Whether the key is known and stands for another request than one with this body.
-    pub fn is_other(&self, key: &Key, t0: f64, digest: u64) -> bool {
-        self.entries.get(key).and_then(|entry| entry.known(t0)).is_some_and(|known| known.digest != digest)
+    pub fn has_other_body(&self, key: &Key, arrived_ms: f64, digest: u64) -> bool {
+        self.entries
+            .get(key)
+            .and_then(|entry| entry.known(arrived_ms))
+            .is_some_and(|known| known.digest != digest)
     }
 
     /// Enters a try that is about to be started. Guards the rule on duplicates against every cause, a decision
     /// module that forgot included.
     pub fn start(&mut self, key: &Key, start: Start) -> Result<(), AlreadyRan> {
-        let Start { id, digest, t0, until } = start;
+        let Start { id, digest, arrived_ms, until } = start;
         let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(id));
-        if entry.ran.is_some_and(|ran| t0 < ran.until) {
+        if entry.ran.is_some_and(|ran| arrived_ms < ran.until) {
             return Err(AlreadyRan);
         }
-        entry.ran_before = entry.ran.replace(Try { id, digest, until });
+        entry.ran_before = entry.ran.replace(Attempt { id, digest, until });
         self.results -= entry.bytes();
-        (entry.of, entry.result) = (id, TryResult::Pending);
+        (entry.of, entry.result) = (id, AttemptResult::Pending);
         Ok(())
     }
 
@@ -259,10 +262,10 @@
     /// its own: kept on, it would be told to repeats long after its time.
     pub fn remember(&mut self, key: Key, id: u32, digest: u64, until: f64) {
         let entry = self.entries.entry(key).or_insert_with(|| Entry::new(id));
-        entry.holder = Some(Try { id, digest, until });
+        entry.holder = Some(Attempt { id, digest, until });
         if entry.ran.is_none() && entry.of != id {
             self.results -= entry.bytes();
-            (entry.of, entry.result) = (id, TryResult::Pending);
+            (entry.of, entry.result) = (id, AttemptResult::Pending);
         }
     }
 
@@ -274,22 +277,24 @@
     }
 
     /// Lets a repeat wait for the try it names, if that is under way, or tells how it ended.
-    pub fn join(&mut self, key: Option<&Key>, id: u32, first: Option<u32>, under_way: bool) -> Joined {
+    pub fn join(&mut self, key: Option<&Key>, id: u32, first: Option<u32>, under_way: bool) -> JoinOutcome {
         let entry = key.and_then(|key| self.entries.get_mut(key));
-        let (Some(entry), Some(first)) = (entry, first) else { return Joined::Over(TryResult::Failed) };
-        if entry.of == first && entry.result != TryResult::Pending {
-            return Joined::Over(entry.result.clone());
+        let (Some(entry), Some(first)) = (entry, first) else {
+            return JoinOutcome::Over(AttemptResult::Failed);
+        };
+        if entry.of == first && entry.result != AttemptResult::Pending {
+            return JoinOutcome::Over(entry.result.clone());
         }
         if under_way {
             entry.waiters.push((id, first));
-            return Joined::Waits;
+            return JoinOutcome::Waits;
         }
-        Joined::Over(TryResult::Failed)
+        JoinOutcome::Over(AttemptResult::Failed)
     }
 
     /// A try of the key is over. Returns the repeats that wait for it, and whether its result was dropped for want of
     /// room: the entry stays then, so that no repeat runs. `never_ran` if that is proved: the next try is a first one.
-    pub fn ended(&mut self, key: &Key, id: u32, result: TryResult, never_ran: bool) -> (Vec<u32>, bool) {
+    pub fn ended(&mut self, key: &Key, id: u32, result: AttemptResult, never_ran: bool) -> (Vec<u32>, bool) {
         let Some(entry) = self.entries.get_mut(key) else { return (Vec::new(), false) };
         entry.remote = entry.remote.filter(|remote| *remote != id);
         let (waited, others) = entry.waiters.drain(..).partition(|(_, first)| *first == id);
@@ -306,7 +311,7 @@
             entry.result = result;
             if (held + entry.bytes()) as f64 > self.results_most {
                 dropped = entry.bytes() > 0;
-                entry.result = TryResult::Failed;
+                entry.result = AttemptResult::Failed;
             }
             self.results = held + entry.bytes();
         }
@@ -335,7 +340,7 @@
     pub fn sweep(&mut self, now: f64) {
         let mut freed = 0;
         self.entries.retain(|_, entry| {
-            let lives = |known: Option<Try>| known.is_some_and(|known| known.until + AFTERLIFE_MS > now);
+            let lives = |known: Option<Attempt>| known.is_some_and(|known| known.until + AFTERLIFE_MS > now);
             let live = lives(entry.ran) || lives(entry.holder) || !entry.waiters.is_empty();
             freed += if live { 0 } else { entry.bytes() };
             live
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -27,11 +27,13 @@
     Request,
 };
 use crate::config::site::Site;
-use crate::server::control::lifecycle::{Left, Lifecycle, Phase as Life, Times};
+use crate::server::control::lifecycle::{Left, Lifecycle, Phase as LifecyclePhase, Times};
 use crate::server::control::status::Status;
-use crate::server::core::api::{Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store};
-use crate::server::core::keys::{Joined, KEYED, Key, Keys, Start, TryResult};
-use crate::server::core::requests::{Feed, Open, Phase, Requests};
+use crate::server::core::api::{
+    Arrival, Caller, CoreInput, Engine, OpenSockets, Reconfiguration, Reply, RunResult, Store,
+};
+use crate::server::core::keys::{ANY_KEYED_CLASS, AttemptResult, JoinOutcome, Key, KeyTable, Start};
+use crate::server::core::requests::{CallResult, OpenRequest, RequestState, RequestTable};
 use crate::server::observability::counters::{Counters, count};
 
 /// Wait for the gauges after a timer is due, ms: due times hang on timers, so a silent engine must not hold
@@ -46,9 +48,9 @@
 /// How far ahead of the clock a request may say it came, ms, and how many times its class's time, and this much
 /// more, it may have lain unread. What says otherwise is no router's, and would stretch due times and keys'
 /// windows without end, or pass for a jam that no one could have read through.
-const AHEAD_MOST_MS: f64 = 1000.0;
-const UNREAD_MOST: f64 = 2.0;
-const UNREAD_MORE_MS: f64 = 1000.0;
+const MAX_CLOCK_AHEAD_MS: f64 = 1000.0;
+const MAX_READ_DELAY_FACTOR: f64 = 2.0;
+const READ_DELAY_MARGIN_MS: f64 = 1000.0;
 /// From the notice to the kill of a process that another one follows, ms: the longest deadline, which counts as so much at
 /// most, and a margin.
 const HANDOVER_DEADLINE_MOST_MS: f64 = 3000.0;
@@ -93,7 +95,7 @@
     /// The store.
     pub store: Rc<dyn Store>,
     /// The doors, and who has come in by them.
-    pub doors: Rc<dyn Doors>,
+    pub doors: Rc<dyn OpenSockets>,
     /// What a handover between two processes of this server takes; without it there is none.
     pub handover: Option<HandoverParts>,
 }
@@ -104,8 +106,8 @@
     life: Lifecycle,
     controller: Option<AdmissionController>,
     callers: BTreeMap<u64, Rc<dyn Caller>>,
-    requests: Requests,
-    keys: Keys,
+    requests: RequestTable,
+    keys: KeyTable,
     actions: Vec<Action>,
     follow_up: VecDeque<Event>,
     timers: Vec<(f64, u32)>,
@@ -129,7 +131,7 @@
 impl Core {
     /// A core without a decision module: that is made when the engine says how the machine started.
     pub fn new(mut parts: Parts) -> Self {
-        let keys = Keys::new(results_most(parts.memory_mb));
+        let keys = KeyTable::new(results_most(parts.memory_mb));
         let times = times(&parts.site, parts.stop_ms);
         let handover = parts.handover.take().map(Handover::new);
         Core {
@@ -137,7 +139,7 @@
             parts,
             controller: None,
             callers: BTreeMap::new(),
-            requests: Requests::default(),
+            requests: RequestTable::default(),
             keys,
             actions: Vec::new(),
             follow_up: VecDeque::new(),
@@ -160,7 +162,7 @@
 
     /// Serves until the node has left: all that is queued, then one settlement, then sleep. Returns when the process
     /// will be killed, ms.
-    pub async fn run(mut self, queue: Receiver<Input>) -> f64 {
+    pub async fn run(mut self, queue: Receiver<CoreInput>) -> f64 {
         let (clock, status) = (self.parts.clock.clone(), self.parts.status.clone());
         loop {
             let due = self.next_due();
@@ -189,7 +191,7 @@
                 self.take(now, input);
             }
             self.settle(now);
-            if self.life.phase() == Life::Gone {
+            if self.life.phase() == LifecyclePhase::Gone {
                 self.parts.observer.core_state(now, &self.state());
                 self.emit_process_event(ProcessEvent::Stopped);
                 return self.life.kill_ms().unwrap_or(f64::INFINITY);
@@ -206,7 +208,7 @@
     }
 
     /// The same for a request in the table.
-    fn emit_for(&self, id: u32, kind: impl FnOnce(&Open) -> RequestEventKind) {
+    fn emit_for(&self, id: u32, kind: impl FnOnce(&OpenRequest) -> RequestEventKind) {
         if let Some(open) = self.requests.get(id) {
             self.emit(id, open.class, kind(open));
         }
@@ -217,7 +219,7 @@
     }
 
     /// Where the process stands in its life.
-    pub fn phase(&self) -> Life {
+    pub fn phase(&self) -> LifecyclePhase {
         self.life.phase()
     }
 
@@ -227,11 +229,11 @@
             CoreState { open: vec![0; self.parts.site.settings.classes.len()], ..CoreState::default() };
         for (_, open) in self.requests.iter() {
             state.open[open.class] += u64::from(open.caller.is_some());
-            match open.phase {
-                Phase::Held => state.held += 1,
-                Phase::Waiting => state.waiting += 1,
-                Phase::Running | Phase::AtCall => state.running += 1,
-                Phase::Calling => {
+            match open.state {
+                RequestState::Queued => state.held += 1,
+                RequestState::AwaitingResult => state.waiting += 1,
+                RequestState::Running | RequestState::AwaitingCall => state.running += 1,
+                RequestState::InCall => {
                     state.running += 1;
                     state.calls += 1;
                 }
@@ -253,55 +255,60 @@
     }
 
     /// Takes one input. What the module wants done is carried out by the next [`Core::settle`].
-    pub fn take(&mut self, now: f64, input: Input) {
+    pub fn take(&mut self, now: f64, input: CoreInput) {
         self.now_ms = now;
         match input {
-            Input::Opened(caller) => {
-                if self.life.phase() >= Life::ToldToGo {
+            CoreInput::ConnectionOpened(caller) => {
+                if self.life.phase() >= LifecyclePhase::ToldToGo {
                     caller.leave();
                 }
                 self.callers.insert(caller.id(), caller);
             }
-            Input::Closed(caller) => {
+            CoreInput::ConnectionClosed(caller) => {
                 self.callers.remove(&caller);
                 for id in self.requests.owed_to(caller) {
                     self.gone(now, id);
                 }
                 self.claimants_gone(now, caller, None);
             }
-            Input::Request(arrival) => self.arrived(now, *arrival),
-            Input::Gone(caller, ticket) => {
-                if let Some(id) = self.requests.by_ticket(caller, ticket) {
+            CoreInput::RequestReceived(arrival) => self.arrived(now, *arrival),
+            CoreInput::CallerGone(caller, correlation_id) => {
+                if let Some(id) = self.requests.by_correlation_id(caller, correlation_id) {
                     self.gone(now, id);
                 } else {
-                    self.claimants_gone(now, caller, Some(ticket));
+                    self.claimants_gone(now, caller, Some(correlation_id));
                 }
             }
-            Input::Spoilt(caller) => {
+            CoreInput::ProtocolError(caller) => {
                 for id in self.requests.owed_to(caller) {
-                    self.give_up(now, id, Reply::Failed { late: false, why: FailureReason::ProtocolError });
+                    self.give_up(
+                        now,
+                        id,
+                        Reply::Failed { late: false, reason: FailureReason::ProtocolError },
+                    );
                 }
                 self.claimants_spoilt(now, caller);
             }
-            Input::EngineUp { cold, ms } => self.engine_up(now, cold, ms),
-            Input::EngineDown => {
+            CoreInput::EngineAttached { cold, ms } => self.engine_up(now, cold, ms),
+            CoreInput::EngineDetached => {
                 self.engine_up = false;
                 self.barrier = None;
             }
-            Input::Done(rid, end) => {
-                if let Some(id) = self.requests.by_rid(&rid) {
+            CoreInput::RunEnded(attempt_id, end) => {
+                if let Some(id) = self.requests.by_attempt_id(&attempt_id) {
                     self.run_ended(now, id, end);
                 }
             }
-            Input::Need(rid, notice, body) => {
-                let Some(id) = self.requests.by_rid(&rid) else { return };
+            CoreInput::CallNeeded(attempt_id, notice, body) => {
+                let Some(id) = self.requests.by_attempt_id(&attempt_id) else { return };
                 let Some(open) = self.requests.get_mut(id) else { return };
                 // A further call for the same request gives up the first.
-                let given_up = (open.phase == Phase::Calling).then(|| (open.call, call_dropped(now, open)));
+                let given_up =
+                    (open.state == RequestState::InCall).then(|| (open.call, call_dropped(now, open)));
                 if let Some((call, _)) = given_up {
-                    self.parts.store.drop_call(call);
+                    self.parts.store.cancel_call(call);
                 }
-                open.phase = Phase::AtCall;
+                open.state = RequestState::AwaitingCall;
                 open.need = (notice, body);
                 open.feed = None;
                 let (over, class) = (open.caller.is_none(), open.class);
@@ -314,23 +321,23 @@
                     self.end_at_call(id);
                 }
             }
-            Input::Stats(tag, gauges) => self.stats(now, tag, gauges),
-            Input::Declined(command, rid) => {
+            CoreInput::Gauges(tag, gauges) => self.stats(now, tag, gauges),
+            CoreInput::CommandRejected(command, attempt_id) => {
                 count(&self.parts.counters.engine_refusals);
-                tracing::warn!(command, rid, "engine-refused");
-                if let ("RUN", Some(id)) = (command.as_str(), self.requests.by_rid(&rid)) {
-                    self.run_ended(now, id, RunEnd::Unknown);
+                tracing::warn!(command, attempt_id, "engine-refused");
+                if let ("RUN", Some(id)) = (command.as_str(), self.requests.by_attempt_id(&attempt_id)) {
+                    self.run_ended(now, id, RunResult::Unknown);
                 }
             }
-            Input::CallEnded(call, outcome, reply) => self.call_ended(now, call, outcome, reply),
-            Input::Look => self.parts.observer.core_state(now, &self.state()),
-            Input::Settings(new) => self.reconfigure(new),
+            CoreInput::CallEnded(call, outcome, reply) => self.call_ended(now, call, outcome, reply),
+            CoreInput::ReportState => self.parts.observer.core_state(now, &self.state()),
+            CoreInput::Reconfigure(new) => self.reconfigure(new),
         }
     }
 
     /// Puts other settings in force. What is open keeps its class and its due time.
-    fn reconfigure(&mut self, new: NewSettings) {
-        let NewSettings { site, stop_ms, memory_mb } = new;
+    fn reconfigure(&mut self, new: Reconfiguration) {
+        let Reconfiguration { site, stop_ms, memory_mb } = new;
         if let Some(controller) = &mut self.controller
             && let Err(error) = controller.reconfigure(site.settings.clone())
         {
@@ -362,43 +369,43 @@
     fn admit(&mut self, now: f64, arrival: Arrival, claimed: bool) {
         let class = &self.parts.site.settings.classes[arrival.class];
         let key = match class.idempotency {
-            Idempotency::Keyed => arrival.token.clone().map(|token| (KEYED, token)),
+            Idempotency::Keyed => arrival.token.clone().map(|token| (ANY_KEYED_CLASS, token)),
             Idempotency::ReadOnly if self.parts.site.settings.read_result_ttl_ms > 0.0 => {
                 arrival.subject.clone().map(|subject| (arrival.class, subject))
             }
             _ => None,
         };
         let idempotency = class.idempotency;
-        let deadline_ms = arrival.t0 + class.timeout_ms;
+        let deadline_ms = arrival.arrived_ms + class.timeout_ms;
         // All that was read before has its answer, and the process ends in a moment.
-        if self.life.phase() >= Life::Finishing {
-            self.turn_back(now, &arrival, &Reply::Failed { late: true, why: FailureReason::Shutdown });
+        if self.life.phase() >= LifecyclePhase::Finishing {
+            self.turn_back(now, &arrival, &Reply::Failed { late: true, reason: FailureReason::Shutdown });
             return;
         }
         // Without a module nothing runs.
         if self.controller.is_none() {
-            let why = RejectReason::NotReady;
-            self.turn_back(now, &arrival, &Reply::Refused { backoff_ms: 0.0, last: false, why });
+            let reason = RejectReason::NotReady;
+            self.turn_back(now, &arrival, &Reply::Rejected { retry_after_ms: 0.0, last: false, reason });
             return;
         }
         // A name in use would mix up two runs. This try has not run, but another of its request may have an effect.
-        if self.requests.by_rid(&arrival.rid).is_some() {
+        if self.requests.by_attempt_id(&arrival.attempt_id).is_some() {
             let reply = match class.idempotency {
                 Idempotency::ReadOnly => {
-                    Reply::Refused { backoff_ms: 0.0, last: false, why: RejectReason::AttemptIdInUse }
+                    Reply::Rejected { retry_after_ms: 0.0, last: false, reason: RejectReason::AttemptIdInUse }
                 }
-                _ => Reply::Failed { late: false, why: FailureReason::AttemptIdInUse },
+                _ => Reply::Failed { late: false, reason: FailureReason::AttemptIdInUse },
             };
             self.turn_back(now, &arrival, &reply);
             return;
         }
-        let unread_most = class.timeout_ms * UNREAD_MOST + UNREAD_MORE_MS;
-        if !(-AHEAD_MOST_MS..=unread_most).contains(&(now - arrival.t0)) {
+        let unread_most = class.timeout_ms * MAX_READ_DELAY_FACTOR + READ_DELAY_MARGIN_MS;
+        if !(-MAX_CLOCK_AHEAD_MS..=unread_most).contains(&(now - arrival.arrived_ms)) {
             count(&self.parts.counters.bad_times);
             self.turn_back(
                 now,
                 &arrival,
-                &Reply::Failed { late: false, why: FailureReason::InvalidArrivalTime },
+                &Reply::Failed { late: false, reason: FailureReason::InvalidArrivalTime },
             );
             return;
         }
@@ -411,17 +418,21 @@
         }
         let digest = self.keys.digest(&arrival.body);
         // Another request under a known key: its sender must not get what was made of the first, nor run.
-        if key.as_ref().is_some_and(|key| self.keys.is_other(key, arrival.t0, digest)) {
+        if key.as_ref().is_some_and(|key| self.keys.has_other_body(key, arrival.arrived_ms, digest)) {
             count(&self.parts.counters.refused_bodies);
-            self.turn_back(now, &arrival, &Reply::Failed { late: false, why: FailureReason::BodyMismatch });
+            self.turn_back(
+                now,
+                &arrival,
+                &Reply::Failed { late: false, reason: FailureReason::BodyMismatch },
+            );
             return;
         }
-        let duplicate_of = key.as_ref().and_then(|key| self.keys.kept_try(key, arrival.t0));
+        let duplicate_of = key.as_ref().and_then(|key| self.keys.retained_attempt(key, arrival.arrived_ms));
         if let (Idempotency::Keyed, Some(key), None, false) = (idempotency, &key, duplicate_of, claimed) {
             match self.unknown_key(now) {
                 UnknownKey::Run => {}
                 UnknownKey::Fail => {
-                    let reply = Reply::Failed { late: false, why: FailureReason::KeyStateUnknown };
+                    let reply = Reply::Failed { late: false, reason: FailureReason::KeyStateUnknown };
                     self.turn_back(now, &arrival, &reply);
                     return;
                 }
@@ -435,16 +446,17 @@
             count(&self.parts.counters.repeats);
         }
         let (has_subject, retry) = (arrival.subject.is_some(), arrival.again);
-        let (class, tenant, mem_kb, t0) = (arrival.class, arrival.tenant, arrival.mem_kb, arrival.t0);
+        let (class, tenant, mem_kb, arrived_ms) =
+            (arrival.class, arrival.tenant, arrival.mem_kb, arrival.arrived_ms);
         let work_hint_ms = arrival.est_ms;
         let read = read_kind(now, &arrival);
-        let id = self.requests.enter(Open {
+        let id = self.requests.enter(OpenRequest {
             caller_id: arrival.caller.id(),
             caller: Some(arrival.caller),
-            ticket: arrival.ticket,
-            rid: arrival.rid,
+            correlation_id: arrival.correlation_id,
+            attempt_id: arrival.attempt_id,
             class,
-            t0,
+            arrived_ms,
             read_ms: now,
             began_ms: now,
             work_hint_ms,
@@ -453,7 +465,7 @@
             key,
             body: arrival.body,
             digest,
-            phase: Phase::Held,
+            state: RequestState::Queued,
             duplicate_of,
             need: (0, Vec::new()),
             feed: None,
@@ -464,7 +476,7 @@
             halted: false,
         });
         self.emit(id, class, read);
-        let queued_ms = (now - t0).max(0.0);
+        let queued_ms = (now - arrived_ms).max(0.0);
         let request = Request {
             id,
             class,
@@ -484,14 +496,18 @@
     fn turn_back(&self, now: f64, arrival: &Arrival, reply: &Reply) {
         self.emit(0, arrival.class, read_kind(now, arrival));
         self.count_answer(arrival.class, reply);
-        self.emit(0, arrival.class, answer_kind(reply, false, false, arrival.est_ms, now - arrival.t0));
-        arrival.caller.answer(arrival.ticket, reply);
+        self.emit(
+            0,
+            arrival.class,
+            answer_kind(reply, false, false, arrival.est_ms, now - arrival.arrived_ms),
+        );
+        arrival.caller.answer(arrival.correlation_id, reply);
     }
 
     fn count_answer(&self, class: usize, reply: &Reply) {
         self.parts.counters.count_class(class, |class| match reply {
             Reply::Served(_) => &class.served,
-            Reply::Refused { .. } => &class.refused,
+            Reply::Rejected { .. } => &class.refused,
             Reply::Failed { .. } => &class.failed,
         });
     }
@@ -500,15 +516,15 @@
         if self.requests.release(id).is_none() {
             return;
         }
-        self.emit_for(id, |open| RequestEventKind::CallerGone { took_ms: now - open.t0 });
+        self.emit_for(id, |open| RequestEventKind::CallerGone { took_ms: now - open.arrived_ms });
         let Some(open) = self.requests.get(id) else { return };
-        let phase = open.phase;
+        let phase = open.state;
         self.parts.counters.count_class(open.class, |class| &class.gone);
         self.tell(now, Event::CallerGone { id });
         match phase {
-            Phase::Held | Phase::Waiting => self.forget_request(id),
-            Phase::AtCall | Phase::Calling => self.end_at_call(id),
-            Phase::Running => {}
+            RequestState::Queued | RequestState::AwaitingResult => self.forget_request(id),
+            RequestState::AwaitingCall | RequestState::InCall => self.end_at_call(id),
+            RequestState::Running => {}
         }
     }
 
@@ -559,15 +575,15 @@
         for open in self.requests.iter_mut() {
             let unread = |asks: u64| asks >= self.acked;
             if open.feed.is_some() && open.fed.is_none_or(unread) {
-                tracing::info!(rid = open.rid, doubt = open.fed.is_some(), "refeed");
+                tracing::info!(attempt_id = open.attempt_id, doubt = open.fed.is_some(), "refeed");
                 feed_to(open, &*self.parts.engine);
                 open.fed = Some(self.asks);
             } else if unread(open.commanded) && open.halted {
-                self.parts.engine.halt(&open.rid);
+                self.parts.engine.halt(&open.attempt_id);
                 open.commanded = self.asks;
-            } else if unread(open.commanded) && open.phase == Phase::Running {
+            } else if unread(open.commanded) && open.state == RequestState::Running {
                 let name = self.parts.site.class_name(open.class);
-                self.parts.engine.run(&open.rid, name, &open.body);
+                self.parts.engine.run(&open.attempt_id, name, &open.body);
                 open.commanded = self.asks;
             }
         }
@@ -590,23 +606,23 @@
         }
     }
 
-    fn run_ended(&mut self, now: f64, id: u32, end: RunEnd) {
+    fn run_ended(&mut self, now: f64, id: u32, end: RunResult) {
         let Some(open) = self.requests.get(id) else { return };
-        if matches!(open.phase, Phase::Held | Phase::Waiting) {
+        if matches!(open.state, RequestState::Queued | RequestState::AwaitingResult) {
             return;
         }
-        let (calling, ran_ms) = (open.phase == Phase::Calling, now - open.began_ms);
+        let (calling, ran_ms) = (open.state == RequestState::InCall, now - open.began_ms);
         if calling {
-            self.parts.store.drop_call(open.call);
+            self.parts.store.cancel_call(open.call);
         }
         count(&self.parts.counters.runs_ended);
         let (outcome, end, result) = match end {
-            RunEnd::Complete(bytes) => (Outcome::Done, RunOutcome::Complete, Ok(bytes)),
-            RunEnd::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunFailed)),
-            RunEnd::Cancelled => {
+            RunResult::Complete(bytes) => (Outcome::Done, RunOutcome::Complete, Ok(bytes)),
+            RunResult::Error => (Outcome::Failed, RunOutcome::Error, Err(FailureReason::RunFailed)),
+            RunResult::Cancelled => {
                 (Outcome::Cancelled, RunOutcome::Cancelled, Err(FailureReason::RunCancelled))
             }
-            RunEnd::Unknown => {
+            RunResult::Unknown => {
                 (Outcome::NotStarted, RunOutcome::NotStarted, Err(FailureReason::RunNotStarted))
             }
         };
@@ -616,19 +632,19 @@
         self.emit_for(id, |_| RequestEventKind::RunEnded { end, ran_ms });
         match &result {
             Ok(bytes) => self.answer(id, Reply::Served(bytes.clone()), false),
-            Err(why) => self.answer(id, Reply::Failed { late: false, why: *why }, false),
+            Err(reason) => self.answer(id, Reply::Failed { late: false, reason: *reason }, false),
         }
         self.tell(now, Event::RunEnded { id, outcome });
         let key = self.requests.get(id).and_then(|open| open.key.clone());
         self.forget_request(id);
         if let Some(key) = key {
-            self.key_ended(&key, id, outcome, result.map_or(TryResult::Failed, TryResult::Done));
+            self.key_ended(&key, id, outcome, result.map_or(AttemptResult::Failed, AttemptResult::Done));
         }
     }
 
     /// The try `id` of a key is over: its repeats are answered, and its result is kept for those to come. Proved not to
     /// have run, it leaves nothing: the next try is a first one.
-    fn key_ended(&mut self, key: &Key, id: u32, outcome: Outcome, result: TryResult) {
+    fn key_ended(&mut self, key: &Key, id: u32, outcome: Outcome, result: AttemptResult) {
         self.touch(key);
         let (waiters, dropped) = self.keys.ended(key, id, result.clone(), outcome == Outcome::NotStarted);
         for waiter in waiters {
@@ -640,18 +656,18 @@
         }
     }
 
-    fn answer_repeat(&mut self, id: u32, result: &TryResult) {
-        if self.requests.in_phase(id, Phase::Waiting).is_none() {
+    fn answer_repeat(&mut self, id: u32, result: &AttemptResult) {
+        if self.requests.in_state(id, RequestState::AwaitingResult).is_none() {
             return;
         }
         let outcome = match result {
-            TryResult::Done(bytes) => {
+            AttemptResult::Done(bytes) => {
                 count(&self.parts.counters.reused);
                 self.answer(id, Reply::Served(bytes.clone()), true);
                 Outcome::Done
             }
             _ => {
-                self.answer(id, Reply::Failed { late: false, why: FailureReason::OriginalFailed }, true);
+                self.answer(id, Reply::Failed { late: false, reason: FailureReason::OriginalFailed }, true);
                 Outcome::Failed
             }
         };
@@ -663,7 +679,7 @@
     fn call_ended(&mut self, now: f64, call: u64, outcome: Outcome, reply: Option<Vec<u8>>) {
         // One that was given up has been forgotten: its end is no end of a later call.
         let Some(id) = self.requests.call_over(call) else { return };
-        let Some(open) = self.requests.in_phase(id, Phase::Calling) else { return };
+        let Some(open) = self.requests.in_state(id, RequestState::InCall) else { return };
         let took_ms = now - open.called_ms;
         let end = match outcome {
             Outcome::Done => CallOutcome::Done,
@@ -677,11 +693,11 @@
         match (outcome, reply) {
             (Outcome::Done, Some(reply)) => {
                 count(&self.parts.counters.calls_done);
-                self.go_on(id, Feed::Reply(reply));
+                self.go_on(id, CallResult::Reply(reply));
             }
             _ => {
                 count(&self.parts.counters.calls_failed);
-                open.phase = Phase::AtCall;
+                open.state = RequestState::AwaitingCall;
             }
         }
         self.emit(id, class, RequestEventKind::CallEnded { end, called_ms: took_ms });
@@ -689,9 +705,9 @@
     }
 
     /// Lets a run go on behind its call.
-    fn go_on(&mut self, id: u32, feed: Feed) {
+    fn go_on(&mut self, id: u32, feed: CallResult) {
         let Some(open) = self.requests.get_mut(id) else { return };
-        open.phase = Phase::Running;
+        open.state = RequestState::Running;
         open.commanded = 0;
         open.feed = Some(feed);
         // A link that was left a moment ago takes nothing, and the core hears of it behind this.
@@ -721,7 +737,7 @@
         self.emit_process_event(ProcessEvent::Draining { kill_ms });
         self.tell(at_ms, Event::DrainStarted { kill_ms });
         // One that never served goes at once.
-        if self.life.phase() == Life::Closing {
+        if self.life.phase() == LifecyclePhase::Closing {
             self.close_doors();
         }
     }
@@ -763,24 +779,24 @@
             let owed = !self.requests.nothing_owed() || self.has_claims();
             let Some(phase) = self.life.advance(now, Left { doors, connections, owed }) else { return };
             match phase {
-                Life::ToldToGo => self.callers.values().for_each(|caller| caller.leave()),
-                Life::Closing => self.close_doors(),
-                Life::Finishing => {
+                LifecyclePhase::ToldToGo => self.callers.values().for_each(|caller| caller.leave()),
+                LifecyclePhase::Closing => self.close_doors(),
+                LifecyclePhase::Finishing => {
                     let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
                     for id in owed.map(|(id, _)| id).collect::<Vec<_>>() {
                         count(&self.parts.counters.overdue);
-                        self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Shutdown });
+                        self.give_up(now, id, Reply::Failed { late: true, reason: FailureReason::Shutdown });
                     }
                     self.deny_all_claims(now);
                     self.parts.status.finishing.open();
                 }
-                Life::Starting
-                | Life::StartingDrained
-                | Life::Serving
-                | Life::Drained
-                | Life::Leaving
-                | Life::HandedOver
-                | Life::Gone => {}
+                LifecyclePhase::Starting
+                | LifecyclePhase::StartingDrained
+                | LifecyclePhase::Serving
+                | LifecyclePhase::Drained
+                | LifecyclePhase::Leaving
+                | LifecyclePhase::HandedOver
+                | LifecyclePhase::Gone => {}
             }
             self.parts.status.phase.set(phase);
         }
@@ -792,7 +808,7 @@
     pub fn next_due(&self) -> Option<f64> {
         let timers = self.timers.iter().map(|(at, _)| *at);
         let asked = self.asked.iter().map(|asked| asked.give_up_ms);
-        let idle = self.requests.is_empty() && self.life.phase() < Life::Leaving;
+        let idle = self.requests.is_empty() && self.life.phase() < LifecyclePhase::Leaving;
         let watch = (!idle).then_some(self.watched_ms + WATCH_MS);
         timers
             .chain(asked)
@@ -831,11 +847,11 @@
     /// Answers what the decisions have not, and ends what is left of it.
     fn give_up(&mut self, now: f64, id: u32, reply: Reply) {
         self.answer(id, reply, false);
-        let phase = self.requests.get(id).map(|open| open.phase);
+        let phase = self.requests.get(id).map(|open| open.state);
         self.tell(now, Event::CallerGone { id });
         match phase {
-            Some(Phase::Held | Phase::Waiting) => self.forget_request(id),
-            Some(Phase::AtCall | Phase::Calling) => self.end_at_call(id),
+            Some(RequestState::Queued | RequestState::AwaitingResult) => self.forget_request(id),
+            Some(RequestState::AwaitingCall | RequestState::InCall) => self.end_at_call(id),
             _ => {}
         }
     }
@@ -852,10 +868,10 @@
         let late = owed.filter(|(_, open)| now >= open.deadline_ms + slack);
         for id in late.map(|(id, _)| id).collect::<Vec<_>>() {
             count(&self.parts.counters.overdue);
-            self.give_up(now, id, Reply::Failed { late: true, why: FailureReason::Overdue });
+            self.give_up(now, id, Reply::Failed { late: true, reason: FailureReason::Overdue });
         }
         if let Some(after_ms) = self.caller_idle_timeout_ms {
-            self.callers.values().for_each(|caller| caller.leave_if_idle(now - after_ms));
+            self.callers.values().for_each(|caller| caller.go_away_if_idle(now - after_ms));
         }
         self.tell_connections(now);
         if now >= self.swept_ms + KEY_SWEEP_MS {
@@ -891,44 +907,50 @@
     fn carry_out(&mut self, now: f64, action: Action) {
         match action {
             Action::StartRun { id } => self.start(now, id),
-            Action::Reject { id, retry_after_ms, last, why } => {
-                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Reject(why)));
-                self.answer(id, Reply::Refused { backoff_ms: retry_after_ms, last, why }, false);
+            Action::Reject { id, retry_after_ms, last, reason } => {
+                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Reject(reason)));
+                self.answer(id, Reply::Rejected { retry_after_ms: retry_after_ms, last, reason }, false);
                 self.drop_unrun(id);
             }
-            Action::Fail { id, why } => {
+            Action::Fail { id, reason } => {
                 let late = self.requests.get(id).is_some_and(|open| now + WATCH_MS >= open.deadline_ms);
-                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Fail(why)));
-                self.answer(id, Reply::Failed { late, why }, false);
+                self.emit_for(id, |_| RequestEventKind::Decided(Decision::Fail(reason)));
+                self.answer(id, Reply::Failed { late, reason }, false);
                 self.drop_unrun(id);
                 self.end_at_call(id);
             }
             Action::CancelRun { id } => {
-                if let Some(open) = self.requests.in_phase(id, Phase::Running) {
+                if let Some(open) = self.requests.in_state(id, RequestState::Running) {
                     count(&self.parts.counters.halts);
                     open.halted = true;
                     open.commanded = self.asks;
-                    self.parts.engine.halt(&open.rid);
+                    self.parts.engine.halt(&open.attempt_id);
                 }
             }
             Action::StartCall { id, call_timeout_ms } => {
-                if self.requests.in_phase(id, Phase::AtCall).is_some()
+                if self.requests.in_state(id, RequestState::AwaitingCall).is_some()
                     && let Some(call) = self.requests.called(id, now)
                     && let Some(open) = self.requests.get(id)
                 {
                     count(&self.parts.counters.calls);
                     let once =
                         self.parts.site.settings.classes[open.class].idempotency != Idempotency::ReadOnly;
-                    self.parts.store.clone().call(call, &open.rid, call_timeout_ms, &open.need.1, once);
+                    self.parts.store.clone().call(
+                        call,
+                        &open.attempt_id,
+                        call_timeout_ms,
+                        &open.need.1,
+                        once,
+                    );
                     self.emit_for(id, |_| RequestEventKind::CallStarted);
                 }
             }
             Action::SkipCall { id } => {
-                if let Some(open) = self.requests.in_phase(id, Phase::AtCall) {
+                if let Some(open) = self.requests.in_state(id, RequestState::AwaitingCall) {
                     open.degraded = true;
                     self.emit_for(id, |_| RequestEventKind::CallSkipped);
                     count(&self.parts.counters.calls_left_out);
-                    self.go_on(id, Feed::Nothing);
+                    self.go_on(id, CallResult::Nothing);
                 }
             }
             Action::RetainKey { id, ttl_ms } => self.remember(now, id, ttl_ms),
@@ -951,25 +973,25 @@
     }
 
     fn start(&mut self, now: f64, id: u32) {
-        let Some(open) = self.requests.in_phase(id, Phase::Held) else { return };
+        let Some(open) = self.requests.in_state(id, RequestState::Queued) else { return };
         let class = &self.parts.site.settings.classes[open.class];
         if let (Idempotency::Keyed, Some(key)) = (class.idempotency, &open.key) {
-            let until = open.t0 + class.dedup_window_ms + 1.0;
-            let start = Start { id, digest: open.digest, t0: open.t0, until };
+            let until = open.arrived_ms + class.dedup_window_ms + 1.0;
+            let start = Start { id, digest: open.digest, arrived_ms: open.arrived_ms, until };
             if self.keys.start(key, start).is_err() {
                 count(&self.parts.counters.doubles_prevented);
-                self.answer(id, Reply::Failed { late: false, why: FailureReason::AlreadyRan }, false);
+                self.answer(id, Reply::Failed { late: false, reason: FailureReason::AlreadyRan }, false);
                 self.forget_request(id);
                 self.follow_up.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
                 return;
             }
         }
-        open.phase = Phase::Running;
+        open.state = RequestState::Running;
         open.began_ms = now;
         open.commanded = self.asks;
         self.parts.counters.count_class(open.class, |class| &class.runs);
         if self.engine_up && self.barrier.is_none() {
-            self.parts.engine.run(&open.rid, self.parts.site.class_name(open.class), &open.body);
+            self.parts.engine.run(&open.attempt_id, self.parts.site.class_name(open.class), &open.body);
         }
         self.touch_key_of(id);
         self.emit_for(id, |_| RequestEventKind::Decided(Decision::Run));
@@ -994,14 +1016,14 @@
     }
 
     fn reuse(&mut self, id: u32) {
-        let Some(open) = self.requests.in_phase(id, Phase::Held) else { return };
-        open.phase = Phase::Waiting;
+        let Some(open) = self.requests.in_state(id, RequestState::Queued) else { return };
+        open.state = RequestState::AwaitingResult;
         let (key, first) = (open.key.clone(), open.duplicate_of);
         self.emit_for(id, |_| RequestEventKind::Decided(Decision::ReuseResult));
-        let remote = key.as_ref().and_then(|key| self.keys.remote_try(key));
+        let remote = key.as_ref().and_then(|key| self.keys.remote_attempt(key));
         let under_way =
             first.is_some_and(|first| self.requests.get(first).is_some() || remote == Some(first));
-        if let Joined::Over(result) = self.keys.join(key.as_ref(), id, first, under_way) {
+        if let JoinOutcome::Over(result) = self.keys.join(key.as_ref(), id, first, under_way) {
             self.answer_repeat(id, &result);
         }
     }
@@ -1010,20 +1032,24 @@
     fn answer(&mut self, id: u32, reply: Reply, deduplicated: bool) {
         let Some(caller) = self.requests.release(id) else { return };
         let Some(open) = self.requests.get(id) else { return };
-        let ticket = open.ticket;
+        let correlation_id = open.correlation_id;
         self.count_answer(open.class, &reply);
-        let took_ms = self.now_ms - open.t0;
+        let took_ms = self.now_ms - open.arrived_ms;
         self.emit(
             id,
             open.class,
             answer_kind(&reply, deduplicated, open.degraded, open.work_hint_ms, took_ms),
         );
-        caller.answer(ticket, &reply);
+        caller.answer(correlation_id, &reply);
     }
 
     /// After an answer: what never ran is over.
     fn drop_unrun(&mut self, id: u32) {
-        if self.requests.get(id).is_some_and(|open| matches!(open.phase, Phase::Held | Phase::Waiting)) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|open| matches!(open.state, RequestState::Queued | RequestState::AwaitingResult))
+        {
             self.forget_request(id);
         }
     }
@@ -1032,16 +1058,16 @@
     fn end_at_call(&mut self, id: u32) {
         let Some(open) = self.requests.get_mut(id) else { return };
         let mut dropped = None;
-        if open.phase == Phase::Calling {
-            self.parts.store.drop_call(open.call);
-            open.phase = Phase::AtCall;
+        if open.state == RequestState::InCall {
+            self.parts.store.cancel_call(open.call);
+            open.state = RequestState::AwaitingCall;
             dropped = Some((open.call, open.class, call_dropped(self.now_ms, open)));
         }
         let may_halt = self.parts.site.settings.preemption != Preemption::Never;
-        if open.phase == Phase::AtCall && !open.halted && may_halt {
+        if open.state == RequestState::AwaitingCall && !open.halted && may_halt {
             open.halted = true;
             open.commanded = self.asks;
-            self.parts.engine.halt(&open.rid);
+            self.parts.engine.halt(&open.attempt_id);
         }
         if let Some((call, class, kind)) = dropped {
             self.requests.call_over(call);
@@ -1053,7 +1079,7 @@
         let Some(open) = self.requests.remove(id) else { return };
         if let Some(key) = open.key {
             self.touch(&key);
-            self.keys.left(&key, id, open.phase == Phase::Held);
+            self.keys.left(&key, id, open.state == RequestState::Queued);
             self.ended.push((id, key, open.digest));
         }
     }
@@ -1077,7 +1103,7 @@
         protocol,
         retry,
         hint_ms: work_hint_ms,
-        read_delay_ms: (now - arrival.t0).max(0.0),
+        read_delay_ms: (now - arrival.arrived_ms).max(0.0),
     }
 }
 
@@ -1089,25 +1115,25 @@
     took_ms: f64,
 ) -> RequestEventKind {
     let answer = match reply {
-        Reply::Failed { late: true, why } => {
-            return RequestEventKind::DeadlineExceeded { why: *why, took_ms };
+        Reply::Failed { late: true, reason } => {
+            return RequestEventKind::DeadlineExceeded { why: *reason, took_ms };
         }
         Reply::Served(_) => Answer::Served { deduplicated, degraded },
-        Reply::Refused { why, .. } => Answer::Rejected(*why),
-        Reply::Failed { why, .. } => Answer::Failed(*why),
+        Reply::Rejected { reason, .. } => Answer::Rejected(*reason),
+        Reply::Failed { reason, .. } => Answer::Failed(*reason),
     };
     RequestEventKind::Answered { answer, hint_ms: work_hint_ms, took_ms }
 }
 
-fn call_dropped(now: f64, open: &Open) -> RequestEventKind {
+fn call_dropped(now: f64, open: &OpenRequest) -> RequestEventKind {
     RequestEventKind::CallEnded { end: CallOutcome::Dropped, called_ms: now - open.called_ms }
 }
 
 /// Writes what a run goes on with; tells whether there is a link that it goes to.
-fn feed_to(open: &Open, engine: &dyn Engine) -> bool {
+fn feed_to(open: &OpenRequest, engine: &dyn Engine) -> bool {
     match &open.feed {
-        Some(Feed::Reply(reply)) => engine.feed(&open.rid, reply),
-        Some(Feed::Nothing) => engine.skip(&open.rid, open.need.0),
+        Some(CallResult::Reply(reply)) => engine.feed(&open.attempt_id, reply),
+        Some(CallResult::Nothing) => engine.skip(&open.attempt_id, open.need.0),
         None => false,
     }
 }
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -10,21 +10,21 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum RequestState {
     /// Read, not started.
-    Held,
+    Queued,
     /// Waits for the try that it repeats.
-    Waiting,
+    AwaitingResult,
     /// Runs on the engine.
     Running,
     /// Its run stands before a call.
-    AtCall,
+    AwaitingCall,
     /// Its call is under way.
-    Calling,
+    InCall,
 }
 
 /// What a run that waits for a call goes on with.
-pub enum Feed {
+pub enum CallResult {
     /// The reply of the store.
     Reply(Vec<u8>),
     /// Nothing: the call is left out.
@@ -32,19 +32,19 @@
 }
 
 /// A request from its reading until it is answered and its run is over.
-pub struct Open {
+pub struct OpenRequest {
     /// Where the answer goes, while one is owed.
     pub caller: Option<Rc<dyn Caller>>,
     /// Whose it is.
     pub caller_id: u64,
     /// The caller's name for it.
-    pub ticket: u64,
+    pub correlation_id: u64,
     /// The name that engine and store know it by.
-    pub rid: String,
+    pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, ms.
-    pub t0: f64,
+    pub arrived_ms: f64,
     /// When it was read, ms.
     pub read_ms: f64,
     /// When its run was begun, ms.
@@ -62,13 +62,13 @@
     /// Digest of the body, for tries of one key.
     pub digest: u64,
     /// Where it stands.
-    pub phase: Phase,
+    pub state: RequestState,
     /// The kept try whose result it asks for.
     pub duplicate_of: Option<u32>,
     /// The notice that asked for the call, and what the call is to carry.
     pub need: (u64, Vec<u8>),
     /// What the run goes on with after its last call, until a later notice shows that the engine has it.
-    pub feed: Option<Feed>,
+    pub feed: Option<CallResult>,
     /// How many times gauges had been asked for when that was written; nothing there if it was not.
     pub fed: Option<u64>,
     /// The number of its last call.
@@ -83,21 +83,21 @@
 
 /// The table.
 #[derive(Default)]
-pub struct Requests {
-    open: BTreeMap<u32, Open>,
-    by_rid: HashMap<String, u32>,
-    by_ticket: BTreeMap<(u64, u64), u32>,
+pub struct RequestTable {
+    open: BTreeMap<u32, OpenRequest>,
+    by_attempt_id: HashMap<String, u32>,
+    by_correlation_id: BTreeMap<(u64, u64), u32>,
     by_call: HashMap<u64, u32>,
     last: u32,
     calls: u64,
 }
 
-impl Requests {
+impl RequestTable {
     /// Enters a request under a number never used before.
-    pub fn enter(&mut self, open: Open) -> u32 {
+    pub fn enter(&mut self, open: OpenRequest) -> u32 {
         self.last += 1;
-        self.by_rid.insert(open.rid.clone(), self.last);
-        self.by_ticket.insert((open.caller_id, open.ticket), self.last);
+        self.by_attempt_id.insert(open.attempt_id.clone(), self.last);
+        self.by_correlation_id.insert((open.caller_id, open.correlation_id), self.last);
         self.open.insert(self.last, open);
         self.last
     }
@@ -109,35 +109,35 @@
     }
 
     /// The request of this number.
-    pub fn get(&self, id: u32) -> Option<&Open> {
+    pub fn get(&self, id: u32) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
     /// The same, to be changed.
-    pub fn get_mut(&mut self, id: u32) -> Option<&mut Open> {
+    pub fn get_mut(&mut self, id: u32) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
     /// The same, if it stands there.
-    pub fn in_phase(&mut self, id: u32, phase: Phase) -> Option<&mut Open> {
-        self.open.get_mut(&id).filter(|open| open.phase == phase)
+    pub fn in_state(&mut self, id: u32, state: RequestState) -> Option<&mut OpenRequest> {
+        self.open.get_mut(&id).filter(|open| open.state == state)
     }
 
     /// The number of the try of this name.
-    pub fn by_rid(&self, rid: &str) -> Option<u32> {
-        self.by_rid.get(rid).copied()
+    pub fn by_attempt_id(&self, attempt_id: &str) -> Option<u32> {
+        self.by_attempt_id.get(attempt_id).copied()
     }
 
     /// The number of the request that this caller named so, while an answer is owed.
-    pub fn by_ticket(&self, caller: u64, ticket: u64) -> Option<u32> {
-        self.by_ticket.get(&(caller, ticket)).copied()
+    pub fn by_correlation_id(&self, caller: u64, correlation_id: u64) -> Option<u32> {
+        self.by_correlation_id.get(&(caller, correlation_id)).copied()
     }
 
     /// Notes that a call is made for a request, under a number never used before.
     pub fn called(&mut self, id: u32, now: f64) -> Option<u64> {
         let open = self.open.get_mut(&id)?;
         self.calls += 1;
-        (open.call, open.called_ms, open.phase) = (self.calls, now, Phase::Calling);
+        (open.call, open.called_ms, open.state) = (self.calls, now, RequestState::InCall);
         self.by_call.insert(self.calls, id);
         Some(self.calls)
     }
@@ -149,12 +149,12 @@
 
     /// The requests for which an answer is owed to this caller.
     pub fn owed_to(&self, caller: u64) -> Vec<u32> {
-        self.by_ticket.range((caller, 0)..=(caller, u64::MAX)).map(|(_, id)| *id).collect()
+        self.by_correlation_id.range((caller, 0)..=(caller, u64::MAX)).map(|(_, id)| *id).collect()
     }
 
     /// Whether no answer is owed to anyone.
     pub fn nothing_owed(&self) -> bool {
-        self.by_ticket.is_empty()
+        self.by_correlation_id.is_empty()
     }
 
     /// Whether the table is empty.
@@ -168,12 +168,12 @@
     }
 
     /// All of them, in the order of their reading.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &Open)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u32, &OpenRequest)> {
         self.open.iter().map(|(id, open)| (*id, open))
     }
 
     /// The same, to be changed.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Open> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest> {
         self.open.values_mut()
     }
 
@@ -181,16 +181,16 @@
     pub fn release(&mut self, id: u32) -> Option<Rc<dyn Caller>> {
         let open = self.open.get_mut(&id)?;
         let caller = open.caller.take()?;
-        self.by_ticket.remove(&(open.caller_id, open.ticket));
+        self.by_correlation_id.remove(&(open.caller_id, open.correlation_id));
         Some(caller)
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, id: u32) -> Option<Open> {
+    pub fn remove(&mut self, id: u32) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
-        self.by_rid.remove(&open.rid);
+        self.by_attempt_id.remove(&open.attempt_id);
         self.by_call.remove(&open.call);
-        self.by_ticket.remove(&(open.caller_id, open.ticket));
+        self.by_correlation_id.remove(&(open.caller_id, open.correlation_id));
         Some(open)
     }
 }
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -11,7 +11,7 @@
 
 use crate::admission::Idempotency;
 use crate::config::site::Site;
-use crate::server::core::api::{Arrival, Caller, Input, Reply};
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
 use crate::server::frontend::connection::{self, Intake, Stop, Writer};
 use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
 use crate::server::frontend::context::Front;
@@ -387,8 +387,8 @@
         self.guest.id
     }
 
-    fn answer(&self, ticket: u64, reply: &Reply) {
-        if self.open.get() != Some(ticket) {
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        if self.open.get() != Some(correlation_id) {
             return;
         }
         self.open.set(None);
@@ -399,8 +399,8 @@
                 let kind = vec![("Content-Type", "application/octet-stream".to_owned())];
                 self.respond(200, kind, result, reuse);
             }
-            Reply::Refused { backoff_ms, last, .. } => {
-                let seconds = (backoff_ms / 1000.0).ceil().max(1.0);
+            Reply::Rejected { retry_after_ms, last, .. } => {
+                let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
                 let mut headers = vec![("Retry-After", format!("{seconds:.0}"))];
                 headers.extend(last.then(|| ("final", "1".to_owned())));
                 self.respond(503, headers, b"", reuse);
@@ -416,7 +416,7 @@
         self.guest.tell_at_once(self.front.clock.now());
     }
 
-    fn leave_if_idle(&self, since_ms: f64) {
+    fn go_away_if_idle(&self, since_ms: f64) {
         if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
             self.leave();
         }
@@ -437,7 +437,7 @@
         open: Cell::new(None),
         answered: Signal::default(),
     });
-    let _ = front.queue.send(Input::Opened(connection.clone())).await;
+    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
     let mut input = Input13 { intake: Intake::new(stream.clone(), connection.guest.clone(), front.clone()) };
     let reading = converse(&mut input, &connection, &options);
     let nothing_open = || connection.open.get().is_none();
@@ -506,9 +506,9 @@
     payload: &[u8],
 ) -> Result<(), Stop> {
     let front = &connection.front;
-    let t0 = front.clock.now();
-    let ticket = connection.guest.read.get() + 1;
-    connection.guest.read.set(ticket);
+    let arrived_ms = front.clock.now();
+    let correlation_id = connection.guest.read.get() + 1;
+    connection.guest.read.set(correlation_id);
     let bad = |status: u16, reuse: bool| {
         count(&front.counters.bad_requests);
         connection.guest.answered.set(connection.guest.answered.get() + 1);
@@ -522,11 +522,11 @@
         Err(Status(status)) => return bad(status, false),
     };
     let site = front.deployment.site();
-    let head = match forward.request(&site, t0, options.secret.as_deref()) {
+    let head = match forward.request(&site, arrived_ms, options.secret.as_deref()) {
         Ok(head) => head,
         Err(Status(status)) => return bad(status, length == BodyLength::Known(0) && status != 403),
     };
-    let until = t0 + site.settings.classes[head.class].timeout_ms;
+    let until = arrived_ms + site.settings.classes[head.class].timeout_ms;
     let mut body = Vec::new();
     let wanted = match length {
         BodyLength::Known(n) if n > BODY_MOST => return bad(413, false),
@@ -561,14 +561,14 @@
             return bad(413, false);
         }
     }
-    connection.open.set(Some(ticket));
+    connection.open.set(Some(correlation_id));
     let arrival = Arrival {
         caller: connection.clone(),
         front: pinepoint_events::Protocol::Ajp,
-        ticket,
-        rid: name(options.seed, connection.guest.id, ticket),
+        correlation_id,
+        attempt_id: name(options.seed, connection.guest.id, correlation_id),
         class: head.class,
-        t0,
+        arrived_ms,
         again: head.again,
         est_ms: head.est_ms,
         mem_kb: head.mem_kb.unwrap_or(options.mem_kb),
@@ -577,7 +577,7 @@
         tenant: None,
         body,
     };
-    let _ = front.queue.send(Input::Request(Box::new(arrival))).await;
+    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
     while connection.open.get().is_some() {
         let answered = async {
             connection.answered.wait().await;
@@ -590,7 +590,7 @@
             Err(Stop::Finishing) => return Err(Stop::Finishing),
             Err(stop) => {
                 connection.open.set(None);
-                let _ = front.queue.send(Input::Gone(connection.guest.id, ticket)).await;
+                let _ = front.queue.send(CoreInput::CallerGone(connection.guest.id, correlation_id)).await;
                 return Err(stop);
             }
         }
@@ -602,8 +602,8 @@
 }
 
 /// A name for a try, unlike any other of this process: its place in a row, scrambled one to one.
-fn name(seed: u64, connection: u64, ticket: u64) -> String {
-    let mut x = seed ^ (connection << 32 | ticket & 0xffff_ffff);
+fn name(seed: u64, connection: u64, correlation_id: u64) -> String {
+    let mut x = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
     for _ in 0..2 {
         x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -13,7 +13,7 @@
 use futures_lite::{AsyncReadExt, future};
 use pinepoint_events::{ProcessEvent, ResourceLimit};
 
-use crate::server::core::api::Input;
+use crate::server::core::api::CoreInput;
 use crate::server::frontend::connection_state::Guest;
 use crate::server::frontend::context::Front;
 use crate::server::sync::{Gate, Signal};
@@ -272,7 +272,7 @@
             Stop::PeerClosed => writer.end("peer-closed"),
             Stop::Finishing => writer.end("stopping"),
             Stop::Spoilt(reason) => {
-                let _ = front.queue.send(Input::Spoilt(guest.id)).await;
+                let _ = front.queue.send(CoreInput::ProtocolError(guest.id)).await;
                 writer.end(reason);
             }
             Stop::Shut(reason) => return Ok(reason),
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -8,7 +8,7 @@
 
 use crate::config::active::Deployment;
 use crate::server::control::status::Status;
-use crate::server::core::api::Input;
+use crate::server::core::api::CoreInput;
 use crate::server::frontend::limiter::Room;
 use crate::server::observability::counters::Counters;
 
@@ -25,7 +25,7 @@
     /// The clock.
     pub clock: Clock,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
     /// Room for connections.
     pub room: Rc<Room>,
 }
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::server::core::api::Doors;
+use crate::server::core::api::OpenSockets;
 use crate::server::frontend::connection_state::Guest;
 use crate::server::sync::Signal;
 
@@ -132,7 +132,7 @@
     }
 }
 
-impl Doors for Room {
+impl OpenSockets for Room {
     fn open(&self) -> usize {
         self.doors.get()
     }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -12,7 +12,7 @@
 use pinepoint_events::{ProcessEvent, ResourceLimit};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 
-use crate::server::core::api::Input;
+use crate::server::core::api::CoreInput;
 use crate::server::frontend::connection_state::Guest;
 use crate::server::frontend::context::Front;
 use crate::server::frontend::limiter::{OpenDoor, Room};
@@ -144,7 +144,7 @@
                         after_ms = (front.clock.now() - began).round(),
                         "conn-ended"
                     );
-                    let _ = front.queue.send(Input::Closed(guest.id)).await;
+                    let _ = front.queue.send(CoreInput::ConnectionClosed(guest.id)).await;
                 };
                 executor.spawn(connection).detach();
                 // Each gets to read before another is asked to make way.
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -11,7 +11,7 @@
 
 use crate::admission::Idempotency;
 use crate::config::site::Site;
-use crate::server::core::api::{Arrival, Caller, Input, Reply};
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
 use crate::server::frontend::connection::{self, Intake, Stop, Writer};
 use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
 use crate::server::frontend::context::Front;
@@ -254,9 +254,9 @@
 /// The parts of a request, before it is tied to a connection.
 #[derive(Debug)]
 pub struct Fields {
-    rid: String,
+    attempt_id: String,
     class: usize,
-    t0: f64,
+    arrived_ms: f64,
     again: bool,
     est_ms: Option<f64>,
     mem_kb: f64,
@@ -326,7 +326,7 @@
         if value.is_none_or(|v| v >= least && v < below) { Ok(value) } else { Err("BadField") }
     };
     let hex = |word: &str, n: usize| word.len() == n && word.bytes().all(|b| b.is_ascii_hexdigit());
-    let rid = text("rid")?.filter(|word| hex(word, 16)).ok_or("BadField")?;
+    let attempt_id = text("rid")?.filter(|word| hex(word, 16)).ok_or("BadField")?;
     let settings = &site.settings.classes[class];
     let keyed = settings.idempotency == Idempotency::Keyed;
     let (token, subject, again) = (text("token")?, text("obj")?, text("again")?);
@@ -339,9 +339,9 @@
     within("prio", 0.0, 1.0)?;
     within("peer", 0.0, f64::INFINITY)?;
     Ok(Fields {
-        rid: rid.to_owned(),
+        attempt_id: attempt_id.to_owned(),
         class,
-        t0: number("t0")?.ok_or("BadField")?,
+        arrived_ms: number("t0")?.ok_or("BadField")?,
         again: again.is_some(),
         est_ms,
         mem_kb,
@@ -393,9 +393,9 @@
         self.guest.id
     }
 
-    fn answer(&self, ticket: u64, reply: &Reply) {
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
         // Nothing is owed to a request that was given up, and nothing twice to any.
-        if !self.close(ticket) {
+        if !self.close(correlation_id) {
             return;
         }
         self.guest.used_ms.set(self.front.clock.now());
@@ -404,23 +404,23 @@
             Reply::Served(result) => {
                 let fields = self.hint();
                 self.writer.push(|out| {
-                    write_head(out, ticket);
+                    write_head(out, correlation_id);
                     out.extend_from_slice(&[0xc0, 0x92]);
                     write_bin(out, result);
                     write_fields(out, &fields);
                 });
             }
-            Reply::Refused { backoff_ms, last, .. } => {
+            Reply::Rejected { retry_after_ms, last, .. } => {
                 let mut more = Vec::new();
-                if *backoff_ms > 0.0 {
-                    more.push(("backoff", format!("{:.0}", backoff_ms.ceil())));
+                if *retry_after_ms > 0.0 {
+                    more.push(("backoff", format!("{:.0}", retry_after_ms.ceil())));
                 }
                 if *last {
                     more.push(("final", "1".to_owned()));
                 }
-                self.error(ticket, "Busy", more);
+                self.error(correlation_id, "Busy", more);
             }
-            Reply::Failed { .. } => self.error(ticket, "Failed", Vec::new()),
+            Reply::Failed { .. } => self.error(correlation_id, "Failed", Vec::new()),
         }
     }
 
@@ -434,7 +434,7 @@
         }
     }
 
-    fn leave_if_idle(&self, since_ms: f64) {
+    fn go_away_if_idle(&self, since_ms: f64) {
         if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
             self.leave();
         }
@@ -450,7 +450,7 @@
         open: RefCell::new(BTreeSet::new()),
         last_id: Cell::new(0),
     });
-    let _ = front.queue.send(Input::Opened(connection.clone())).await;
+    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
     let mut intake = Intake::new(stream.clone(), connection.guest.clone(), front.clone());
     let reading = read(&mut intake, &connection);
     let nothing_open = || connection.open.borrow().is_empty();
@@ -490,7 +490,7 @@
     match message {
         Message::Abort(id) => {
             if connection.close(id) {
-                let _ = front.queue.send(Input::Gone(connection.guest.id, id)).await;
+                let _ = front.queue.send(CoreInput::CallerGone(connection.guest.id, id)).await;
             }
         }
         Message::Ping(id) => {
@@ -520,10 +520,10 @@
                     let arrival = Arrival {
                         caller: connection.clone(),
                         front: pinepoint_events::Protocol::Rpc,
-                        ticket: id,
-                        rid: fields.rid,
+                        correlation_id: id,
+                        attempt_id: fields.attempt_id,
                         class: fields.class,
-                        t0: fields.t0,
+                        arrived_ms: fields.arrived_ms,
                         again: fields.again,
                         est_ms: fields.est_ms,
                         mem_kb: fields.mem_kb,
@@ -532,7 +532,7 @@
                         tenant: fields.tenant,
                         body: fields.body,
                     };
-                    let _ = front.queue.send(Input::Request(Box::new(arrival))).await;
+                    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
                 }
             }
         }
--- a/src/server/observability/membership.rs
+++ b/src/server/observability/membership.rs
@@ -11,7 +11,7 @@
 use pinepoint_membership::member::{Load, Phase};
 
 use crate::server::control::status::Status;
-use crate::server::core::api::Input;
+use crate::server::core::api::CoreInput;
 
 /// A machine that started cold is told as such for so long, ms: nobody tells when it is warm.
 const COLD_MS: f64 = 30_000.0;
@@ -23,7 +23,7 @@
     inner: Rc<dyn Observer>,
     status: Rc<Status>,
     clock: Clock,
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     phase: Cell<Phase>,
     cold_until_ms: Cell<f64>,
     looked_ms: Cell<f64>,
@@ -38,7 +38,7 @@
         inner: Rc<dyn Observer>,
         status: Rc<Status>,
         clock: Clock,
-        queue: Sender<Input>,
+        queue: Sender<CoreInput>,
         keys_most: f64,
     ) -> Self {
         Watch {
@@ -105,7 +105,7 @@
         if now - self.looked_ms.get() >= LOOK_MS {
             self.looked_ms.set(now);
             // A full queue is one that the core works on: it is asked again.
-            let _ = self.queue.try_send(Input::Look);
+            let _ = self.queue.try_send(CoreInput::ReportState);
         }
         Load { healthy: self.status.healthy.get(), ..self.load.get() }
     }
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -12,19 +12,19 @@
 
 use crate::admission::AdmissionSnapshot;
 use crate::config::site::Site;
-use crate::server::core::api::Input;
+use crate::server::core::api::CoreInput;
 use crate::server::observability::counters::Counters;
 
 /// The node, as telemetry sees it.
 struct Node {
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     counters: Rc<Counters>,
 }
 
 impl Source for Node {
     fn ask(&self) {
         // A queue that is full is one that the core works on: it is asked again.
-        let _ = self.queue.try_send(Input::Look);
+        let _ = self.queue.try_send(CoreInput::ReportState);
     }
 
     fn counts(&self) -> Vec<u64> {
@@ -57,7 +57,7 @@
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
     /// Counters of the node.
     pub counters: Rc<Counters>,
 }
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::admission::Outcome;
 use crate::server::control::status::Status;
-use crate::server::core::api::{self, Input, RunEnd};
+use crate::server::core::api::{self, CoreInput, RunResult};
 use crate::server::observability::counters::{Counters, count};
 use crate::server::sync::Signal;
 use crate::server::write_buffer::Outbox;
@@ -181,20 +181,20 @@
 }
 
 impl api::Engine for EngineLink {
-    fn run(&self, rid: &str, class: &str, body: &[u8]) {
-        self.command(|out| with_body(out, &format!("RUN {rid} {class}"), body));
+    fn run(&self, attempt_id: &str, class: &str, body: &[u8]) {
+        self.command(|out| with_body(out, &format!("RUN {attempt_id} {class}"), body));
     }
 
-    fn halt(&self, rid: &str) {
-        self.command(|out| out.extend_from_slice(format!("HALT {rid}\r\n").as_bytes()));
+    fn halt(&self, attempt_id: &str) {
+        self.command(|out| out.extend_from_slice(format!("HALT {attempt_id}\r\n").as_bytes()));
     }
 
-    fn feed(&self, rid: &str, reply: &[u8]) -> bool {
-        self.command(|out| with_body(out, &format!("FEED {rid}"), reply))
+    fn feed(&self, attempt_id: &str, reply: &[u8]) -> bool {
+        self.command(|out| with_body(out, &format!("FEED {attempt_id}"), reply))
     }
 
-    fn skip(&self, rid: &str, notice: u64) -> bool {
-        self.command(|out| out.extend_from_slice(format!("SKIP {rid} {notice}\r\n").as_bytes()))
+    fn skip(&self, attempt_id: &str, notice: u64) -> bool {
+        self.command(|out| out.extend_from_slice(format!("SKIP {attempt_id} {notice}\r\n").as_bytes()))
     }
 
     fn stat(&self, tag: u64) {
@@ -209,7 +209,7 @@
 }
 
 /// Keeps the engine's link up for ever, wherever the engine is.
-pub async fn engine(peers: Rc<Peers>, link: Rc<EngineLink>, queue: Sender<Input>, clock: Clock) {
+pub async fn engine(peers: Rc<Peers>, link: Rc<EngineLink>, queue: Sender<CoreInput>, clock: Clock) {
     // Notices up to this one reached the core; the engine sends what came after it once more.
     let mut last = 0;
     let mut retry = RETRY_MS;
@@ -232,7 +232,7 @@
                 let moved = async {
                     peers.engine_left(address).await;
                     if link.up.replace(false) {
-                        let _ = queue.send(Input::EngineDown).await;
+                        let _ = queue.send(CoreInput::EngineDetached).await;
                         link.outbox.push(|out| {
                             out.extend_from_slice(format!("STAT {LAST_TAG}\r\n").as_bytes());
                         });
@@ -245,7 +245,7 @@
             Err(error) => error.to_string(),
         };
         if link.up.replace(false) {
-            let _ = queue.send(Input::EngineDown).await;
+            let _ = queue.send(CoreInput::EngineDetached).await;
             retry = RETRY_MS;
         }
         let after_ms = (clock.now() - began).round();
@@ -262,7 +262,7 @@
 async fn read_engine(
     mut stream: &Async<TcpStream>,
     link: &EngineLink,
-    queue: &Sender<Input>,
+    queue: &Sender<CoreInput>,
     last: &mut u64,
 ) -> String {
     let mut input = Vec::new();
@@ -287,8 +287,8 @@
                         continue;
                     }
                     match news {
-                        Some(Input::EngineUp { .. }) => link.up.set(true),
-                        Some(Input::Stats(LAST_TAG, _)) => return "moved".into(),
+                        Some(CoreInput::EngineAttached { .. }) => link.up.set(true),
+                        Some(CoreInput::Gauges(LAST_TAG, _)) => return "moved".into(),
                         _ => {}
                     }
                     if let Some(news) = news
@@ -306,33 +306,35 @@
 }
 
 /// What a line of the engine tells the core, nothing for a remark, and the number of a notice.
-fn engine_notice(line: Line) -> Result<(Option<u64>, Option<Input>), LineError> {
+fn engine_notice(line: Line) -> Result<(Option<u64>, Option<CoreInput>), LineError> {
     let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
     let number = |word: &str| whole(word).ok_or(LineError::Malformed);
     Ok(match words.as_slice() {
         ["HELLO", state @ ("chilly" | "hot"), ms] => {
             let ms = ms.parse::<f64>().ok().filter(|v| v.is_finite()).ok_or(LineError::Malformed)?;
-            (None, Some(Input::EngineUp { cold: *state == "chilly", ms }))
+            (None, Some(CoreInput::EngineAttached { cold: *state == "chilly", ms }))
         }
         ["DONE", n, id, end, _ms, _length] => {
             let end = match *end {
-                "complete" => RunEnd::Complete(line.body.as_slice().into()),
-                "error" => RunEnd::Error,
-                "cancelled" => RunEnd::Cancelled,
-                "unknown" => RunEnd::Unknown,
+                "complete" => RunResult::Complete(line.body.as_slice().into()),
+                "error" => RunResult::Error,
+                "cancelled" => RunResult::Cancelled,
+                "unknown" => RunResult::Unknown,
                 _ => return Err(LineError::Malformed),
             };
-            (Some(number(n)?), Some(Input::Done((*id).to_owned(), end)))
+            (Some(number(n)?), Some(CoreInput::RunEnded((*id).to_owned(), end)))
         }
         ["NEED", n, id, _length] => {
-            (Some(number(n)?), Some(Input::Need((*id).to_owned(), number(n)?, line.body)))
+            (Some(number(n)?), Some(CoreInput::CallNeeded((*id).to_owned(), number(n)?, line.body)))
         }
         ["STATS", tag, gauges @ ..] => {
             let gauges = gauges.iter().map(|g| g.parse::<f64>().ok().filter(|v| v.is_finite()));
             let gauges = gauges.collect::<Option<Vec<_>>>().ok_or(LineError::Malformed)?;
-            (None, Some(Input::Stats(number(tag)?, gauges)))
+            (None, Some(CoreInput::Gauges(number(tag)?, gauges)))
+        }
+        ["NO", command, id, ..] => {
+            (None, Some(CoreInput::CommandRejected((*command).to_owned(), (*id).to_owned())))
         }
-        ["NO", command, id, ..] => (None, Some(Input::Declined((*command).to_owned(), (*id).to_owned()))),
         ["NOTE", n, ..] => (Some(number(n)?), None),
         _ => return Err(LineError::Malformed),
     })
@@ -348,7 +350,7 @@
     began_ms: f64,
     used_ms: f64,
     /// The last request that a call was made for here: a copy of its reply may still come.
-    rid: String,
+    attempt_id: String,
     reason: &'static str,
     clock: Clock,
 }
@@ -356,17 +358,23 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         let after_ms = (self.clock.now() - self.began_ms).round();
-        tracing::info!(link = "store", reason = self.reason, rid = self.rid, after_ms, "link-ended");
+        tracing::info!(
+            link = "store",
+            reason = self.reason,
+            attempt_id = self.attempt_id,
+            after_ms,
+            "link-ended"
+        );
     }
 }
 
-/// The way to the store, as the core uses it: each call ends with one [`Input::CallEnded`] unless it is dropped.
+/// The way to the store, as the core uses it: each call ends with one [`CoreInput::CallEnded`] unless it is dropped.
 /// A connection carries one call at a time, so that a reply that is spoilt, late or missing takes no other call
 /// along, and closing the connection is what gives a call up.
 #[derive(Debug)]
 pub struct StoreLink {
     peers: Rc<Peers>,
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     clock: Clock,
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
@@ -379,7 +387,7 @@
     /// The way to a store that no call was made to.
     pub fn new(
         peers: Rc<Peers>,
-        queue: Sender<Input>,
+        queue: Sender<CoreInput>,
         clock: Clock,
         counters: Rc<Counters>,
         executor: Rc<LocalExecutor<'static>>,
@@ -389,14 +397,14 @@
     }
 
     /// A used connection that is as good as new, if there is one.
-    fn used(&self, rid: &str) -> Option<Connection> {
+    fn used(&self, attempt_id: &str) -> Option<Connection> {
         let (now, address) = (self.clock.now(), self.peers.store.get());
         let mut idle = self.idle.borrow_mut();
         for connection in idle.iter_mut() {
             connection.reason = if connection.address == address { "idle" } else { "moved" };
         }
         idle.retain(|i| now < i.used_ms + STORE_IDLE_MS && i.address == address);
-        while let Some(at) = idle.iter().rposition(|i| i.rid != rid) {
+        while let Some(at) = idle.iter().rposition(|i| i.attempt_id != attempt_id) {
             let mut connection = idle.remove(at);
             // Anything to read is its end, or a copy of a reply that was read.
             let quiet = connection.stream.get_ref().peek(&mut [0]);
@@ -412,12 +420,12 @@
     /// One call, on a connection that nothing else uses meanwhile.
     async fn converse(
         &self,
-        rid: &str,
+        attempt_id: &str,
         call: &[u8],
         call_timeout_ms: f64,
         once: bool,
     ) -> Result<(Outcome, Option<Vec<u8>>), Outcome> {
-        let used = if once { None } else { self.used(rid) };
+        let used = if once { None } else { self.used(attempt_id) };
         let mut connection = match used {
             Some(connection) => connection,
             None => {
@@ -426,14 +434,22 @@
                 // Nothing was written: the call never ran.
                 let stream = connect(address, &self.clock).await.map_err(|_| Outcome::Unreachable)?;
                 count(&self.counters.store_links);
-                let (rid, clock) = (String::new(), self.clock.clone());
-                Connection { stream, address, began_ms, used_ms: began_ms, rid, reason: "given-up", clock }
+                let (attempt_id, clock) = (String::new(), self.clock.clone());
+                Connection {
+                    stream,
+                    address,
+                    began_ms,
+                    used_ms: began_ms,
+                    attempt_id,
+                    reason: "given-up",
+                    clock,
+                }
             }
         };
-        connection.rid = rid.to_owned();
+        connection.attempt_id = attempt_id.to_owned();
         // From here on it may have run, whatever becomes of the connection.
         let until = self.clock.now() + call_timeout_ms + CALL_MARGIN_MS;
-        let end = self.reply(rid, call, until, &connection.stream).await;
+        let end = self.reply(attempt_id, call, until, &connection.stream).await;
         match end {
             Ok((line, outcome, alone)) => {
                 connection.used_ms = self.clock.now();
@@ -459,7 +475,7 @@
     /// reason code of the connection's end.
     async fn reply(
         &self,
-        rid: &str,
+        attempt_id: &str,
         call: &[u8],
         until: f64,
         mut socket: &Async<TcpStream>,
@@ -487,7 +503,7 @@
                     Some("LATE") => Outcome::TimedOut,
                     _ => return Err(LineError::Malformed.code()),
                 };
-                if line.words[0] == rid {
+                if line.words[0] == attempt_id {
                     return Ok((line, outcome, input.is_empty()));
                 }
                 // A copy of an earlier reply, or one under an unknown name, harms nobody; a stream does.
@@ -503,17 +519,17 @@
 impl api::Store for StoreLink {
     /// One that must not be made twice gets a connection of its own: the reset of a used one, forgotten by the
     /// store, would leave it uncertain though it never ran.
-    fn call(self: Rc<Self>, call: u64, rid: &str, call_timeout_ms: f64, body: &[u8], once: bool) {
+    fn call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool) {
         let call_timeout_ms = call_timeout_ms.max(1.0);
         let mut bytes = Vec::new();
-        with_body(&mut bytes, &format!("CALL {rid} {call_timeout_ms:.0}"), body);
-        let (link, rid) = (self.clone(), rid.to_owned());
+        with_body(&mut bytes, &format!("CALL {attempt_id} {call_timeout_ms:.0}"), body);
+        let (link, attempt_id) = (self.clone(), attempt_id.to_owned());
         let conversation = async move {
-            let (outcome, reply) = match link.converse(&rid, &bytes, call_timeout_ms, once).await {
+            let (outcome, reply) = match link.converse(&attempt_id, &bytes, call_timeout_ms, once).await {
                 Ok((outcome, reply)) => (outcome, reply),
                 Err(outcome) => (outcome, None),
             };
-            let _ = link.queue.send(Input::CallEnded(call, outcome, reply)).await;
+            let _ = link.queue.send(CoreInput::CallEnded(call, outcome, reply)).await;
             link.calls.borrow_mut().remove(&call);
         };
         let task = self.executor.spawn(conversation);
@@ -521,7 +537,7 @@
     }
 
     /// By closing its connection.
-    fn drop_call(&self, call: u64) {
+    fn cancel_call(&self, call: u64) {
         let task = self.calls.borrow_mut().remove(&call);
         drop(task);
     }
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -9,7 +9,7 @@
 use pinepoint::config::site::Site;
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::{
-    Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store,
+    Arrival, Caller, CoreInput, Engine, OpenSockets, Reconfiguration, Reply, RunResult, Store,
 };
 use pinepoint::server::core::{Core, Parts};
 use pinepoint::server::observability::counters::Counters;
@@ -33,11 +33,11 @@
 }
 
 impl Engine for Seen {
-    fn run(&self, rid: &str, class: &str, _: &[u8]) {
+    fn run(&self, attempt_id: &str, class: &str, _: &[u8]) {
         if self.keeps_classes.get() {
-            self.run_classes.borrow_mut().insert(rid.to_owned(), class.to_owned());
+            self.run_classes.borrow_mut().insert(attempt_id.to_owned(), class.to_owned());
         }
-        self.runs.borrow_mut().push(rid.to_owned());
+        self.runs.borrow_mut().push(attempt_id.to_owned());
     }
     fn halt(&self, _: &str) {}
     fn feed(&self, _: &str, reply: &[u8]) -> bool {
@@ -56,12 +56,12 @@
     fn call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
         self.calls.borrow_mut().push(call);
     }
-    fn drop_call(&self, call: u64) {
+    fn cancel_call(&self, call: u64) {
         self.calls.borrow_mut().retain(|c| *c != call);
     }
 }
 
-impl Doors for Seen {
+impl OpenSockets for Seen {
     fn open(&self) -> usize {
         0
     }
@@ -88,11 +88,11 @@
     fn id(&self) -> u64 {
         self.0
     }
-    fn answer(&self, ticket: u64, reply: &Reply) {
-        self.1.answers.borrow_mut().entry((self.0, ticket)).or_default().push(reply.clone());
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        self.1.answers.borrow_mut().entry((self.0, correlation_id)).or_default().push(reply.clone());
     }
     fn leave(&self) {}
-    fn leave_if_idle(&self, _: f64) {}
+    fn go_away_if_idle(&self, _: f64) {}
 }
 
 /// One of a list, if there is one.
@@ -102,11 +102,11 @@
 }
 
 /// An end of a run: of four, two are results.
-pub fn run_end(how: u8) -> RunEnd {
+pub fn run_end(how: u8) -> RunResult {
     match how % 4 {
-        0 | 1 => RunEnd::Complete(vec![how; 200].as_slice().into()),
-        2 => RunEnd::Error,
-        _ => RunEnd::Unknown,
+        0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
+        2 => RunResult::Error,
+        _ => RunResult::Unknown,
     }
 }
 
@@ -178,7 +178,7 @@
         Bench { core: Core::new(parts), seen, now: 1_000_000.0, tickets: 0, notices: 0, classes }
     }
 
-    pub fn tell(&mut self, input: Input) {
+    pub fn tell(&mut self, input: CoreInput) {
         self.core.take(self.now, input);
         self.core.settle(self.now);
     }
@@ -190,7 +190,7 @@
     /// Puts these settings in force, which must be a successor of those before.
     pub fn reload(&mut self, site: Rc<Site>, memory_mb: f64, stop_ms: f64) {
         self.classes = site.settings.classes.len();
-        self.tell(Input::Settings(NewSettings { site, stop_ms, memory_mb }));
+        self.tell(CoreInput::Reconfigure(Reconfiguration { site, stop_ms, memory_mb }));
     }
 
     pub fn arrive_from(&mut self, caller: u64, class: usize, key: String, body: u8, age_ms: f64) {
@@ -199,13 +199,13 @@
 
     pub fn arrive_as(&mut self, caller: u64, class: usize, token: Option<String>, body: u8, age_ms: f64) {
         self.tickets += 1;
-        self.tell(Input::Request(Box::new(Arrival {
+        self.tell(CoreInput::RequestReceived(Box::new(Arrival {
             caller: Rc::new(Client(caller, self.seen.clone())),
             front: Protocol::Rpc,
-            ticket: self.tickets,
-            rid: format!("r{}", self.tickets),
+            correlation_id: self.tickets,
+            attempt_id: format!("r{}", self.tickets),
             class,
-            t0: self.now - age_ms,
+            arrived_ms: self.now - age_ms,
             again: body.is_multiple_of(2),
             est_ms: Some(100.0),
             mem_kb: 40.0,
@@ -225,7 +225,7 @@
             self.now = self.now.max(due);
             self.core.settle(self.now);
             let tag = self.seen.asked.get();
-            self.tell(Input::Stats(tag, vec![busy, busy * 2.0]));
+            self.tell(CoreInput::Gauges(tag, vec![busy, busy * 2.0]));
         }
         self.now = until;
         self.core.settle(until);
@@ -233,19 +233,19 @@
 
     pub fn run(&mut self, step: &Step) {
         match *step {
-            Step::Up => self.tell(Input::EngineUp { cold: false, ms: 9000.0 }),
-            Step::Down => self.tell(Input::EngineDown),
+            Step::Up => self.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 }),
+            Step::Down => self.tell(CoreInput::EngineDetached),
             Step::Arrive { class, key, body, age } => self.arrive(class, key, body, f64::from(age)),
             Step::Pass { ms, busy } => self.pass(f64::from(ms), f64::from(busy) / 100.0),
             Step::End { run, how } => {
-                if let Some(rid) = picked(&self.seen.runs, run) {
-                    self.tell(Input::Done(rid, run_end(how)));
+                if let Some(attempt_id) = picked(&self.seen.runs, run) {
+                    self.tell(CoreInput::RunEnded(attempt_id, run_end(how)));
                 }
             }
             Step::Need { run } => {
                 self.notices += 1;
-                if let Some(rid) = picked(&self.seen.runs, run) {
-                    self.tell(Input::Need(rid, self.notices, vec![1]));
+                if let Some(attempt_id) = picked(&self.seen.runs, run) {
+                    self.tell(CoreInput::CallNeeded(attempt_id, self.notices, vec![1]));
                 }
             }
             Step::CallOver { call, how } => {
@@ -256,16 +256,16 @@
                         2 => (Outcome::Rejected, None),
                         _ => (Outcome::Reset, None),
                     };
-                    self.tell(Input::CallEnded(call, outcome, reply));
+                    self.tell(CoreInput::CallEnded(call, outcome, reply));
                 }
             }
-            Step::Gone { ticket } => {
-                let ticket = u64::from(ticket) % (self.tickets + 1);
+            Step::Gone { correlation_id } => {
+                let correlation_id = u64::from(correlation_id) % (self.tickets + 1);
                 for caller in 0..3 {
-                    self.tell(Input::Gone(caller, ticket));
+                    self.tell(CoreInput::CallerGone(caller, correlation_id));
                 }
             }
-            Step::Closed { caller } => self.tell(Input::Closed(u64::from(caller % 3))),
+            Step::Closed { caller } => self.tell(CoreInput::ConnectionClosed(u64::from(caller % 3))),
             Step::Leave => {
                 self.core.leave(self.now, self.now);
                 self.core.settle(self.now);
@@ -300,7 +300,7 @@
     End { run: u8, how: u8 },
     Need { run: u8 },
     CallOver { call: u8, how: u8 },
-    Gone { ticket: u8 },
+    Gone { correlation_id: u8 },
     Closed { caller: u8 },
     Leave,
 }
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -5,7 +5,7 @@
 
 use bench::{Bench, Step};
 use pinepoint::admission::Outcome;
-use pinepoint::server::core::api::{Input, Reply};
+use pinepoint::server::core::api::{CoreInput, Reply};
 use pinepoint_events::{Answer, ProcessEvent, RequestEventKind};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -20,7 +20,7 @@
         6 => (any::<u8>(), any::<u8>()).prop_map(|(run, how)| Step::End { run, how }),
         4 => any::<u8>().prop_map(|run| Step::Need { run }),
         4 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::CallOver { call, how }),
-        3 => any::<u8>().prop_map(|ticket| Step::Gone { ticket }),
+        3 => any::<u8>().prop_map(|correlation_id| Step::Gone { correlation_id }),
         1 => any::<u8>().prop_map(|caller| Step::Closed { caller }),
         1 => Just(Step::Leave),
     ]
@@ -35,7 +35,7 @@
         steps.insert(0, Step::Up);
         for step in &steps {
             bench.run(step);
-            bench.tell(Input::Look);
+            bench.tell(CoreInput::ReportState);
             let open = bench.seen.state.borrow().open.clone();
             for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
@@ -83,22 +83,22 @@
     let mut bench = Bench::new();
     bench.run(&Step::Up);
     bench.arrive(0, 1, 1, 0.0);
-    let rid = bench.seen.runs.borrow()[0].clone();
-    bench.tell(Input::Need(rid.clone(), 1, vec![1]));
+    let attempt_id = bench.seen.runs.borrow()[0].clone();
+    bench.tell(CoreInput::CallNeeded(attempt_id.clone(), 1, vec![1]));
     let first = bench.seen.calls.borrow()[0];
     let now = bench.now;
-    bench.core.take(now, Input::Need(rid, 2, vec![2]));
+    bench.core.take(now, CoreInput::CallNeeded(attempt_id, 2, vec![2]));
     // What `Core::run` does between two tries of one key in one instant.
     bench.core.settle(now);
     let second = bench.seen.calls.borrow()[0];
     assert_ne!(first, second);
-    bench.core.take(now, Input::CallEnded(first, Outcome::Done, Some(vec![9])));
+    bench.core.take(now, CoreInput::CallEnded(first, Outcome::Done, Some(vec![9])));
     bench.core.settle(now);
     assert_eq!(
         *bench.seen.feeds.borrow(),
         Vec::<Vec<u8>>::new(),
         "the reply to the first is no reply to the second"
     );
-    bench.tell(Input::CallEnded(second, Outcome::Done, Some(vec![7])));
+    bench.tell(CoreInput::CallEnded(second, Outcome::Done, Some(vec![7])));
     assert_eq!(*bench.seen.feeds.borrow(), [vec![7]]);
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -871,7 +871,7 @@
         let repeat = Request { duplicate_of: Some(1), queued_ms: 2990.0, ..request(id + 1, 1) };
         let out = bench.batch(vec![Event::RequestArrived(worthy), Event::RequestArrived(repeat)]);
         assert!(!refused(&out, id + 1), "{out:?}");
-        seen |= out.iter().any(|a| matches!(a, Action::Reject { why: RejectReason::Displaced, .. }));
+        seen |= out.iter().any(|a| matches!(a, Action::Reject { reason: RejectReason::Displaced, .. }));
         bench.pass(20.0, 1.0, 8.0);
     }
     assert!(seen, "the test is of no worth if nothing is displaced");
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -11,7 +11,7 @@
 use pinepoint::server::control::lifecycle::Phase as Life;
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::{
-    Arrival, HandoverPort, Input, NewSettings, PeerInbox, PeerInput, Reply, RunEnd,
+    Arrival, CoreInput, HandoverTransport, PeerEvent, PeerInbox, Reconfiguration, Reply, RunResult,
 };
 use pinepoint::server::core::{Core, HandoverParts, HandoverState, Parts};
 use pinepoint::server::observability::counters::Counters;
@@ -94,7 +94,7 @@
     }
 }
 
-impl HandoverPort for Port {
+impl HandoverTransport for Port {
     fn send_to_predecessor(&self, message: &Message) {
         self.send(Side::Predecessor, message);
     }
@@ -139,7 +139,7 @@
 
 /// A request that a process read.
 pub struct Read {
-    pub ticket: u64,
+    pub correlation_id: u64,
     pub read_ms: f64,
     pub deadline_ms: f64,
     /// It was given up, or its connection was closed, by its caller.
@@ -151,11 +151,11 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     pub process: usize,
-    pub rid: String,
+    pub attempt_id: String,
     pub over: bool,
     /// The token of a keyed run.
     key: Option<String>,
-    t0: f64,
+    arrived_ms: f64,
     until_ms: f64,
     never_ran: bool,
 }
@@ -279,7 +279,7 @@
     }
 
     pub fn engine_up(&mut self, index: usize) {
-        self.turn(index, |core, now| core.take(now, Input::EngineUp { cold: false, ms: 9000.0 }));
+        self.turn(index, |core, now| core.take(now, CoreInput::EngineAttached { cold: false, ms: 9000.0 }));
     }
 
     pub fn life(&self, index: usize) -> Life {
@@ -308,18 +308,18 @@
         let class_index = process.site.class_of(class, self.now)?;
         let keyed = process.site.settings.classes[class_index].idempotency == Idempotency::Keyed;
         self.tickets += 1;
-        let ticket = self.tickets;
-        let rid = format!("r{ticket}");
-        let t0 = self.now - age_ms;
+        let correlation_id = self.tickets;
+        let attempt_id = format!("r{correlation_id}");
+        let arrived_ms = self.now - age_ms;
         let token = keyed.then(|| format!("k{token}"));
-        self.names.insert(rid.clone(), (class.to_owned(), token.clone(), t0));
+        self.names.insert(attempt_id.clone(), (class.to_owned(), token.clone(), arrived_ms));
         let arrival = Arrival {
             caller: Rc::new(Client(caller, process.seen.clone())),
             front: Protocol::Rpc,
-            ticket,
-            rid: rid.clone(),
+            correlation_id,
+            attempt_id: attempt_id.clone(),
             class: class_index,
-            t0,
+            arrived_ms,
             again: false,
             est_ms: Some(100.0),
             mem_kb: 40.0,
@@ -328,56 +328,64 @@
             subject: None,
             tenant: None,
         };
-        let read = Read { ticket, read_ms: self.now, deadline_ms: t0 + DEADLINE_MS, given_up: false, caller };
+        let read = Read {
+            correlation_id,
+            read_ms: self.now,
+            deadline_ms: arrived_ms + DEADLINE_MS,
+            given_up: false,
+            caller,
+        };
         self.processes[index].reads.push(read);
-        self.turn(index, |core, now| core.take(now, Input::Request(Box::new(arrival))));
-        Some(rid)
+        self.turn(index, |core, now| core.take(now, CoreInput::RequestReceived(Box::new(arrival))));
+        Some(attempt_id)
     }
 
     /// The caller gives up one of its requests at this process.
     pub fn give_up(&mut self, index: usize, pick: usize) {
         let open: Vec<(u64, u64)> = self.open_reads(index);
-        let Some(&(caller, ticket)) = open.get(pick.checked_rem(open.len()).unwrap_or(0)) else { return };
+        let Some(&(caller, correlation_id)) = open.get(pick.checked_rem(open.len()).unwrap_or(0)) else {
+            return;
+        };
         let reads = self.processes[index].reads.iter_mut();
-        reads.filter(|read| read.ticket == ticket).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, Input::Gone(caller, ticket)));
+        reads.filter(|read| read.correlation_id == correlation_id).for_each(|read| read.given_up = true);
+        self.turn(index, |core, now| core.take(now, CoreInput::CallerGone(caller, correlation_id)));
     }
 
     /// A connection to this process is closed by its caller.
     pub fn close(&mut self, index: usize, caller: u64) {
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.caller == caller).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, Input::Closed(caller)));
+        self.turn(index, |core, now| core.take(now, CoreInput::ConnectionClosed(caller)));
     }
 
     /// Caller and ticket of each request without an answer.
     fn open_reads(&self, index: usize) -> Vec<(u64, u64)> {
         let process = &self.processes[index];
         let open = process.reads.iter().filter(|read| !read.given_up && process.answers(read).is_empty());
-        open.map(|read| (read.caller, read.ticket)).collect()
+        open.map(|read| (read.caller, read.correlation_id)).collect()
     }
 
     /// The answers to the request of this name.
-    pub fn answers(&self, index: usize, rid: &str) -> Vec<Reply> {
+    pub fn answers(&self, index: usize, attempt_id: &str) -> Vec<Reply> {
         let process = &self.processes[index];
-        let read = process.reads.iter().find(|read| format!("r{}", read.ticket) == rid);
+        let read = process.reads.iter().find(|read| format!("r{}", read.correlation_id) == attempt_id);
         read.map_or(Vec::new(), |read| process.answers(read))
     }
 
     /// How many times the request of this name was begun on an engine.
-    pub fn times_run(&self, rid: &str) -> usize {
-        self.runs.iter().filter(|run| run.rid == rid).count()
+    pub fn times_run(&self, attempt_id: &str) -> usize {
+        self.runs.iter().filter(|run| run.attempt_id == attempt_id).count()
     }
 
     /// Ends a run that is under way, one of those of living processes.
-    pub fn end_run(&mut self, pick: usize, end: RunEnd) {
+    pub fn end_run(&mut self, pick: usize, end: RunResult) {
         let running = |run: &Run| !run.over && self.processes[run.process].alive;
         let running: Vec<usize> = (0..self.runs.len()).filter(|at| running(&self.runs[*at])).collect();
         let Some(&at) = running.get(pick.checked_rem(running.len()).unwrap_or(0)) else { return };
         let run = &mut self.runs[at];
-        (run.over, run.never_ran) = (true, end == RunEnd::Unknown);
-        let (index, rid) = (run.process, run.rid.clone());
-        self.turn(index, |core, now| core.take(now, Input::Done(rid, end)));
+        (run.over, run.never_ran) = (true, end == RunResult::Unknown);
+        let (index, attempt_id) = (run.process, run.attempt_id.clone());
+        self.turn(index, |core, now| core.take(now, CoreInput::RunEnded(attempt_id, end)));
     }
 
     pub fn set_drained(&mut self, index: usize, drained: bool) {
@@ -404,8 +412,8 @@
         let merged = self.processes[index].site.merged_with(site(classes), self.now);
         let site = Rc::new(merged.expect("there is room for a few classes"));
         self.processes[index].site = site.clone();
-        let settings = NewSettings { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
-        self.turn(index, |core, now| core.take(now, Input::Settings(settings)));
+        let settings = Reconfiguration { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
+        self.turn(index, |core, now| core.take(now, CoreInput::Reconfigure(settings)));
     }
 
     /// SIGKILL. Of what it has sent, so many messages still arrive.
@@ -490,7 +498,7 @@
             self.turn(index, |_, _| ());
             let tag = self.processes[index].seen.asked.replace(0);
             if tag > 0 && self.processes[index].alive {
-                self.turn(index, |core, now| core.take(now, Input::Stats(tag, vec![0.1, 0.2])));
+                self.turn(index, |core, now| core.take(now, CoreInput::Gauges(tag, vec![0.1, 0.2])));
             }
         }
     }
@@ -518,7 +526,7 @@
     // ---- links ----
 
     fn find_predecessor(&mut self, index: usize) {
-        let why = match self.listening {
+        let reason = match self.listening {
             None => NoPredecessor::NoSocket,
             Some(older) if older == index || !self.processes[older].alive => NoPredecessor::Refused,
             Some(older) if self.processes[older].is_released => NoPredecessor::BadListeners,
@@ -528,13 +536,13 @@
                     LinkEnd::new(index, Side::Predecessor, true),
                     LinkEnd::new(older, Side::Successor, false),
                 ]));
-                self.processes[older].inbox.push(PeerInput::SuccessorFound);
+                self.processes[older].inbox.push(PeerEvent::SuccessorFound);
                 self.turn(older, |_, _| ());
                 return;
             }
         };
         self.processes[index].has_looked = true;
-        self.processes[index].inbox.push(PeerInput::NoPredecessor(why));
+        self.processes[index].inbox.push(PeerEvent::NoPredecessor(reason));
     }
 
     /// The link of a process to that side, by its place and the place of the end.
@@ -558,10 +566,10 @@
                         (Side::Predecessor, Message::Hello(hello)) if end.awaits_hello => {
                             end.awaits_hello = false;
                             process.has_looked = true;
-                            PeerInput::PredecessorFound(hello)
+                            PeerEvent::PredecessorFound(hello)
                         }
-                        (Side::Predecessor, message) => PeerInput::FromPredecessor(message),
-                        (Side::Successor, message) => PeerInput::FromSuccessor(message),
+                        (Side::Predecessor, message) => PeerEvent::FromPredecessor(message),
+                        (Side::Successor, message) => PeerEvent::FromSuccessor(message),
                     });
                 }
             }
@@ -570,10 +578,10 @@
                 process.inbox.push(match end.side {
                     Side::Predecessor if end.awaits_hello => {
                         process.has_looked = true;
-                        PeerInput::NoPredecessor(NoPredecessor::Closed)
+                        PeerEvent::NoPredecessor(NoPredecessor::Closed)
                     }
-                    Side::Predecessor => PeerInput::PredecessorLost,
-                    Side::Successor => PeerInput::SuccessorLost,
+                    Side::Predecessor => PeerEvent::PredecessorLost,
+                    Side::Successor => PeerEvent::SuccessorLost,
                 });
             }
         }
@@ -612,21 +620,29 @@
             process.runs_seen = runs.len();
             begun
         };
-        for rid in begun {
+        for attempt_id in begun {
             // Under whatever class its tries come: the token names the request.
-            let (_, key, t0) = self.names[&rid].clone();
+            let (_, key, arrived_ms) = self.names[&attempt_id].clone();
             if key.is_some() {
                 let same = self.runs.iter().filter(|run| run.key == key && !run.never_ran);
                 for earlier in same {
                     assert!(
-                        t0 >= earlier.until_ms,
-                        "key {key:?} runs as {rid} in process {index} at {}, t0 {t0}, and ran as {earlier:?}",
+                        arrived_ms >= earlier.until_ms,
+                        "key {key:?} runs as {attempt_id} in process {index} at {}, t0 {arrived_ms}, and ran as {earlier:?}",
                         self.now
                     );
                 }
             }
-            let until_ms = t0 + WINDOW_MS + WINDOW_MORE_MS;
-            self.runs.push(Run { process: index, rid, over: false, key, t0, until_ms, never_ran: false });
+            let until_ms = arrived_ms + WINDOW_MS + WINDOW_MORE_MS;
+            self.runs.push(Run {
+                process: index,
+                attempt_id,
+                over: false,
+                key,
+                arrived_ms,
+                until_ms,
+                never_ran: false,
+            });
         }
     }
 
@@ -642,12 +658,12 @@
         }
         for read in &process.reads {
             let answers = process.answers(read).len();
-            assert!(answers <= 1, "{} answered {answers} times by process {index}", read.ticket);
+            assert!(answers <= 1, "{} answered {answers} times by process {index}", read.correlation_id);
             let late = now > read.deadline_ms.max(read.read_ms) + ANSWER_SLACK_MS;
             assert!(
                 answers == 1 || read.given_up || !late,
                 "{} of process {index}, due at {}, read at {}, is not answered at {now}",
-                read.ticket,
+                read.correlation_id,
                 read.deadline_ms,
                 read.read_ms
             );
@@ -661,7 +677,7 @@
             if !self.runs.iter().any(|run| !run.over && self.processes[run.process].alive) {
                 break;
             }
-            self.end_run(0, RunEnd::Complete([1].as_slice().into()));
+            self.end_run(0, RunResult::Complete([1].as_slice().into()));
         }
         self.pass(3000.0);
         for index in 0..self.processes.len() {
@@ -670,7 +686,7 @@
                 continue;
             }
             let state = process.core.handover_state(self.now);
-            assert_eq!(state.remote_tries, 0, "remote tries of process {index} once all runs are over");
+            assert_eq!(state.remote_attempts, 0, "remote tries of process {index} once all runs are over");
             assert_eq!(state.waiting.iter().sum::<u64>(), 0, "claims of process {index} once all is quiet");
         }
         self.check_lists();
@@ -698,7 +714,7 @@
 
 impl Process {
     fn answers(&self, read: &Read) -> Vec<Reply> {
-        self.seen.answers.borrow().get(&(read.caller, read.ticket)).cloned().unwrap_or_default()
+        self.seen.answers.borrow().get(&(read.caller, read.correlation_id)).cloned().unwrap_or_default()
     }
 }
 
@@ -738,10 +754,10 @@
 }
 
 /// The ends of runs.
-pub fn run_end(how: u8) -> RunEnd {
+pub fn run_end(how: u8) -> RunResult {
     match how % 4 {
-        0 | 1 => RunEnd::Complete(vec![how; 200].as_slice().into()),
-        2 => RunEnd::Error,
-        _ => RunEnd::Unknown,
+        0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
+        2 => RunResult::Error,
+        _ => RunResult::Unknown,
     }
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -15,7 +15,7 @@
 };
 use pinepoint::config::site::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
 use pinepoint::config::{Config, FileError};
-use pinepoint::server::core::api::{Input, Reply, RunEnd};
+use pinepoint::server::core::api::{CoreInput, Reply, RunResult};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use scenario::World;
@@ -73,7 +73,7 @@
 }
 
 const READ: &str = "read_like";
-const KEYED: &str = "idempotency_key";
+const ANY_KEYED_CLASS: &str = "idempotency_key";
 
 // ---- which files are taken ----
 
@@ -232,9 +232,10 @@
 
 #[test]
 fn a_class_that_comes_back_takes_its_index_if_its_effect_is_the_same() {
-    let first = site(&[("look", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let dropped = first.merged_with(site(&[("look", READ)]), 1000.0).expect("taken");
-    let back = dropped.merged_with(site(&[("write", KEYED), ("look", READ)]), 9000.0).expect("taken");
+    let back =
+        dropped.merged_with(site(&[("write", ANY_KEYED_CLASS), ("look", READ)]), 9000.0).expect("taken");
     assert_eq!((back.class_of("write", 1e9), back.class_of("look", 1e9)), (Some(1), Some(0)));
     assert!(!back.is_retired(1));
 
@@ -251,7 +252,7 @@
 
 #[test]
 fn a_class_whose_effect_changes_while_it_lives_gets_a_new_index() {
-    let first = site(&[("look", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let changed = first.merged_with(site(&[("look", READ), ("write", READ)]), 1000.0).expect("taken");
     assert_eq!(changed.class_of("write", 1000.0), Some(2));
     assert_eq!(changed.settings.classes[1].idempotency, Idempotency::Keyed);
@@ -260,7 +261,7 @@
 
 #[test]
 fn a_class_that_is_dropped_twice_is_accepted_from_its_last_drop_on() {
-    let (both, one) = (site(&[("look", READ), ("write", KEYED)]), site(&[("look", READ)]));
+    let (both, one) = (site(&[("look", READ), ("write", ANY_KEYED_CLASS)]), site(&[("look", READ)]));
     let dropped = both.merged_with(one.clone(), 1000.0).expect("taken");
     let still = dropped.merged_with(one.clone(), 3000.0).expect("taken");
     assert_eq!(still.class_of("write", 4000.0), None, "a further reload without it does not renew its time");
@@ -354,7 +355,7 @@
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
     controller.handle(3200.0, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-    assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::DeadlineExceeded }), "{out:?}");
+    assert!(out.contains(&Action::Fail { id: 1, reason: FailureReason::DeadlineExceeded }), "{out:?}");
 }
 
 #[test]
@@ -403,7 +404,7 @@
 fn serving(site: &Site) -> Bench {
     let mut bench = Bench::with_site(site.clone(), 1.0, 2000.0);
     bench.seen.keeps_classes.set(true);
-    bench.tell(Input::EngineUp { cold: false, ms: 9000.0 });
+    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
     bench
 }
 
@@ -411,19 +412,19 @@
     bench.seen.answers.borrow().values().flatten().cloned().collect()
 }
 
-fn complete(bench: &mut Bench, rid: &str, body: &[u8]) {
-    bench.tell(Input::Done(rid.into(), RunEnd::Complete(body.into())));
+fn complete(bench: &mut Bench, attempt_id: &str, body: &[u8]) {
+    bench.tell(CoreInput::RunEnded(attempt_id.into(), RunResult::Complete(body.into())));
 }
 
 #[test]
 fn a_keyed_request_that_is_open_over_a_reload_keeps_its_key_and_its_window() {
-    let first = site(&[("look", READ), ("brief", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("brief", READ), ("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&first);
-    let t0 = bench.now;
+    let arrived_ms = bench.now;
     bench.arrive_as(1, 2, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.run_classes.borrow()["r1"], "write");
     // One before it is dropped, and its window shrinks to nothing.
-    let mut changed = site(&[("look", READ), ("write", KEYED), ("more", KEYED)]);
+    let mut changed = site(&[("look", READ), ("write", ANY_KEYED_CLASS), ("more", ANY_KEYED_CLASS)]);
     changed.settings.classes[1].dedup_window_ms = 1.0;
     let changed = Rc::new(first.merged_with(changed, bench.now).expect("taken"));
     bench.reload(changed.clone(), 1.0, 2000.0);
@@ -441,21 +442,21 @@
     bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         bench.seen.answers.borrow()[&(1, 4)],
-        [Reply::Failed { late: false, why: pinepoint::admission::FailureReason::BodyMismatch }]
+        [Reply::Failed { late: false, reason: pinepoint::admission::FailureReason::BodyMismatch }]
     );
     // Within the window that the run was begun with.
-    bench.pass(t0 + 4900.0 - bench.now, 0.5);
+    bench.pass(arrived_ms + 4900.0 - bench.now, 0.5);
     bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1"], "the repeat is not run again");
     assert_eq!(bench.seen.answers.borrow()[&(0, 5)], [served(b"receipt")]);
-    bench.pass(t0 + 5100.0 - bench.now, 0.5);
+    bench.pass(arrived_ms + 5100.0 - bench.now, 0.5);
     bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1", "r6"], "after it the key is free");
 }
 
 #[test]
 fn a_dropped_class_that_returns_with_its_effect_still_knows_its_keys() {
-    let both = site(&[("look", READ), ("write", KEYED)]);
+    let both = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&both);
     bench.arrive_as(1, 1, Some("k".into()), 7, 0.0);
     complete(&mut bench, "r1", b"receipt");
@@ -502,7 +503,7 @@
     assert!(
         matches!(
             of_second.as_deref(),
-            Some([Reply::Failed { late: true, why: FailureReason::DeadlineExceeded }])
+            Some([Reply::Failed { late: true, reason: FailureReason::DeadlineExceeded }])
         ),
         "{of_second:?}"
     );
@@ -517,14 +518,14 @@
     bench.seen.keeps_classes.set(true);
     let more = first.merged_with(site(&[("look", READ), ("more", READ)]), bench.now).expect("taken");
     bench.reload(Rc::new(more), 1.0, 2000.0);
-    bench.tell(Input::EngineUp { cold: false, ms: 9000.0 });
+    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
     bench.arrive_as(1, 1, None, 7, 0.0);
     assert_eq!(bench.seen.run_classes.borrow()["r1"], "more");
 }
 
 #[test]
 fn less_memory_holds_for_results_that_come_after() {
-    let first = site(&[("write", KEYED)]);
+    let first = site(&[("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&first);
     bench.reload(Rc::new(first.merged_with(first.clone(), bench.now).expect("taken")), 0.0001, 2000.0);
     bench.arrive_as(1, 0, Some("k".into()), 7, 0.0);
@@ -554,7 +555,7 @@
 }
 
 const NAMES: [&str; 5] = ["one", "two", "three", "four", "five"];
-const EFFECTS: [&str; 3] = [READ, KEYED, "non_idempotent"];
+const EFFECTS: [&str; 3] = [READ, ANY_KEYED_CLASS, "non_idempotent"];
 
 fn step() -> impl Strategy<Value = Step> {
     let class = (
@@ -595,7 +596,7 @@
     class: usize,
     name: &'static str,
     key: Option<(usize, String)>,
-    t0: f64,
+    arrived_ms: f64,
     deadline_ms: f64,
 }
 
@@ -638,7 +639,7 @@
                             class,
                             name: NAMES[*name],
                             key: token.clone().map(|token| (class, token)),
-                            t0: bench.now,
+                            arrived_ms: bench.now,
                             deadline_ms: bench.now + settings.timeout_ms,
                         });
                         bench.arrive_as(1, class, token, 7, 0.0);
@@ -647,30 +648,30 @@
                 Step::Pass(ms) => bench.pass(f64::from(*ms), 0.6),
                 Step::End { run, good } => {
                     let runs = bench.seen.runs.borrow().clone();
-                    if let Some(rid) = runs.get(usize::from(*run) % runs.len().max(1)) {
-                        let end = if *good { RunEnd::Complete(rid.as_bytes().into()) } else { RunEnd::Error };
-                        bench.tell(Input::Done(rid.clone(), end));
+                    if let Some(attempt_id) = runs.get(usize::from(*run) % runs.len().max(1)) {
+                        let end = if *good { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
+                        bench.tell(CoreInput::RunEnded(attempt_id.clone(), end));
                     }
                 }
-                Step::Gone(ticket) => {
-                    let ticket = u64::from(*ticket) % (bench.tickets + 1);
-                    gone.insert(ticket);
-                    bench.tell(Input::Gone(1, ticket));
+                Step::Gone(correlation_id) => {
+                    let correlation_id = u64::from(*correlation_id) % (bench.tickets + 1);
+                    gone.insert(correlation_id);
+                    bench.tell(CoreInput::CallerGone(1, correlation_id));
                 }
             }
             let runs = bench.seen.runs.borrow().clone();
-            for rid in &runs[runs_seen..] {
-                let number: usize = rid[1..].parse().expect("a number");
+            for attempt_id in &runs[runs_seen..] {
+                let number: usize = attempt_id[1..].parse().expect("a number");
                 let request = &came[number - 1];
-                prop_assert_eq!(&bench.seen.run_classes.borrow()[rid], request.name);
+                prop_assert_eq!(&bench.seen.run_classes.borrow()[attempt_id], request.name);
                 if let Some(key) = &request.key {
                     let window_ms = site.settings.classes[request.class].dedup_window_ms;
-                    let until = windows.insert(key.clone(), request.t0 + window_ms);
-                    prop_assert!(until.is_none_or(|until| request.t0 >= until), "{:?} ran twice: {}", key, rid);
+                    let until = windows.insert(key.clone(), request.arrived_ms + window_ms);
+                    prop_assert!(until.is_none_or(|until| request.arrived_ms >= until), "{:?} ran twice: {}", key, attempt_id);
                 }
             }
             runs_seen = runs.len();
-            bench.tell(Input::Look);
+            bench.tell(CoreInput::ReportState);
             let open = bench.seen.state.borrow().open.clone();
             prop_assert_eq!(open.len(), site.settings.classes.len());
             for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
@@ -679,21 +680,21 @@
                 prop_assert_eq!(read, sent, "class {}", class);
             }
             for (number, request) in came.iter().enumerate() {
-                let ticket = number as u64 + 1;
-                let answered = bench.seen.answers.borrow().contains_key(&(1, ticket));
+                let correlation_id = number as u64 + 1;
+                let answered = bench.seen.answers.borrow().contains_key(&(1, correlation_id));
                 prop_assert!(
-                    answered || gone.contains(&ticket) || bench.now < request.deadline_ms + 200.0,
-                    "{} of {:?} is open at {}", ticket, request, bench.now
+                    answered || gone.contains(&correlation_id) || bench.now < request.deadline_ms + 200.0,
+                    "{} of {:?} is open at {}", correlation_id, request, bench.now
                 );
             }
         }
         bench.pass(5000.0, 0.2);
-        bench.tell(Input::Look);
+        bench.tell(CoreInput::ReportState);
         prop_assert_eq!(bench.seen.state.borrow().open.iter().sum::<u64>(), 0);
         let answers = bench.seen.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
         // The module knows of each class: it gave the answers that were due, and the core none in its place.
-        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { why: FailureReason::Overdue, .. });
+        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { reason: FailureReason::Overdue, .. });
         prop_assert!(!answers.values().flatten().any(is_overdue), "{:?}", answers);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,7 +6,7 @@
 use bench::{Bench, Step};
 use pinepoint::config::site::Site;
 use pinepoint::server::control::lifecycle::Phase;
-use pinepoint::server::core::api::Input;
+use pinepoint::server::core::api::CoreInput;
 use pinepoint_events::ProcessEvent;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -103,7 +103,7 @@
         6 => (any::<u8>(), any::<u8>()).prop_map(|(run, how)| Step::End { run, how }),
         4 => any::<u8>().prop_map(|run| Step::Need { run }),
         4 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::CallOver { call, how }),
-        2 => any::<u8>().prop_map(|ticket| Step::Gone { ticket }),
+        2 => any::<u8>().prop_map(|correlation_id| Step::Gone { correlation_id }),
         1 => Just(Step::Down),
         1 => Just(Step::Up),
     ]
@@ -142,7 +142,7 @@
                 }
                 step => bench.run(step),
             }
-            bench.tell(Input::Look);
+            bench.tell(CoreInput::ReportState);
             let open = bench.seen.state.borrow().open.clone();
             for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
