--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -14,9 +14,9 @@
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::CoreInput;
 use pinepoint::server::core::{Core, HandoverParts, Parts};
-use pinepoint::server::frontend::context::Front;
-use pinepoint::server::frontend::limiter::Room;
-use pinepoint::server::frontend::listener::{self, Door};
+use pinepoint::server::frontend::context::FrontendContext;
+use pinepoint::server::frontend::limiter::ConnectionLimiter;
+use pinepoint::server::frontend::listener::{self, Listener};
 use pinepoint::server::frontend::{ajp, rpc};
 use pinepoint::server::observability::counters::Counters;
 use pinepoint::server::observability::{membership, telemetry};
@@ -65,19 +65,19 @@
     }
     let telemetry = process.start_telemetry(&edge);
     let Watched { observer, member } = process.join_fleet(&edge, observer_of(telemetry.as_ref()))?;
-    let front = process.front(observer, Room::new(limits.callers, config.memory_mb));
+    let front = process.front(observer, ConnectionLimiter::new(limits.callers, config.memory_mb));
     if let Some(options) = edge.ajp {
         let opened = upgrade::open(&mut upgrade, "ajp", options.listen, &mut signs, &process.clock)?;
         let Some(bound) = opened else { return process.ended() };
         process.listen_for_ajp(bound, options, limits.ajp, &front);
     }
-    let (handover_links, handover) = upgrade.map(|upgrade| process.link_to(upgrade, &front.room)).unzip();
+    let (handover_links, handover) = upgrade.map(|upgrade| process.link_to(upgrade, &front.limiter)).unzip();
     let core = process.core(&config, &front, &service_links, handover);
     let reloader = process.reloader(config, &front, &service_links, telemetry.clone())?;
     let reload = Reload { reloader, telemetry: telemetry.clone(), edge: edge_file };
     process.handle_signals(signs, reload);
     process.connect(service_links);
-    process.listen_for_rpc(Door::new(rpc_listener, &front.room), limits.callers, front);
+    process.listen_for_rpc(Listener::new(rpc_listener, &front.limiter), limits.callers, front);
     tracing::info!(name = process.name, listen = %rpc_address, "started");
     let last_ms = edge.telemetry.last_ms.get() as f64;
     let ending = Ending { handover_links, member, telemetry, last_ms };
@@ -242,15 +242,15 @@
     }
 
     /// What the connections of all fronts share.
-    fn front(&self, observer: Rc<dyn Observer>, room: Room) -> Rc<Front> {
-        Rc::new(Front {
+    fn front(&self, observer: Rc<dyn Observer>, limiter: ConnectionLimiter) -> Rc<FrontendContext> {
+        Rc::new(FrontendContext {
             deployment: self.deployment.clone(),
             status: self.status.clone(),
             counters: self.counters.clone(),
             observer,
             clock: self.clock.clone(),
             queue: self.queue.clone(),
-            room: Rc::new(room),
+            limiter: Rc::new(limiter),
         })
     }
 
@@ -259,33 +259,37 @@
         (listener, address): Bound,
         options: edge_config::Ajp,
         most: usize,
-        front: &Rc<Front>,
+        front: &Rc<FrontendContext>,
     ) {
         tracing::info!(listen = %address, "ajp");
         let edge_config::Ajp { secret, mem_kb, .. } = options;
         let options = Rc::new(ajp::Options { secret, mem_kb: mem_kb.0, seed: self.seed });
         let own = front.clone();
-        let serve = move |stream, guest| ajp::serve(stream, guest, own.clone(), options.clone());
-        let door = Door::new(listener, &front.room);
+        let serve = move |stream, state| ajp::serve(stream, state, own.clone(), options.clone());
+        let door = Listener::new(listener, &front.limiter);
         let listen = listener::listen("ajp", door, most, front.clone(), self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
-    fn listen_for_rpc(&self, door: Door, most: usize, front: Rc<Front>) {
+    fn listen_for_rpc(&self, door: Listener, most: usize, front: Rc<FrontendContext>) {
         let own = front.clone();
-        let serve = move |stream, guest| rpc::serve(stream, guest, own.clone());
+        let serve = move |stream, state| rpc::serve(stream, state, own.clone());
         let listen = listener::listen("rpc", door, most, front, self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
     /// The links to the other process of this server, and what the core needs of them.
-    fn link_to(&self, upgrade: Upgrade, room: &Rc<Room>) -> (Rc<handover::Links>, HandoverParts) {
+    fn link_to(
+        &self,
+        upgrade: Upgrade,
+        limiter: &Rc<ConnectionLimiter>,
+    ) -> (Rc<handover::Links>, HandoverParts) {
         upgrade.link(&self.site, |path, inbox| handover::Host {
             path,
             executor: self.executor.clone(),
             clock: self.clock.clone(),
             status: self.status.clone(),
-            room: room.clone(),
+            limiter: limiter.clone(),
             inbox,
         })
     }
@@ -293,7 +297,7 @@
     fn core(
         &self,
         config: &Config,
-        front: &Front,
+        front: &FrontendContext,
         service_links: &ServiceLinks,
         handover: Option<HandoverParts>,
     ) -> Core {
@@ -308,7 +312,7 @@
             observer: front.observer.clone(),
             engine: service_links.engine.clone(),
             store: service_links.store.clone(),
-            doors: front.room.clone(),
+            open_sockets: front.limiter.clone(),
             handover,
         })
     }
@@ -316,7 +320,7 @@
     fn reloader(
         &self,
         config: Config,
-        front: &Front,
+        front: &FrontendContext,
         service_links: &ServiceLinks,
         telemetry: Option<Rc<Telemetry>>,
     ) -> Result<Reloader, StartError> {
@@ -325,7 +329,7 @@
             config,
             deployment: self.deployment.clone(),
             peers: service_links.peers.clone(),
-            room: front.room.clone(),
+            limiter: front.limiter.clone(),
             telemetry,
             counters: self.counters.clone(),
             clock: self.clock.clone(),
--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -15,8 +15,8 @@
 
 use crate::server::control::status::Status;
 use crate::server::core::api::{HandoverTransport, PeerEvent, PeerInbox};
-use crate::server::frontend::limiter::Room;
-use crate::server::sync::Signal;
+use crate::server::frontend::limiter::ConnectionLimiter;
+use crate::server::sync::Notify;
 
 /// Descriptors that the other process holds beside the connections of its callers.
 const OTHER_DESCRIPTORS: usize = 20;
@@ -34,7 +34,7 @@
     /// Wakes the core.
     pub status: Rc<Status>,
     /// Room for connections, which both processes share.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
     /// What the core is told.
     pub inbox: Rc<PeerInbox>,
 }
@@ -74,7 +74,7 @@
     next_number: Cell<u64>,
     /// Links whose tasks run.
     running: Cell<usize>,
-    ended: Signal,
+    ended: Notify,
 }
 
 impl Links {
@@ -90,7 +90,7 @@
             acceptor: RefCell::default(),
             next_number: Cell::new(1),
             running: Cell::new(0),
-            ended: Signal::default(),
+            ended: Notify::default(),
         });
         if let Some((link, task)) = found {
             links.attach(Side::Predecessor, link, task);
@@ -249,6 +249,6 @@
 
     fn set_peer_connections(&self, connections: usize) {
         let own = if self.predecessor.borrow().is_some() { OTHER_DESCRIPTORS } else { 0 };
-        self.host.room.set_others(connections + own);
+        self.host.limiter.set_others(connections + own);
     }
 }
--- a/src/server/control/lifecycle.rs
+++ b/src/server/control/lifecycle.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Left {
     /// Listening sockets that are open, or that someone stands before.
-    pub doors: usize,
+    pub listeners: usize,
     /// Connections of callers that are not closed, whether the core has heard of them or not.
     pub connections: usize,
     /// Answers that are owed.
--- a/src/server/control/management.rs
+++ b/src/server/control/management.rs
@@ -17,7 +17,7 @@
 use crate::server::control::status::Status;
 use crate::server::frontend::connection::discard;
 use crate::server::observability::counters::{ClassCounters, Counters};
-use crate::server::sync::Signal;
+use crate::server::sync::Notify;
 
 /// Connections at a time, as a part of the descriptors and between two bounds. One that has not sent its line gives way to
 /// the next, the oldest first.
@@ -180,13 +180,13 @@
 /// The connections that are open, each with the signal that asks it to give way.
 struct Connections {
     most: usize,
-    open: RefCell<BTreeMap<u64, Rc<Signal>>>,
+    open: RefCell<BTreeMap<u64, Rc<Notify>>>,
     last: Cell<u64>,
 }
 
 impl Connections {
     /// Enters a connection; the oldest is asked to give way where there are too many.
-    fn enter(&self) -> (u64, Rc<Signal>) {
+    fn enter(&self) -> (u64, Rc<Notify>) {
         let mut open = self.open.borrow_mut();
         if open.len() >= self.most
             && let Some((_, oldest)) = open.pop_first()
@@ -195,7 +195,7 @@
         }
         let id = self.last.get() + 1;
         self.last.set(id);
-        let give_way = Rc::new(Signal::default());
+        let give_way = Rc::new(Notify::default());
         open.insert(id, give_way.clone());
         (id, give_way)
     }
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::config::active::Deployment;
 use crate::server::core::api::{CoreInput, Reconfiguration};
-use crate::server::frontend::limiter::Room;
+use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::observability::counters::{Counters, count};
 use crate::server::observability::telemetry;
 use crate::server::upstream::Peers;
@@ -27,7 +27,7 @@
     /// Where the links go.
     pub peers: Rc<Peers>,
     /// Room for connections.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
     /// What counts by class, if it is on.
     pub telemetry: Option<Rc<Telemetry>>,
     /// Counters.
@@ -72,7 +72,7 @@
         }
         let _ = self.queue.send(CoreInput::Reconfigure(settings)).await;
         self.deployment.replace(config.site.clone());
-        self.room.set_memory(memory_mb);
+        self.limiter.set_memory(memory_mb);
         self.peers.set(engine, store, members);
         let classes = config.site.class_names.len();
         tracing::info!(%engine, %store, %members, classes, "reloaded");
--- a/src/server/control/status.rs
+++ b/src/server/control/status.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use crate::server::control::lifecycle::Phase;
-use crate::server::sync::{Gate, Signal, Switch};
+use crate::server::sync::{Flag, Latch, Notify};
 
 /// What the core publishes for the fronts and the membership report to read.
 #[derive(Debug)]
@@ -17,19 +17,19 @@
     /// What an operator asked for last, and the core has not looked at: a drain, or its end.
     pub drain: Cell<Option<bool>>,
     /// Wakes the core to look at either.
-    pub notice: Signal,
+    pub notice: Notify,
     /// Where the process stands in its life.
     pub phase: Cell<Phase>,
     /// What the membership service is told: nothing before the engine is up, then whether work is taken.
     pub listed: Cell<Option<bool>>,
     /// Wakes the membership report.
-    pub report: Signal,
+    pub report: Notify,
     /// Connections are accepted. Off while another process accepts on the sockets that both hold.
-    pub accepting: Switch,
+    pub accepting: Flag,
     /// The doors shut from now on, behind those who stand before them.
-    pub shut: Gate,
+    pub shut: Latch,
     /// All that was read is answered, and nothing more is taken in: the process is about to end.
-    pub finishing: Gate,
+    pub finishing: Latch,
 }
 
 impl Default for Status {
@@ -39,13 +39,13 @@
             hint: Cell::default(),
             notice_ms: Cell::default(),
             drain: Cell::default(),
-            notice: Signal::default(),
+            notice: Notify::default(),
             phase: Cell::default(),
             listed: Cell::default(),
-            report: Signal::default(),
-            accepting: Switch::new(true),
-            shut: Gate::default(),
-            finishing: Gate::default(),
+            report: Notify::default(),
+            accepting: Flag::new(true),
+            shut: Latch::default(),
+            finishing: Latch::default(),
         }
     }
 }
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -164,7 +164,7 @@
     /// How many connections this process holds, which count against the limit of both.
     pub(super) fn tell_connections(&mut self, now: f64) {
         if self.handover.as_ref().is_some_and(Handover::has_successor) {
-            let open = u32::try_from(self.parts.doors.connections()).unwrap_or(u32::MAX);
+            let open = u32::try_from(self.parts.open_sockets.connections()).unwrap_or(u32::MAX);
             self.predecessor_event(now, predecessor::Event::Connections(open));
         }
     }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -95,7 +95,7 @@
     /// The store.
     pub store: Rc<dyn Store>,
     /// The doors, and who has come in by them.
-    pub doors: Rc<dyn OpenSockets>,
+    pub open_sockets: Rc<dyn OpenSockets>,
     /// What a handover between two processes of this server takes; without it there is none.
     pub handover: Option<HandoverParts>,
 }
@@ -774,10 +774,10 @@
     /// Goes on through the life of the process as far as time and what is left allow.
     fn live(&mut self, now: f64) {
         loop {
-            let doors = &self.parts.doors;
-            let (doors, connections) = (doors.open(), doors.connections());
+            let open_sockets = &self.parts.open_sockets;
+            let (listeners, connections) = (open_sockets.open(), open_sockets.connections());
             let owed = !self.requests.nothing_owed() || self.has_claims();
-            let Some(phase) = self.life.advance(now, Left { doors, connections, owed }) else { return };
+            let Some(phase) = self.life.advance(now, Left { listeners, connections, owed }) else { return };
             match phase {
                 LifecyclePhase::ToldToGo => self.callers.values().for_each(|caller| caller.leave()),
                 LifecyclePhase::Closing => self.close_doors(),
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -12,12 +12,12 @@
 use crate::admission::Idempotency;
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
-use crate::server::frontend::connection::{self, Intake, Stop, Writer};
-use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
-use crate::server::frontend::context::Front;
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::context::FrontendContext;
 use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, MEM_BELOW_KB};
 use crate::server::observability::counters::count;
-use crate::server::sync::Signal;
+use crate::server::sync::Notify;
 
 /// Longest packet with its head of four bytes, bytes.
 const PACKET_MOST: usize = 8192;
@@ -366,25 +366,25 @@
 // ---- connections ----
 
 struct Connection {
-    guest: Rc<Guest>,
-    front: Rc<Front>,
-    writer: Writer,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+    writer: WriteHalf,
     /// The request that waits for its answer, if one does.
     open: Cell<Option<u64>>,
-    answered: Signal,
+    answered: Notify,
 }
 
 impl Connection {
     fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: bool) {
         headers.extend(self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
-        self.guest.used_ms.set(self.front.clock.now());
+        self.state.used_ms.set(self.front.clock.now());
         self.writer.push(|out| response(out, status, &headers, body, reuse));
     }
 }
 
 impl Caller for Connection {
     fn id(&self) -> u64 {
-        self.guest.id
+        self.state.id
     }
 
     fn answer(&self, correlation_id: u64, reply: &Reply) {
@@ -392,8 +392,8 @@
             return;
         }
         self.open.set(None);
-        self.guest.answered.set(self.guest.answered.get() + 1);
-        let reuse = !self.guest.told();
+        self.state.answered.set(self.state.answered.get() + 1);
+        let reuse = !self.state.told();
         match reply {
             Reply::Served(result) => {
                 let kind = vec![("Content-Type", "application/octet-stream".to_owned())];
@@ -413,11 +413,11 @@
     fn leave(&self) {
         // An idle connection goes now; the front end opens another elsewhere. A request whose body is on its
         // way was not read and holds up nothing, but is given the time to become one.
-        self.guest.tell_at_once(self.front.clock.now());
+        self.state.tell_at_once(self.front.clock.now());
     }
 
     fn go_away_if_idle(&self, since_ms: f64) {
-        if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
+        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
             self.leave();
         }
     }
@@ -426,36 +426,37 @@
 /// Serves one connection to its end; returns the reason code.
 pub async fn serve(
     stream: Rc<Async<TcpStream>>,
-    guest: Rc<Guest>,
-    front: Rc<Front>,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
     options: Rc<Options>,
 ) -> &'static str {
     let connection = Rc::new(Connection {
-        guest,
+        state,
         front: front.clone(),
-        writer: Writer::new(front.clone()),
+        writer: WriteHalf::new(front.clone()),
         open: Cell::new(None),
-        answered: Signal::default(),
+        answered: Notify::default(),
     });
     let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
-    let mut input = Input13 { intake: Intake::new(stream.clone(), connection.guest.clone(), front.clone()) };
+    let mut input =
+        Input13 { intake: ReadHalf::new(stream.clone(), connection.state.clone(), front.clone()) };
     let reading = converse(&mut input, &connection, &options);
     let nothing_open = || connection.open.get().is_none();
-    connection::run(&stream, &connection.guest, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
 }
 
 /// The reading half: packets as they are whole.
 struct Input13 {
-    intake: Intake,
+    intake: ReadHalf,
 }
 
 impl Input13 {
     /// The next packet. One that has begun must be whole in time; with `until` the wait for it ends too.
-    async fn packet(&mut self, connection: &Connection, until: Option<f64>) -> Result<Vec<u8>, Stop> {
+    async fn packet(&mut self, connection: &Connection, until: Option<f64>) -> Result<Vec<u8>, CloseReason> {
         let mut until = until;
         loop {
             let bytes = &mut self.intake.bytes;
-            if let Some(payload) = take_packet(bytes).map_err(|e| Stop::Spoilt(e.code()))? {
+            if let Some(payload) = take_packet(bytes).map_err(|e| CloseReason::Spoilt(e.code()))? {
                 return Ok(payload);
             }
             if until.is_none() && !bytes.is_empty() {
@@ -466,14 +467,14 @@
     }
 }
 
-async fn converse(input: &mut Input13, connection: &Rc<Connection>, options: &Options) -> Stop {
+async fn converse(input: &mut Input13, connection: &Rc<Connection>, options: &Options) -> CloseReason {
     let front = &connection.front;
     loop {
         let payload = match input.packet(connection, None).await {
             Ok(payload) => payload,
             Err(stop) => return stop,
         };
-        connection.guest.heard(front.clock.now());
+        connection.state.heard(front.clock.now());
         match payload.first() {
             Some(&CPING) if payload.len() == 1 => {
                 count(&front.counters.pings);
@@ -482,16 +483,16 @@
             // Anyone who can connect could send it; SIGTERM is the way to stop this process.
             Some(&SHUTDOWN) => {}
             Some(&FORWARD_REQUEST) => {
-                connection.guest.busy.set(true);
+                connection.state.busy.set(true);
                 let end = request(input, connection, options, &payload).await;
-                connection.guest.busy.set(false);
+                connection.state.busy.set(false);
                 match end {
-                    Ok(()) if connection.guest.told() => return Stop::Orderly("drained"),
+                    Ok(()) if connection.state.told() => return CloseReason::Orderly("drained"),
                     Ok(()) => {}
                     Err(stop) => return stop,
                 }
             }
-            _ => return Stop::Spoilt("bad-code"),
+            _ => return CloseReason::Spoilt("bad-code"),
         }
         connection.writer.ready().await;
         future::yield_now().await;
@@ -504,19 +505,19 @@
     connection: &Rc<Connection>,
     options: &Options,
     payload: &[u8],
-) -> Result<(), Stop> {
+) -> Result<(), CloseReason> {
     let front = &connection.front;
     let arrived_ms = front.clock.now();
-    let correlation_id = connection.guest.read.get() + 1;
-    connection.guest.read.set(correlation_id);
+    let correlation_id = connection.state.read.get() + 1;
+    connection.state.read.set(correlation_id);
     let bad = |status: u16, reuse: bool| {
         count(&front.counters.bad_requests);
-        connection.guest.answered.set(connection.guest.answered.get() + 1);
-        connection.respond(status, Vec::new(), b"", reuse && !connection.guest.told());
+        connection.state.answered.set(connection.state.answered.get() + 1);
+        connection.respond(status, Vec::new(), b"", reuse && !connection.state.told());
         // Without reuse the rest of the body may be under way, and nothing after it can be made out.
-        if reuse { Ok(()) } else { Err(Stop::Orderly("bad-request")) }
+        if reuse { Ok(()) } else { Err(CloseReason::Orderly("bad-request")) }
     };
-    let forward = forward(payload).map_err(|e| Stop::Spoilt(e.code()))?;
+    let forward = forward(payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
     let length = match forward.body_length() {
         Ok(length) => length,
         Err(Status(status)) => return bad(status, false),
@@ -545,7 +546,7 @@
             });
         }
         let payload = input.packet(connection, Some(until.min(front.clock.now() + MESSAGE_MS))).await?;
-        let data = body_data(&payload).map_err(|e| Stop::Spoilt(e.code()))?;
+        let data = body_data(&payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
         if data.is_empty() {
             if wanted == usize::MAX {
                 break;
@@ -555,7 +556,7 @@
         }
         body.extend_from_slice(data);
         if body.len() > wanted {
-            return Err(Stop::Spoilt("bad-length"));
+            return Err(CloseReason::Spoilt("bad-length"));
         }
         if body.len() > BODY_MOST {
             return bad(413, false);
@@ -566,7 +567,7 @@
         caller: connection.clone(),
         front: pinepoint_events::Protocol::Ajp,
         correlation_id,
-        attempt_id: name(options.seed, connection.guest.id, correlation_id),
+        attempt_id: name(options.seed, connection.state.id, correlation_id),
         class: head.class,
         arrived_ms,
         again: head.again,
@@ -587,15 +588,15 @@
         match future::or(answered, input.intake.more(&connection.writer, None)).await {
             Ok(()) => {}
             // Nothing more is taken in; what was read is still answered.
-            Err(Stop::Finishing) => return Err(Stop::Finishing),
+            Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
             Err(stop) => {
                 connection.open.set(None);
-                let _ = front.queue.send(CoreInput::CallerGone(connection.guest.id, correlation_id)).await;
+                let _ = front.queue.send(CoreInput::CallerGone(connection.state.id, correlation_id)).await;
                 return Err(stop);
             }
         }
         if input.intake.bytes.len() > PACKET_MOST {
-            return Err(Stop::Spoilt("unasked-data"));
+            return Err(CloseReason::Spoilt("unasked-data"));
         }
     }
     Ok(())
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -14,14 +14,14 @@
 use pinepoint_events::{ProcessEvent, ResourceLimit};
 
 use crate::server::core::api::CoreInput;
-use crate::server::frontend::connection_state::Guest;
-use crate::server::frontend::context::Front;
-use crate::server::sync::{Gate, Signal};
-use crate::server::write_buffer::Outbox;
+use crate::server::frontend::connection_state::ConnectionState;
+use crate::server::frontend::context::FrontendContext;
+use crate::server::sync::{Latch, Notify};
+use crate::server::write_buffer::WriteBuffer;
 
 /// Queued bytes past which a connection is not read, and past which it is given up: its reader is too slow.
-const QUEUE_PAUSE: usize = 64 * 1024;
-const QUEUE_MOST: usize = 256 * 1024;
+const PAUSE_READING_AT_BYTES: usize = 64 * 1024;
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Time without progress of a writer that has something to write, ms.
 const STALL_MS: f64 = 15_000.0;
 /// Between two looks at a queue that is too long, ms.
@@ -35,7 +35,7 @@
 
 /// Why nothing more is taken in on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum CloseReason {
     /// What was read is answered; then it ends in order.
     Orderly(&'static str),
     /// The same, as the other side says nothing more.
@@ -51,10 +51,10 @@
 }
 
 /// The reading half: bytes as they come.
-pub struct Intake {
+pub struct ReadHalf {
     stream: Rc<Async<TcpStream>>,
-    guest: Rc<Guest>,
-    front: Rc<Front>,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
     /// What was read and no message was made of yet.
     pub bytes: Vec<u8>,
     /// Waits from one reading to the next: its timers are set anew only where its time has changed.
@@ -69,10 +69,10 @@
 }
 
 /// Completes when the connection should go, or all that is left was answered.
-fn guard(guest: Rc<Guest>, front: Rc<Front>) -> Pin<Box<dyn Future<Output = Event>>> {
+fn guard(state: Rc<ConnectionState>, front: Rc<FrontendContext>) -> Pin<Box<dyn Future<Output = Event>>> {
     Box::pin(async move {
         let should_go =
-            async { Event::ShouldGo(guest.should_go(&front.clock, front.caller_idle_timeout_ms()).await) };
+            async { Event::ShouldGo(state.should_go(&front.clock, front.caller_idle_timeout_ms()).await) };
         let finishing = async {
             front.status.finishing.passed().await;
             Event::Finishing
@@ -81,17 +81,17 @@
     })
 }
 
-impl Intake {
+impl ReadHalf {
     /// Of a connection of which nothing was read.
-    pub fn new(stream: Rc<Async<TcpStream>>, guest: Rc<Guest>, front: Rc<Front>) -> Self {
-        let guard = guard(guest.clone(), front.clone());
-        Intake { stream, guest, front, bytes: Vec::new(), guard }
+    pub fn new(stream: Rc<Async<TcpStream>>, state: Rc<ConnectionState>, front: Rc<FrontendContext>) -> Self {
+        let guard = guard(state.clone(), front.clone());
+        ReadHalf { stream, state, front, bytes: Vec::new(), guard }
     }
 
     /// Reads more bytes. With `until` the wait for them has an end: something has begun that must be whole by then.
     /// Whatever brings the end, what had come before it is read first.
-    pub async fn more(&mut self, writer: &Writer, until: Option<f64>) -> Result<(), Stop> {
-        self.guest.part.set(!self.bytes.is_empty());
+    pub async fn more(&mut self, writer: &WriteHalf, until: Option<f64>) -> Result<(), CloseReason> {
+        self.state.part.set(!self.bytes.is_empty());
         if self.bytes.is_empty() {
             // A buffer that keeps its peak is memory for as long as the connection stays.
             self.bytes = Vec::new();
@@ -109,16 +109,16 @@
             // Reading comes first: it tries the socket at each turn.
             let read = async { Event::Read(stream.read(&mut chunk).await) };
             match future::or(read, future::or(late, &mut self.guard)).await {
-                Event::Read(Ok(0)) => return Err(Stop::PeerClosed),
+                Event::Read(Ok(0)) => return Err(CloseReason::PeerClosed),
                 Event::Read(Ok(n)) => {
                     self.bytes.extend_from_slice(&chunk[..n]);
                     return Ok(());
                 }
-                Event::Read(Err(_)) => return Err(Stop::Abandoned("peer-reset")),
-                Event::Late => return Err(Stop::Orderly("sender-stalled")),
-                Event::Finishing => return Err(Stop::Finishing),
+                Event::Read(Err(_)) => return Err(CloseReason::Abandoned("peer-reset")),
+                Event::Late => return Err(CloseReason::Orderly("sender-stalled")),
+                Event::Finishing => return Err(CloseReason::Finishing),
                 Event::ShouldGo(reason) => {
-                    self.guard = guard(self.guest.clone(), self.front.clone());
+                    self.guard = guard(self.state.clone(), self.front.clone());
                     if let Some(stop) = self.shut_if_quiet(reason, writer).await {
                         return Err(stop);
                     }
@@ -130,44 +130,44 @@
     /// Shuts the writing half unless something came meanwhile. Between the look at the socket and the shutdown nothing
     /// else happens: what the other side wrote before it is read, what it writes after it finds the connection shut and is
     /// sent again elsewhere.
-    async fn shut_if_quiet(&self, reason: &'static str, writer: &Writer) -> Option<Stop> {
+    async fn shut_if_quiet(&self, reason: &'static str, writer: &WriteHalf) -> Option<CloseReason> {
         writer.flushed().await;
         let socket = self.stream.get_ref();
         match socket.peek(&mut [0]) {
-            Ok(0) => Some(Stop::PeerClosed),
+            Ok(0) => Some(CloseReason::PeerClosed),
             Ok(_) => {
-                self.guest.keep();
+                self.state.keep();
                 None
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 let _ = socket.shutdown(Shutdown::Write);
-                Some(Stop::Shut(reason))
+                Some(CloseReason::Shut(reason))
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => None,
-            Err(_) => Some(Stop::Abandoned("peer-reset")),
+            Err(_) => Some(CloseReason::Abandoned("peer-reset")),
         }
     }
 }
 
 /// The writing half: its bounded queue, and its end.
-pub struct Writer {
-    outbox: Outbox,
-    front: Rc<Front>,
+pub struct WriteHalf {
+    outbox: WriteBuffer,
+    front: Rc<FrontendContext>,
     accounted: Cell<usize>,
-    too_slow: Gate,
-    flushed: Signal,
+    too_slow: Latch,
+    flushed: Notify,
     ending: Cell<Option<&'static str>>,
 }
 
-impl Writer {
+impl WriteHalf {
     /// A writer with an empty queue.
-    pub fn new(front: Rc<Front>) -> Self {
-        Writer {
-            outbox: Outbox::default(),
+    pub fn new(front: Rc<FrontendContext>) -> Self {
+        WriteHalf {
+            outbox: WriteBuffer::default(),
             front,
             accounted: Cell::new(0),
-            too_slow: Gate::default(),
-            flushed: Signal::default(),
+            too_slow: Latch::default(),
+            flushed: Notify::default(),
             ending: Cell::new(None),
         }
     }
@@ -175,7 +175,7 @@
     /// Queues bytes, and marks the connection for its end if nobody reads what is queued.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
         let backlog = self.outbox.backlog();
-        if backlog > QUEUE_MOST || self.front.room.is_queued_full(backlog) {
+        if backlog > MAX_QUEUED_BYTES || self.front.limiter.is_queued_full(backlog) {
             if self.too_slow.open() {
                 let front = &self.front;
                 front
@@ -196,12 +196,12 @@
 
     /// Books the bytes that are queued here in the sum over all connections.
     fn account(&self, queued: usize) {
-        self.front.room.account(self.accounted.replace(queued), queued);
+        self.front.limiter.account(self.accounted.replace(queued), queued);
     }
 
     /// Completes when the queue is short enough for more to be read.
     pub async fn ready(&self) {
-        while self.outbox.backlog() > QUEUE_PAUSE {
+        while self.outbox.backlog() > PAUSE_READING_AT_BYTES {
             self.front.clock.pause(LOOK_MS).await;
         }
     }
@@ -248,7 +248,7 @@
     }
 }
 
-impl Drop for Writer {
+impl Drop for WriteHalf {
     fn drop(&mut self) {
         self.account(0);
     }
@@ -258,32 +258,32 @@
 /// `nothing_open` tells whether no answer is owed on it. Returns the reason code of the end.
 pub async fn run(
     stream: &Async<TcpStream>,
-    guest: &Guest,
-    front: &Front,
-    writer: &Writer,
-    reading: impl Future<Output = Stop>,
+    state: &ConnectionState,
+    front: &FrontendContext,
+    writer: &WriteHalf,
+    reading: impl Future<Output = CloseReason>,
     nothing_open: impl Fn() -> bool,
 ) -> &'static str {
     let reading = async {
         match reading.await {
-            Stop::Orderly(reason) => writer.end(reason),
-            Stop::PeerClosed if guest.part.get() => writer.end("cut-off"),
-            Stop::PeerClosed if guest.told() => writer.end("drained"),
-            Stop::PeerClosed => writer.end("peer-closed"),
-            Stop::Finishing => writer.end("stopping"),
-            Stop::Spoilt(reason) => {
-                let _ = front.queue.send(CoreInput::ProtocolError(guest.id)).await;
+            CloseReason::Orderly(reason) => writer.end(reason),
+            CloseReason::PeerClosed if state.part.get() => writer.end("cut-off"),
+            CloseReason::PeerClosed if state.told() => writer.end("drained"),
+            CloseReason::PeerClosed => writer.end("peer-closed"),
+            CloseReason::Finishing => writer.end("stopping"),
+            CloseReason::Spoilt(reason) => {
+                let _ = front.queue.send(CoreInput::ProtocolError(state.id)).await;
                 writer.end(reason);
             }
-            Stop::Shut(reason) => return Ok(reason),
-            Stop::Abandoned(reason) => return Err(reason),
+            CloseReason::Shut(reason) => return Ok(reason),
+            CloseReason::Abandoned(reason) => return Err(reason),
         }
         future::pending().await
     };
     let ended = future::or(reading, writer.run(stream, nothing_open)).await;
     match ended {
         Ok(reason) => {
-            linger(stream, guest, front).await;
+            linger(stream, state, front).await;
             reason
         }
         // What it was owed nobody reads.
@@ -292,14 +292,14 @@
 }
 
 /// Shuts the writing half and throws away what still comes, until the other side closes or a bound is reached.
-async fn linger(stream: &Async<TcpStream>, guest: &Guest, front: &Front) {
+async fn linger(stream: &Async<TcpStream>, state: &ConnectionState, front: &FrontendContext) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    guest.set_lingering();
+    state.set_lingering();
     let finishing = async {
         front.status.finishing.passed().await;
         front.clock.pause(LAST_LINGER_MS).await;
     };
-    let bound = future::or(front.clock.pause(LINGER_MS), future::or(guest.is_to_make_way(), finishing));
+    let bound = future::or(front.clock.pause(LINGER_MS), future::or(state.is_to_make_way(), finishing));
     future::or(discard(stream, LINGER_BYTES), bound).await;
 }
 
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 use pinepoint_clock::Clock;
 
-use crate::server::sync::Signal;
+use crate::server::sync::Notify;
 
 /// Time in which a new connection has to bring its first whole message, and any the rest of one that has begun,
 /// ms. A router connects when it has something to say; what says nothing is owed an end within 3 s.
@@ -19,7 +19,7 @@
 
 /// What the guards know of one connection.
 #[derive(Debug)]
-pub struct Guest {
+pub struct ConnectionState {
     /// Tells connections apart, over all fronts.
     pub id: u64,
     /// Requests and checks read.
@@ -40,13 +40,13 @@
     wanted: Cell<bool>,
     /// Its writing half is shut; it only waits for the other side to close.
     lingers: Cell<bool>,
-    changed: Signal,
+    changed: Notify,
 }
 
-impl Guest {
+impl ConnectionState {
     /// A connection that was accepted at this time.
     pub fn new(id: u64, now: f64) -> Self {
-        Guest {
+        ConnectionState {
             id,
             read: Cell::new(0),
             answered: Cell::new(0),
@@ -57,7 +57,7 @@
             told_ms: Cell::new(None),
             wanted: Cell::new(false),
             lingers: Cell::new(false),
-            changed: Signal::default(),
+            changed: Notify::default(),
         }
     }
 
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -9,11 +9,11 @@
 use crate::config::active::Deployment;
 use crate::server::control::status::Status;
 use crate::server::core::api::CoreInput;
-use crate::server::frontend::limiter::Room;
+use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::observability::counters::Counters;
 
 /// What every connection of every front needs.
-pub struct Front {
+pub struct FrontendContext {
     /// Settings and names.
     pub deployment: Rc<Deployment>,
     /// What the core publishes.
@@ -27,10 +27,10 @@
     /// The way to the core.
     pub queue: Sender<CoreInput>,
     /// Room for connections.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
 }
 
-impl Front {
+impl FrontendContext {
     /// Time after which callers close idle connections, ms. Not told, it is left to them and to the want of room.
     pub fn caller_idle_timeout_ms(&self) -> f64 {
         Some(self.deployment.site().settings.caller_idle_timeout_ms)
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use crate::server::core::api::OpenSockets;
-use crate::server::frontend::connection_state::Guest;
-use crate::server::sync::Signal;
+use crate::server::frontend::connection_state::ConnectionState;
+use crate::server::sync::Notify;
 
 /// Bytes that may be queued over all connections, as a part of the process memory: hundreds that read nothing must
 /// not fill it. Past it each may still queue an even share, so that those who read don't pay for those who don't.
@@ -17,29 +17,29 @@
 
 /// Keeps the connections of all fronts below the limit on descriptors, and sums what they queue.
 #[derive(Debug)]
-pub struct Room {
+pub struct ConnectionLimiter {
     most: usize,
     /// Connections of the other process of this server, which count against the same limit.
     others: Cell<usize>,
-    guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     last: Cell<u64>,
-    freed: Signal,
+    freed: Notify,
     /// Listening sockets that are open.
-    doors: Cell<usize>,
+    open_sockets: Cell<usize>,
     queued: Cell<usize>,
     queued_most: Cell<usize>,
 }
 
-impl Room {
+impl ConnectionLimiter {
     /// Room for that many connections, in a process that may take so much memory.
     pub fn new(most: usize, memory_mb: f64) -> Self {
-        Room {
+        ConnectionLimiter {
             most,
             others: Cell::new(0),
-            guests: RefCell::default(),
+            connections: RefCell::default(),
             last: Cell::new(0),
-            freed: Signal::default(),
-            doors: Cell::new(0),
+            freed: Notify::default(),
+            open_sockets: Cell::new(0),
             queued: Cell::new(0),
             queued_most: Cell::new(queued_most(memory_mb)),
         }
@@ -51,12 +51,12 @@
     }
 
     /// Takes a connection in.
-    pub fn enter(&self, now: f64) -> Rc<Guest> {
+    pub fn enter(&self, now: f64) -> Rc<ConnectionState> {
         let id = self.last.get() + 1;
         self.last.set(id);
-        let guest = Rc::new(Guest::new(id, now));
-        self.guests.borrow_mut().insert(id, guest.clone());
-        guest
+        let state = Rc::new(ConnectionState::new(id, now));
+        self.connections.borrow_mut().insert(id, state.clone());
+        state
     }
 
     /// The other process of this server holds so many connections.
@@ -67,7 +67,7 @@
 
     /// A connection is closed.
     pub fn left(&self, id: u64) {
-        self.guests.borrow_mut().remove(&id);
+        self.connections.borrow_mut().remove(&id);
         self.freed.wake();
     }
 
@@ -84,28 +84,28 @@
     /// Whether a connection that has so many bytes queued takes more than is left for it.
     pub fn is_queued_full(&self, backlog: usize) -> bool {
         let most = self.queued_most.get();
-        self.queued.get() > most && backlog * self.guests.borrow().len() > most
+        self.queued.get() > most && backlog * self.connections.borrow().len() > most
     }
 
     /// Whether there is no place for another connection.
     pub fn is_full(&self) -> bool {
-        self.guests.borrow().len() + self.others.get() >= self.most
+        self.connections.borrow().len() + self.others.get() >= self.most
     }
 
     /// Asks one connection to make way that was not asked yet: one that only waits for its other side to close, the
     /// oldest that never spoke, or else the one that was idle longest. Without it hundreds that say nothing, or that ask
     /// once and stay, would shut all routers out.
     pub fn make_way(&self, now: f64) {
-        let guests = self.guests.borrow();
-        let unasked = || guests.values().filter(|guest| !guest.is_wanted());
-        let lingering = unasked().find(|guest| guest.lingers());
-        let silent = || unasked().find(|guest| !guest.spoke.get());
+        let connections = self.connections.borrow();
+        let unasked = || connections.values().filter(|state| !state.is_wanted());
+        let lingering = unasked().find(|state| state.lingers());
+        let silent = || unasked().find(|state| !state.spoke.get());
         let idle = || {
-            let spare = |g: &&Rc<Guest>| !g.busy.get() && now >= g.used_ms.get() + SPARED_MS;
+            let spare = |g: &&Rc<ConnectionState>| !g.busy.get() && now >= g.used_ms.get() + SPARED_MS;
             unasked().filter(spare).min_by(|a, b| a.used_ms.get().total_cmp(&b.used_ms.get()))
         };
-        if let Some(guest) = lingering.or_else(silent).or_else(idle) {
-            guest.want();
+        if let Some(state) = lingering.or_else(silent).or_else(idle) {
+            state.want();
         }
     }
 }
@@ -116,28 +116,28 @@
 }
 
 /// Counts a listening socket as open while it is there.
-pub struct OpenDoor(Rc<Room>);
+pub struct ListenerGuard(Rc<ConnectionLimiter>);
 
-impl OpenDoor {
+impl ListenerGuard {
     /// Counts one more.
-    pub fn new(room: &Rc<Room>) -> Self {
-        room.doors.set(room.doors.get() + 1);
-        OpenDoor(room.clone())
+    pub fn new(limiter: &Rc<ConnectionLimiter>) -> Self {
+        limiter.open_sockets.set(limiter.open_sockets.get() + 1);
+        ListenerGuard(limiter.clone())
     }
 }
 
-impl Drop for OpenDoor {
+impl Drop for ListenerGuard {
     fn drop(&mut self) {
-        self.0.doors.set(self.0.doors.get() - 1);
+        self.0.open_sockets.set(self.0.open_sockets.get() - 1);
     }
 }
 
-impl OpenSockets for Room {
+impl OpenSockets for ConnectionLimiter {
     fn open(&self) -> usize {
-        self.doors.get()
+        self.open_sockets.get()
     }
 
     fn connections(&self) -> usize {
-        self.guests.borrow().len()
+        self.connections.borrow().len()
     }
 }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -13,9 +13,9 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 
 use crate::server::core::api::CoreInput;
-use crate::server::frontend::connection_state::Guest;
-use crate::server::frontend::context::Front;
-use crate::server::frontend::limiter::{OpenDoor, Room};
+use crate::server::frontend::connection_state::ConnectionState;
+use crate::server::frontend::context::FrontendContext;
+use crate::server::frontend::limiter::{ConnectionLimiter, ListenerGuard};
 use crate::server::observability::counters::count;
 
 /// Wait before another look for a free descriptor, ms.
@@ -25,15 +25,15 @@
 const BACKLOG: i32 = 1024;
 
 /// A listening socket. While it is there, someone may stand before it.
-pub struct Door {
+pub struct Listener {
     listener: Async<TcpListener>,
-    room: OpenDoor,
+    limiter: ListenerGuard,
 }
 
-impl Door {
+impl Listener {
     /// Opens the door to that room.
-    pub fn new(listener: Async<TcpListener>, room: &Rc<Room>) -> Self {
-        Door { listener, room: OpenDoor::new(room) }
+    pub fn new(listener: Async<TcpListener>, limiter: &Rc<ConnectionLimiter>) -> Self {
+        Listener { listener, limiter: ListenerGuard::new(limiter) }
     }
 }
 
@@ -63,11 +63,11 @@
 /// a time. What it returns is the reason code of the end.
 pub async fn listen<F: Future<Output = &'static str> + 'static>(
     name: &'static str,
-    Door { listener, room: _open }: Door,
+    Listener { listener, limiter: _open }: Listener,
     most: usize,
-    front: Rc<Front>,
+    front: Rc<FrontendContext>,
     executor: Rc<LocalExecutor<'static>>,
-    serve: impl Fn(Rc<Async<TcpStream>>, Rc<Guest>) -> F,
+    serve: impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
 ) {
     let mine = Rc::new(Cell::new(0));
     if let Err(error) = rustix::net::listen(&listener, BACKLOG) {
@@ -88,12 +88,12 @@
                 _ => continue,
             }
         }
-        if front.room.is_full() || mine.get() >= most {
+        if front.limiter.is_full() || mine.get() >= most {
             // Descriptors are kept for the links; those that knock wait in the backlog until one gives way.
             // Nobody is asked to go before one knocks, or all are to go anyhow.
             let knocks = async { listener.readable().await.is_ok() };
             let freed = async {
-                front.room.freed().await;
+                front.limiter.freed().await;
                 false
             };
             // Whoever waits in the backlog then still has a turn, a moment later.
@@ -102,14 +102,14 @@
                 true
             };
             if future::or(knocks, future::or(freed, shut)).await {
-                if front.room.is_full() {
-                    front.room.make_way(front.clock.now());
+                if front.limiter.is_full() {
+                    front.limiter.make_way(front.clock.now());
                     front.observer.process_event(
                         front.clock.now(),
                         ProcessEvent::LimitReached(ResourceLimit::Connections),
                     );
                 }
-                future::or(front.room.freed(), front.clock.pause(FULL_MS)).await;
+                future::or(front.limiter.freed(), front.clock.pause(FULL_MS)).await;
             }
             continue;
         }
@@ -125,26 +125,26 @@
                 let _ = stream.get_ref().set_nodelay(true);
                 count(&front.counters.connections);
                 let began = front.clock.now();
-                let guest = front.room.enter(began);
+                let state = front.limiter.enter(began);
                 mine.set(mine.get() + 1);
-                let served = serve(Rc::new(stream), guest.clone());
+                let served = serve(Rc::new(stream), state.clone());
                 let (front, mine) = (front.clone(), mine.clone());
                 let connection = async move {
                     // With it the socket is closed.
                     let reason = served.await;
-                    front.room.left(guest.id);
+                    front.limiter.left(state.id);
                     mine.set(mine.get() - 1);
                     count(&front.counters.connections_ended);
                     tracing::info!(
-                        conn = guest.id,
+                        conn = state.id,
                         front = name,
                         reason,
-                        read = guest.read.get(),
-                        answered = guest.answered.get(),
+                        read = state.read.get(),
+                        answered = state.answered.get(),
                         after_ms = (front.clock.now() - began).round(),
                         "conn-ended"
                     );
-                    let _ = front.queue.send(CoreInput::ConnectionClosed(guest.id)).await;
+                    let _ = front.queue.send(CoreInput::ConnectionClosed(state.id)).await;
                 };
                 executor.spawn(connection).detach();
                 // Each gets to read before another is asked to make way.
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -12,9 +12,9 @@
 use crate::admission::Idempotency;
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
-use crate::server::frontend::connection::{self, Intake, Stop, Writer};
-use crate::server::frontend::connection_state::{Guest, MESSAGE_MS};
-use crate::server::frontend::context::Front;
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::context::FrontendContext;
 use crate::server::observability::counters::count;
 
 /// Longest body of a request, bytes.
@@ -355,9 +355,9 @@
 // ---- connections ----
 
 struct Connection {
-    guest: Rc<Guest>,
-    front: Rc<Front>,
-    writer: Writer,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+    writer: WriteHalf,
     open: RefCell<BTreeSet<u64>>,
     last_id: Cell<u64>,
 }
@@ -371,7 +371,7 @@
     /// Takes a request off those that are open; tells whether it was.
     fn close(&self, id: u64) -> bool {
         let was_open = self.open.borrow_mut().remove(&id);
-        self.guest.busy.set(!self.open.borrow().is_empty());
+        self.state.busy.set(!self.open.borrow().is_empty());
         was_open
     }
 
@@ -390,7 +390,7 @@
 
 impl Caller for Connection {
     fn id(&self) -> u64 {
-        self.guest.id
+        self.state.id
     }
 
     fn answer(&self, correlation_id: u64, reply: &Reply) {
@@ -398,8 +398,8 @@
         if !self.close(correlation_id) {
             return;
         }
-        self.guest.used_ms.set(self.front.clock.now());
-        self.guest.answered.set(self.guest.answered.get() + 1);
+        self.state.used_ms.set(self.front.clock.now());
+        self.state.answered.set(self.state.answered.get() + 1);
         match reply {
             Reply::Served(result) => {
                 let fields = self.hint();
@@ -425,7 +425,7 @@
     }
 
     fn leave(&self) {
-        if self.guest.tell(self.front.clock.now()) {
+        if self.state.tell(self.front.clock.now()) {
             self.writer.push(|out| {
                 out.extend_from_slice(&[0x93, 0x02]);
                 write_str(out, "goaway");
@@ -435,29 +435,33 @@
     }
 
     fn go_away_if_idle(&self, since_ms: f64) {
-        if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
+        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
             self.leave();
         }
     }
 }
 
 /// Serves one connection to its end.
-pub async fn serve(stream: Rc<Async<TcpStream>>, guest: Rc<Guest>, front: Rc<Front>) -> &'static str {
+pub async fn serve(
+    stream: Rc<Async<TcpStream>>,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+) -> &'static str {
     let connection = Rc::new(Connection {
-        guest,
+        state,
         front: front.clone(),
-        writer: Writer::new(front.clone()),
+        writer: WriteHalf::new(front.clone()),
         open: RefCell::new(BTreeSet::new()),
         last_id: Cell::new(0),
     });
     let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
-    let mut intake = Intake::new(stream.clone(), connection.guest.clone(), front.clone());
+    let mut intake = ReadHalf::new(stream.clone(), connection.state.clone(), front.clone());
     let reading = read(&mut intake, &connection);
     let nothing_open = || connection.open.borrow().is_empty();
-    connection::run(&stream, &connection.guest, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
 }
 
-async fn read(intake: &mut Intake, connection: &Rc<Connection>) -> Stop {
+async fn read(intake: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
     let front = &connection.front;
     // When the message began whose first part is all there is.
     let mut part_ms = None;
@@ -471,12 +475,12 @@
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     part_ms = None;
-                    connection.guest.heard(front.clock.now());
+                    connection.state.heard(front.clock.now());
                     if let Err(error) = handle(message, connection).await {
-                        return Stop::Spoilt(error.code());
+                        return CloseReason::Spoilt(error.code());
                     }
                 }
-                Err(error) => return Stop::Spoilt(error.code()),
+                Err(error) => return CloseReason::Spoilt(error.code()),
             }
         }
         part_ms = (!intake.bytes.is_empty()).then(|| part_ms.unwrap_or(front.clock.now()));
@@ -490,7 +494,7 @@
     match message {
         Message::Abort(id) => {
             if connection.close(id) {
-                let _ = front.queue.send(CoreInput::CallerGone(connection.guest.id, id)).await;
+                let _ = front.queue.send(CoreInput::CallerGone(connection.state.id, id)).await;
             }
         }
         Message::Ping(id) => {
@@ -516,7 +520,7 @@
                         return Err(FrameError::TooManyOpen);
                     }
                     connection.open.borrow_mut().insert(id);
-                    connection.guest.busy.set(true);
+                    connection.state.busy.set(true);
                     let arrival = Arrival {
                         caller: connection.clone(),
                         front: pinepoint_events::Protocol::Rpc,
@@ -541,6 +545,6 @@
 }
 
 fn next_id(connection: &Connection, id: u64) -> Result<(), FrameError> {
-    connection.guest.read.set(connection.guest.read.get() + 1);
+    connection.state.read.set(connection.state.read.get() + 1);
     if id <= connection.last_id.replace(id) { Err(FrameError::Id) } else { Ok(()) }
 }
--- a/src/server/sync.rs
+++ b/src/server/sync.rs
@@ -7,16 +7,16 @@
 
 /// A wake-up that is kept until it is awaited; many in a row count as one.
 #[derive(Debug)]
-pub struct Signal(Sender<()>, Receiver<()>);
+pub struct Notify(Sender<()>, Receiver<()>);
 
-impl Default for Signal {
+impl Default for Notify {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        Signal(sender, receiver)
+        Notify(sender, receiver)
     }
 }
 
-impl Signal {
+impl Notify {
     /// Wakes the one that waits, or the next to wait.
     pub fn wake(&self) {
         // Full means that a wake-up is already under way.
@@ -32,16 +32,16 @@
 
 /// A gate that is opened once, for all that wait at it.
 #[derive(Debug)]
-pub struct Gate(Sender<()>, Receiver<()>);
+pub struct Latch(Sender<()>, Receiver<()>);
 
-impl Default for Gate {
+impl Default for Latch {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        Gate(sender, receiver)
+        Latch(sender, receiver)
     }
 }
 
-impl Gate {
+impl Latch {
     /// Opens it; tells whether it was closed before.
     pub fn open(&self) -> bool {
         self.0.close()
@@ -56,15 +56,15 @@
 
 /// A state that is on or off, and that any number of tasks may wait for.
 #[derive(Debug)]
-pub struct Switch {
+pub struct Flag {
     on: Cell<bool>,
     changed: Event,
 }
 
-impl Switch {
+impl Flag {
     /// One that is in this state.
     pub fn new(on: bool) -> Self {
-        Switch { on: Cell::new(on), changed: Event::new() }
+        Flag { on: Cell::new(on), changed: Event::new() }
     }
 
     /// Its state.
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -18,8 +18,8 @@
 use crate::server::control::status::Status;
 use crate::server::core::api::{self, CoreInput, RunResult};
 use crate::server::observability::counters::{Counters, count};
-use crate::server::sync::Signal;
-use crate::server::write_buffer::Outbox;
+use crate::server::sync::Notify;
+use crate::server::write_buffer::WriteBuffer;
 
 /// Longest line that is read, bytes.
 const LINE_MOST: usize = 512;
@@ -56,14 +56,14 @@
     engine: Cell<SocketAddr>,
     store: Cell<SocketAddr>,
     members: Cell<SocketAddr>,
-    moved: Signal,
+    moved: Notify,
 }
 
 impl Peers {
     /// The addresses as the program starts.
     pub fn new(engine: SocketAddr, store: SocketAddr, members: SocketAddr) -> Self {
         let (engine, store, members) = (Cell::new(engine), Cell::new(store), Cell::new(members));
-        Peers { engine, store, members, moved: Signal::default() }
+        Peers { engine, store, members, moved: Notify::default() }
     }
 
     /// Moves all three at once. Open calls to the store end where they are.
@@ -166,7 +166,7 @@
 /// The link to the engine, as the core uses it: commands are queued, and dropped while there is no link.
 #[derive(Debug, Default)]
 pub struct EngineLink {
-    outbox: Outbox,
+    outbox: WriteBuffer,
     up: Cell<bool>,
 }
 
--- a/src/server/write_buffer.rs
+++ b/src/server/write_buffer.rs
@@ -5,17 +5,17 @@
 
 use futures_lite::{AsyncWrite, AsyncWriteExt};
 
-use crate::server::sync::Signal;
+use crate::server::sync::Notify;
 
 /// The writer queue of one connection: bytes that wait to be written. Whoever fills it never waits.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WriteBuffer {
     bytes: RefCell<Vec<u8>>,
-    signal: Signal,
+    signal: Notify,
     writing: Cell<usize>,
 }
 
-impl Outbox {
+impl WriteBuffer {
     /// Appends what `fill` writes and wakes the writer.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
         fill(&mut self.bytes.borrow_mut());
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -172,7 +172,7 @@
             observer: seen.clone(),
             engine: seen.clone(),
             store: seen.clone(),
-            doors: seen.clone(),
+            open_sockets: seen.clone(),
             handover: None,
         };
         Bench { core: Core::new(parts), seen, now: 1_000_000.0, tickets: 0, notices: 0, classes }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -251,7 +251,7 @@
             observer: seen.clone(),
             engine: seen.clone(),
             store: seen.clone(),
-            doors: seen.clone(),
+            open_sockets: seen.clone(),
             handover: Some(handover),
         });
         let index = self.processes.len();
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -11,8 +11,8 @@
 const ALL: [Phase; 10] =
     [Starting, StartingDrained, Serving, Drained, Leaving, ToldToGo, HandedOver, Closing, Finishing, Gone];
 const TIMES: Times = Times { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING: Left = Left { doors: 0, connections: 0, owed: false };
-const DOOR: Left = Left { doors: 1, ..NOTHING };
+const NOTHING: Left = Left { listeners: 0, connections: 0, owed: false };
+const DOOR: Left = Left { listeners: 1, ..NOTHING };
 
 fn serving() -> Lifecycle {
     let mut life = Lifecycle::new(TIMES, true);
