--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use pinepoint::config::active::Deployment;
+use pinepoint::config::active::ActiveSettings;
 use pinepoint::config::site::Site;
 use pinepoint::server::control::handover;
 use pinepoint::server::control::management::{self, Management};
@@ -102,14 +102,14 @@
 
 /// The links to engine, store and membership service.
 struct ServiceLinks {
-    peers: Rc<upstream::Peers>,
+    peers: Rc<upstream::UpstreamAddresses>,
     engine: Rc<upstream::EngineLink>,
     store: Rc<upstream::StoreLink>,
 }
 
 impl ServiceLinks {
     fn new(config: &Config, process: &Process) -> Self {
-        let peers = Rc::new(upstream::Peers::new(config.engine, config.store, config.members));
+        let peers = Rc::new(upstream::UpstreamAddresses::new(config.engine, config.store, config.members));
         let store = upstream::StoreLink::new(
             peers.clone(),
             process.queue.clone(),
@@ -129,7 +129,7 @@
 
 /// What is told to others after the core has ended.
 struct Ending {
-    handover_links: Option<Rc<handover::Links>>,
+    handover_links: Option<Rc<handover::HandoverLinks>>,
     member: Option<Rc<MembershipService>>,
     telemetry: Option<Rc<Telemetry>>,
     /// Time for the last delivery of telemetry, ms.
@@ -156,7 +156,7 @@
     name: String,
     site: Rc<Site>,
     seed: u64,
-    deployment: Rc<Deployment>,
+    active_settings: Rc<ActiveSettings>,
     clock: Clock,
     status: Rc<Status>,
     counters: Rc<Counters>,
@@ -170,7 +170,7 @@
             name: config.name.clone(),
             site: config.site.clone(),
             seed: config.seed,
-            deployment: Rc::new(Deployment::new(config.site.clone())),
+            active_settings: Rc::new(ActiveSettings::new(config.site.clone())),
             clock: Clock::system(),
             status: Rc::new(Status::default()),
             counters: Rc::new(Counters::default()),
@@ -188,7 +188,7 @@
     fn listen_for_operators(&self, (listener, address): Bound, most: usize) {
         tracing::info!(listen = %address, "management");
         let management = Management {
-            deployment: self.deployment.clone(),
+            active_settings: self.active_settings.clone(),
             status: self.status.clone(),
             counters: self.counters.clone(),
             clock: self.clock.clone(),
@@ -203,7 +203,7 @@
         if setup.is_off() {
             return None;
         }
-        let host = telemetry::Host {
+        let host = telemetry::TelemetryContext {
             name: self.name.clone(),
             site: self.site.clone(),
             seed: self.seed,
@@ -220,7 +220,7 @@
         let Some(config) = &edge.fleet else { return Ok(Watched { observer, member: None }) };
         let settings = &self.site.settings;
         let keys_most = settings.memory_kb / settings.key_kb;
-        let watch = Rc::new(membership::Watch::new(
+        let watch = Rc::new(membership::MembershipObserver::new(
             observer,
             self.status.clone(),
             self.clock.clone(),
@@ -244,7 +244,7 @@
     /// What the connections of all fronts share.
     fn front(&self, observer: Rc<dyn Observer>, limiter: ConnectionLimiter) -> Rc<FrontendContext> {
         Rc::new(FrontendContext {
-            deployment: self.deployment.clone(),
+            active_settings: self.active_settings.clone(),
             status: self.status.clone(),
             counters: self.counters.clone(),
             observer,
@@ -283,8 +283,8 @@
         &self,
         upgrade: Upgrade,
         limiter: &Rc<ConnectionLimiter>,
-    ) -> (Rc<handover::Links>, HandoverParts) {
-        upgrade.link(&self.site, |path, inbox| handover::Host {
+    ) -> (Rc<handover::HandoverLinks>, HandoverParts) {
+        upgrade.link(&self.site, |path, inbox| handover::HandoverContext {
             path,
             executor: self.executor.clone(),
             clock: self.clock.clone(),
@@ -327,7 +327,7 @@
         Ok(Reloader {
             file: named_config().ok_or(StartError::NoConfig)?,
             config,
-            deployment: self.deployment.clone(),
+            active_settings: self.active_settings.clone(),
             peers: service_links.peers.clone(),
             limiter: front.limiter.clone(),
             telemetry,
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use pinepoint::config::site::Site;
-use pinepoint::server::control::handover::{Host, Links};
+use pinepoint::server::control::handover::{HandoverContext, HandoverLinks};
 use pinepoint::server::core::api::{PeerEvent, PeerInbox};
 use pinepoint::server::core::{HandoverParts, longest_window_ms};
 use pinepoint::server::frontend::listener::bind_shared;
@@ -73,8 +73,8 @@
     pub fn link(
         self,
         site: &Site,
-        host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> Host,
-    ) -> (Rc<Links>, HandoverParts) {
+        host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
+    ) -> (Rc<HandoverLinks>, HandoverParts) {
         let inbox = Rc::new(PeerInbox::default());
         let (names, listeners) = self.opened.into_iter().unzip();
         let link = match self.found {
@@ -87,7 +87,7 @@
                 None
             }
         };
-        let links = Links::new(host(self.path, inbox.clone()), listeners, link);
+        let links = HandoverLinks::new(host(self.path, inbox.clone()), listeners, link);
         let parts = HandoverParts { port: links.clone(), inbox, rules: rules(site), listeners: names };
         (links, parts)
     }
--- a/src/config/active.rs
+++ b/src/config/active.rs
@@ -8,14 +8,14 @@
 
 /// The settings in force.
 #[derive(Debug)]
-pub struct Deployment {
+pub struct ActiveSettings {
     site: RefCell<Rc<Site>>,
 }
 
-impl Deployment {
+impl ActiveSettings {
     /// The settings that the process starts with.
     pub fn new(site: Rc<Site>) -> Self {
-        Deployment { site: RefCell::new(site) }
+        ActiveSettings { site: RefCell::new(site) }
     }
 
     /// The settings in force now.
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -92,7 +92,7 @@
     /// Index of each tenant by its name, dropped ones included.
     pub tenant_names: BTreeMap<String, usize>,
     /// The list of servers follows the health answer.
-    pub listed_by_health: bool,
+    pub registry_follows_health: bool,
     /// By class index. A name has several indexes if its effect kind changed.
     class_table: Vec<Named>,
     /// By tenant index.
@@ -253,8 +253,8 @@
             tenants,
             gauges: own.list("gauges")?.iter().map(gauge).collect(),
         };
-        let listed_by_health = own.flag("registryFollows")?;
-        Ok(Site { settings, class_names, tenant_names, listed_by_health, class_table, tenant_table })
+        let registry_follows_health = own.flag("registryFollows")?;
+        Ok(Site { settings, class_names, tenant_names, registry_follows_health, class_table, tenant_table })
     }
 
     /// The name under which requests of this class come.
@@ -282,10 +282,10 @@
     /// What is in force after these settings were read at this time, Unix ms. All indexes given out so far stand for
     /// what they stood for: what `new` does not name keeps its settings and is marked as retired.
     pub fn merged_with(&self, new: Site, now_ms: f64) -> Result<Site, SiteError> {
-        let Site { mut settings, class_table, tenant_table, listed_by_health, .. } = new;
+        let Site { mut settings, class_table, tenant_table, registry_follows_health, .. } = new;
         let classes = std::mem::replace(&mut settings.classes, self.settings.classes.clone());
         let tenants = std::mem::replace(&mut settings.tenants, self.settings.tenants.clone());
-        let mut merged = Site { settings, listed_by_health, ..self.clone() };
+        let mut merged = Site { settings, registry_follows_health, ..self.clone() };
         merged.retire_all(now_ms);
         for (named, class) in class_table.into_iter().zip(classes) {
             merged.enter_class(named, class);
--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -24,7 +24,7 @@
 const ACCEPTED_MOST: usize = 4;
 
 /// What the links need of the process.
-pub struct Host {
+pub struct HandoverContext {
     /// The socket that both processes know.
     pub path: PathBuf,
     /// Where tasks run.
@@ -63,9 +63,9 @@
 }
 
 /// The links.
-pub struct Links {
-    host: Host,
-    this: Weak<Links>,
+pub struct HandoverLinks {
+    host: HandoverContext,
+    this: Weak<HandoverLinks>,
     predecessor: RefCell<Option<Link>>,
     successor: RefCell<Option<Link>>,
     listeners: RefCell<Vec<TcpListener>>,
@@ -77,11 +77,15 @@
     ended: Notify,
 }
 
-impl Links {
+impl HandoverLinks {
     /// Without any link but that to the predecessor which was `found` at the start. `listeners` are the listening sockets, passed
     /// to a successor in this order.
-    pub fn new(host: Host, listeners: Vec<TcpListener>, found: Option<(Link, LinkTask)>) -> Rc<Links> {
-        let links = Rc::new_cyclic(|this| Links {
+    pub fn new(
+        host: HandoverContext,
+        listeners: Vec<TcpListener>,
+        found: Option<(Link, LinkTask)>,
+    ) -> Rc<HandoverLinks> {
+        let links = Rc::new_cyclic(|this| HandoverLinks {
             host,
             this: this.clone(),
             predecessor: RefCell::default(),
@@ -190,7 +194,7 @@
     }
 }
 
-impl HandoverTransport for Links {
+impl HandoverTransport for HandoverLinks {
     fn send_to_predecessor(&self, message: &Message) {
         self.send(Side::Predecessor, message);
     }
--- a/src/server/control/lifecycle.rs
+++ b/src/server/control/lifecycle.rs
@@ -23,15 +23,15 @@
     #[default]
     Starting,
     /// The same, and an operator asked for a drain.
-    StartingDrained,
+    StartingLameDuck,
     /// Work is taken.
     Serving,
     /// An operator asked for a drain: health checks fail, and what still comes is served.
-    Drained,
+    LameDuck,
     /// The notice to leave has come. What still comes is served.
-    Leaving,
+    Draining,
     /// Callers are told to go.
-    ToldToGo,
+    GoAwaySent,
     /// Another process of this server has taken over, and the notice has come: callers are told to go, what still comes
     /// is served, and the list is that process's business.
     HandedOver,
@@ -40,34 +40,34 @@
     /// All that is left was answered, as the kill is near: nothing more is taken in.
     Finishing,
     /// The process may end.
-    Gone,
+    Terminated,
 }
 
 impl Phase {
     /// Whether the one may follow on the other.
     pub fn may_become(self, next: Phase) -> bool {
         use Phase::{
-            Closing, Drained, Finishing, Gone, HandedOver, Leaving, Serving, Starting, StartingDrained,
-            ToldToGo,
+            Closing, Draining, Finishing, GoAwaySent, HandedOver, LameDuck, Serving, Starting,
+            StartingLameDuck, Terminated,
         };
         match self {
-            Starting => matches!(next, StartingDrained | Serving | Closing),
-            StartingDrained => matches!(next, Starting | Drained | Closing),
-            Serving => matches!(next, Drained | Leaving | HandedOver),
-            Drained => matches!(next, Serving | Leaving | HandedOver),
-            Leaving => matches!(next, ToldToGo | HandedOver),
-            ToldToGo => matches!(next, Closing | HandedOver),
-            HandedOver => matches!(next, Finishing | Gone),
-            Closing => matches!(next, Finishing | Gone),
-            Finishing => next == Gone,
-            Gone => false,
+            Starting => matches!(next, StartingLameDuck | Serving | Closing),
+            StartingLameDuck => matches!(next, Starting | LameDuck | Closing),
+            Serving => matches!(next, LameDuck | Draining | HandedOver),
+            LameDuck => matches!(next, Serving | Draining | HandedOver),
+            Draining => matches!(next, GoAwaySent | HandedOver),
+            GoAwaySent => matches!(next, Closing | HandedOver),
+            HandedOver => matches!(next, Finishing | Terminated),
+            Closing => matches!(next, Finishing | Terminated),
+            Finishing => next == Terminated,
+            Terminated => false,
         }
     }
 }
 
 /// What the settings and the platform say of a drain, ms.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct DrainTimes {
     /// What reached the machine later than this after the notice is not run.
     pub grace_ms: f64,
     /// From the notice to the kill.
@@ -78,7 +78,7 @@
 
 /// What is left of the work of a process that leaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Left {
+pub struct Outstanding {
     /// Listening sockets that are open, or that someone stands before.
     pub listeners: usize,
     /// Connections of callers that are not closed, whether the core has heard of them or not.
@@ -100,9 +100,9 @@
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     phase: Phase,
-    times: Times,
+    times: DrainTimes,
     /// The list of comparers follows the health answer.
-    listed_by_health: bool,
+    registry_follows_health: bool,
     /// What the decision module says of its health.
     healthy: bool,
     /// It was drained when it was handed over.
@@ -115,11 +115,11 @@
 
 impl Lifecycle {
     /// A process that has just started.
-    pub fn new(times: Times, listed_by_health: bool) -> Self {
+    pub fn new(times: DrainTimes, registry_follows_health: bool) -> Self {
         Lifecycle {
             phase: Phase::Starting,
             times,
-            listed_by_health,
+            registry_follows_health,
             healthy: false,
             drained: false,
             handed_over: false,
@@ -129,10 +129,10 @@
     }
 
     /// Takes other times, and whether the list follows the health answer. A drain that has begun keeps its own.
-    pub fn reconfigure(&mut self, times: Times, listed_by_health: bool) {
+    pub fn reconfigure(&mut self, times: DrainTimes, registry_follows_health: bool) {
         if self.notice_ms.is_none() {
             self.times = times;
-            self.listed_by_health = listed_by_health;
+            self.registry_follows_health = registry_follows_health;
         }
     }
 
@@ -141,7 +141,7 @@
         self.phase
     }
 
-    fn become_(&mut self, next: Phase) -> bool {
+    fn transition_to(&mut self, next: Phase) -> bool {
         let may = self.phase.may_become(next);
         if may {
             self.phase = next;
@@ -153,8 +153,8 @@
     /// to leave before, as all that it would take would have to go in a moment.
     pub fn engine_up(&mut self) -> bool {
         match self.phase {
-            Phase::Starting => self.become_(Phase::Serving),
-            Phase::StartingDrained => self.become_(Phase::Drained),
+            Phase::Starting => self.transition_to(Phase::Serving),
+            Phase::StartingLameDuck => self.transition_to(Phase::LameDuck),
             _ => false,
         }
     }
@@ -163,12 +163,12 @@
     /// state that it is in changes nothing, and one that leaves can't be taken into service again.
     pub fn set_drained(&mut self, drained: bool) -> bool {
         match (self.phase, drained) {
-            (Phase::Starting, true) => self.become_(Phase::StartingDrained),
-            (Phase::Serving, true) => self.become_(Phase::Drained),
-            (Phase::StartingDrained, false) => self.become_(Phase::Starting),
-            (Phase::Drained, false) => self.become_(Phase::Serving),
-            (phase, true) => phase != Phase::Gone,
-            (phase, false) => phase < Phase::Leaving,
+            (Phase::Starting, true) => self.transition_to(Phase::StartingLameDuck),
+            (Phase::Serving, true) => self.transition_to(Phase::LameDuck),
+            (Phase::StartingLameDuck, false) => self.transition_to(Phase::Starting),
+            (Phase::LameDuck, false) => self.transition_to(Phase::Serving),
+            (phase, true) => phase != Phase::Terminated,
+            (phase, false) => phase < Phase::Draining,
         }
     }
 
@@ -176,8 +176,8 @@
     /// taken. Tells whether it is the first. One that never served has nobody to wait for.
     pub fn notice(&mut self, at_ms: f64) -> bool {
         let first = match self.phase {
-            Phase::Starting | Phase::StartingDrained => self.become_(Phase::Closing),
-            Phase::Serving | Phase::Drained => self.become_(Phase::Leaving),
+            Phase::Starting | Phase::StartingLameDuck => self.transition_to(Phase::Closing),
+            Phase::Serving | Phase::LameDuck => self.transition_to(Phase::Draining),
             _ => false,
         };
         if first {
@@ -189,8 +189,8 @@
     /// The notice to leave, which came at this time, where another process has taken over: also when that turns out after
     /// the notice. Tells whether anything follows from it.
     pub fn hand_over(&mut self, at_ms: f64) -> bool {
-        let drained = self.phase == Phase::Drained;
-        let first = self.become_(Phase::HandedOver);
+        let drained = self.phase == Phase::LameDuck;
+        let first = self.transition_to(Phase::HandedOver);
         if first {
             self.notice_ms = self.notice_ms.or(Some(at_ms));
             (self.drained, self.handed_over) = (drained, true);
@@ -206,12 +206,15 @@
     /// What follows from where the process stands; no event sets it past that.
     pub fn published(&self) -> Published {
         match self.phase {
-            Phase::Starting | Phase::StartingDrained => Published { healthy: false, listed: None },
-            Phase::Serving => {
-                Published { healthy: self.healthy, listed: Some(self.healthy || !self.listed_by_health) }
-            }
+            Phase::Starting | Phase::StartingLameDuck => Published { healthy: false, listed: None },
+            Phase::Serving => Published {
+                healthy: self.healthy,
+                listed: Some(self.healthy || !self.registry_follows_health),
+            },
             Phase::HandedOver => Published { healthy: self.healthy && !self.drained, listed: None },
-            Phase::Finishing | Phase::Gone if self.handed_over => Published { healthy: false, listed: None },
+            Phase::Finishing | Phase::Terminated if self.handed_over => {
+                Published { healthy: false, listed: None }
+            }
             _ => Published { healthy: false, listed: Some(false) },
         }
     }
@@ -230,31 +233,35 @@
         let since = self.notice_ms?;
         let (grace_ms, stop_ms) = (self.times.grace_ms, self.stop_ms());
         match self.phase {
-            Phase::Leaving => Some(since + (grace_ms * WORK_PART).min(stop_ms * WORK_STOP_PART)),
-            Phase::ToldToGo => Some(since + grace_ms.min(stop_ms * CLOSE_STOP_PART)),
+            Phase::Draining => Some(since + (grace_ms * WORK_PART).min(stop_ms * WORK_STOP_PART)),
+            Phase::GoAwaySent => Some(since + grace_ms.min(stop_ms * CLOSE_STOP_PART)),
             Phase::Closing | Phase::HandedOver => {
                 Some(since + (stop_ms - LAST_ANSWERS_MS).max(stop_ms * CLOSE_STOP_PART))
             }
             Phase::Finishing => Some((since + stop_ms - EXIT_MS).max(self.finishing_ms + WRITE_LEAST_MS)),
-            Phase::Starting | Phase::StartingDrained | Phase::Serving | Phase::Drained | Phase::Gone => None,
+            Phase::Starting
+            | Phase::StartingLameDuck
+            | Phase::Serving
+            | Phase::LameDuck
+            | Phase::Terminated => None,
         }
     }
 
     /// Moves on by one phase, if the time has come for it or nothing is left; tells the new one.
-    pub fn advance(&mut self, now_ms: f64, left: Left) -> Option<Phase> {
+    pub fn advance(&mut self, now_ms: f64, left: Outstanding) -> Option<Phase> {
         let due = self.next_due().is_some_and(|at| now_ms >= at);
-        let done = left == Left::default();
+        let done = left == Outstanding::default();
         let next = match self.phase {
-            Phase::Leaving if due => Phase::ToldToGo,
-            Phase::ToldToGo if due => Phase::Closing,
-            Phase::Closing | Phase::HandedOver | Phase::Finishing if done => Phase::Gone,
+            Phase::Draining if due => Phase::GoAwaySent,
+            Phase::GoAwaySent if due => Phase::Closing,
+            Phase::Closing | Phase::HandedOver | Phase::Finishing if done => Phase::Terminated,
             Phase::Closing | Phase::HandedOver if due => Phase::Finishing,
-            Phase::Finishing if due => Phase::Gone,
+            Phase::Finishing if due => Phase::Terminated,
             _ => return None,
         };
         if next == Phase::Finishing {
             self.finishing_ms = now_ms;
         }
-        self.become_(next).then_some(next)
+        self.transition_to(next).then_some(next)
     }
 }
--- a/src/server/control/management.rs
+++ b/src/server/control/management.rs
@@ -12,7 +12,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use pinepoint_clock::Clock;
 
-use crate::config::active::Deployment;
+use crate::config::active::ActiveSettings;
 use crate::server::control::lifecycle::Phase;
 use crate::server::control::status::Status;
 use crate::server::frontend::connection::discard;
@@ -99,7 +99,7 @@
             Call::Info => Ok(()),
             Call::Ping if phase < Phase::Serving => Err(CallError::Starting),
             Call::Ping if phase >= Phase::Closing => Err(CallError::Leaving),
-            Call::Rejoin if phase >= Phase::Leaving => Err(CallError::Leaving),
+            Call::Rejoin if phase >= Phase::Draining => Err(CallError::Leaving),
             Call::Ping | Call::LameDuck | Call::Rejoin => Ok(()),
         }
     }
@@ -108,7 +108,7 @@
 /// What the port reads and sets.
 pub struct Management {
     /// The names of the classes.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// Where the process stands; a drain is asked for here.
     pub status: Rc<Status>,
     /// The figures.
@@ -121,7 +121,7 @@
     /// Where the process stands, a notice to leave that the core has not looked at yet included.
     fn phase(&self) -> Phase {
         let phase = self.status.phase.get();
-        if self.status.notice_ms.get().is_some() { phase.max(Phase::Leaving) } else { phase }
+        if self.status.notice_ms.get().is_some() { phase.max(Phase::Draining) } else { phase }
     }
 
     /// Carries out a call, and gives its whole answer.
@@ -138,7 +138,7 @@
 
     /// The counters of each class that there was since the start. A name has several indexes where its kind has changed.
     fn by_name(&self) -> BTreeMap<String, ClassCounters> {
-        let site = self.deployment.site();
+        let site = self.active_settings.site();
         let mut by_name: BTreeMap<String, ClassCounters> = BTreeMap::new();
         for index in 0..site.settings.classes.len() {
             let counters = by_name.entry(site.class_name(index).to_owned()).or_default();
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -9,12 +9,12 @@
 use pinepoint_telemetry::Telemetry;
 
 use crate::config::Config;
-use crate::config::active::Deployment;
+use crate::config::active::ActiveSettings;
 use crate::server::core::api::{CoreInput, Reconfiguration};
 use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::observability::counters::{Counters, count};
 use crate::server::observability::telemetry;
-use crate::server::upstream::Peers;
+use crate::server::upstream::UpstreamAddresses;
 
 /// Reads the configuration again when it is told to.
 pub struct Reloader {
@@ -23,9 +23,9 @@
     /// What is in force.
     pub config: Config,
     /// What the fronts go by.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// Where the links go.
-    pub peers: Rc<Peers>,
+    pub peers: Rc<UpstreamAddresses>,
     /// Room for connections.
     pub limiter: Rc<ConnectionLimiter>,
     /// What counts by class, if it is on.
@@ -71,7 +71,7 @@
             telemetry::set_classes(telemetry, &config.site);
         }
         let _ = self.queue.send(CoreInput::Reconfigure(settings)).await;
-        self.deployment.replace(config.site.clone());
+        self.active_settings.replace(config.site.clone());
         self.limiter.set_memory(memory_mb);
         self.peers.set(engine, store, members);
         let classes = config.site.class_names.len();
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -310,7 +310,7 @@
 
     /// This process owns the keys and can serve: from here on it may be taken over from itself.
     fn begin_serving(&mut self, now: f64) {
-        let drained = self.life.phase() == LifecyclePhase::StartingDrained;
+        let drained = self.life.phase() == LifecyclePhase::StartingLameDuck;
         let digest_key = self.keys.digest_key();
         let Some(handover) = &mut self.handover else { return };
         let listeners = handover.parts.listeners.clone();
@@ -322,7 +322,7 @@
         if let Some(start) = start {
             self.begin(start);
         }
-        if self.life.phase() < LifecyclePhase::Leaving {
+        if self.life.phase() < LifecyclePhase::Draining {
             port.listen_for_successor();
             self.parts.status.accepting.set(true);
         }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -27,7 +27,7 @@
     Request,
 };
 use crate::config::site::Site;
-use crate::server::control::lifecycle::{Left, Lifecycle, Phase as LifecyclePhase, Times};
+use crate::server::control::lifecycle::{DrainTimes, Lifecycle, Outstanding, Phase as LifecyclePhase};
 use crate::server::control::status::Status;
 use crate::server::core::api::{
     Arrival, Caller, CoreInput, Engine, OpenSockets, Reconfiguration, Reply, RunResult, Store,
@@ -135,7 +135,7 @@
         let times = times(&parts.site, parts.stop_ms);
         let handover = parts.handover.take().map(Handover::new);
         Core {
-            life: Lifecycle::new(times, parts.site.listed_by_health),
+            life: Lifecycle::new(times, parts.site.registry_follows_health),
             parts,
             controller: None,
             callers: BTreeMap::new(),
@@ -191,7 +191,7 @@
                 self.take(now, input);
             }
             self.settle(now);
-            if self.life.phase() == LifecyclePhase::Gone {
+            if self.life.phase() == LifecyclePhase::Terminated {
                 self.parts.observer.core_state(now, &self.state());
                 self.emit_process_event(ProcessEvent::Stopped);
                 return self.life.kill_ms().unwrap_or(f64::INFINITY);
@@ -259,7 +259,7 @@
         self.now_ms = now;
         match input {
             CoreInput::ConnectionOpened(caller) => {
-                if self.life.phase() >= LifecyclePhase::ToldToGo {
+                if self.life.phase() >= LifecyclePhase::GoAwaySent {
                     caller.leave();
                 }
                 self.callers.insert(caller.id(), caller);
@@ -352,7 +352,7 @@
         if old.caller_idle_timeout_ms != settings.caller_idle_timeout_ms {
             self.caller_idle_timeout_ms = None;
         }
-        self.life.reconfigure(times(&site, stop_ms), site.listed_by_health);
+        self.life.reconfigure(times(&site, stop_ms), site.registry_follows_health);
         self.keys.set_results_most(results_most(memory_mb));
         (self.parts.site, self.parts.stop_ms, self.parts.memory_mb) = (site, stop_ms, memory_mb);
         self.reconfigure_handover();
@@ -777,9 +777,11 @@
             let open_sockets = &self.parts.open_sockets;
             let (listeners, connections) = (open_sockets.open(), open_sockets.connections());
             let owed = !self.requests.nothing_owed() || self.has_claims();
-            let Some(phase) = self.life.advance(now, Left { listeners, connections, owed }) else { return };
+            let Some(phase) = self.life.advance(now, Outstanding { listeners, connections, owed }) else {
+                return;
+            };
             match phase {
-                LifecyclePhase::ToldToGo => self.callers.values().for_each(|caller| caller.leave()),
+                LifecyclePhase::GoAwaySent => self.callers.values().for_each(|caller| caller.leave()),
                 LifecyclePhase::Closing => self.close_doors(),
                 LifecyclePhase::Finishing => {
                     let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
@@ -791,12 +793,12 @@
                     self.parts.status.finishing.open();
                 }
                 LifecyclePhase::Starting
-                | LifecyclePhase::StartingDrained
+                | LifecyclePhase::StartingLameDuck
                 | LifecyclePhase::Serving
-                | LifecyclePhase::Drained
-                | LifecyclePhase::Leaving
+                | LifecyclePhase::LameDuck
+                | LifecyclePhase::Draining
                 | LifecyclePhase::HandedOver
-                | LifecyclePhase::Gone => {}
+                | LifecyclePhase::Terminated => {}
             }
             self.parts.status.phase.set(phase);
         }
@@ -808,7 +810,7 @@
     pub fn next_due(&self) -> Option<f64> {
         let timers = self.timers.iter().map(|(at, _)| *at);
         let asked = self.asked.iter().map(|asked| asked.give_up_ms);
-        let idle = self.requests.is_empty() && self.life.phase() < LifecyclePhase::Leaving;
+        let idle = self.requests.is_empty() && self.life.phase() < LifecyclePhase::Draining;
         let watch = (!idle).then_some(self.watched_ms + WATCH_MS);
         timers
             .chain(asked)
@@ -909,7 +911,7 @@
             Action::StartRun { id } => self.start(now, id),
             Action::Reject { id, retry_after_ms, last, reason } => {
                 self.emit_for(id, |_| RequestEventKind::Decided(Decision::Reject(reason)));
-                self.answer(id, Reply::Rejected { retry_after_ms: retry_after_ms, last, reason }, false);
+                self.answer(id, Reply::Rejected { retry_after_ms, last, reason }, false);
                 self.drop_unrun(id);
             }
             Action::Fail { id, reason } => {
@@ -1086,10 +1088,10 @@
 }
 
 /// The times of a drain.
-fn times(site: &Site, stop_ms: f64) -> Times {
+fn times(site: &Site, stop_ms: f64) -> DrainTimes {
     let longest_ms = site.settings.longest_timeout_ms().min(HANDOVER_DEADLINE_MOST_MS);
     let handover_stop_ms = stop_ms.min(longest_ms + HANDOVER_MARGIN_MS);
-    Times { grace_ms: site.settings.rules.drain_grace_ms, stop_ms, handover_stop_ms }
+    DrainTimes { grace_ms: site.settings.rules.drain_grace_ms, stop_ms, handover_stop_ms }
 }
 
 /// Bytes that kept results may take in a process with so much memory.
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -522,7 +522,7 @@
         Ok(length) => length,
         Err(Status(status)) => return bad(status, false),
     };
-    let site = front.deployment.site();
+    let site = front.active_settings.site();
     let head = match forward.request(&site, arrived_ms, options.secret.as_deref()) {
         Ok(head) => head,
         Err(Status(status)) => return bad(status, length == BodyLength::Known(0) && status != 403),
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -6,7 +6,7 @@
 use pinepoint_clock::Clock;
 use pinepoint_events::Observer;
 
-use crate::config::active::Deployment;
+use crate::config::active::ActiveSettings;
 use crate::server::control::status::Status;
 use crate::server::core::api::CoreInput;
 use crate::server::frontend::limiter::ConnectionLimiter;
@@ -15,7 +15,7 @@
 /// What every connection of every front needs.
 pub struct FrontendContext {
     /// Settings and names.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// What the core publishes.
     pub status: Rc<Status>,
     /// Counters.
@@ -33,7 +33,7 @@
 impl FrontendContext {
     /// Time after which callers close idle connections, ms. Not told, it is left to them and to the want of room.
     pub fn caller_idle_timeout_ms(&self) -> f64 {
-        Some(self.deployment.site().settings.caller_idle_timeout_ms)
+        Some(self.active_settings.site().settings.caller_idle_timeout_ms)
             .filter(|ms| *ms > 0.0)
             .unwrap_or(f64::INFINITY)
     }
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -471,7 +471,7 @@
             return stop;
         }
         loop {
-            match take_message(&mut intake.bytes, &front.deployment.site(), front.clock.now()) {
+            match take_message(&mut intake.bytes, &front.active_settings.site(), front.clock.now()) {
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     part_ms = None;
--- a/src/server/observability/membership.rs
+++ b/src/server/observability/membership.rs
@@ -19,7 +19,7 @@
 const LOOK_MS: f64 = 1000.0;
 
 /// Passes on what the core tells, and keeps what others are to know of it.
-pub struct Watch {
+pub struct MembershipObserver {
     inner: Rc<dyn Observer>,
     status: Rc<Status>,
     clock: Clock,
@@ -32,7 +32,7 @@
     keys_most: f64,
 }
 
-impl Watch {
+impl MembershipObserver {
     /// Watches for this observer too.
     pub fn new(
         inner: Rc<dyn Observer>,
@@ -41,7 +41,7 @@
         queue: Sender<CoreInput>,
         keys_most: f64,
     ) -> Self {
-        Watch {
+        MembershipObserver {
             inner,
             status,
             clock,
@@ -60,7 +60,7 @@
     (of_one.clamp(0.0, 1.0) * 255.0).round() as u8
 }
 
-impl Observer for Watch {
+impl Observer for MembershipObserver {
     fn request_event(&self, now_ms: f64, fact: RequestEvent) {
         self.inner.request_event(now_ms, fact);
     }
@@ -92,7 +92,7 @@
     }
 }
 
-impl StatusSource for Watch {
+impl StatusSource for MembershipObserver {
     fn phase(&self) -> Phase {
         if self.phase.get() == Phase::Cold && self.clock.now() >= self.cold_until_ms.get() {
             self.phase.set(Phase::Serving);
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -45,7 +45,7 @@
 }
 
 /// What the start of telemetry takes beside its own setup.
-pub struct Host {
+pub struct TelemetryContext {
     /// The comparer's name.
     pub name: String,
     /// Settings and names.
@@ -82,8 +82,8 @@
 }
 
 /// Begins to count and to send what the setup says.
-pub fn start(setup: &Setup, host: Host) -> Rc<Telemetry> {
-    let Host { name, site, seed, clock, executor, queue, counters } = host;
+pub fn start(setup: &Setup, host: TelemetryContext) -> Rc<Telemetry> {
+    let TelemetryContext { name, site, seed, clock, executor, queue, counters } = host;
     let (names, classes) = classes_of(&site);
     let node: Vec<&'static str> = counters.list().into_iter().map(|(name, _)| name).collect();
     let module = AdmissionSnapshot::NAMES;
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -52,18 +52,18 @@
 
 /// Where the three services are. A reload moves them while the links are in use.
 #[derive(Debug)]
-pub struct Peers {
+pub struct UpstreamAddresses {
     engine: Cell<SocketAddr>,
     store: Cell<SocketAddr>,
     members: Cell<SocketAddr>,
     moved: Notify,
 }
 
-impl Peers {
+impl UpstreamAddresses {
     /// The addresses as the program starts.
     pub fn new(engine: SocketAddr, store: SocketAddr, members: SocketAddr) -> Self {
         let (engine, store, members) = (Cell::new(engine), Cell::new(store), Cell::new(members));
-        Peers { engine, store, members, moved: Notify::default() }
+        UpstreamAddresses { engine, store, members, moved: Notify::default() }
     }
 
     /// Moves all three at once. Open calls to the store end where they are.
@@ -209,7 +209,12 @@
 }
 
 /// Keeps the engine's link up for ever, wherever the engine is.
-pub async fn engine(peers: Rc<Peers>, link: Rc<EngineLink>, queue: Sender<CoreInput>, clock: Clock) {
+pub async fn engine(
+    peers: Rc<UpstreamAddresses>,
+    link: Rc<EngineLink>,
+    queue: Sender<CoreInput>,
+    clock: Clock,
+) {
     // Notices up to this one reached the core; the engine sends what came after it once more.
     let mut last = 0;
     let mut retry = RETRY_MS;
@@ -373,7 +378,7 @@
 /// along, and closing the connection is what gives a call up.
 #[derive(Debug)]
 pub struct StoreLink {
-    peers: Rc<Peers>,
+    peers: Rc<UpstreamAddresses>,
     queue: Sender<CoreInput>,
     clock: Clock,
     counters: Rc<Counters>,
@@ -386,7 +391,7 @@
 impl StoreLink {
     /// The way to a store that no call was made to.
     pub fn new(
-        peers: Rc<Peers>,
+        peers: Rc<UpstreamAddresses>,
         queue: Sender<CoreInput>,
         clock: Clock,
         counters: Rc<Counters>,
@@ -553,7 +558,7 @@
 
 /// Reports to the membership service: at once when something changes, and so often that losses do not matter.
 pub async fn members(
-    peers: Rc<Peers>,
+    peers: Rc<UpstreamAddresses>,
     name: String,
     status: Rc<Status>,
     clock: Clock,
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -128,7 +128,7 @@
     /// for many requests brings a share of calls.
     pub fn with_room(memory_mb: f64, memory_kb: f64) -> Self {
         let mut site = Site::default();
-        site.listed_by_health = true;
+        site.registry_follows_health = true;
         site.settings = pinepoint::admission::Settings {
             cores: 2.0,
             memory_kb,
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -77,7 +77,7 @@
                 }
             }
             Step::EngineUp => {
-                if newest == 1 && matches!(world.life(1), Life::Starting | Life::StartingDrained) {
+                if newest == 1 && matches!(world.life(1), Life::Starting | Life::StartingLameDuck) {
                     world.engine_up(1);
                 }
             }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -287,7 +287,7 @@
     }
 
     pub fn serves(&self, index: usize) -> bool {
-        self.processes[index].alive && matches!(self.life(index), Life::Serving | Life::Drained)
+        self.processes[index].alive && matches!(self.life(index), Life::Serving | Life::LameDuck)
     }
 
     pub fn handover_state(&self, index: usize) -> HandoverState {
@@ -518,7 +518,7 @@
         self.carry_out(index);
         self.note_runs(index);
         self.check(index);
-        if self.life(index) == Life::Gone {
+        if self.life(index) == Life::Terminated {
             self.end_process(index, usize::MAX);
         }
     }
@@ -701,7 +701,7 @@
             return;
         }
         assert_eq!(old.status.listed.get(), None, "the old process says nothing any more");
-        let drained = self.life(1) == Life::Drained;
+        let drained = self.life(1) == Life::LameDuck;
         assert_eq!(new.status.listed.get(), Some(!drained));
     }
 
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,18 +1,29 @@
 //! The life of the process by itself: which phase may follow on which, whatever comes in whatever order.
 
-use pinepoint::server::control::lifecycle::{Left, Lifecycle, Phase, Published, Times};
+use pinepoint::server::control::lifecycle::{DrainTimes, Lifecycle, Outstanding, Phase, Published};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 use Phase::{
-    Closing, Drained, Finishing, Gone, HandedOver, Leaving, Serving, Starting, StartingDrained, ToldToGo,
+    Closing, Draining, Finishing, GoAwaySent, HandedOver, LameDuck, Serving, Starting, StartingLameDuck,
+    Terminated,
 };
 
-const ALL: [Phase; 10] =
-    [Starting, StartingDrained, Serving, Drained, Leaving, ToldToGo, HandedOver, Closing, Finishing, Gone];
-const TIMES: Times = Times { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING: Left = Left { listeners: 0, connections: 0, owed: false };
-const DOOR: Left = Left { listeners: 1, ..NOTHING };
+const ALL: [Phase; 10] = [
+    Starting,
+    StartingLameDuck,
+    Serving,
+    LameDuck,
+    Draining,
+    GoAwaySent,
+    HandedOver,
+    Closing,
+    Finishing,
+    Terminated,
+];
+const TIMES: DrainTimes = DrainTimes { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
+const NOTHING: Outstanding = Outstanding { listeners: 0, connections: 0, owed: false };
+const DOOR: Outstanding = Outstanding { listeners: 1, ..NOTHING };
 
 fn serving() -> Lifecycle {
     let mut life = Lifecycle::new(TIMES, true);
@@ -22,7 +33,7 @@
 }
 
 /// Advances as far as it goes at this time.
-fn advance(life: &mut Lifecycle, now: f64, left: Left) -> Phase {
+fn advance(life: &mut Lifecycle, now: f64, left: Outstanding) -> Phase {
     while life.advance(now, left).is_some() {}
     life.phase()
 }
@@ -35,46 +46,46 @@
         .filter(|(from, to)| from.may_become(*to))
         .collect();
     let wanted = [
-        (Starting, StartingDrained),
+        (Starting, StartingLameDuck),
         (Starting, Serving),
         (Starting, Closing),
-        (StartingDrained, Starting),
-        (StartingDrained, Drained),
-        (StartingDrained, Closing),
-        (Serving, Drained),
-        (Serving, Leaving),
+        (StartingLameDuck, Starting),
+        (StartingLameDuck, LameDuck),
+        (StartingLameDuck, Closing),
+        (Serving, LameDuck),
+        (Serving, Draining),
         (Serving, HandedOver),
-        (Drained, Serving),
-        (Drained, Leaving),
-        (Drained, HandedOver),
-        (Leaving, ToldToGo),
-        (Leaving, HandedOver),
-        (ToldToGo, HandedOver),
-        (ToldToGo, Closing),
+        (LameDuck, Serving),
+        (LameDuck, Draining),
+        (LameDuck, HandedOver),
+        (Draining, GoAwaySent),
+        (Draining, HandedOver),
+        (GoAwaySent, HandedOver),
+        (GoAwaySent, Closing),
         (HandedOver, Finishing),
-        (HandedOver, Gone),
+        (HandedOver, Terminated),
         (Closing, Finishing),
-        (Closing, Gone),
-        (Finishing, Gone),
+        (Closing, Terminated),
+        (Finishing, Terminated),
     ];
     assert_eq!(legal, wanted);
     // Only the end of a drain leads back.
     let back: Vec<_> = legal.into_iter().filter(|(from, to)| from >= to).collect();
-    assert_eq!(back, [(StartingDrained, Starting), (Drained, Serving)]);
+    assert_eq!(back, [(StartingLameDuck, Starting), (LameDuck, Serving)]);
 }
 
 #[test]
 fn a_drain_goes_through_its_phases_by_the_time_of_the_notice() {
     let mut life = serving();
     assert!(life.notice(5000.0), "taken late, it counts from when it came");
-    assert_eq!(advance(&mut life, 5799.0, DOOR), Leaving);
-    assert_eq!(advance(&mut life, 5800.0, DOOR), ToldToGo);
-    assert_eq!(advance(&mut life, 5999.0, NOTHING), ToldToGo, "others still hear of it late");
+    assert_eq!(advance(&mut life, 5799.0, DOOR), Draining);
+    assert_eq!(advance(&mut life, 5800.0, DOOR), GoAwaySent);
+    assert_eq!(advance(&mut life, 5999.0, NOTHING), GoAwaySent, "others still hear of it late");
     assert_eq!(advance(&mut life, 6000.0, DOOR), Closing);
     assert_eq!(advance(&mut life, 6799.0, DOOR), Closing);
     assert_eq!(advance(&mut life, 6800.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 6939.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 6940.0, DOOR), Gone, "the kill is near");
+    assert_eq!(advance(&mut life, 6940.0, DOOR), Terminated, "the kill is near");
     assert_eq!(life.kill_ms(), Some(7000.0));
     assert!(!life.notice(6950.0), "a second notice moves nothing");
     assert_eq!(life.kill_ms(), Some(7000.0));
@@ -82,12 +93,12 @@
 
 #[test]
 fn it_ends_when_nothing_is_left_and_not_before() {
-    let somebody = [DOOR, Left { connections: 1, ..NOTHING }, Left { owed: true, ..NOTHING }];
+    let somebody = [DOOR, Outstanding { connections: 1, ..NOTHING }, Outstanding { owed: true, ..NOTHING }];
     for left in somebody {
         let mut life = serving();
         life.notice(0.0);
         assert_eq!(advance(&mut life, 1000.0, left), Closing, "{left:?}");
-        assert_eq!(advance(&mut life, 1001.0, NOTHING), Gone);
+        assert_eq!(advance(&mut life, 1001.0, NOTHING), Terminated);
     }
 }
 
@@ -100,7 +111,7 @@
     assert!(!life.engine_up(), "nothing may begin to serve");
     life.set_healthy(true);
     assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert_eq!(advance(&mut life, 1.0, NOTHING), Gone, "nobody was ever told of it");
+    assert_eq!(advance(&mut life, 1.0, NOTHING), Terminated, "nobody was ever told of it");
 }
 
 #[test]
@@ -120,11 +131,11 @@
     assert_eq!(life.published(), Published { healthy: false, listed: None }, "the engine is not up");
     assert!(life.engine_up());
     life.set_healthy(true);
-    assert_eq!(life.phase(), Drained);
+    assert_eq!(life.phase(), LameDuck);
     assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
     assert!(life.set_drained(true), "asked twice, it stays");
     assert!(!life.engine_up(), "an engine that comes back ends no drain");
-    assert_eq!(life.phase(), Drained);
+    assert_eq!(life.phase(), LameDuck);
     assert!(life.set_drained(false));
     assert!(life.set_drained(false), "nothing to end");
     assert_eq!(life.published(), Published { healthy: true, listed: Some(true) });
@@ -140,7 +151,7 @@
         assert!(life.notice(0.0));
         assert!(life.set_drained(true), "it takes no new work anyhow");
         assert!(!life.set_drained(false), "there is no way back");
-        assert_eq!(life.phase(), Leaving);
+        assert_eq!(life.phase(), Draining);
         assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
     }
     let mut life = Lifecycle::new(TIMES, true);
@@ -158,13 +169,13 @@
     assert_eq!(life.kill_ms(), Some(6500.0));
     assert_eq!(advance(&mut life, 6300.0, DOOR), Finishing);
     assert_eq!(life.published(), Published { healthy: false, listed: None });
-    assert_eq!(advance(&mut life, 6440.0, DOOR), Gone);
+    assert_eq!(advance(&mut life, 6440.0, DOOR), Terminated);
 
     let mut life = serving();
     life.set_drained(true);
     assert!(life.hand_over(5000.0));
     assert_eq!(life.published(), Published { healthy: false, listed: None }, "drained, it stays so");
-    assert_eq!(advance(&mut life, 5001.0, NOTHING), Gone, "nothing keeps it");
+    assert_eq!(advance(&mut life, 5001.0, NOTHING), Terminated, "nothing keeps it");
 }
 
 #[test]
@@ -211,13 +222,13 @@
         ], 1..20),
     ) {
         let handover_stop_ms = stop_ms * 0.9;
-        let mut life = Lifecycle::new(Times { grace_ms, stop_ms, handover_stop_ms }, true);
+        let mut life = Lifecycle::new(DrainTimes { grace_ms, stop_ms, handover_stop_ms }, true);
         let (mut now, mut told, mut handed_over) = (1e12, None, false);
         for step in &steps {
             let before = life.phase();
             match step {
                 Step::Up => {
-                    prop_assert_eq!(life.engine_up(), matches!(before, Starting | StartingDrained));
+                    prop_assert_eq!(life.engine_up(), matches!(before, Starting | StartingLameDuck));
                 }
                 Step::Notice => {
                     prop_assert_eq!(life.notice(now), told.is_none());
@@ -225,10 +236,10 @@
                 }
                 Step::Health(good) => life.set_healthy(*good),
                 Step::Drain(drained) => {
-                    prop_assert_eq!(life.set_drained(*drained), before < Leaving || *drained && before != Gone);
+                    prop_assert_eq!(life.set_drained(*drained), before < Draining || *drained && before != Terminated);
                 }
                 Step::HandOver => {
-                    let may = matches!(before, Serving | Drained | Leaving | ToldToGo);
+                    let may = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
                     prop_assert_eq!(life.hand_over(now), may);
                     handed_over |= may;
                     told = told.or(may.then_some(now));
@@ -238,7 +249,7 @@
                     advance(&mut life, now, if *left { DOOR } else { NOTHING });
                 }
             }
-            let back = matches!((before, life.phase()), (StartingDrained, Starting) | (Drained, Serving));
+            let back = matches!((before, life.phase()), (StartingLameDuck, Starting) | (LameDuck, Serving));
             prop_assert!(life.phase() >= before || back && matches!(step, Step::Drain(false)));
             let published = life.published();
             if handed_over {
@@ -246,18 +257,18 @@
             } else if told.is_some() {
                 prop_assert_eq!(published, Published { healthy: false, listed: Some(false) });
             }
-            if matches!(life.phase(), StartingDrained | Drained) {
+            if matches!(life.phase(), StartingLameDuck | LameDuck) {
                 prop_assert!(!published.healthy && published.listed != Some(true));
             }
             if let Some(since) = told {
                 let kill = (since + stop_ms).max(now + 100.0);
-                prop_assert!(life.phase() == Gone || life.next_due().is_some_and(|due| due <= kill));
+                prop_assert!(life.phase() == Terminated || life.next_due().is_some_and(|due| due <= kill));
             }
         }
         if let Some(since) = told {
             let late = advance(&mut life, now.max(since + stop_ms), DOOR);
             prop_assert!(late >= Finishing);
-            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, DOOR), Gone);
+            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, DOOR), Terminated);
         }
     }
 }
@@ -269,5 +280,5 @@
     life.notice(5000.0);
     assert_eq!(advance(&mut life, 7100.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 7199.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 7200.0, DOOR), Gone);
+    assert_eq!(advance(&mut life, 7200.0, DOOR), Terminated);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -150,7 +150,7 @@
         }
         bench.run(&Step::Leave);
         bench.pass(stop_ms + 200.0, 0.5);
-        prop_assert_eq!(bench.core.phase(), Phase::Gone);
+        prop_assert_eq!(bench.core.phase(), Phase::Terminated);
         let unanswered = bench.sums().into_iter().map(|[read, answered, gone]| read - answered - gone).sum::<u64>();
         prop_assert_eq!(unanswered, 0, "all that was read is answered before the end");
         prop_assert!(bench.seen.answers.borrow().values().all(|replies| replies.len() == 1));
