--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -19,7 +19,7 @@
     /// Queues the one answer to the request that this caller named `correlation_id`.
     fn answer(&self, correlation_id: u64, reply: &Reply);
     /// No new request should come on this connection; it may go once everything on it is answered.
-    fn leave(&self);
+    fn go_away(&self);
     /// Leaves if nothing was carried since this time.
     fn go_away_if_idle(&self, since_ms: f64);
 }
@@ -27,22 +27,22 @@
 /// The engine, as the core commands it. Commands are queued; while there is no link they are dropped.
 pub trait Engine {
     /// Begins a run.
-    fn run(&self, attempt_id: &str, class: &str, body: &[u8]);
+    fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]);
     /// Stops a run.
-    fn halt(&self, attempt_id: &str);
+    fn cancel_run(&self, attempt_id: &str);
     /// Hands a run the reply to its call; tells whether there is a link that it goes to.
-    fn feed(&self, attempt_id: &str, reply: &[u8]) -> bool;
+    fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool;
     /// Lets a run go on without the call that this notice asked for; tells whether there is a link.
-    fn skip(&self, attempt_id: &str, notice: u64) -> bool;
+    fn skip_call(&self, attempt_id: &str, notice: u64) -> bool;
     /// Asks for the gauges.
-    fn stat(&self, tag: u64);
+    fn request_gauges(&self, tag: u64);
 }
 
 /// The store, as the core calls it: each call ends with one [`CoreInput::CallEnded`] unless it is dropped. Calls are told
 /// apart by numbers of the core's own: the name of the request may stand for a later call of it, or for another request.
 pub trait Store {
     /// Makes a call for this request; `once` if it must not be made twice.
-    fn call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
+    fn start_call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
     /// Gives a call up; nothing is told of its end.
     fn cancel_call(&self, call: u64);
 }
@@ -107,7 +107,7 @@
 /// The doors of the process, as one that leaves looks at them.
 pub trait OpenSockets {
     /// Listening sockets that are open, or that someone stands before.
-    fn open(&self) -> usize;
+    fn listeners(&self) -> usize;
     /// Connections of callers that are not closed, whether the core has heard of them or not.
     fn connections(&self) -> usize;
 }
@@ -192,35 +192,75 @@
 pub enum CoreInput {
     /// A connection was accepted.
     ConnectionOpened(Rc<dyn Caller>),
-    /// A connection is over; nobody waits for what is left on it.
-    ConnectionClosed(u64),
+    /// A connection has ended; nobody waits for what is still open on it.
+    ConnectionClosed {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+    },
     /// A request was read.
     RequestReceived(Box<Arrival>),
-    /// The caller gave this request up.
-    CallerGone(u64, u64),
-    /// What came on a connection is no message of its wire: what was read on it before is to be failed.
-    ProtocolError(u64),
-    /// The engine answered an attach.
+    /// The caller no longer waits for one request.
+    CallerGone {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+        /// The caller's own name for the request.
+        correlation_id: u64,
+    },
+    /// What came on a connection breaks its protocol: the requests that were read on it before fail.
+    ProtocolError {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+    },
+    /// The engine accepted the connection to it.
     EngineAttached {
-        /// It started cold.
+        /// The engine started cold.
         cold: bool,
-        /// That long ago, ms.
+        /// Time since its start, ms.
         ms: f64,
     },
-    /// The link to the engine broke.
+    /// The connection to the engine is lost.
     EngineDetached,
     /// A run is over.
-    RunEnded(String, RunResult),
-    /// A run stands before a call, told by the notice of this number, with this body.
-    CallNeeded(String, u64, Vec<u8>),
-    /// The gauges that were asked for with this tag.
-    Gauges(u64, Vec<f64>),
-    /// The engine did not carry out a command for this request.
-    CommandRejected(String, String),
-    /// The call of this number is over, with the reply if it went well.
-    CallEnded(u64, Outcome, Option<Vec<u8>>),
-    /// A question for the state, which the observer is told.
+    RunEnded {
+        /// The attempt that ran.
+        attempt_id: String,
+        /// How it ended.
+        result: RunResult,
+    },
+    /// A run waits for the reply to a call.
+    CallNeeded {
+        /// The attempt that runs.
+        attempt_id: String,
+        /// Number of the engine's notice, by which the call is named.
+        notice: u64,
+        /// What the call carries.
+        body: Vec<u8>,
+    },
+    /// The gauges that were requested with this tag.
+    Gauges {
+        /// The tag of the request.
+        tag: u64,
+        /// The values, in the order of the settings.
+        values: Vec<f64>,
+    },
+    /// The engine did not carry out a command.
+    CommandRejected {
+        /// The command's word.
+        command: String,
+        /// The attempt that it was for.
+        attempt_id: String,
+    },
+    /// A call is over.
+    CallEnded {
+        /// The core's number of the call.
+        call: u64,
+        /// How it ended.
+        outcome: Outcome,
+        /// The reply, if it succeeded.
+        reply: Option<Vec<u8>>,
+    },
+    /// The observer is told the state of the core.
     ReportState,
-    /// These settings are in force for all that comes behind this.
+    /// These settings are in force for everything that follows in the queue.
     Reconfigure(Reconfiguration),
 }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -260,11 +260,11 @@
         match input {
             CoreInput::ConnectionOpened(caller) => {
                 if self.life.phase() >= LifecyclePhase::GoAwaySent {
-                    caller.leave();
+                    caller.go_away();
                 }
                 self.callers.insert(caller.id(), caller);
             }
-            CoreInput::ConnectionClosed(caller) => {
+            CoreInput::ConnectionClosed { caller } => {
                 self.callers.remove(&caller);
                 for id in self.requests.owed_to(caller) {
                     self.gone(now, id);
@@ -272,14 +272,14 @@
                 self.claimants_gone(now, caller, None);
             }
             CoreInput::RequestReceived(arrival) => self.arrived(now, *arrival),
-            CoreInput::CallerGone(caller, correlation_id) => {
+            CoreInput::CallerGone { caller, correlation_id } => {
                 if let Some(id) = self.requests.by_correlation_id(caller, correlation_id) {
                     self.gone(now, id);
                 } else {
                     self.claimants_gone(now, caller, Some(correlation_id));
                 }
             }
-            CoreInput::ProtocolError(caller) => {
+            CoreInput::ProtocolError { caller } => {
                 for id in self.requests.owed_to(caller) {
                     self.give_up(
                         now,
@@ -294,12 +294,12 @@
                 self.engine_up = false;
                 self.barrier = None;
             }
-            CoreInput::RunEnded(attempt_id, end) => {
+            CoreInput::RunEnded { attempt_id, result: end } => {
                 if let Some(id) = self.requests.by_attempt_id(&attempt_id) {
                     self.run_ended(now, id, end);
                 }
             }
-            CoreInput::CallNeeded(attempt_id, notice, body) => {
+            CoreInput::CallNeeded { attempt_id, notice, body } => {
                 let Some(id) = self.requests.by_attempt_id(&attempt_id) else { return };
                 let Some(open) = self.requests.get_mut(id) else { return };
                 // A further call for the same request gives up the first.
@@ -321,15 +321,15 @@
                     self.end_at_call(id);
                 }
             }
-            CoreInput::Gauges(tag, gauges) => self.stats(now, tag, gauges),
-            CoreInput::CommandRejected(command, attempt_id) => {
+            CoreInput::Gauges { tag, values: gauges } => self.stats(now, tag, gauges),
+            CoreInput::CommandRejected { command, attempt_id } => {
                 count(&self.parts.counters.engine_refusals);
                 tracing::warn!(command, attempt_id, "engine-refused");
                 if let ("RUN", Some(id)) = (command.as_str(), self.requests.by_attempt_id(&attempt_id)) {
                     self.run_ended(now, id, RunResult::Unknown);
                 }
             }
-            CoreInput::CallEnded(call, outcome, reply) => self.call_ended(now, call, outcome, reply),
+            CoreInput::CallEnded { call, outcome, reply } => self.call_ended(now, call, outcome, reply),
             CoreInput::ReportState => self.parts.observer.core_state(now, &self.state()),
             CoreInput::Reconfigure(new) => self.reconfigure(new),
         }
@@ -536,7 +536,7 @@
             // that are sent again; the gauges come behind them.
             self.asks += 1;
             self.barrier = Some(self.asks);
-            self.parts.engine.stat(self.asks);
+            self.parts.engine.request_gauges(self.asks);
             return;
         }
         let began_ms = now - ms.max(0.0);
@@ -579,11 +579,11 @@
                 feed_to(open, &*self.parts.engine);
                 open.fed = Some(self.asks);
             } else if unread(open.commanded) && open.halted {
-                self.parts.engine.halt(&open.attempt_id);
+                self.parts.engine.cancel_run(&open.attempt_id);
                 open.commanded = self.asks;
             } else if unread(open.commanded) && open.state == RequestState::Running {
                 let name = self.parts.site.class_name(open.class);
-                self.parts.engine.run(&open.attempt_id, name, &open.body);
+                self.parts.engine.start_run(&open.attempt_id, name, &open.body);
                 open.commanded = self.asks;
             }
         }
@@ -766,7 +766,7 @@
     }
 
     fn close_doors(&self) {
-        self.callers.values().for_each(|caller| caller.leave());
+        self.callers.values().for_each(|caller| caller.go_away());
         self.release_listeners();
         self.parts.status.shut.open();
     }
@@ -775,13 +775,13 @@
     fn live(&mut self, now: f64) {
         loop {
             let open_sockets = &self.parts.open_sockets;
-            let (listeners, connections) = (open_sockets.open(), open_sockets.connections());
+            let (listeners, connections) = (open_sockets.listeners(), open_sockets.connections());
             let owed = !self.requests.nothing_owed() || self.has_claims();
             let Some(phase) = self.life.advance(now, Outstanding { listeners, connections, owed }) else {
                 return;
             };
             match phase {
-                LifecyclePhase::GoAwaySent => self.callers.values().for_each(|caller| caller.leave()),
+                LifecyclePhase::GoAwaySent => self.callers.values().for_each(|caller| caller.go_away()),
                 LifecyclePhase::Closing => self.close_doors(),
                 LifecyclePhase::Finishing => {
                     let owed = self.requests.iter().filter(|(_, open)| open.caller.is_some());
@@ -829,7 +829,7 @@
             // Without a link nothing answers: the last gauges have to do at once.
             let give_up_ms = if self.engine_up { now + GAUGES_MS } else { now };
             if self.engine_up {
-                self.parts.engine.stat(self.asks);
+                self.parts.engine.request_gauges(self.asks);
             }
             self.asked.push_back(Asked { tag: self.asks, token, give_up_ms });
         }
@@ -926,7 +926,7 @@
                     count(&self.parts.counters.halts);
                     open.halted = true;
                     open.commanded = self.asks;
-                    self.parts.engine.halt(&open.attempt_id);
+                    self.parts.engine.cancel_run(&open.attempt_id);
                 }
             }
             Action::StartCall { id, call_timeout_ms } => {
@@ -937,7 +937,7 @@
                     count(&self.parts.counters.calls);
                     let once =
                         self.parts.site.settings.classes[open.class].idempotency != Idempotency::ReadOnly;
-                    self.parts.store.clone().call(
+                    self.parts.store.clone().start_call(
                         call,
                         &open.attempt_id,
                         call_timeout_ms,
@@ -993,7 +993,7 @@
         open.commanded = self.asks;
         self.parts.counters.count_class(open.class, |class| &class.runs);
         if self.engine_up && self.barrier.is_none() {
-            self.parts.engine.run(&open.attempt_id, self.parts.site.class_name(open.class), &open.body);
+            self.parts.engine.start_run(&open.attempt_id, self.parts.site.class_name(open.class), &open.body);
         }
         self.touch_key_of(id);
         self.emit_for(id, |_| RequestEventKind::Decided(Decision::Run));
@@ -1069,7 +1069,7 @@
         if open.state == RequestState::AwaitingCall && !open.halted && may_halt {
             open.halted = true;
             open.commanded = self.asks;
-            self.parts.engine.halt(&open.attempt_id);
+            self.parts.engine.cancel_run(&open.attempt_id);
         }
         if let Some((call, class, kind)) = dropped {
             self.requests.call_over(call);
@@ -1134,8 +1134,8 @@
 /// Writes what a run goes on with; tells whether there is a link that it goes to.
 fn feed_to(open: &OpenRequest, engine: &dyn Engine) -> bool {
     match &open.feed {
-        Some(CallResult::Reply(reply)) => engine.feed(&open.attempt_id, reply),
-        Some(CallResult::Nothing) => engine.skip(&open.attempt_id, open.need.0),
+        Some(CallResult::Reply(reply)) => engine.deliver_reply(&open.attempt_id, reply),
+        Some(CallResult::Nothing) => engine.skip_call(&open.attempt_id, open.need.0),
         None => false,
     }
 }
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -410,7 +410,7 @@
         self.answered.wake();
     }
 
-    fn leave(&self) {
+    fn go_away(&self) {
         // An idle connection goes now; the front end opens another elsewhere. A request whose body is on its
         // way was not read and holds up nothing, but is given the time to become one.
         self.state.tell_at_once(self.front.clock.now());
@@ -418,7 +418,7 @@
 
     fn go_away_if_idle(&self, since_ms: f64) {
         if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
-            self.leave();
+            self.go_away();
         }
     }
 }
@@ -591,7 +591,10 @@
             Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
             Err(stop) => {
                 connection.open.set(None);
-                let _ = front.queue.send(CoreInput::CallerGone(connection.state.id, correlation_id)).await;
+                let _ = front
+                    .queue
+                    .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id })
+                    .await;
                 return Err(stop);
             }
         }
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -272,7 +272,7 @@
             CloseReason::PeerClosed => writer.end("peer-closed"),
             CloseReason::Finishing => writer.end("stopping"),
             CloseReason::Spoilt(reason) => {
-                let _ = front.queue.send(CoreInput::ProtocolError(state.id)).await;
+                let _ = front.queue.send(CoreInput::ProtocolError { caller: state.id }).await;
                 writer.end(reason);
             }
             CloseReason::Shut(reason) => return Ok(reason),
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -133,7 +133,7 @@
 }
 
 impl OpenSockets for ConnectionLimiter {
-    fn open(&self) -> usize {
+    fn listeners(&self) -> usize {
         self.open_sockets.get()
     }
 
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -144,7 +144,7 @@
                         after_ms = (front.clock.now() - began).round(),
                         "conn-ended"
                     );
-                    let _ = front.queue.send(CoreInput::ConnectionClosed(state.id)).await;
+                    let _ = front.queue.send(CoreInput::ConnectionClosed { caller: state.id }).await;
                 };
                 executor.spawn(connection).detach();
                 // Each gets to read before another is asked to make way.
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -424,7 +424,7 @@
         }
     }
 
-    fn leave(&self) {
+    fn go_away(&self) {
         if self.state.tell(self.front.clock.now()) {
             self.writer.push(|out| {
                 out.extend_from_slice(&[0x93, 0x02]);
@@ -436,7 +436,7 @@
 
     fn go_away_if_idle(&self, since_ms: f64) {
         if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
-            self.leave();
+            self.go_away();
         }
     }
 }
@@ -494,7 +494,10 @@
     match message {
         Message::Abort(id) => {
             if connection.close(id) {
-                let _ = front.queue.send(CoreInput::CallerGone(connection.state.id, id)).await;
+                let _ = front
+                    .queue
+                    .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id: id })
+                    .await;
             }
         }
         Message::Ping(id) => {
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -181,23 +181,23 @@
 }
 
 impl api::Engine for EngineLink {
-    fn run(&self, attempt_id: &str, class: &str, body: &[u8]) {
+    fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]) {
         self.command(|out| with_body(out, &format!("RUN {attempt_id} {class}"), body));
     }
 
-    fn halt(&self, attempt_id: &str) {
+    fn cancel_run(&self, attempt_id: &str) {
         self.command(|out| out.extend_from_slice(format!("HALT {attempt_id}\r\n").as_bytes()));
     }
 
-    fn feed(&self, attempt_id: &str, reply: &[u8]) -> bool {
+    fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool {
         self.command(|out| with_body(out, &format!("FEED {attempt_id}"), reply))
     }
 
-    fn skip(&self, attempt_id: &str, notice: u64) -> bool {
+    fn skip_call(&self, attempt_id: &str, notice: u64) -> bool {
         self.command(|out| out.extend_from_slice(format!("SKIP {attempt_id} {notice}\r\n").as_bytes()))
     }
 
-    fn stat(&self, tag: u64) {
+    fn request_gauges(&self, tag: u64) {
         self.command(|out| out.extend_from_slice(format!("STAT {tag}\r\n").as_bytes()));
     }
 }
@@ -293,7 +293,7 @@
                     }
                     match news {
                         Some(CoreInput::EngineAttached { .. }) => link.up.set(true),
-                        Some(CoreInput::Gauges(LAST_TAG, _)) => return "moved".into(),
+                        Some(CoreInput::Gauges { tag: LAST_TAG, values: _ }) => return "moved".into(),
                         _ => {}
                     }
                     if let Some(news) = news
@@ -327,19 +327,21 @@
                 "unknown" => RunResult::Unknown,
                 _ => return Err(LineError::Malformed),
             };
-            (Some(number(n)?), Some(CoreInput::RunEnded((*id).to_owned(), end)))
-        }
-        ["NEED", n, id, _length] => {
-            (Some(number(n)?), Some(CoreInput::CallNeeded((*id).to_owned(), number(n)?, line.body)))
+            (Some(number(n)?), Some(CoreInput::RunEnded { attempt_id: (*id).to_owned(), result: end }))
         }
+        ["NEED", n, id, _length] => (
+            Some(number(n)?),
+            Some(CoreInput::CallNeeded { attempt_id: (*id).to_owned(), notice: number(n)?, body: line.body }),
+        ),
         ["STATS", tag, gauges @ ..] => {
             let gauges = gauges.iter().map(|g| g.parse::<f64>().ok().filter(|v| v.is_finite()));
             let gauges = gauges.collect::<Option<Vec<_>>>().ok_or(LineError::Malformed)?;
-            (None, Some(CoreInput::Gauges(number(tag)?, gauges)))
-        }
-        ["NO", command, id, ..] => {
-            (None, Some(CoreInput::CommandRejected((*command).to_owned(), (*id).to_owned())))
+            (None, Some(CoreInput::Gauges { tag: number(tag)?, values: gauges }))
         }
+        ["NO", command, id, ..] => (
+            None,
+            Some(CoreInput::CommandRejected { command: (*command).to_owned(), attempt_id: (*id).to_owned() }),
+        ),
         ["NOTE", n, ..] => (Some(number(n)?), None),
         _ => return Err(LineError::Malformed),
     })
@@ -524,7 +526,14 @@
 impl api::Store for StoreLink {
     /// One that must not be made twice gets a connection of its own: the reset of a used one, forgotten by the
     /// store, would leave it uncertain though it never ran.
-    fn call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool) {
+    fn start_call(
+        self: Rc<Self>,
+        call: u64,
+        attempt_id: &str,
+        call_timeout_ms: f64,
+        body: &[u8],
+        once: bool,
+    ) {
         let call_timeout_ms = call_timeout_ms.max(1.0);
         let mut bytes = Vec::new();
         with_body(&mut bytes, &format!("CALL {attempt_id} {call_timeout_ms:.0}"), body);
@@ -534,7 +543,7 @@
                 Ok((outcome, reply)) => (outcome, reply),
                 Err(outcome) => (outcome, None),
             };
-            let _ = link.queue.send(CoreInput::CallEnded(call, outcome, reply)).await;
+            let _ = link.queue.send(CoreInput::CallEnded { call, outcome, reply }).await;
             link.calls.borrow_mut().remove(&call);
         };
         let task = self.executor.spawn(conversation);
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -33,27 +33,27 @@
 }
 
 impl Engine for Seen {
-    fn run(&self, attempt_id: &str, class: &str, _: &[u8]) {
+    fn start_run(&self, attempt_id: &str, class: &str, _: &[u8]) {
         if self.keeps_classes.get() {
             self.run_classes.borrow_mut().insert(attempt_id.to_owned(), class.to_owned());
         }
         self.runs.borrow_mut().push(attempt_id.to_owned());
     }
-    fn halt(&self, _: &str) {}
-    fn feed(&self, _: &str, reply: &[u8]) -> bool {
+    fn cancel_run(&self, _: &str) {}
+    fn deliver_reply(&self, _: &str, reply: &[u8]) -> bool {
         self.feeds.borrow_mut().push(reply.to_vec());
         true
     }
-    fn skip(&self, _: &str, _: u64) -> bool {
+    fn skip_call(&self, _: &str, _: u64) -> bool {
         true
     }
-    fn stat(&self, tag: u64) {
+    fn request_gauges(&self, tag: u64) {
         self.asked.set(tag);
     }
 }
 
 impl Store for Seen {
-    fn call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
+    fn start_call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
         self.calls.borrow_mut().push(call);
     }
     fn cancel_call(&self, call: u64) {
@@ -62,7 +62,7 @@
 }
 
 impl OpenSockets for Seen {
-    fn open(&self) -> usize {
+    fn listeners(&self) -> usize {
         0
     }
     fn connections(&self) -> usize {
@@ -91,7 +91,7 @@
     fn answer(&self, correlation_id: u64, reply: &Reply) {
         self.1.answers.borrow_mut().entry((self.0, correlation_id)).or_default().push(reply.clone());
     }
-    fn leave(&self) {}
+    fn go_away(&self) {}
     fn go_away_if_idle(&self, _: f64) {}
 }
 
@@ -225,7 +225,7 @@
             self.now = self.now.max(due);
             self.core.settle(self.now);
             let tag = self.seen.asked.get();
-            self.tell(CoreInput::Gauges(tag, vec![busy, busy * 2.0]));
+            self.tell(CoreInput::Gauges { tag, values: vec![busy, busy * 2.0] });
         }
         self.now = until;
         self.core.settle(until);
@@ -239,13 +239,13 @@
             Step::Pass { ms, busy } => self.pass(f64::from(ms), f64::from(busy) / 100.0),
             Step::End { run, how } => {
                 if let Some(attempt_id) = picked(&self.seen.runs, run) {
-                    self.tell(CoreInput::RunEnded(attempt_id, run_end(how)));
+                    self.tell(CoreInput::RunEnded { attempt_id, result: run_end(how) });
                 }
             }
             Step::Need { run } => {
                 self.notices += 1;
                 if let Some(attempt_id) = picked(&self.seen.runs, run) {
-                    self.tell(CoreInput::CallNeeded(attempt_id, self.notices, vec![1]));
+                    self.tell(CoreInput::CallNeeded { attempt_id, notice: self.notices, body: vec![1] });
                 }
             }
             Step::CallOver { call, how } => {
@@ -256,16 +256,18 @@
                         2 => (Outcome::Rejected, None),
                         _ => (Outcome::Reset, None),
                     };
-                    self.tell(CoreInput::CallEnded(call, outcome, reply));
+                    self.tell(CoreInput::CallEnded { call, outcome, reply });
                 }
             }
             Step::Gone { correlation_id } => {
                 let correlation_id = u64::from(correlation_id) % (self.tickets + 1);
                 for caller in 0..3 {
-                    self.tell(CoreInput::CallerGone(caller, correlation_id));
+                    self.tell(CoreInput::CallerGone { caller, correlation_id });
                 }
             }
-            Step::Closed { caller } => self.tell(CoreInput::ConnectionClosed(u64::from(caller % 3))),
+            Step::Closed { caller } => {
+                self.tell(CoreInput::ConnectionClosed { caller: u64::from(caller % 3) })
+            }
             Step::Leave => {
                 self.core.leave(self.now, self.now);
                 self.core.settle(self.now);
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -84,21 +84,21 @@
     bench.run(&Step::Up);
     bench.arrive(0, 1, 1, 0.0);
     let attempt_id = bench.seen.runs.borrow()[0].clone();
-    bench.tell(CoreInput::CallNeeded(attempt_id.clone(), 1, vec![1]));
+    bench.tell(CoreInput::CallNeeded { attempt_id: attempt_id.clone(), notice: 1, body: vec![1] });
     let first = bench.seen.calls.borrow()[0];
     let now = bench.now;
-    bench.core.take(now, CoreInput::CallNeeded(attempt_id, 2, vec![2]));
+    bench.core.take(now, CoreInput::CallNeeded { attempt_id, notice: 2, body: vec![2] });
     // What `Core::run` does between two tries of one key in one instant.
     bench.core.settle(now);
     let second = bench.seen.calls.borrow()[0];
     assert_ne!(first, second);
-    bench.core.take(now, CoreInput::CallEnded(first, Outcome::Done, Some(vec![9])));
+    bench.core.take(now, CoreInput::CallEnded { call: first, outcome: Outcome::Done, reply: Some(vec![9]) });
     bench.core.settle(now);
     assert_eq!(
         *bench.seen.feeds.borrow(),
         Vec::<Vec<u8>>::new(),
         "the reply to the first is no reply to the second"
     );
-    bench.tell(CoreInput::CallEnded(second, Outcome::Done, Some(vec![7])));
+    bench.tell(CoreInput::CallEnded { call: second, outcome: Outcome::Done, reply: Some(vec![7]) });
     assert_eq!(*bench.seen.feeds.borrow(), [vec![7]]);
 }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -348,14 +348,14 @@
         };
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.correlation_id == correlation_id).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, CoreInput::CallerGone(caller, correlation_id)));
+        self.turn(index, |core, now| core.take(now, CoreInput::CallerGone { caller, correlation_id }));
     }
 
     /// A connection to this process is closed by its caller.
     pub fn close(&mut self, index: usize, caller: u64) {
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.caller == caller).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, CoreInput::ConnectionClosed(caller)));
+        self.turn(index, |core, now| core.take(now, CoreInput::ConnectionClosed { caller }));
     }
 
     /// Caller and ticket of each request without an answer.
@@ -385,7 +385,7 @@
         let run = &mut self.runs[at];
         (run.over, run.never_ran) = (true, end == RunResult::Unknown);
         let (index, attempt_id) = (run.process, run.attempt_id.clone());
-        self.turn(index, |core, now| core.take(now, CoreInput::RunEnded(attempt_id, end)));
+        self.turn(index, |core, now| core.take(now, CoreInput::RunEnded { attempt_id, result: end }));
     }
 
     pub fn set_drained(&mut self, index: usize, drained: bool) {
@@ -498,7 +498,9 @@
             self.turn(index, |_, _| ());
             let tag = self.processes[index].seen.asked.replace(0);
             if tag > 0 && self.processes[index].alive {
-                self.turn(index, |core, now| core.take(now, CoreInput::Gauges(tag, vec![0.1, 0.2])));
+                self.turn(index, |core, now| {
+                    core.take(now, CoreInput::Gauges { tag, values: vec![0.1, 0.2] })
+                });
             }
         }
     }
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -77,7 +77,7 @@
         self.callers.end += 1;
         self.bench.tell(CoreInput::ConnectionOpened(Rc::new(client)));
         if self.callers.end - self.callers.start > 40 {
-            self.bench.tell(CoreInput::ConnectionClosed(self.callers.start));
+            self.bench.tell(CoreInput::ConnectionClosed { caller: self.callers.start });
             self.callers.start += 1;
         }
     }
@@ -85,7 +85,7 @@
     /// The engine ends one of its runs.
     fn end_run(&mut self, pick: usize, how: u8) {
         if let Some(attempt_id) = taken_out(&self.bench.seen.runs, pick) {
-            self.bench.tell(CoreInput::RunEnded(attempt_id, run_end(how)));
+            self.bench.tell(CoreInput::RunEnded { attempt_id, result: run_end(how) });
         }
     }
 
@@ -97,7 +97,7 @@
             1 => (Outcome::Reset, None),
             _ => (Outcome::Done, Some(vec![how])),
         };
-        self.bench.tell(CoreInput::CallEnded(call, outcome, reply));
+        self.bench.tell(CoreInput::CallEnded { call, outcome, reply });
     }
 
     /// A step of the machine: its two cores end one run of 100 ms, after a call or without; calls end.
@@ -129,7 +129,7 @@
                 self.bench.arrive_from(caller, class, format!("k{key}"), body, age);
                 if self.below(12) == 0 {
                     let correlation_id = self.bench.tickets - self.below(8.min(self.bench.tickets));
-                    self.bench.tell(CoreInput::CallerGone(caller, correlation_id));
+                    self.bench.tell(CoreInput::CallerGone { caller, correlation_id });
                 }
                 if self.below(12) == 0 {
                     self.connect();
@@ -142,7 +142,7 @@
             self.bench.run(&Step::Up);
             // The answer to what is asked behind the notices that come again.
             let tag = self.bench.seen.asked.get();
-            self.bench.tell(CoreInput::Gauges(tag, vec![0.5, 1.0]));
+            self.bench.tell(CoreInput::Gauges { tag, values: vec![0.5, 1.0] });
         }
         let facts = std::mem::take(&mut *self.bench.seen.facts.borrow_mut());
         facts.iter().for_each(|fact| self.accounts.note(fact));
@@ -182,7 +182,7 @@
                 }
                 let last = self.callers.end;
                 for caller in std::mem::replace(&mut self.callers, last..last) {
-                    self.bench.tell(CoreInput::ConnectionClosed(caller));
+                    self.bench.tell(CoreInput::ConnectionClosed { caller });
                 }
             }
             self.second(arrivals);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -413,7 +413,10 @@
 }
 
 fn complete(bench: &mut Bench, attempt_id: &str, body: &[u8]) {
-    bench.tell(CoreInput::RunEnded(attempt_id.into(), RunResult::Complete(body.into())));
+    bench.tell(CoreInput::RunEnded {
+        attempt_id: attempt_id.into(),
+        result: RunResult::Complete(body.into()),
+    });
 }
 
 #[test]
@@ -650,13 +653,13 @@
                     let runs = bench.seen.runs.borrow().clone();
                     if let Some(attempt_id) = runs.get(usize::from(*run) % runs.len().max(1)) {
                         let end = if *good { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
-                        bench.tell(CoreInput::RunEnded(attempt_id.clone(), end));
+                        bench.tell(CoreInput::RunEnded { attempt_id: attempt_id.clone(), result: end });
                     }
                 }
                 Step::Gone(correlation_id) => {
                     let correlation_id = u64::from(*correlation_id) % (bench.tickets + 1);
                     gone.insert(correlation_id);
-                    bench.tell(CoreInput::CallerGone(1, correlation_id));
+                    bench.tell(CoreInput::CallerGone { caller: 1, correlation_id });
                 }
             }
             let runs = bench.seen.runs.borrow().clone();
