--- a/src/bin/pinepoint/view.rs
+++ b/src/bin/pinepoint/view.rs
@@ -16,7 +16,7 @@
 #[derive(Subcommand)]
 pub enum Ask {
     /// Print the view once: exit status 0 if it is settled, 3 if not, 1 if nobody answers
-    AdmissionSnapshot {
+    View {
         /// The fleet address of any member
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
@@ -46,7 +46,7 @@
 
 pub fn run(question: &Ask) -> ExitCode {
     match question {
-        Ask::AdmissionSnapshot { at, fleet, json } => match query_view(fleet, *at, TRIES, WAIT) {
+        Ask::View { at, fleet, json } => match query_view(fleet, *at, TRIES, WAIT) {
             Ok(view) => {
                 println!("{}", if *json { view.to_string() } else { table(&view) });
                 if view["settled"] == true { ExitCode::SUCCESS } else { ExitCode::from(UNSETTLED) }
