--- /dev/null
+++ b/crates/pinepoint-store/tests/format.rs
@@ -0,0 +1,150 @@
+//! The on-disk format, version 1: segment files that an earlier build of the program wrote (`tests/fixtures/v1`) are opened
+//! with exactly the entries that were written, and the same writes still give the same bytes.
+
+mod drive;
+mod sim;
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use drive::Open;
+use pinepoint_store::log::Change;
+use pinepoint_store::store::{Action, Durability};
+use sim::{Disk, NOW, World, small};
+
+fn fixture_directory() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/v1")
+}
+
+/// The fixture's segment files: bytes by file name.
+fn fixture_files() -> BTreeMap<String, Vec<u8>> {
+    let directory = std::fs::read_dir(fixture_directory()).expect("the fixture is there");
+    let files = directory.map(|entry| {
+        let path = entry.expect("an entry").path();
+        let name = path.file_name().expect("a name").to_str().expect("in ASCII").to_owned();
+        (name, std::fs::read(path).expect("a file"))
+    });
+    files.collect()
+}
+
+fn change(table: &str, key: &str, value: Option<&[u8]>, end_ms: f64) -> Change {
+    Change { table: table.into(), key: key.as_bytes().to_vec(), value: value.map(<[u8]>::to_vec), end_ms }
+}
+
+/// What the fixture was written from: batches of changes in two tables, with overwritten, removed and expiring entries.
+fn batches() -> Vec<Vec<Change>> {
+    let later = NOW + 1e9;
+    let filler = |n: u8| change("a", &format!("filler-{}", n % 9), Some(&[n; 300]), later);
+    let mut batches = vec![
+        vec![change("a", "stays", Some(b"first"), later), change("b", "stays", Some(b"other table"), later)],
+        vec![change("a", "removed", Some(b"x"), later), change("a", "empty", Some(b""), later)],
+        vec![
+            change("b", "overwritten", Some(b"old"), later),
+            change("b", "expired", Some(b"y"), NOW + 1000.0),
+        ],
+        vec![change("a", "removed", None, later)],
+        vec![],
+    ];
+    batches.extend((0..12).map(|n| vec![filler(n)]));
+    batches
+        .push(vec![change("b", "overwritten", Some(b"new"), later), change("b", "", Some(&[0, 255]), later)]);
+    batches.push(vec![change("a", "stays", Some(b"second"), later)]);
+    batches
+}
+
+/// Entries by table and key at a time when one of them has expired.
+fn expected() -> Vec<(&'static str, &'static [u8], Vec<u8>)> {
+    vec![
+        ("a", b"empty", Vec::new()),
+        ("a", b"filler-0", vec![9; 300]),
+        ("a", b"filler-1", vec![10; 300]),
+        ("a", b"filler-2", vec![11; 300]),
+        ("a", b"filler-3", vec![3; 300]),
+        ("a", b"filler-4", vec![4; 300]),
+        ("a", b"filler-5", vec![5; 300]),
+        ("a", b"filler-6", vec![6; 300]),
+        ("a", b"filler-7", vec![7; 300]),
+        ("a", b"filler-8", vec![8; 300]),
+        ("a", b"stays", b"second".to_vec()),
+        ("b", b"", vec![0, 255]),
+        ("b", b"overwritten", b"new".to_vec()),
+        ("b", b"stays", b"other table".to_vec()),
+    ]
+}
+
+/// A copy of the fixture to open, removed at the end.
+struct FixtureCopy(PathBuf);
+
+impl FixtureCopy {
+    fn new(name: &str) -> FixtureCopy {
+        let directory = std::env::temp_dir().join(format!("pinepoint-store-{}-{name}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
+        std::fs::create_dir_all(&directory).expect("a directory");
+        for (name, bytes) in fixture_files() {
+            std::fs::write(directory.join(name), bytes).expect("copied");
+        }
+        FixtureCopy(directory)
+    }
+
+    fn open(&self, now: f64) -> Open {
+        let open = Open::new(&self.0, small(), now);
+        assert_eq!(open.told, [Action::Opened]);
+        open
+    }
+}
+
+impl Drop for FixtureCopy {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Table, key and value of all entries that have not expired.
+fn entries(open: &Open, now: f64) -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
+    let mut found = Vec::new();
+    for table in ["a", "b"] {
+        let entries = open.store.entries(now, table);
+        found.extend(entries.map(|(key, value)| (table, key.to_vec(), value.to_vec())));
+    }
+    found
+}
+
+#[test]
+fn segment_files_of_an_earlier_build_are_opened_with_exactly_what_was_written() {
+    let mut expected: Vec<_> =
+        expected().into_iter().map(|(table, key, value)| (table, key.to_vec(), value)).collect();
+    let copy = FixtureCopy::new("format-after");
+    assert_eq!(entries(&copy.open(NOW + 2000.0), NOW + 2000.0), expected);
+    let copy = FixtureCopy::new("format-before");
+    let mut open = copy.open(NOW);
+    expected.push(("b", b"expired".to_vec(), b"y".to_vec()));
+    expected.sort();
+    assert_eq!(entries(&open, NOW), expected);
+    // New batches go behind what is there, and both are found again.
+    open.put(std::iter::once((1, change("b", "new", Some(b"z"), NOW + 1e9))));
+    assert_eq!(open.told, [Action::Opened, Action::Answer(1, Ok(()))]);
+    drop(open);
+    expected.push(("b", b"new".to_vec(), b"z".to_vec()));
+    expected.sort();
+    assert_eq!(entries(&copy.open(NOW), NOW), expected);
+}
+
+#[test]
+fn the_same_writes_give_the_same_bytes_as_an_earlier_build() {
+    let mut world = World::open(small(), Disk::default(), 1);
+    world.run();
+    for changes in batches() {
+        let ticket = world.write(changes, Durability::Durable);
+        world.run();
+        assert_eq!(world.answers[&ticket], Ok(()));
+    }
+    let written: BTreeMap<String, Vec<u8>> = world
+        .disk
+        .files
+        .iter()
+        .map(|(number, file)| (format!("{number:016x}.log"), file.bytes.clone()))
+        .collect();
+    let fixture = fixture_files();
+    assert!(fixture.len() > 1, "several segments");
+    assert!(written == fixture, "the bytes differ from those of format version 1");
+}
