--- a/crates/pinepoint-idempotency/src/ledger.rs
+++ b/crates/pinepoint-idempotency/src/ledger.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use pinepoint_events::reason_codes;
-use pinepoint_store::log::Change;
+use pinepoint_store::format::Change;
 use serde::{Deserialize, Serialize};
 
 use crate::time::Gap;
@@ -320,7 +320,7 @@
 
     fn change(key: &Key, kept: Option<&Kept>) -> Change {
         let value = kept.map(|kept| postcard::to_allocvec(kept).unwrap_or_default());
-        Change { table: TABLE.into(), key: key.clone(), value, end_ms: NEVER_MS }
+        Change { table: TABLE.into(), key: key.clone(), value, expires_at_ms: NEVER_MS }
     }
 
     fn write(&mut self, key: &Key, kept: &Kept, out: &mut Vec<Action>) -> u64 {
--- a/crates/pinepoint-idempotency/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -8,7 +8,7 @@
 
 use pinepoint_idempotency::ledger::{Action, End, Event, Fault, Key, Ledger, Rules, Try};
 use pinepoint_idempotency::time::Gap;
-use pinepoint_store::log::Change;
+use pinepoint_store::format::Change;
 
 const WINDOW: f64 = 1000.0;
 const AFTERLIFE: f64 = 500.0;
@@ -202,8 +202,12 @@
         self.ledger = ledger;
         if !matches!(gap, Gap::Known(_)) {
             self.old_mark = true;
-            let mark =
-                Change { table: "mark".into(), key: Vec::new(), value: Some(Vec::new()), end_ms: f64::MAX };
+            let mark = Change {
+                table: "mark".into(),
+                key: Vec::new(),
+                value: Some(Vec::new()),
+                expires_at_ms: f64::MAX,
+            };
             opened.anew.push(mark);
             self.writes.push((None, opened.anew));
         }
--- a/crates/pinepoint-store/benches/measure.rs
+++ b/crates/pinepoint-store/benches/measure.rs
@@ -9,9 +9,9 @@
 
 use clap::{Parser, ValueEnum};
 use drive::Open;
-use pinepoint_store::files::{Files, OpenError};
-use pinepoint_store::log::Change;
-use pinepoint_store::store::Rules;
+use pinepoint_store::directory::{OpenError, SegmentDirectory};
+use pinepoint_store::format::Change;
+use pinepoint_store::store::Options;
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum What {
@@ -40,15 +40,15 @@
 
 const NOW: f64 = 1e12;
 
-fn rules() -> Rules {
-    Rules { segment_bytes: 4 << 20, disk_bytes: 4 << 30, memory_bytes: 2 << 30, ..Rules::default() }
+fn rules() -> Options {
+    Options { segment_bytes: 4 << 20, disk_bytes: 4 << 30, memory_bytes: 2 << 30, ..Options::default() }
 }
 
 /// Writes the entries of these numbers, all of which wait at once.
 fn put(open: &mut Open, numbers: std::ops::Range<u64>) {
     open.put(numbers.map(|n| {
         let (key, value) = (n.to_be_bytes().to_vec(), Some(vec![n as u8; 64]));
-        (n, Change { table: "ledger".into(), key, value, end_ms: NOW + 1e9 })
+        (n, Change { table: "ledger".into(), key, value, expires_at_ms: NOW + 1e9 })
     }));
 }
 
@@ -96,7 +96,7 @@
         let mut took = Vec::new();
         for _ in 0..cli.turns {
             // The lock first: it is given up a moment after.
-            while matches!(Files::open(&dir).map(drop), Err(OpenError::InUse(_))) {
+            while matches!(SegmentDirectory::open(&dir).map(drop), Err(OpenError::InUse(_))) {
                 std::thread::yield_now();
             }
             let began = Instant::now();
--- a/crates/pinepoint-store/src/disk.rs
+++ b/crates/pinepoint-store/src/disk.rs
@@ -1,52 +1,44 @@
-//! What the store asks of a disk, one request after the other: narrow enough that a simulated one can fail in every way that
-//! a real one does. It owns the words; it must never do I/O.
+//! The requests that the store makes of a disk, and the responses: plain data, no I/O.
+//!
+//! The set is small, so that the tests can put a simulated disk in its place and fail every kind of request.
 
-use std::fmt;
+use thiserror::Error;
 
-/// A request. Segments go by their numbers.
+/// A request to the disk. Segments are named by their numbers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Request {
-    /// The numbers of the segments that are there.
+pub enum DiskRequest {
+    /// List the numbers of all segments, in any order. Response: [`DiskResponse::Segments`].
     List,
-    /// All bytes of one.
+    /// Read all bytes of a segment. Response: [`DiskResponse::Contents`].
     Read(u64),
-    /// Make it anew with these bytes, empty before, and sync it and the directory.
+    /// Create a segment with these bytes, replacing any contents, and sync both the file and the directory.
     Create(u64, Vec<u8>),
-    /// Add these bytes at the offset, which is its end.
+    /// Write the bytes to a segment at this byte offset, which is the end of what was written successfully.
     Append(u64, u64, Vec<u8>),
-    /// What was added so far survives a power cut.
+    /// Sync a segment: all appends so far survive a power loss.
     Sync(u64),
-    /// It goes, and that survives a power cut.
+    /// Remove a segment and sync the directory.
     Remove(u64),
 }
 
-/// An answer.
+/// The response to a request that succeeded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
-    /// To a list.
-    Listed(Vec<u64>),
-    /// To a read.
-    Bytes(Vec<u8>),
-    /// To all others.
-    Well,
+pub enum DiskResponse {
+    /// To [`DiskRequest::List`].
+    Segments(Vec<u64>),
+    /// To [`DiskRequest::Read`].
+    Contents(Vec<u8>),
+    /// To all other requests.
+    Done,
 }
 
-/// Why a request failed. What it was to do may have happened, in part or whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request failed. Its effect may have happened in part, in full or not at all.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DiskError {
-    /// There is no room left.
+    /// No space, quota or file size left.
+    #[error("the disk is full")]
     Full,
-    /// Anything else.
+    /// Any other I/O error.
+    #[error("the disk failed")]
     Failed,
 }
-
-impl fmt::Display for DiskError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            DiskError::Full => "the disk is full",
-            DiskError::Failed => "the disk failed",
-        })
-    }
-}
-
-impl std::error::Error for DiskError {}
--- a/crates/pinepoint-store/src/lib.rs
+++ b/crates/pinepoint-store/src/lib.rs
@@ -1,34 +1,38 @@
-//! What a comparer keeps over a power cut: named tables of keys and values that are over at some time, in a segmented log.
+//! A small embedded store: named tables of keys and values with expiry times, kept in memory and in a segmented write-ahead
+//! log.
 //!
-//! What holds:
-//! - A batch is there whole or not at all; the batches that are there after a crash are those up to some moment.
-//! - A batch that was answered as durable is among them; one answered as written is, unless the power went.
-//! - What had been synced and is not as it was is not believed: the store says where, and is not opened.
-//! - After a sync that failed nothing that had not been synced before is believed, and nothing is written any more.
-//! - Memory and disk are bounded; what would go beyond is refused before anything of it happened.
+//! Guarantees:
+//! - Batches are atomic. After a crash the tables are as they were after some batch, with all batches before it applied.
+//! - A batch that was acknowledged as [durable](store::Durability::Durable) survives a power loss; one acknowledged as
+//!   [written](store::Durability::Written) survives the end of the process.
+//! - Corruption of data that had been synced is detected and located, and the store is then not opened.
+//! - After a failed sync all changes since the last successful sync are rolled back, and nothing is written any more.
+//! - Memory and disk use are bounded; a batch that would exceed a bound is rejected without any effect.
 //!
-//! What is not promised: that damage to the last group of batches is told from a crash while it was written; that a disk which
-//! says that it synced did.
+//! Not guaranteed: corruption of the last batches in the last segment cannot be told from a crash during their write, and a
+//! disk that reports a sync that it did not do is trusted.
 //!
-//! [`store`] decides, on [`log`], the form on disk; [`disk`] is what it asks for, and [`files`] a directory that answers. Decisions do no I/O and read no clock.
+//! Modules: [`store`] is a state machine without I/O or a clock (events and the time go in, actions come out); [`format`] is the
+//! on-disk format; [`disk`] defines the requests that the store makes of a disk, and [`directory`] serves them from a directory
+//! of files.
 //!
 //! ```
-//! use pinepoint_store::disk::{Done, Request};
-//! use pinepoint_store::store::{Action, Event, Rules, Store};
+//! use pinepoint_store::disk::{DiskResponse, DiskRequest};
+//! use pinepoint_store::store::{Action, Event, Options, Store};
 //!
 //! let mut out = Vec::new();
-//! let mut store = Store::open(Rules::default(), 0.0, &mut out);
-//! assert_eq!(out, [Action::Disk(Request::List)]);
+//! let mut store = Store::open(Options::default(), 0.0, &mut out);
+//! assert_eq!(out, [Action::Disk(DiskRequest::List)]);
 //! out.clear();
-//! store.handle(0.0, Event::Disk(Ok(Done::Listed(Vec::new()))), &mut out);
-//! assert!(matches!(out[0], Action::Disk(Request::Create(1, _))));
-//! store.handle(0.0, Event::Disk(Ok(Done::Well)), &mut out);
+//! store.handle(0.0, Event::DiskCompleted(Ok(DiskResponse::Segments(Vec::new()))), &mut out);
+//! assert!(matches!(out[0], Action::Disk(DiskRequest::Create(1, _))));
+//! store.handle(0.0, Event::DiskCompleted(Ok(DiskResponse::Done)), &mut out);
 //! assert_eq!(out.last(), Some(&Action::Opened));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
+pub mod directory;
 pub mod disk;
-pub mod files;
-pub mod log;
+pub mod format;
 pub mod store;
--- a/crates/pinepoint-store/src/store.rs
+++ b/crates/pinepoint-store/src/store.rs
@@ -6,19 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-use crate::disk::{DiskError, Done, Request};
-use crate::log::{self, Change, Damage, Head, HeadError, Spot};
+use crate::disk::{DiskError, DiskRequest, DiskResponse};
+use crate::format::{self, Change, Corruption, LogPosition, SegmentHeader, SegmentHeaderError};
 
 /// What one entry takes in memory beside its key and value, about.
 const ENTRY_BYTES: usize = 160;
 /// Bytes that are moved on at once while nothing else waits.
-const MOVED_AT_ONCE: usize = 64 * 1024;
+const MAX_COMPACTION_BATCH_BYTES: usize = 64 * 1024;
 /// A segment of which less than this part still lives is moved on.
-const WORTH_KEEPING: f64 = 0.5;
+const MIN_LIVE_FRACTION: f64 = 0.5;
 
 /// Bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct Options {
     /// Bytes after which a segment is full.
     pub segment_bytes: u64,
     /// Bytes on disk at most. One segment of them is kept for moving entries on.
@@ -26,12 +26,17 @@
     /// Bytes in memory at most: entries and what waits.
     pub memory_bytes: usize,
     /// Lazy batches wait so long for others to go with, ms.
-    pub lazy_ms: f64,
+    pub max_lazy_delay_ms: f64,
 }
 
-impl Default for Rules {
+impl Default for Options {
     fn default() -> Self {
-        Rules { segment_bytes: 4 << 20, disk_bytes: 64 << 20, memory_bytes: 8 << 20, lazy_ms: 500.0 }
+        Options {
+            segment_bytes: 4 << 20,
+            disk_bytes: 64 << 20,
+            memory_bytes: 8 << 20,
+            max_lazy_delay_ms: 500.0,
+        }
     }
 }
 
@@ -54,71 +59,73 @@
     /// A batch: all of it or nothing. The ticket names it in the answer.
     Write(u64, Vec<Change>, Durability),
     /// What the disk answered to the last request.
-    Disk(Result<Done, DiskError>),
+    DiskCompleted(Result<DiskResponse, DiskError>),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Ask the disk; the next request comes only after its answer went in.
-    Disk(Request),
+    Disk(DiskRequest),
     /// The batch of this ticket has ended so.
-    Answer(u64, Result<(), WriteError>),
+    Complete(u64, Result<(), WriteError>),
     /// The store is open.
     Opened,
     /// From now on nothing is written.
-    Shut(Reason),
+    Closed(CloseReason),
 }
 
 /// Why nothing is written any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum CloseReason {
     /// A file could not be read, made, written or removed.
     Disk(DiskError),
     /// A sync failed: what had not been synced before is not believed.
     SyncFailed,
     /// What had been synced is not as it was.
-    Damaged(Damage),
+    Corrupt(Corruption),
     /// A segment between others is missing.
-    Missing(u64),
+    MissingSegment(u64),
     /// Written by a later version of the program.
-    Newer(u16),
+    NewerFormat(u16),
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Disk(error) => write!(f, "{error}"),
-            Reason::SyncFailed => f.write_str("a sync failed; open the store anew once the disk is sound"),
-            Reason::Damaged(damage) => write!(f, "{damage}; nothing behind that is believed"),
-            Reason::Missing(number) => write!(f, "segment {number} is missing"),
-            Reason::Newer(version) => write!(f, "written in form {version} by a later program"),
+            CloseReason::Disk(error) => write!(f, "{error}"),
+            CloseReason::SyncFailed => {
+                f.write_str("a sync failed; open the store anew once the disk is sound")
+            }
+            CloseReason::Corrupt(damage) => write!(f, "{damage}; nothing behind that is believed"),
+            CloseReason::MissingSegment(number) => write!(f, "segment {number} is missing"),
+            CloseReason::NewerFormat(version) => write!(f, "written in form {version} by a later program"),
         }
     }
 }
 
 /// Why a batch was not written. Nothing of it has happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// No room in memory.
-    Memory,
+    MemoryFull,
     /// No room in the part of the disk that the store may use.
-    Disk,
+    DiskFull,
     /// Larger than any batch may be.
     TooLarge,
     /// It is not open yet.
     NotOpen,
     /// Nothing is written any more.
-    Shut(Reason),
+    Closed(CloseReason),
 }
 
 /// How a batch failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteError {
     /// Nothing of it has happened.
-    Refused(Refusal),
+    Rejected(RejectReason),
     /// It is not in the store now, and may be there once it is opened anew.
-    Unknown(Reason),
+    OutcomeUnknown(CloseReason),
 }
 
 type Key = (String, Vec<u8>);
@@ -126,7 +133,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     value: Vec<u8>,
-    end_ms: f64,
+    expires_at_ms: f64,
     segment: u64,
 }
 
@@ -137,7 +144,7 @@
     live_bytes: u64,
 }
 
-struct Waiting {
+struct PendingWrite {
     ticket: Option<u64>,
     changes: Vec<Change>,
     durability: Durability,
@@ -145,44 +152,44 @@
 }
 
 /// What the disk was asked for.
-enum Asked {
+enum PendingRequest {
     List,
     Read(u64),
     /// The first segment of this life, or a further one.
-    Create(Head),
+    Create(SegmentHeader),
     Append {
         bytes: u64,
         chain: u64,
-        group: Vec<Waiting>,
+        group: Vec<PendingWrite>,
         undo_from: usize,
     },
     Sync {
-        group: Vec<Waiting>,
-        then: Then,
+        group: Vec<PendingWrite>,
+        then: AfterSync,
     },
     Remove(u64),
 }
 
 /// What follows a sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Then {
+enum AfterSync {
     Nothing,
-    Roll,
-    Drop,
+    RollSegment,
+    DropOldestSegment,
 }
 
 enum Phase {
-    Opening { left: VecDeque<u64>, last: Option<(Head, Vec<u8>)>, highest: u64 },
-    Ready,
-    Shut(Reason),
+    Recovering { left: VecDeque<u64>, last: Option<(SegmentHeader, Vec<u8>)>, highest: u64 },
+    Open,
+    Closed(CloseReason),
 }
 
 /// The store.
 pub struct Store {
-    rules: Rules,
-    over_before_ms: f64,
+    rules: Options,
+    expired_before_ms: f64,
     phase: Phase,
-    asked: Option<Asked>,
+    asked: Option<PendingRequest>,
     index: BTreeMap<Key, Entry>,
     ends: BTreeSet<(u64, Key)>,
     segments: BTreeMap<u64, Segment>,
@@ -191,13 +198,13 @@
     bytes: u64,
     synced: u64,
     chain: u64,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<PendingWrite>,
     queued_bytes: usize,
     memory: usize,
     /// How to take back what was done since the last sync.
     undo: Vec<(Key, Option<Entry>)>,
     /// The end of the current segment holds what a failed write left.
-    is_torn: bool,
+    has_torn_tail: bool,
 }
 
 fn size(changes: &[Change]) -> usize {
@@ -212,13 +219,13 @@
 
 impl Store {
     /// Begins to open the store. What is over before this time is surely over, whatever the clock did: it is passed over.
-    pub fn open(rules: Rules, over_before_ms: f64, out: &mut Vec<Action>) -> Store {
-        out.push(Action::Disk(Request::List));
+    pub fn open(rules: Options, expired_before_ms: f64, out: &mut Vec<Action>) -> Store {
+        out.push(Action::Disk(DiskRequest::List));
         Store {
             rules,
-            over_before_ms,
-            phase: Phase::Opening { left: VecDeque::new(), last: None, highest: 0 },
-            asked: Some(Asked::List),
+            expired_before_ms,
+            phase: Phase::Recovering { left: VecDeque::new(), last: None, highest: 0 },
+            asked: Some(PendingRequest::List),
             index: BTreeMap::new(),
             ends: BTreeSet::new(),
             segments: BTreeMap::new(),
@@ -230,27 +237,27 @@
             queued_bytes: 0,
             memory: 0,
             undo: Vec::new(),
-            is_torn: false,
+            has_torn_tail: false,
         }
     }
 
     /// The value of an entry that is not over.
     pub fn get(&self, now: f64, table: &str, key: &[u8]) -> Option<&[u8]> {
         let entry = self.index.get(&(table.to_owned(), key.to_vec()))?;
-        (entry.end_ms > now).then_some(entry.value.as_slice())
+        (entry.expires_at_ms > now).then_some(entry.value.as_slice())
     }
 
     /// All entries of a table that are not over, by key.
     pub fn entries(&self, now: f64, table: &str) -> impl Iterator<Item = (&[u8], &[u8])> {
         let from = (table.to_owned(), Vec::new());
         let all = self.index.range(from..).take_while(move |(key, _)| key.0 == table);
-        let all = all.filter(move |(_, entry)| entry.end_ms > now);
+        let all = all.filter(move |(_, entry)| entry.expires_at_ms > now);
         all.map(|(key, entry)| (key.1.as_slice(), entry.value.as_slice()))
     }
 
     /// Whether it is open for writing, and why not.
-    pub fn shut(&self) -> Option<Reason> {
-        if let Phase::Shut(reason) = self.phase { Some(reason) } else { None }
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        if let Phase::Closed(reason) = self.phase { Some(reason) } else { None }
     }
 
     /// Bytes on disk, and in memory.
@@ -263,9 +270,9 @@
         match event {
             Event::Tick => {}
             Event::Write(ticket, changes, durability) => self.write(now, ticket, changes, durability, out),
-            Event::Disk(answer) => self.answered(answer, out),
+            Event::DiskCompleted(answer) => self.answered(answer, out),
         }
-        if matches!(self.phase, Phase::Ready) {
+        if matches!(self.phase, Phase::Open) {
             self.expire(now);
             self.next(now, out);
         }
@@ -282,32 +289,32 @@
         out: &mut Vec<Action>,
     ) {
         let bytes = size(&changes);
-        let on_disk = self.bytes().0 + (self.queued_bytes + bytes + log::FRAME) as u64;
+        let on_disk = self.bytes().0 + (self.queued_bytes + bytes + format::RECORD_HEADER_BYTES) as u64;
         let refusal = match self.phase {
-            Phase::Shut(reason) => Some(Refusal::Shut(reason)),
-            Phase::Opening { .. } => Some(Refusal::NotOpen),
-            Phase::Ready if bytes > log::PAYLOAD_MOST.min(self.rules.segment_bytes as usize / 2) => {
-                Some(Refusal::TooLarge)
+            Phase::Closed(reason) => Some(RejectReason::Closed(reason)),
+            Phase::Recovering { .. } => Some(RejectReason::NotOpen),
+            Phase::Open if bytes > format::MAX_PAYLOAD_BYTES.min(self.rules.segment_bytes as usize / 2) => {
+                Some(RejectReason::TooLarge)
             }
-            Phase::Ready if self.memory + self.queued_bytes + bytes > self.rules.memory_bytes => {
-                Some(Refusal::Memory)
+            Phase::Open if self.memory + self.queued_bytes + bytes > self.rules.memory_bytes => {
+                Some(RejectReason::MemoryFull)
             }
-            Phase::Ready if on_disk > self.rules.disk_bytes.saturating_sub(self.rules.segment_bytes) => {
-                Some(Refusal::Disk)
+            Phase::Open if on_disk > self.rules.disk_bytes.saturating_sub(self.rules.segment_bytes) => {
+                Some(RejectReason::DiskFull)
             }
-            Phase::Ready => None,
+            Phase::Open => None,
         };
         if let Some(refusal) = refusal {
-            out.push(Action::Answer(ticket, Err(WriteError::Refused(refusal))));
+            out.push(Action::Complete(ticket, Err(WriteError::Rejected(refusal))));
             return;
         }
         let lazy = durability == Durability::Lazy;
         if lazy {
-            out.push(Action::Answer(ticket, Ok(())));
+            out.push(Action::Complete(ticket, Ok(())));
         }
         self.queued_bytes += bytes;
         let ticket = (!lazy).then_some(ticket);
-        self.queue.push_back(Waiting { ticket, changes, durability, since_ms: now });
+        self.queue.push_back(PendingWrite { ticket, changes, durability, since_ms: now });
     }
 
     // ---- the tables ----
@@ -316,7 +323,7 @@
         let old = self.index.remove(&key);
         if let Some(old) = &old {
             self.memory -= key.0.len() + key.1.len() + old.value.len() + ENTRY_BYTES;
-            self.ends.remove(&(old.end_ms.to_bits(), key.clone()));
+            self.ends.remove(&(old.expires_at_ms.to_bits(), key.clone()));
             if let Some(segment) = self.segments.get_mut(&old.segment)
                 && segment.live.remove(&key)
             {
@@ -325,7 +332,7 @@
         }
         if let Some(entry) = entry {
             self.memory += key.0.len() + key.1.len() + entry.value.len() + ENTRY_BYTES;
-            self.ends.insert((entry.end_ms.to_bits(), key.clone()));
+            self.ends.insert((entry.expires_at_ms.to_bits(), key.clone()));
             if let Some(segment) = self.segments.get_mut(&entry.segment) {
                 segment.live.insert(key.clone());
                 segment.live_bytes += entry_bytes(&key, &entry.value);
@@ -339,13 +346,13 @@
     fn change(&mut self, change: &Change, number: u64) -> (Key, Option<Entry>) {
         let key = (change.table.clone(), change.key.clone());
         // Ends order by their bits, which those of positive numbers do.
-        let end_ms = change.end_ms.max(0.0);
-        let entry = change.value.clone().map(|value| Entry { value, end_ms, segment: number });
+        let expires_at_ms = change.expires_at_ms.max(0.0);
+        let entry = change.value.clone().map(|value| Entry { value, expires_at_ms, segment: number });
         let old = self.put(key.clone(), entry);
         (key, old)
     }
 
-    fn take_back(&mut self, from: usize) {
+    fn roll_back(&mut self, from: usize) {
         for (key, old) in self.undo.split_off(from).into_iter().rev() {
             // Where it stood may be gone by now: then it is over.
             let old = old.filter(|old| self.segments.contains_key(&old.segment));
@@ -363,7 +370,7 @@
 
     // ---- what comes next ----
 
-    fn ask(&mut self, request: Request, asked: Asked, out: &mut Vec<Action>) {
+    fn ask(&mut self, request: DiskRequest, asked: PendingRequest, out: &mut Vec<Action>) {
         self.asked = Some(asked);
         out.push(Action::Disk(request));
     }
@@ -372,65 +379,67 @@
         if self.asked.is_some() {
             return;
         }
-        let hurry = |w: &Waiting| w.durability != Durability::Lazy || now - w.since_ms >= self.rules.lazy_ms;
+        let hurry = |w: &PendingWrite| {
+            w.durability != Durability::Lazy || now - w.since_ms >= self.rules.max_lazy_delay_ms
+        };
         let due = self.queue.iter().any(hurry) || self.queued_bytes as u64 > self.rules.segment_bytes / 4;
         let is_full = self.bytes >= self.rules.segment_bytes;
-        if self.is_torn || (is_full && self.bytes > log::HEAD as u64) {
-            return self.sync(Vec::new(), Then::Roll, out);
+        if self.has_torn_tail || (is_full && self.bytes > format::SEGMENT_HEADER_BYTES as u64) {
+            return self.sync(Vec::new(), AfterSync::RollSegment, out);
         }
         if due {
-            let group: Vec<Waiting> = self.queue.drain(..).collect();
+            let group: Vec<PendingWrite> = self.queue.drain(..).collect();
             self.queued_bytes = 0;
             return self.append(group, out);
         }
-        self.tidy(now, out);
+        self.compact(now, out);
     }
 
-    fn append(&mut self, group: Vec<Waiting>, out: &mut Vec<Action>) {
+    fn append(&mut self, group: Vec<PendingWrite>, out: &mut Vec<Action>) {
         let (mut bytes, mut chain) = (Vec::new(), self.chain);
         let undo_from = self.undo.len();
         let mut kept = Vec::new();
         for waiting in group {
-            let spot = Spot {
+            let spot = LogPosition {
                 segment: self.current,
                 offset: self.bytes + bytes.len() as u64,
-                chain,
-                synced: self.synced,
+                chain_hash: chain,
+                synced_bytes: self.synced,
             };
-            let Ok((record, behind)) = log::encode(&waiting.changes, spot) else {
-                let refused = WriteError::Refused(Refusal::TooLarge);
-                out.extend(waiting.ticket.map(|ticket| Action::Answer(ticket, Err(refused))));
+            let Ok(record) = format::encode_record(&waiting.changes, spot) else {
+                let refused = WriteError::Rejected(RejectReason::TooLarge);
+                out.extend(waiting.ticket.map(|ticket| Action::Complete(ticket, Err(refused))));
                 continue;
             };
-            bytes.extend_from_slice(&record);
-            chain = behind;
+            bytes.extend_from_slice(&record.bytes);
+            chain = record.chain_hash;
             for change in &waiting.changes {
                 let back = self.change(change, self.current);
                 self.undo.push(back);
             }
             kept.push(waiting);
         }
-        let asked = Asked::Append { bytes: bytes.len() as u64, chain, group: kept, undo_from };
-        self.ask(Request::Append(self.current, self.bytes, bytes), asked, out);
+        let asked = PendingRequest::Append { bytes: bytes.len() as u64, chain, group: kept, undo_from };
+        self.ask(DiskRequest::Append(self.current, self.bytes, bytes), asked, out);
     }
 
-    fn sync(&mut self, group: Vec<Waiting>, then: Then, out: &mut Vec<Action>) {
-        self.ask(Request::Sync(self.current), Asked::Sync { group, then }, out);
+    fn sync(&mut self, group: Vec<PendingWrite>, then: AfterSync, out: &mut Vec<Action>) {
+        self.ask(DiskRequest::Sync(self.current), PendingRequest::Sync { group, then }, out);
     }
 
     /// Drops the oldest segment if nothing in it lives, or moves what lives in it on, a little at a time.
-    fn tidy(&mut self, now: f64, out: &mut Vec<Action>) {
+    fn compact(&mut self, now: f64, out: &mut Vec<Action>) {
         let Some((&oldest, segment)) = self.segments.first_key_value() else { return };
         if oldest == self.current {
             return;
         }
         if segment.live.is_empty() {
             // What was moved on has to be safe first.
-            return self.sync(Vec::new(), Then::Drop, out);
+            return self.sync(Vec::new(), AfterSync::DropOldestSegment, out);
         }
         let crowded = self.bytes().0 > self.rules.disk_bytes / 2;
         let worth = segment.live_bytes as f64 / segment.bytes.max(1) as f64;
-        if !crowded && worth >= WORTH_KEEPING {
+        if !crowded && worth >= MIN_LIVE_FRACTION {
             return;
         }
         let (mut changes, mut moved) = (Vec::new(), 0);
@@ -438,103 +447,106 @@
             let Some(entry) = self.index.get(key) else { continue };
             moved += entry.value.len() + key.1.len();
             let (table, value) = (key.0.clone(), Some(entry.value.clone()));
-            changes.push(Change { table, key: key.1.clone(), value, end_ms: entry.end_ms });
-            if moved >= MOVED_AT_ONCE {
+            changes.push(Change { table, key: key.1.clone(), value, expires_at_ms: entry.expires_at_ms });
+            if moved >= MAX_COMPACTION_BATCH_BYTES {
                 break;
             }
         }
-        let lazy = Waiting { ticket: None, changes, durability: Durability::Lazy, since_ms: now };
+        let lazy = PendingWrite { ticket: None, changes, durability: Durability::Lazy, since_ms: now };
         self.append(vec![lazy], out);
     }
 
     // ---- answers of the disk ----
 
-    fn answered(&mut self, answer: Result<Done, DiskError>, out: &mut Vec<Action>) {
+    fn answered(&mut self, answer: Result<DiskResponse, DiskError>, out: &mut Vec<Action>) {
         let Some(asked) = self.asked.take() else { return };
         match (asked, answer) {
-            (Asked::List, Ok(Done::Listed(mut numbers))) => {
+            (PendingRequest::List, Ok(DiskResponse::Segments(mut numbers))) => {
                 numbers.sort_unstable();
                 let highest = numbers.last().copied().unwrap_or(0);
-                self.phase = Phase::Opening { left: numbers.into(), last: None, highest };
+                self.phase = Phase::Recovering { left: numbers.into(), last: None, highest };
                 self.read_next(out);
             }
-            (Asked::Read(number), Ok(Done::Bytes(bytes))) => self.opened_one(number, bytes, out),
-            (Asked::Create(head), Ok(_)) => self.begin(head, out),
-            (Asked::Append { bytes, chain, group, .. }, Ok(_)) => {
+            (PendingRequest::Read(number), Ok(DiskResponse::Contents(bytes))) => {
+                self.segment_read(number, bytes, out)
+            }
+            (PendingRequest::Create(head), Ok(_)) => self.begin(head, out),
+            (PendingRequest::Append { bytes, chain, group, .. }, Ok(_)) => {
                 self.bytes += bytes;
                 self.chain = chain;
                 if let Some(segment) = self.segments.get_mut(&self.current) {
                     segment.bytes = self.bytes;
                 }
-                let written = |w: &Waiting| w.durability == Durability::Written;
-                let (written, durable): (Vec<Waiting>, Vec<Waiting>) =
+                let written = |w: &PendingWrite| w.durability == Durability::Written;
+                let (written, durable): (Vec<PendingWrite>, Vec<PendingWrite>) =
                     group.into_iter().filter(|w| w.ticket.is_some()).partition(written);
                 let done = written.into_iter().filter_map(|w| w.ticket);
-                out.extend(done.map(|ticket| Action::Answer(ticket, Ok(()))));
+                out.extend(done.map(|ticket| Action::Complete(ticket, Ok(()))));
                 if !durable.is_empty() {
-                    self.sync(durable, Then::Nothing, out);
+                    self.sync(durable, AfterSync::Nothing, out);
                 }
             }
-            (Asked::Append { group, undo_from, .. }, Err(error)) => {
+            (PendingRequest::Append { group, undo_from, .. }, Err(error)) => {
                 // A part of it may be there: nothing is written behind that.
-                self.take_back(undo_from);
-                self.is_torn = true;
-                let reason = Reason::Disk(error);
+                self.roll_back(undo_from);
+                self.has_torn_tail = true;
+                let reason = CloseReason::Disk(error);
                 fail(group, reason, out);
             }
-            (Asked::Sync { group, then }, Ok(_)) => {
+            (PendingRequest::Sync { group, then }, Ok(_)) => {
                 self.synced = self.bytes;
                 self.undo.clear();
                 let done = group.into_iter().filter_map(|w| w.ticket);
-                out.extend(done.map(|ticket| Action::Answer(ticket, Ok(()))));
+                out.extend(done.map(|ticket| Action::Complete(ticket, Ok(()))));
                 match then {
-                    Then::Nothing => {}
-                    Then::Roll => {
+                    AfterSync::Nothing => {}
+                    AfterSync::RollSegment => {
                         self.create(self.current + 1, out);
                     }
-                    Then::Drop => {
+                    AfterSync::DropOldestSegment => {
                         let oldest = self.segments.first_key_value().map(|(number, _)| *number);
                         if let Some(oldest) = oldest.filter(|oldest| *oldest != self.current) {
-                            self.ask(Request::Remove(oldest), Asked::Remove(oldest), out);
+                            self.ask(DiskRequest::Remove(oldest), PendingRequest::Remove(oldest), out);
                         }
                     }
                 }
             }
-            (Asked::Sync { group, .. }, Err(_)) => {
+            (PendingRequest::Sync { group, .. }, Err(_)) => {
                 // What the system still holds of it may be gone for good, and asking again would hide that.
-                self.take_back(0);
-                fail(group, Reason::SyncFailed, out);
-                self.shut_down(Reason::SyncFailed, out);
+                self.roll_back(0);
+                fail(group, CloseReason::SyncFailed, out);
+                self.close(CloseReason::SyncFailed, out);
             }
-            (Asked::Remove(number), Ok(_)) => {
+            (PendingRequest::Remove(number), Ok(_)) => {
                 self.segments.remove(&number);
             }
-            (_, Err(error)) => self.shut_down(Reason::Disk(error), out),
-            (_, Ok(_)) => self.shut_down(Reason::Disk(DiskError::Failed), out),
+            (_, Err(error)) => self.close(CloseReason::Disk(error), out),
+            (_, Ok(_)) => self.close(CloseReason::Disk(DiskError::Failed), out),
         }
     }
 
-    fn shut_down(&mut self, reason: Reason, out: &mut Vec<Action>) {
-        self.phase = Phase::Shut(reason);
+    fn close(&mut self, reason: CloseReason, out: &mut Vec<Action>) {
+        self.phase = Phase::Closed(reason);
         self.queued_bytes = 0;
-        let refused = WriteError::Refused(Refusal::Shut(reason));
+        let refused = WriteError::Rejected(RejectReason::Closed(reason));
         let waiting = self.queue.drain(..).filter_map(|w| w.ticket);
-        out.extend(waiting.map(|ticket| Action::Answer(ticket, Err(refused))));
-        out.push(Action::Shut(reason));
+        out.extend(waiting.map(|ticket| Action::Complete(ticket, Err(refused))));
+        out.push(Action::Closed(reason));
     }
 
     fn create(&mut self, number: u64, out: &mut Vec<Action>) {
-        let head = Head { number, before_bytes: self.bytes, chain: self.chain };
-        self.ask(Request::Create(number, head.encode()), Asked::Create(head), out);
+        let head = SegmentHeader { number, previous_segment_bytes: self.bytes, chain_hash: self.chain };
+        self.ask(DiskRequest::Create(number, head.encode()), PendingRequest::Create(head), out);
     }
 
-    fn begin(&mut self, head: Head, out: &mut Vec<Action>) {
-        let was_opening = matches!(self.phase, Phase::Opening { .. });
-        (self.current, self.bytes, self.synced) = (head.number, log::HEAD as u64, log::HEAD as u64);
-        self.is_torn = false;
+    fn begin(&mut self, head: SegmentHeader, out: &mut Vec<Action>) {
+        let was_opening = matches!(self.phase, Phase::Recovering { .. });
+        (self.current, self.bytes, self.synced) =
+            (head.number, format::SEGMENT_HEADER_BYTES as u64, format::SEGMENT_HEADER_BYTES as u64);
+        self.has_torn_tail = false;
         self.segments.insert(head.number, Segment { bytes: self.bytes, ..Segment::default() });
         if was_opening {
-            self.phase = Phase::Ready;
+            self.phase = Phase::Open;
             out.push(Action::Opened);
         }
     }
@@ -542,74 +554,81 @@
     // ---- opening ----
 
     fn read_next(&mut self, out: &mut Vec<Action>) {
-        let Phase::Opening { left, last, highest } = &mut self.phase else { return };
+        let Phase::Recovering { left, last, highest } = &mut self.phase else { return };
         if let Some(number) = left.pop_front() {
-            self.ask(Request::Read(number), Asked::Read(number), out);
+            self.ask(DiskRequest::Read(number), PendingRequest::Read(number), out);
             return;
         }
         let (last, highest) = (last.take(), *highest);
         if let Some((head, bytes)) = last
-            && let Err(reason) = self.believe(&head, &bytes, None)
+            && let Err(reason) = self.replay_segment(&head, &bytes, None)
         {
-            return self.shut_down(reason, out);
+            return self.close(reason, out);
         }
         // Nothing is written behind what a crash may have left.
         let number = self.segments.last_key_value().map_or(highest + 1, |(number, _)| number + 1);
         self.create(number, out);
     }
 
-    fn opened_one(&mut self, number: u64, bytes: Vec<u8>, out: &mut Vec<Action>) {
-        let Phase::Opening { left, last, highest } = &mut self.phase else { return };
+    fn segment_read(&mut self, number: u64, bytes: Vec<u8>, out: &mut Vec<Action>) {
+        let Phase::Recovering { left, last, highest } = &mut self.phase else { return };
         let is_last = left.is_empty();
         let before = last.take();
-        match Head::decode(&bytes, number) {
+        match SegmentHeader::decode(&bytes, number) {
             Ok(head) => {
                 if let Some((earlier, bytes)) = before {
                     if earlier.number + 1 != number {
-                        return self.shut_down(Reason::Missing(earlier.number + 1), out);
+                        return self.close(CloseReason::MissingSegment(earlier.number + 1), out);
                     }
-                    if let Err(reason) = self.believe(&earlier, &bytes, Some(&head)) {
-                        return self.shut_down(reason, out);
+                    if let Err(reason) = self.replay_segment(&earlier, &bytes, Some(&head)) {
+                        return self.close(reason, out);
                     }
                 }
-                if let Phase::Opening { last, .. } = &mut self.phase {
+                if let Phase::Recovering { last, .. } = &mut self.phase {
                     *last = Some((head, bytes));
                 }
             }
-            Err(HeadError::Version(version)) => return self.shut_down(Reason::Newer(version), out),
+            Err(SegmentHeaderError::UnsupportedVersion(version)) => {
+                return self.close(CloseReason::NewerFormat(version), out);
+            }
             // It was being made when the power went: its head is synced before anything else is.
             // It is made anew.
-            Err(HeadError::Unsound) if is_last && !log::has_records(&bytes, number) => {
+            Err(SegmentHeaderError::Corrupt) if is_last && !format::contains_valid_record(&bytes, number) => {
                 (*last, *highest) = (before, number.saturating_sub(1));
             }
-            Err(HeadError::Unsound) => {
-                return self.shut_down(Reason::Damaged(Damage { segment: number, offset: 0 }), out);
+            Err(SegmentHeaderError::Corrupt) => {
+                return self.close(CloseReason::Corrupt(Corruption { segment: number, offset: 0 }), out);
             }
         }
         self.read_next(out);
     }
 
     /// Takes what a segment says, as far as the one behind it says that it goes.
-    fn believe(&mut self, head: &Head, bytes: &[u8], behind: Option<&Head>) -> Result<(), Reason> {
-        let ends = behind.map(|behind| behind.before_bytes);
-        let read = log::read(bytes, head, ends).map_err(Reason::Damaged)?;
-        if behind.is_some_and(|behind| behind.chain != read.chain) {
-            return Err(Reason::Damaged(Damage { segment: head.number, offset: read.bytes }));
+    fn replay_segment(
+        &mut self,
+        head: &SegmentHeader,
+        bytes: &[u8],
+        behind: Option<&SegmentHeader>,
+    ) -> Result<(), CloseReason> {
+        let ends = behind.map(|behind| behind.previous_segment_bytes);
+        let read = format::read_segment(bytes, head, ends).map_err(CloseReason::Corrupt)?;
+        if behind.is_some_and(|behind| behind.chain_hash != read.chain_hash) {
+            return Err(CloseReason::Corrupt(Corruption { segment: head.number, offset: read.valid_bytes }));
         }
-        self.segments.insert(head.number, Segment { bytes: read.bytes, ..Segment::default() });
+        self.segments.insert(head.number, Segment { bytes: read.valid_bytes, ..Segment::default() });
         for change in read.batches.iter().flatten() {
             let back = self.change(change, head.number);
             // Over for sure: as if it had been removed.
-            if change.end_ms < self.over_before_ms {
+            if change.expires_at_ms < self.expired_before_ms {
                 self.put(back.0, None);
             }
         }
-        (self.bytes, self.chain) = (read.bytes, read.chain);
+        (self.bytes, self.chain) = (read.valid_bytes, read.chain_hash);
         Ok(())
     }
 }
 
-fn fail(group: Vec<Waiting>, reason: Reason, out: &mut Vec<Action>) {
+fn fail(group: Vec<PendingWrite>, reason: CloseReason, out: &mut Vec<Action>) {
     let tickets = group.into_iter().filter_map(|w| w.ticket);
-    out.extend(tickets.map(|ticket| Action::Answer(ticket, Err(WriteError::Unknown(reason)))));
+    out.extend(tickets.map(|ticket| Action::Complete(ticket, Err(WriteError::OutcomeUnknown(reason)))));
 }
--- a/crates/pinepoint-store/tests/files.rs
+++ b/crates/pinepoint-store/tests/directory.rs
@@ -8,9 +8,9 @@
 use std::process::{Command, Stdio};
 
 use drive::Open;
-use pinepoint_store::files::{Files, OpenError};
-use pinepoint_store::log::Change;
-use pinepoint_store::store::{Action, Rules};
+use pinepoint_store::directory::{OpenError, SegmentDirectory};
+use pinepoint_store::format::Change;
+use pinepoint_store::store::{Action, Options};
 
 struct Folder(PathBuf);
 
@@ -31,12 +31,12 @@
 const NOW: f64 = 1e12;
 
 fn open(dir: &Path) -> Open {
-    Open::new(dir, Rules { segment_bytes: 4096, disk_bytes: 64 * 1024, ..Rules::default() }, NOW)
+    Open::new(dir, Options { segment_bytes: 4096, disk_bytes: 64 * 1024, ..Options::default() }, NOW)
 }
 
 fn put(open: &mut Open, ticket: u64, key: &str, value: u64) {
     let (key, value) = (key.as_bytes().to_vec(), Some(value.to_le_bytes().to_vec()));
-    let change = Change { table: "a".into(), key, value, end_ms: NOW + 1e9 };
+    let change = Change { table: "a".into(), key, value, expires_at_ms: NOW + 1e9 };
     open.put(std::iter::once((ticket, change)));
 }
 
@@ -51,9 +51,9 @@
     let mut held = open(&folder.0);
     for n in 0..300 {
         put(&mut held, n, &format!("k{}", n % 40), n);
-        assert_eq!(held.told.pop(), Some(Action::Answer(n, Ok(()))));
+        assert_eq!(held.told.pop(), Some(Action::Complete(n, Ok(()))));
     }
-    assert!(matches!(Files::open(&folder.0), Err(OpenError::InUse(_))));
+    assert!(matches!(SegmentDirectory::open(&folder.0), Err(OpenError::InUse(_))));
     drop(held);
     let held = open(&folder.0);
     for n in 260..300 {
@@ -95,7 +95,7 @@
         known = lines.map_while(Result::ok).filter_map(durable).last().max(known);
         child.wait().expect("ended");
         let held = open(&folder.0);
-        assert_eq!(held.store.shut(), None);
+        assert_eq!(held.store.close_reason(), None);
         assert!(
             get(&held, "n") >= known,
             "round {round}: {:?} is there, {known:?} was durable",
--- a/crates/pinepoint-store/tests/drive/mod.rs
+++ b/crates/pinepoint-store/tests/drive/mod.rs
@@ -2,23 +2,23 @@
 
 use std::path::Path;
 
-use pinepoint_store::files::{Files, OpenError};
-use pinepoint_store::log::Change;
-use pinepoint_store::store::{Action, Durability, Event, Rules, Store};
+use pinepoint_store::directory::{OpenError, SegmentDirectory};
+use pinepoint_store::format::Change;
+use pinepoint_store::store::{Action, Durability, Event, Options, Store};
 
 pub struct Open {
     pub store: Store,
     /// What it did beside asking the disk.
     pub told: Vec<Action>,
-    files: Files,
+    files: SegmentDirectory,
     now: f64,
 }
 
 impl Open {
     /// Opens a directory as soon as whoever had it has let it go; the store is told this time throughout.
-    pub fn new(dir: &Path, rules: Rules, now: f64) -> Open {
+    pub fn new(dir: &Path, rules: Options, now: f64) -> Open {
         let files = loop {
-            match Files::open(dir) {
+            match SegmentDirectory::open(dir) {
                 Ok(files) => break files,
                 Err(OpenError::InUse(_)) => std::thread::yield_now(),
                 Err(error) => panic!("{error}"),
@@ -40,8 +40,8 @@
                     continue;
                 };
                 self.files.requests.send_blocking(request).expect("the thread runs");
-                let answer = self.files.answers.recv_blocking().expect("the thread answers");
-                self.store.handle(self.now, Event::Disk(answer), &mut next);
+                let answer = self.files.responses.recv_blocking().expect("the thread answers");
+                self.store.handle(self.now, Event::DiskCompleted(answer), &mut next);
             }
             actions = next;
         }
--- a/crates/pinepoint-store/tests/format.rs
+++ b/crates/pinepoint-store/tests/format.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use drive::Open;
-use pinepoint_store::log::Change;
+use pinepoint_store::format::Change;
 use pinepoint_store::store::{Action, Durability};
 use sim::{Disk, NOW, World, small};
 
@@ -27,8 +27,13 @@
     files.collect()
 }
 
-fn change(table: &str, key: &str, value: Option<&[u8]>, end_ms: f64) -> Change {
-    Change { table: table.into(), key: key.as_bytes().to_vec(), value: value.map(<[u8]>::to_vec), end_ms }
+fn change(table: &str, key: &str, value: Option<&[u8]>, expires_at_ms: f64) -> Change {
+    Change {
+        table: table.into(),
+        key: key.as_bytes().to_vec(),
+        value: value.map(<[u8]>::to_vec),
+        expires_at_ms,
+    }
 }
 
 /// What the fixture was written from: batches of changes in two tables, with overwritten, removed and expiring entries.
@@ -122,7 +127,7 @@
     assert_eq!(entries(&open, NOW), expected);
     // New batches go behind what is there, and both are found again.
     open.put(std::iter::once((1, change("b", "new", Some(b"z"), NOW + 1e9))));
-    assert_eq!(open.told, [Action::Opened, Action::Answer(1, Ok(()))]);
+    assert_eq!(open.told, [Action::Opened, Action::Complete(1, Ok(()))]);
     drop(open);
     expected.push(("b", b"new".to_vec(), b"z".to_vec()));
     expected.sort();
--- a/crates/pinepoint-store/tests/recovery.rs
+++ b/crates/pinepoint-store/tests/recovery.rs
@@ -4,8 +4,8 @@
 mod sim;
 
 use pinepoint_store::disk::DiskError;
-use pinepoint_store::log::{Change, HEAD};
-use pinepoint_store::store::{Durability, Event, Reason, Refusal, Rules, WriteError};
+use pinepoint_store::format::{Change, SEGMENT_HEADER_BYTES};
+use pinepoint_store::store::{CloseReason, Durability, Event, Options, RejectReason, WriteError};
 use sim::{Disk, NOW, Plain, World, after, batch, batch_of, small};
 
 fn seeds(n: u64) -> Vec<u64> {
@@ -16,12 +16,12 @@
 }
 
 /// Small segments on a disk that is never crowded, so that several stay.
-fn large() -> Rules {
-    Rules { disk_bytes: 1 << 20, ..small() }
+fn large() -> Options {
+    Options { disk_bytes: 1 << 20, ..small() }
 }
 
 /// A store with so many batches, each durable, and how the tables were after each.
-fn filled(rules: Rules, batches: usize, seed: u64) -> (World, Vec<Vec<Change>>) {
+fn filled(rules: Options, batches: usize, seed: u64) -> (World, Vec<Vec<Change>>) {
     let mut world = World::open(rules, Disk::default(), seed);
     world.run();
     assert!(world.opened);
@@ -42,7 +42,7 @@
     (0..=batches.len()).rev().find(|n| *holds == after(batches, *n))
 }
 
-fn reopened(disk: Disk, rules: Rules) -> World {
+fn reopened(disk: Disk, rules: Options) -> World {
     let mut world = World::open(rules, disk, 1);
     world.run();
     world
@@ -120,7 +120,7 @@
             let how = [Durability::Durable, Durability::Written, Durability::Lazy][(seed as usize + n) % 3];
             let before = world.answers.len();
             let ticket = world.write(changes.clone(), how);
-            let refused = matches!(world.answers.get(&ticket), Some(Err(WriteError::Refused(_))));
+            let refused = matches!(world.answers.get(&ticket), Some(Err(WriteError::Rejected(_))));
             if !refused {
                 batches.push(changes);
                 tickets.push((ticket, how, batches.len()));
@@ -192,16 +192,23 @@
     let written = world.write(batch(&mut world.random.clone()), Durability::Written);
     world.run();
     assert_eq!(world.answers[&written], Ok(()));
-    let next =
-        vec![Change { table: "a".into(), key: b"new".to_vec(), value: Some(vec![1]), end_ms: NOW + 1e9 }];
+    let next = vec![Change {
+        table: "a".into(),
+        key: b"new".to_vec(),
+        value: Some(vec![1]),
+        expires_at_ms: NOW + 1e9,
+    }];
     world.disk.fails_at = Some(world.disk.steps + 2);
     let ticket = world.write(next.clone(), Durability::Durable);
     world.run();
-    assert_eq!(world.answers[&ticket], Err(WriteError::Unknown(Reason::SyncFailed)));
-    assert_eq!(world.shut, Some(Reason::SyncFailed));
+    assert_eq!(world.answers[&ticket], Err(WriteError::OutcomeUnknown(CloseReason::SyncFailed)));
+    assert_eq!(world.shut, Some(CloseReason::SyncFailed));
     assert_eq!(world.holds(), before, "what was written and not synced is taken back too");
     let refused = world.write(next, Durability::Durable);
-    assert_eq!(world.answers[&refused], Err(WriteError::Refused(Refusal::Shut(Reason::SyncFailed))));
+    assert_eq!(
+        world.answers[&refused],
+        Err(WriteError::Rejected(RejectReason::Closed(CloseReason::SyncFailed)))
+    );
     let world = world.crash(small(), 1);
     assert!(matching(&world.holds(), &batches).is_some() || world.holds().len() >= before.len());
 }
@@ -213,7 +220,10 @@
         world.disk.fails_at = Some(world.disk.steps + 1);
         let ticket = world.write(batch(&mut world.random.clone()), Durability::Durable);
         world.run();
-        assert_eq!(world.answers[&ticket], Err(WriteError::Unknown(Reason::Disk(DiskError::Failed))));
+        assert_eq!(
+            world.answers[&ticket],
+            Err(WriteError::OutcomeUnknown(CloseReason::Disk(DiskError::Failed)))
+        );
         assert_eq!(world.shut, None, "one failed write is no reason to stop");
         let changes = batch(&mut world.random);
         batches.push(changes.clone());
@@ -240,7 +250,7 @@
                 durable = batches.len();
             }
         }
-        assert!(matches!(world.shut, Some(Reason::Disk(DiskError::Full))), "{room}: {:?}", world.shut);
+        assert!(matches!(world.shut, Some(CloseReason::Disk(DiskError::Full))), "{room}: {:?}", world.shut);
         let mut world = world.crash(small(), 6);
         assert_eq!(world.holds(), after(&batches, durable), "{room} bytes of room");
         let ticket = world.write(batch(&mut world.random.clone()), Durability::Durable);
@@ -251,15 +261,15 @@
 
 #[test]
 fn beyond_the_bounds_batches_are_refused_before_anything_of_them_happened() {
-    let rules = Rules { memory_bytes: 6000, ..small() };
+    let rules = Options { memory_bytes: 6000, ..small() };
     let mut world = World::open(rules, Disk::default(), 2);
     world.run();
     let entry = |n: u16, length: usize| {
         let (key, value) = (n.to_be_bytes().to_vec(), Some(vec![7; length]));
-        vec![Change { table: "a".into(), key, value, end_ms: NOW + 1000.0 }]
+        vec![Change { table: "a".into(), key, value, expires_at_ms: NOW + 1000.0 }]
     };
     let ticket = world.write(entry(0, 5000), Durability::Durable);
-    assert_eq!(world.answers[&ticket], Err(WriteError::Refused(Refusal::TooLarge)));
+    assert_eq!(world.answers[&ticket], Err(WriteError::Rejected(RejectReason::TooLarge)));
     let mut n = 0;
     let refused = loop {
         n += 1;
@@ -269,7 +279,7 @@
             break *error;
         }
     };
-    assert_eq!(refused, WriteError::Refused(Refusal::Memory));
+    assert_eq!(refused, WriteError::Rejected(RejectReason::MemoryFull));
     let (_, memory) = world.store.bytes();
     assert!(memory <= rules.memory_bytes);
     assert_eq!(world.holds().len(), usize::from(n) - 1, "no entry gave way");
@@ -288,9 +298,9 @@
     let rules = small();
     let mut world = World::open(rules, Disk::default(), 2);
     world.run();
-    let put = |key: &str, end_ms| {
+    let put = |key: &str, expires_at_ms| {
         let (key, value) = (key.as_bytes().to_vec(), Some(vec![9; 60]));
-        vec![Change { table: "a".into(), key, value, end_ms }]
+        vec![Change { table: "a".into(), key, value, expires_at_ms }]
     };
     world.write(put("long", NOW + 1e9), Durability::Durable);
     for n in 0..1000 {
@@ -315,24 +325,25 @@
     assert!(numbers.len() >= 3, "{numbers:?}");
     let mut disk = world.disk.clone();
     disk.files.remove(&numbers[1]);
-    assert_eq!(reopened(disk, rules).shut, Some(Reason::Missing(numbers[1])));
+    assert_eq!(reopened(disk, rules).shut, Some(CloseReason::MissingSegment(numbers[1])));
     // Of a later form: the version, and the checksum that goes with it.
     let mut disk = world.disk.clone();
     let bytes = &mut disk.files.get_mut(&numbers[0]).expect("it is there").bytes;
     bytes[6] = 9;
-    let sum = xxhash_rust::xxh3::xxh3_64(&bytes[..HEAD - 8]);
-    bytes[HEAD - 8..HEAD].copy_from_slice(&sum.to_le_bytes());
-    assert_eq!(reopened(disk, rules).shut, Some(Reason::Newer(9)));
+    let sum = xxhash_rust::xxh3::xxh3_64(&bytes[..SEGMENT_HEADER_BYTES - 8]);
+    bytes[SEGMENT_HEADER_BYTES - 8..SEGMENT_HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
+    assert_eq!(reopened(disk, rules).shut, Some(CloseReason::NewerFormat(9)));
 }
 
 #[test]
 fn many_that_wait_share_one_sync() {
-    let mut world = World::open(Rules::default(), Disk::default(), 1);
+    let mut world = World::open(Options::default(), Disk::default(), 1);
     world.run();
     let before = world.disk.syncs;
     // The first is with the disk while the others come.
     for n in 0..100_u8 {
-        let change = Change { table: "a".into(), key: vec![n], value: Some(vec![n]), end_ms: NOW + 1e9 };
+        let change =
+            Change { table: "a".into(), key: vec![n], value: Some(vec![n]), expires_at_ms: NOW + 1e9 };
         world.write(vec![change], Durability::Durable);
     }
     world.run();
--- a/crates/pinepoint-store/tests/sim/mod.rs
+++ b/crates/pinepoint-store/tests/sim/mod.rs
@@ -4,9 +4,9 @@
 
 use std::collections::BTreeMap;
 
-use pinepoint_store::disk::{DiskError, Done, Request};
-use pinepoint_store::log::Change;
-use pinepoint_store::store::{Action, Durability, Event, Reason, Rules, Store, WriteError};
+use pinepoint_store::disk::{DiskError, DiskRequest, DiskResponse};
+use pinepoint_store::format::Change;
+use pinepoint_store::store::{Action, CloseReason, Durability, Event, Options, Store, WriteError};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -36,23 +36,25 @@
         self.files.values().map(|file| file.bytes.len()).sum()
     }
 
-    pub fn ask(&mut self, request: &Request) -> Result<Done, DiskError> {
+    pub fn ask(&mut self, request: &DiskRequest) -> Result<DiskResponse, DiskError> {
         self.steps += 1;
         let fails = self.fails_at == Some(self.steps);
         match request {
-            Request::List => Ok(Done::Listed(self.files.keys().copied().collect())),
-            Request::Read(number) => {
-                self.files.get(number).map(|f| Done::Bytes(f.bytes.clone())).ok_or(DiskError::Failed)
-            }
-            _ if fails && !matches!(request, Request::Append(..)) => Err(DiskError::Failed),
-            Request::Create(number, bytes) => {
+            DiskRequest::List => Ok(DiskResponse::Segments(self.files.keys().copied().collect())),
+            DiskRequest::Read(number) => self
+                .files
+                .get(number)
+                .map(|f| DiskResponse::Contents(f.bytes.clone()))
+                .ok_or(DiskError::Failed),
+            _ if fails && !matches!(request, DiskRequest::Append(..)) => Err(DiskError::Failed),
+            DiskRequest::Create(number, bytes) => {
                 if self.room.is_some_and(|room| self.used() + bytes.len() > room) {
                     return Err(DiskError::Full);
                 }
                 self.files.insert(*number, File { bytes: bytes.clone(), synced: bytes.len() });
-                Ok(Done::Well)
+                Ok(DiskResponse::Done)
             }
-            Request::Append(number, offset, bytes) => {
+            DiskRequest::Append(number, offset, bytes) => {
                 let left = self.room.map_or(usize::MAX, |room| room.saturating_sub(self.used()));
                 let file = self.files.get_mut(number).ok_or(DiskError::Failed)?;
                 assert!(*offset as usize <= file.bytes.len(), "a hole in segment {number}");
@@ -61,40 +63,40 @@
                 let n = if fails { bytes.len() / 2 } else { bytes.len().min(left) };
                 file.bytes.extend_from_slice(&bytes[..n]);
                 match n == bytes.len() {
-                    true => Ok(Done::Well),
+                    true => Ok(DiskResponse::Done),
                     false if fails => Err(DiskError::Failed),
                     false => Err(DiskError::Full),
                 }
             }
-            Request::Sync(number) => {
+            DiskRequest::Sync(number) => {
                 self.syncs += 1;
                 let file = self.files.get_mut(number).ok_or(DiskError::Failed)?;
                 file.synced = file.bytes.len();
-                Ok(Done::Well)
+                Ok(DiskResponse::Done)
             }
-            Request::Remove(number) => {
+            DiskRequest::Remove(number) => {
                 self.files.remove(number);
-                Ok(Done::Well)
+                Ok(DiskResponse::Done)
             }
         }
     }
 
     /// The power goes while this request is under way, if any: of what was not synced any part may be there, in any order.
-    pub fn crash(&mut self, under_way: Option<&Request>, random: &mut Pcg64Mcg) {
+    pub fn crash(&mut self, under_way: Option<&DiskRequest>, random: &mut Pcg64Mcg) {
         let mut chance = |of: u64| random.next_u64().is_multiple_of(of);
         match under_way {
-            Some(request @ Request::Append(..)) => {
+            Some(request @ DiskRequest::Append(..)) => {
                 let _ = self.ask(request);
             }
             // It came to its end, or nowhere near it.
-            Some(request @ Request::Sync(_)) if chance(2) => {
+            Some(request @ DiskRequest::Sync(_)) if chance(2) => {
                 let _ = self.ask(request);
             }
-            Some(Request::Create(number, bytes)) if chance(2) => {
+            Some(DiskRequest::Create(number, bytes)) if chance(2) => {
                 // Made, and its head not synced.
                 self.files.insert(*number, File { bytes: bytes.clone(), synced: 0 });
             }
-            Some(Request::Remove(number)) if chance(2) => {
+            Some(DiskRequest::Remove(number)) if chance(2) => {
                 self.files.remove(number);
             }
             _ => {}
@@ -128,19 +130,19 @@
     pub disk: Disk,
     pub now: f64,
     pub random: Pcg64Mcg,
-    waiting: Option<Request>,
+    waiting: Option<DiskRequest>,
     /// The batches that were taken, in order, with whether they were answered as durable.
     pub taken: Vec<(u64, Vec<Change>, bool)>,
     pub answers: BTreeMap<u64, Result<(), WriteError>>,
     pub opened: bool,
-    pub shut: Option<Reason>,
+    pub shut: Option<CloseReason>,
     tickets: u64,
 }
 
 pub const NOW: f64 = 1.7e12;
 
 impl World {
-    pub fn open(rules: Rules, disk: Disk, seed: u64) -> World {
+    pub fn open(rules: Options, disk: Disk, seed: u64) -> World {
         let mut out = Vec::new();
         let store = Store::open(rules, NOW - 1e9, &mut out);
         let mut world = World {
@@ -166,11 +168,11 @@
                     assert!(self.waiting.is_none(), "two requests at once");
                     self.waiting = Some(request);
                 }
-                Action::Answer(ticket, answer) => {
+                Action::Complete(ticket, answer) => {
                     assert!(self.answers.insert(ticket, answer).is_none(), "two answers to {ticket}");
                 }
                 Action::Opened => self.opened = true,
-                Action::Shut(reason) => self.shut = Some(reason),
+                Action::Closed(reason) => self.shut = Some(reason),
             }
         }
     }
@@ -185,7 +187,7 @@
     pub fn step(&mut self) -> bool {
         let Some(request) = self.waiting.take() else { return false };
         let answer = self.disk.ask(&request);
-        self.handle(Event::Disk(answer));
+        self.handle(Event::DiskCompleted(answer));
         true
     }
 
@@ -213,7 +215,7 @@
     }
 
     /// The power goes; what is left is opened anew.
-    pub fn crash(mut self, rules: Rules, seed: u64) -> World {
+    pub fn crash(mut self, rules: Options, seed: u64) -> World {
         let request = self.waiting.take();
         self.disk.crash(request.as_ref(), &mut self.random);
         let mut disk = std::mem::take(&mut self.disk);
@@ -250,11 +252,11 @@
         let key = vec![b'k', (random.next_u64() % keys) as u8];
         let length = random.next_u64() as usize % 90;
         let value = (!random.next_u64().is_multiple_of(5)).then(|| vec![random.next_u64() as u8; length]);
-        Change { table: table.into(), key, value, end_ms: NOW + 1e9 }
+        Change { table: table.into(), key, value, expires_at_ms: NOW + 1e9 }
     };
     (0..n).map(one).collect()
 }
 
-pub fn small() -> Rules {
-    Rules { segment_bytes: 2048, disk_bytes: 16 * 1024, memory_bytes: 64 * 1024, lazy_ms: 5.0 }
+pub fn small() -> Options {
+    Options { segment_bytes: 2048, disk_bytes: 16 * 1024, memory_bytes: 64 * 1024, max_lazy_delay_ms: 5.0 }
 }
