--- a/crates/pinepoint-store/benches/measure.rs
+++ b/crates/pinepoint-store/benches/measure.rs
@@ -48,7 +48,7 @@
 fn put(open: &mut Open, numbers: std::ops::Range<u64>) {
     open.put(numbers.map(|n| {
         let (key, value) = (n.to_be_bytes().to_vec(), Some(vec![n as u8; 64]));
-        (n, Change { table: "ledger".into(), key, value, expires_at_ms: NOW + 1e9 })
+        (n, vec![Change { table: "ledger".into(), key, value, expires_at_ms: NOW + 1e9 }])
     }));
 }
 
@@ -91,7 +91,7 @@
         let dir = folder(&cli.dir, &format!("open-{entries}"));
         let mut store = Open::new(&dir, rules(), NOW);
         (0..entries / 1000).for_each(|round| put(&mut store, round * 1000..(round + 1) * 1000));
-        let (disk, memory) = store.store.bytes();
+        let (disk, memory) = (store.store.disk_bytes(), store.store.memory_bytes());
         drop(store);
         let mut took = Vec::new();
         for _ in 0..cli.turns {
--- a/crates/pinepoint-store/src/directory.rs
+++ b/crates/pinepoint-store/src/directory.rs
@@ -102,9 +102,9 @@
             DiskRequest::Read(number) => {
                 return fs::read(self.segment_path(number)).map(DiskResponse::Contents);
             }
-            DiskRequest::Create(number, bytes) => self.create(number, &bytes)?,
-            DiskRequest::Append(number, offset, bytes) => {
-                self.open_segment(number)?.write_all_at(&bytes, offset)?;
+            DiskRequest::Create { segment, bytes } => self.create(segment, &bytes)?,
+            DiskRequest::Append { segment, offset, bytes } => {
+                self.open_segment(segment)?.write_all_at(&bytes, offset)?;
             }
             DiskRequest::Sync(number) => self.open_segment(number)?.sync_data()?,
             DiskRequest::Remove(number) => self.remove(number)?,
--- a/crates/pinepoint-store/src/disk.rs
+++ b/crates/pinepoint-store/src/disk.rs
@@ -12,9 +12,21 @@
     /// Read all bytes of a segment. Response: [`DiskResponse::Contents`].
     Read(u64),
     /// Create a segment with these bytes, replacing any contents, and sync both the file and the directory.
-    Create(u64, Vec<u8>),
-    /// Write the bytes to a segment at this byte offset, which is the end of what was written successfully.
-    Append(u64, u64, Vec<u8>),
+    Create {
+        /// Number of the segment.
+        segment: u64,
+        /// Its contents.
+        bytes: Vec<u8>,
+    },
+    /// Write bytes at the end of a segment.
+    Append {
+        /// Number of the segment.
+        segment: u64,
+        /// The end of what was appended successfully, bytes.
+        offset: u64,
+        /// What to write.
+        bytes: Vec<u8>,
+    },
     /// Sync a segment: all appends so far survive a power loss.
     Sync(u64),
     /// Remove a segment and sync the directory.
--- a/crates/pinepoint-store/src/lib.rs
+++ b/crates/pinepoint-store/src/lib.rs
@@ -12,12 +12,12 @@
 //! Not guaranteed: corruption of the last batches in the last segment cannot be told from a crash during their write, and a
 //! disk that reports a sync that it did not do is trusted.
 //!
-//! Modules: [`store`] is a state machine without I/O or a clock (events and the time go in, actions come out); [`format`] is the
+//! Modules: [`store`] is a state machine without I/O or a clock (events and the time go in, actions come out); [`mod@format`] is the
 //! on-disk format; [`disk`] defines the requests that the store makes of a disk, and [`directory`] serves them from a directory
 //! of files.
 //!
 //! ```
-//! use pinepoint_store::disk::{DiskResponse, DiskRequest};
+//! use pinepoint_store::disk::{DiskRequest, DiskResponse};
 //! use pinepoint_store::store::{Action, Event, Options, Store};
 //!
 //! let mut out = Vec::new();
@@ -25,7 +25,7 @@
 //! assert_eq!(out, [Action::Disk(DiskRequest::List)]);
 //! out.clear();
 //! store.handle(0.0, Event::DiskCompleted(Ok(DiskResponse::Segments(Vec::new()))), &mut out);
-//! assert!(matches!(out[0], Action::Disk(DiskRequest::Create(1, _))));
+//! assert!(matches!(out[0], Action::Disk(DiskRequest::Create { segment: 1, .. })));
 //! store.handle(0.0, Event::DiskCompleted(Ok(DiskResponse::Done)), &mut out);
 //! assert_eq!(out.last(), Some(&Action::Opened));
 //! ```
--- a/crates/pinepoint-store/tests/directory.rs
+++ b/crates/pinepoint-store/tests/directory.rs
@@ -37,7 +37,7 @@
 fn put(open: &mut Open, ticket: u64, key: &str, value: u64) {
     let (key, value) = (key.as_bytes().to_vec(), Some(value.to_le_bytes().to_vec()));
     let change = Change { table: "a".into(), key, value, expires_at_ms: NOW + 1e9 };
-    open.put(std::iter::once((ticket, change)));
+    open.put(std::iter::once((ticket, vec![change])));
 }
 
 fn get(open: &Open, key: &str) -> Option<u64> {
@@ -51,7 +51,7 @@
     let mut held = open(&folder.0);
     for n in 0..300 {
         put(&mut held, n, &format!("k{}", n % 40), n);
-        assert_eq!(held.told.pop(), Some(Action::Complete(n, Ok(()))));
+        assert_eq!(held.told.pop(), Some(Action::Complete { ticket: n, result: Ok(()) }));
     }
     assert!(matches!(SegmentDirectory::open(&folder.0), Err(OpenError::InUse(_))));
     drop(held);
--- a/crates/pinepoint-store/tests/drive/mod.rs
+++ b/crates/pinepoint-store/tests/drive/mod.rs
@@ -47,11 +47,15 @@
         }
     }
 
-    /// Writes these durably, each a batch of its own under its number, all of which wait at once.
-    pub fn put(&mut self, batches: impl Iterator<Item = (u64, Change)>) {
+    /// Writes these durably, each under its ticket; all of them are queued at once.
+    pub fn put(&mut self, batches: impl Iterator<Item = (u64, Vec<Change>)>) {
         let mut out = Vec::new();
-        for (ticket, change) in batches {
-            self.store.handle(self.now, Event::Write(ticket, vec![change], Durability::Durable), &mut out);
+        for (ticket, changes) in batches {
+            self.store.handle(
+                self.now,
+                Event::Write { ticket, changes, durability: Durability::Durable },
+                &mut out,
+            );
         }
         self.carry_out(out);
     }
--- a/crates/pinepoint-store/tests/format.rs
+++ b/crates/pinepoint-store/tests/format.rs
@@ -2,25 +2,31 @@
 //! with exactly the entries that were written, and the same writes still give the same bytes.
 
 mod drive;
-mod sim;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 use drive::Open;
 use pinepoint_store::format::Change;
-use pinepoint_store::store::{Action, Durability};
-use sim::{Disk, NOW, World, small};
+use pinepoint_store::store::{Action, Options};
+
+const NOW: f64 = 1.7e12;
+
+/// Small segments, so that the fixture has several.
+fn options() -> Options {
+    Options { segment_bytes: 2048, disk_bytes: 16 * 1024, memory_bytes: 64 * 1024, max_lazy_delay_ms: 5.0 }
+}
 
 fn fixture_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/v1")
 }
 
-/// The fixture's segment files: bytes by file name.
-fn fixture_files() -> BTreeMap<String, Vec<u8>> {
-    let directory = std::fs::read_dir(fixture_directory()).expect("the fixture is there");
-    let files = directory.map(|entry| {
-        let path = entry.expect("an entry").path();
+/// Bytes of all segment files of a directory, by file name.
+fn segment_files(directory: &Path) -> BTreeMap<String, Vec<u8>> {
+    let paths =
+        std::fs::read_dir(directory).expect("a directory").map(|entry| entry.expect("an entry").path());
+    let segments = paths.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
+    let files = segments.map(|path| {
         let name = path.file_name().expect("a name").to_str().expect("in ASCII").to_owned();
         (name, std::fs::read(path).expect("a file"))
     });
@@ -77,28 +83,33 @@
     ]
 }
 
-/// A copy of the fixture to open, removed at the end.
-struct FixtureCopy(PathBuf);
+/// A directory for a store, removed at the end.
+struct TemporaryDirectory(PathBuf);
 
-impl FixtureCopy {
-    fn new(name: &str) -> FixtureCopy {
+impl TemporaryDirectory {
+    fn new(name: &str) -> TemporaryDirectory {
         let directory = std::env::temp_dir().join(format!("pinepoint-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
         std::fs::create_dir_all(&directory).expect("a directory");
-        for (name, bytes) in fixture_files() {
-            std::fs::write(directory.join(name), bytes).expect("copied");
+        TemporaryDirectory(directory)
+    }
+
+    fn copy_of_fixture(name: &str) -> TemporaryDirectory {
+        let copy = TemporaryDirectory::new(name);
+        for (name, bytes) in segment_files(&fixture_directory()) {
+            std::fs::write(copy.0.join(name), bytes).expect("copied");
         }
-        FixtureCopy(directory)
+        copy
     }
 
     fn open(&self, now: f64) -> Open {
-        let open = Open::new(&self.0, small(), now);
+        let open = Open::new(&self.0, options(), now);
         assert_eq!(open.told, [Action::Opened]);
         open
     }
 }
 
-impl Drop for FixtureCopy {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -118,16 +129,16 @@
 fn segment_files_of_an_earlier_build_are_opened_with_exactly_what_was_written() {
     let mut expected: Vec<_> =
         expected().into_iter().map(|(table, key, value)| (table, key.to_vec(), value)).collect();
-    let copy = FixtureCopy::new("format-after");
+    let copy = TemporaryDirectory::copy_of_fixture("format-after");
     assert_eq!(entries(&copy.open(NOW + 2000.0), NOW + 2000.0), expected);
-    let copy = FixtureCopy::new("format-before");
+    let copy = TemporaryDirectory::copy_of_fixture("format-before");
     let mut open = copy.open(NOW);
     expected.push(("b", b"expired".to_vec(), b"y".to_vec()));
     expected.sort();
     assert_eq!(entries(&open, NOW), expected);
     // New batches go behind what is there, and both are found again.
-    open.put(std::iter::once((1, change("b", "new", Some(b"z"), NOW + 1e9))));
-    assert_eq!(open.told, [Action::Opened, Action::Complete(1, Ok(()))]);
+    open.put(std::iter::once((1, vec![change("b", "new", Some(b"z"), NOW + 1e9)])));
+    assert_eq!(open.told, [Action::Opened, Action::Complete { ticket: 1, result: Ok(()) }]);
     drop(open);
     expected.push(("b", b"new".to_vec(), b"z".to_vec()));
     expected.sort();
@@ -136,20 +147,14 @@
 
 #[test]
 fn the_same_writes_give_the_same_bytes_as_an_earlier_build() {
-    let mut world = World::open(small(), Disk::default(), 1);
-    world.run();
-    for changes in batches() {
-        let ticket = world.write(changes, Durability::Durable);
-        world.run();
-        assert_eq!(world.answers[&ticket], Ok(()));
+    let directory = TemporaryDirectory::new("format-written");
+    let mut open = directory.open(NOW);
+    for (ticket, changes) in (1..).zip(batches()) {
+        open.put(std::iter::once((ticket, changes)));
+        assert_eq!(open.told.pop(), Some(Action::Complete { ticket, result: Ok(()) }));
     }
-    let written: BTreeMap<String, Vec<u8>> = world
-        .disk
-        .files
-        .iter()
-        .map(|(number, file)| (format!("{number:016x}.log"), file.bytes.clone()))
-        .collect();
-    let fixture = fixture_files();
+    let written = segment_files(&directory.0);
+    let fixture = segment_files(&fixture_directory());
     assert!(fixture.len() > 1, "several segments");
     assert!(written == fixture, "the bytes differ from those of format version 1");
 }
--- a/crates/pinepoint-store/tests/recovery.rs
+++ b/crates/pinepoint-store/tests/recovery.rs
@@ -280,8 +280,7 @@
         }
     };
     assert_eq!(refused, WriteError::Rejected(RejectReason::MemoryFull));
-    let (_, memory) = world.store.bytes();
-    assert!(memory <= rules.memory_bytes);
+    assert!(world.store.memory_bytes() <= rules.memory_bytes);
     assert_eq!(world.holds().len(), usize::from(n) - 1, "no entry gave way");
     // Once they are over there is room, and their segments go unread.
     world.now += 2000.0;
--- a/crates/pinepoint-store/tests/sim/mod.rs
+++ b/crates/pinepoint-store/tests/sim/mod.rs
@@ -1,6 +1,5 @@
 //! A disk that keeps apart what was synced and what was only written, and fails on command; and a store over it, driven one
 //! request at a time. Everything follows from a seed.
-#![allow(dead_code)]
 
 use std::collections::BTreeMap;
 
@@ -46,15 +45,15 @@
                 .get(number)
                 .map(|f| DiskResponse::Contents(f.bytes.clone()))
                 .ok_or(DiskError::Failed),
-            _ if fails && !matches!(request, DiskRequest::Append(..)) => Err(DiskError::Failed),
-            DiskRequest::Create(number, bytes) => {
+            _ if fails && !matches!(request, DiskRequest::Append { .. }) => Err(DiskError::Failed),
+            DiskRequest::Create { segment: number, bytes } => {
                 if self.room.is_some_and(|room| self.used() + bytes.len() > room) {
                     return Err(DiskError::Full);
                 }
                 self.files.insert(*number, File { bytes: bytes.clone(), synced: bytes.len() });
                 Ok(DiskResponse::Done)
             }
-            DiskRequest::Append(number, offset, bytes) => {
+            DiskRequest::Append { segment: number, offset, bytes } => {
                 let left = self.room.map_or(usize::MAX, |room| room.saturating_sub(self.used()));
                 let file = self.files.get_mut(number).ok_or(DiskError::Failed)?;
                 assert!(*offset as usize <= file.bytes.len(), "a hole in segment {number}");
@@ -85,14 +84,14 @@
     pub fn crash(&mut self, under_way: Option<&DiskRequest>, random: &mut Pcg64Mcg) {
         let mut chance = |of: u64| random.next_u64().is_multiple_of(of);
         match under_way {
-            Some(request @ DiskRequest::Append(..)) => {
+            Some(request @ DiskRequest::Append { .. }) => {
                 let _ = self.ask(request);
             }
             // It came to its end, or nowhere near it.
             Some(request @ DiskRequest::Sync(_)) if chance(2) => {
                 let _ = self.ask(request);
             }
-            Some(DiskRequest::Create(number, bytes)) if chance(2) => {
+            Some(DiskRequest::Create { segment: number, bytes }) if chance(2) => {
                 // Made, and its head not synced.
                 self.files.insert(*number, File { bytes: bytes.clone(), synced: 0 });
             }
@@ -131,8 +130,6 @@
     pub now: f64,
     pub random: Pcg64Mcg,
     waiting: Option<DiskRequest>,
-    /// The batches that were taken, in order, with whether they were answered as durable.
-    pub taken: Vec<(u64, Vec<Change>, bool)>,
     pub answers: BTreeMap<u64, Result<(), WriteError>>,
     pub opened: bool,
     pub shut: Option<CloseReason>,
@@ -151,7 +148,6 @@
             now: NOW,
             random: Pcg64Mcg::seed_from_u64(seed),
             waiting: None,
-            taken: Vec::new(),
             answers: BTreeMap::new(),
             opened: false,
             shut: None,
@@ -168,7 +164,7 @@
                     assert!(self.waiting.is_none(), "two requests at once");
                     self.waiting = Some(request);
                 }
-                Action::Complete(ticket, answer) => {
+                Action::Complete { ticket, result: answer } => {
                     assert!(self.answers.insert(ticket, answer).is_none(), "two answers to {ticket}");
                 }
                 Action::Opened => self.opened = true,
@@ -198,8 +194,7 @@
     pub fn write(&mut self, changes: Vec<Change>, durability: Durability) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
-        self.taken.push((ticket, changes.clone(), durability == Durability::Durable));
-        self.handle(Event::Write(ticket, changes, durability));
+        self.handle(Event::Write { ticket, changes, durability });
         ticket
     }
 
