--- a/crates/pinepoint-store/benches/measure.rs
+++ b/crates/pinepoint-store/benches/measure.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use clap::{Parser, ValueEnum};
-use drive::Open;
+use drive::OpenStore;
 use pinepoint_store::directory::{OpenError, SegmentDirectory};
 use pinepoint_store::format::Change;
 use pinepoint_store::store::Options;
@@ -40,22 +40,22 @@
 
 const NOW: f64 = 1e12;
 
-fn rules() -> Options {
+fn options() -> Options {
     Options { segment_bytes: 4 << 20, disk_bytes: 4 << 30, memory_bytes: 2 << 30, ..Options::default() }
 }
 
 /// Writes the entries of these numbers, all of which wait at once.
-fn put(open: &mut Open, numbers: std::ops::Range<u64>) {
+fn put(open: &mut OpenStore, numbers: std::ops::Range<u64>) {
     open.put(numbers.map(|n| {
         let (key, value) = (n.to_be_bytes().to_vec(), Some(vec![n as u8; 64]));
         (n, vec![Change { table: "ledger".into(), key, value, expires_at_ms: NOW + 1e9 }])
     }));
 }
 
-fn folder(dir: &Path, name: &str) -> PathBuf {
-    let folder = dir.join(format!("pinepoint-store-{}-{name}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    folder
+fn directory(dir: &Path, name: &str) -> PathBuf {
+    let directory = dir.join(format!("pinepoint-store-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&directory);
+    directory
 }
 
 fn commit(cli: &Cli) {
@@ -64,8 +64,8 @@
     let mut rates = vec![Vec::new(); at_once.len()];
     for turn in 0..cli.turns {
         for (at, n) in at_once.iter().enumerate() {
-            let dir = folder(&cli.dir, &format!("{turn}-{n}"));
-            let mut open = Open::new(&dir, rules(), NOW);
+            let dir = directory(&cli.dir, &format!("{turn}-{n}"));
+            let mut open = OpenStore::new(&dir, options(), NOW);
             // One at a time is slow: fewer are enough.
             let batches = if *n == 1 { cli.batches / 16 } else { cli.batches };
             let began = Instant::now();
@@ -88,8 +88,8 @@
 fn open(cli: &Cli) {
     println!("| entries | opening, ms, median of {} | bytes an entry on disk | in memory |", cli.turns);
     for entries in [10_000_u64, 100_000, 1_000_000] {
-        let dir = folder(&cli.dir, &format!("open-{entries}"));
-        let mut store = Open::new(&dir, rules(), NOW);
+        let dir = directory(&cli.dir, &format!("open-{entries}"));
+        let mut store = OpenStore::new(&dir, options(), NOW);
         (0..entries / 1000).for_each(|round| put(&mut store, round * 1000..(round + 1) * 1000));
         let (disk, memory) = (store.store.disk_bytes(), store.store.memory_bytes());
         drop(store);
@@ -100,7 +100,7 @@
                 std::thread::yield_now();
             }
             let began = Instant::now();
-            let open = Open::new(&dir, rules(), NOW);
+            let open = OpenStore::new(&dir, options(), NOW);
             took.push(began.elapsed().as_secs_f64() * 1000.0);
             assert!(open.store.get(NOW, "ledger", &(entries - 1).to_be_bytes()).is_some());
         }
--- a/crates/pinepoint-store/tests/directory.rs
+++ b/crates/pinepoint-store/tests/directory.rs
@@ -7,22 +7,22 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use drive::Open;
+use drive::OpenStore;
 use pinepoint_store::directory::{OpenError, SegmentDirectory};
 use pinepoint_store::format::Change;
 use pinepoint_store::store::{Action, Options};
 
-struct Folder(PathBuf);
+struct TemporaryDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TemporaryDirectory {
+    fn new(name: &str) -> TemporaryDirectory {
         let path = std::env::temp_dir().join(format!("pinepoint-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Folder(path)
+        TemporaryDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -30,32 +30,32 @@
 
 const NOW: f64 = 1e12;
 
-fn open(dir: &Path) -> Open {
-    Open::new(dir, Options { segment_bytes: 4096, disk_bytes: 64 * 1024, ..Options::default() }, NOW)
+fn open(dir: &Path) -> OpenStore {
+    OpenStore::new(dir, Options { segment_bytes: 4096, disk_bytes: 64 * 1024, ..Options::default() }, NOW)
 }
 
-fn put(open: &mut Open, ticket: u64, key: &str, value: u64) {
+fn put(open: &mut OpenStore, ticket: u64, key: &str, value: u64) {
     let (key, value) = (key.as_bytes().to_vec(), Some(value.to_le_bytes().to_vec()));
     let change = Change { table: "a".into(), key, value, expires_at_ms: NOW + 1e9 };
     open.put(std::iter::once((ticket, vec![change])));
 }
 
-fn get(open: &Open, key: &str) -> Option<u64> {
+fn get(open: &OpenStore, key: &str) -> Option<u64> {
     let value = open.store.get(NOW, "a", key.as_bytes())?;
     Some(u64::from_le_bytes(value.try_into().expect("eight bytes")))
 }
 
 #[test]
 fn what_was_durable_is_there_again_and_a_second_opening_is_refused() {
-    let folder = Folder::new("again");
-    let mut held = open(&folder.0);
+    let directory = TemporaryDirectory::new("again");
+    let mut held = open(&directory.0);
     for n in 0..300 {
         put(&mut held, n, &format!("k{}", n % 40), n);
-        assert_eq!(held.told.pop(), Some(Action::Complete { ticket: n, result: Ok(()) }));
+        assert_eq!(held.actions.pop(), Some(Action::Complete { ticket: n, result: Ok(()) }));
     }
-    assert!(matches!(SegmentDirectory::open(&folder.0), Err(OpenError::InUse(_))));
+    assert!(matches!(SegmentDirectory::open(&directory.0), Err(OpenError::InUse(_))));
     drop(held);
-    let held = open(&folder.0);
+    let held = open(&directory.0);
     for n in 260..300 {
         assert_eq!(get(&held, &format!("k{}", n % 40)), Some(n));
     }
@@ -75,13 +75,13 @@
 
 #[test]
 fn a_process_that_is_killed_has_lost_nothing_that_was_durable() {
-    let folder = Folder::new("killed");
+    let directory = TemporaryDirectory::new("killed");
     let mut known = None;
     for round in 0..12 {
         let own = std::env::current_exe().expect("this program");
         let mut child = Command::new(own)
             .args(["--exact", "--nocapture", "writes_until_it_is_killed"])
-            .env("STORE_TEST_DIR", &folder.0)
+            .env("STORE_TEST_DIR", &directory.0)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
@@ -94,7 +94,7 @@
         // What it had told before is to be there too.
         known = lines.map_while(Result::ok).filter_map(durable).last().max(known);
         child.wait().expect("ended");
-        let held = open(&folder.0);
+        let held = open(&directory.0);
         assert_eq!(held.store.close_reason(), None);
         assert!(
             get(&held, "n") >= known,
--- a/crates/pinepoint-store/tests/drive/mod.rs
+++ b/crates/pinepoint-store/tests/drive/mod.rs
@@ -6,41 +6,41 @@
 use pinepoint_store::format::Change;
 use pinepoint_store::store::{Action, Durability, Event, Options, Store};
 
-pub struct Open {
+pub struct OpenStore {
     pub store: Store,
     /// What it did beside asking the disk.
-    pub told: Vec<Action>,
-    files: SegmentDirectory,
+    pub actions: Vec<Action>,
+    directory: SegmentDirectory,
     now: f64,
 }
 
-impl Open {
+impl OpenStore {
     /// Opens a directory as soon as whoever had it has let it go; the store is told this time throughout.
-    pub fn new(dir: &Path, rules: Options, now: f64) -> Open {
-        let files = loop {
+    pub fn new(dir: &Path, options: Options, now: f64) -> OpenStore {
+        let directory = loop {
             match SegmentDirectory::open(dir) {
-                Ok(files) => break files,
+                Ok(directory) => break directory,
                 Err(OpenError::InUse(_)) => std::thread::yield_now(),
                 Err(error) => panic!("{error}"),
             }
         };
         let mut out = Vec::new();
-        let store = Store::open(rules, 0.0, &mut out);
-        let mut open = Open { store, told: Vec::new(), files, now };
-        open.carry_out(out);
+        let store = Store::open(options, 0.0, &mut out);
+        let mut open = OpenStore { store, actions: Vec::new(), directory, now };
+        open.execute(out);
         open
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) {
+    fn execute(&mut self, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
                 let Action::Disk(request) = action else {
-                    self.told.push(action);
+                    self.actions.push(action);
                     continue;
                 };
-                self.files.requests.send_blocking(request).expect("the thread runs");
-                let answer = self.files.responses.recv_blocking().expect("the thread answers");
+                self.directory.requests.send_blocking(request).expect("the thread runs");
+                let answer = self.directory.responses.recv_blocking().expect("the thread answers");
                 self.store.handle(self.now, Event::DiskCompleted(answer), &mut next);
             }
             actions = next;
@@ -57,6 +57,6 @@
                 &mut out,
             );
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 }
--- a/crates/pinepoint-store/tests/format.rs
+++ b/crates/pinepoint-store/tests/format.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use drive::Open;
+use drive::OpenStore;
 use pinepoint_store::format::Change;
 use pinepoint_store::store::{Action, Options};
 
@@ -102,9 +102,9 @@
         copy
     }
 
-    fn open(&self, now: f64) -> Open {
-        let open = Open::new(&self.0, options(), now);
-        assert_eq!(open.told, [Action::Opened]);
+    fn open(&self, now: f64) -> OpenStore {
+        let open = OpenStore::new(&self.0, options(), now);
+        assert_eq!(open.actions, [Action::Opened]);
         open
     }
 }
@@ -116,7 +116,7 @@
 }
 
 /// Table, key and value of all entries that have not expired.
-fn entries(open: &Open, now: f64) -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
+fn entries(open: &OpenStore, now: f64) -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
     let mut found = Vec::new();
     for table in ["a", "b"] {
         let entries = open.store.entries(now, table);
@@ -138,7 +138,7 @@
     assert_eq!(entries(&open, NOW), expected);
     // New batches go behind what is there, and both are found again.
     open.put(std::iter::once((1, vec![change("b", "new", Some(b"z"), NOW + 1e9)])));
-    assert_eq!(open.told, [Action::Opened, Action::Complete { ticket: 1, result: Ok(()) }]);
+    assert_eq!(open.actions, [Action::Opened, Action::Complete { ticket: 1, result: Ok(()) }]);
     drop(open);
     expected.push(("b", b"new".to_vec(), b"z".to_vec()));
     expected.sort();
@@ -151,7 +151,7 @@
     let mut open = directory.open(NOW);
     for (ticket, changes) in (1..).zip(batches()) {
         open.put(std::iter::once((ticket, changes)));
-        assert_eq!(open.told.pop(), Some(Action::Complete { ticket, result: Ok(()) }));
+        assert_eq!(open.actions.pop(), Some(Action::Complete { ticket, result: Ok(()) }));
     }
     let written = segment_files(&directory.0);
     let fixture = segment_files(&fixture_directory());
--- a/crates/pinepoint-store/tests/recovery.rs
+++ b/crates/pinepoint-store/tests/recovery.rs
@@ -6,7 +6,7 @@
 use pinepoint_store::disk::DiskError;
 use pinepoint_store::format::{Change, SEGMENT_HEADER_BYTES};
 use pinepoint_store::store::{CloseReason, Durability, Event, Options, RejectReason, WriteError};
-use sim::{Disk, NOW, Plain, World, after, batch, batch_of, small};
+use sim::{Disk, NOW, Tables, World, after, batch, batch_of, small};
 
 fn seeds(n: u64) -> Vec<u64> {
     match std::env::var("STORE_SEED").ok().and_then(|text| text.parse().ok()) {
@@ -21,8 +21,8 @@
 }
 
 /// A store with so many batches, each durable, and how the tables were after each.
-fn filled(rules: Options, batches: usize, seed: u64) -> (World, Vec<Vec<Change>>) {
-    let mut world = World::open(rules, Disk::default(), seed);
+fn filled(options: Options, batches: usize, seed: u64) -> (World, Vec<Vec<Change>>) {
+    let mut world = World::open(options, Disk::default(), seed);
     world.run();
     assert!(world.opened);
     let mut all = Vec::new();
@@ -38,28 +38,28 @@
 }
 
 /// After how many batches the tables were so, the latest; nothing if never.
-fn matching(holds: &Plain, batches: &[Vec<Change>]) -> Option<usize> {
+fn matching(holds: &Tables, batches: &[Vec<Change>]) -> Option<usize> {
     (0..=batches.len()).rev().find(|n| *holds == after(batches, *n))
 }
 
-fn reopened(disk: Disk, rules: Options) -> World {
-    let mut world = World::open(rules, disk, 1);
+fn reopened(disk: Disk, options: Options) -> World {
+    let mut world = World::open(options, disk, 1);
     world.run();
     world
 }
 
 #[test]
 fn a_file_cut_at_any_byte_gives_back_an_earlier_state_or_says_that_it_is_damaged() {
-    let rules = large();
-    let (world, batches) = filled(rules, 48, 3);
+    let options = large();
+    let (world, batches) = filled(options, 48, 3);
     let last = *world.disk.files.keys().last().expect("a segment");
     let (mut earlier, mut damaged) = (0, 0);
     for (number, file) in &world.disk.files {
         for cut in 0..file.bytes.len() {
             let mut disk = world.disk.clone();
             disk.files.get_mut(number).expect("it is there").bytes.truncate(cut);
-            let world = reopened(disk, rules);
-            match world.shut {
+            let world = reopened(disk, options);
+            match world.close_reason {
                 Some(_) => damaged += 1,
                 None => {
                     assert!(matching(&world.holds(), &batches).is_some(), "segment {number} cut at {cut}");
@@ -76,16 +76,16 @@
 
 #[test]
 fn any_flipped_byte_is_told_or_gives_back_an_earlier_state_and_never_a_mixture() {
-    let rules = large();
-    let (world, batches) = filled(rules, 48, 4);
+    let options = large();
+    let (world, batches) = filled(options, 48, 4);
     let last = *world.disk.files.keys().last().expect("a segment");
     let (mut same, mut lost, mut told) = (0, 0, 0);
     for (number, file) in &world.disk.files {
         for at in 0..file.bytes.len() {
             let mut disk = world.disk.clone();
             disk.files.get_mut(number).expect("it is there").bytes[at] ^= 0x40;
-            let world = reopened(disk, rules);
-            if world.shut.is_some() {
+            let world = reopened(disk, options);
+            if world.close_reason.is_some() {
                 told += 1;
                 continue;
             }
@@ -107,8 +107,8 @@
 /// Plays batches of all durabilities, with the power going before the request of this number is answered; tells whether it came
 /// so far.
 fn power_cut(seed: u64, step: u64, again: u64) -> bool {
-    let rules = small();
-    let mut world = World::open(rules, Disk::default(), seed);
+    let options = small();
+    let mut world = World::open(options, Disk::default(), seed);
     let mut batches: Vec<Vec<Change>> = Vec::new();
     let mut durable = 0;
     let mut went = false;
@@ -144,17 +144,17 @@
             }
         }
     }
-    let mut world = world.crash(rules, seed ^ 77);
+    let mut world = world.crash(options, seed ^ 77);
     // And goes again while what is left is read.
     for n in 0..again {
         let disk = std::mem::take(&mut world.disk);
-        let mut next = World::open(rules, disk, seed + n);
+        let mut next = World::open(options, disk, seed + n);
         for _ in 0..=n * 2 {
             next.step();
         }
-        world = next.crash(rules, seed + 100 + n);
+        world = next.crash(options, seed + 100 + n);
     }
-    assert_eq!(world.shut, None, "STORE_SEED={seed} step {step}");
+    assert_eq!(world.close_reason, None, "STORE_SEED={seed} step {step}");
     let n = matching(&world.holds(), &batches);
     let n = n.unwrap_or_else(|| panic!("STORE_SEED={seed} step {step}: a state that never was"));
     assert!(n >= durable, "STORE_SEED={seed} step {step}: {n} batches are there, {durable} were durable");
@@ -165,7 +165,7 @@
     let ticket = world.write(changes, Durability::Durable);
     world.run();
     assert_eq!(world.answers[&ticket], Ok(()), "STORE_SEED={seed} step {step}");
-    let world = world.crash(rules, seed);
+    let world = world.crash(options, seed);
     assert_eq!(world.holds(), after(&batches, batches.len()), "STORE_SEED={seed} step {step}");
     went
 }
@@ -202,7 +202,7 @@
     let ticket = world.write(next.clone(), Durability::Durable);
     world.run();
     assert_eq!(world.answers[&ticket], Err(WriteError::OutcomeUnknown(CloseReason::SyncFailed)));
-    assert_eq!(world.shut, Some(CloseReason::SyncFailed));
+    assert_eq!(world.close_reason, Some(CloseReason::SyncFailed));
     assert_eq!(world.holds(), before, "what was written and not synced is taken back too");
     let refused = world.write(next, Durability::Durable);
     assert_eq!(
@@ -224,7 +224,7 @@
             world.answers[&ticket],
             Err(WriteError::OutcomeUnknown(CloseReason::Disk(DiskError::Failed)))
         );
-        assert_eq!(world.shut, None, "one failed write is no reason to stop");
+        assert_eq!(world.close_reason, None, "one failed write is no reason to stop");
         let changes = batch(&mut world.random);
         batches.push(changes.clone());
         let ticket = world.write(changes, Durability::Durable);
@@ -238,10 +238,10 @@
 #[test]
 fn a_full_disk_shuts_the_store_and_what_was_durable_is_there() {
     for room in (1500..4000).step_by(97) {
-        let mut world = World::open(small(), Disk { room: Some(room), ..Disk::default() }, 5);
+        let mut world = World::open(small(), Disk { capacity: Some(room), ..Disk::default() }, 5);
         world.run();
         let (mut batches, mut durable) = (Vec::new(), 0);
-        while world.shut.is_none() && batches.len() < 200 {
+        while world.close_reason.is_none() && batches.len() < 200 {
             let changes = batch(&mut world.random);
             batches.push(changes.clone());
             let ticket = world.write(changes, Durability::Durable);
@@ -250,7 +250,11 @@
                 durable = batches.len();
             }
         }
-        assert!(matches!(world.shut, Some(CloseReason::Disk(DiskError::Full))), "{room}: {:?}", world.shut);
+        assert!(
+            matches!(world.close_reason, Some(CloseReason::Disk(DiskError::Full))),
+            "{room}: {:?}",
+            world.close_reason
+        );
         let mut world = world.crash(small(), 6);
         assert_eq!(world.holds(), after(&batches, durable), "{room} bytes of room");
         let ticket = world.write(batch(&mut world.random.clone()), Durability::Durable);
@@ -261,8 +265,8 @@
 
 #[test]
 fn beyond_the_bounds_batches_are_refused_before_anything_of_them_happened() {
-    let rules = Options { memory_bytes: 6000, ..small() };
-    let mut world = World::open(rules, Disk::default(), 2);
+    let options = Options { memory_bytes: 6000, ..small() };
+    let mut world = World::open(options, Disk::default(), 2);
     world.run();
     let entry = |n: u16, length: usize| {
         let (key, value) = (n.to_be_bytes().to_vec(), Some(vec![7; length]));
@@ -280,7 +284,7 @@
         }
     };
     assert_eq!(refused, WriteError::Rejected(RejectReason::MemoryFull));
-    assert!(world.store.memory_bytes() <= rules.memory_bytes);
+    assert!(world.store.memory_bytes() <= options.memory_bytes);
     assert_eq!(world.holds().len(), usize::from(n) - 1, "no entry gave way");
     // Once they are over there is room, and their segments go unread.
     world.now += 2000.0;
@@ -294,8 +298,8 @@
 
 #[test]
 fn what_lives_long_is_moved_on_and_the_disk_stays_within_its_bound() {
-    let rules = small();
-    let mut world = World::open(rules, Disk::default(), 2);
+    let options = small();
+    let mut world = World::open(options, Disk::default(), 2);
     world.run();
     let put = |key: &str, expires_at_ms| {
         let (key, value) = (key.as_bytes().to_vec(), Some(vec![9; 60]));
@@ -309,29 +313,29 @@
         world.run();
         assert_eq!(world.answers[&ticket], Ok(()), "batch {n}");
         let used: usize = world.disk.files.values().map(|file| file.bytes.len()).sum();
-        assert!(used as u64 <= rules.disk_bytes, "{used} bytes");
+        assert!(used as u64 <= options.disk_bytes, "{used} bytes");
     }
     assert!(world.disk.files.len() < 8, "{} segments", world.disk.files.len());
-    let world = world.crash(rules, 3);
+    let world = world.crash(options, 3);
     assert_eq!(world.holds().len(), 6);
 }
 
 #[test]
 fn a_segment_that_is_missing_or_of_a_later_form_is_told() {
-    let rules = large();
-    let (world, _) = filled(rules, 48, 4);
+    let options = large();
+    let (world, _) = filled(options, 48, 4);
     let numbers: Vec<u64> = world.disk.files.keys().copied().collect();
     assert!(numbers.len() >= 3, "{numbers:?}");
     let mut disk = world.disk.clone();
     disk.files.remove(&numbers[1]);
-    assert_eq!(reopened(disk, rules).shut, Some(CloseReason::MissingSegment(numbers[1])));
+    assert_eq!(reopened(disk, options).close_reason, Some(CloseReason::MissingSegment(numbers[1])));
     // Of a later form: the version, and the checksum that goes with it.
     let mut disk = world.disk.clone();
     let bytes = &mut disk.files.get_mut(&numbers[0]).expect("it is there").bytes;
     bytes[6] = 9;
     let sum = xxhash_rust::xxh3::xxh3_64(&bytes[..SEGMENT_HEADER_BYTES - 8]);
     bytes[SEGMENT_HEADER_BYTES - 8..SEGMENT_HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
-    assert_eq!(reopened(disk, rules).shut, Some(CloseReason::NewerFormat(9)));
+    assert_eq!(reopened(disk, options).close_reason, Some(CloseReason::NewerFormat(9)));
 }
 
 #[test]
--- a/crates/pinepoint-store/tests/sim/mod.rs
+++ b/crates/pinepoint-store/tests/sim/mod.rs
@@ -24,7 +24,7 @@
     /// Requests so far.
     pub steps: u64,
     /// Bytes that it holds at most.
-    pub room: Option<usize>,
+    pub capacity: Option<usize>,
     /// The request of this number fails.
     pub fails_at: Option<u64>,
     pub syncs: u64,
@@ -47,14 +47,14 @@
                 .ok_or(DiskError::Failed),
             _ if fails && !matches!(request, DiskRequest::Append { .. }) => Err(DiskError::Failed),
             DiskRequest::Create { segment: number, bytes } => {
-                if self.room.is_some_and(|room| self.used() + bytes.len() > room) {
+                if self.capacity.is_some_and(|room| self.used() + bytes.len() > room) {
                     return Err(DiskError::Full);
                 }
                 self.files.insert(*number, File { bytes: bytes.clone(), synced: bytes.len() });
                 Ok(DiskResponse::Done)
             }
             DiskRequest::Append { segment: number, offset, bytes } => {
-                let left = self.room.map_or(usize::MAX, |room| room.saturating_sub(self.used()));
+                let left = self.capacity.map_or(usize::MAX, |room| room.saturating_sub(self.used()));
                 let file = self.files.get_mut(number).ok_or(DiskError::Failed)?;
                 assert!(*offset as usize <= file.bytes.len(), "a hole in segment {number}");
                 file.bytes.truncate(*offset as usize);
@@ -121,7 +121,7 @@
 }
 
 /// Tables as a plain map: what the store has to be after each batch.
-pub type Plain = BTreeMap<(String, Vec<u8>), Vec<u8>>;
+pub type Tables = BTreeMap<(String, Vec<u8>), Vec<u8>>;
 
 /// A store over a disk, and what it was asked for.
 pub struct World {
@@ -132,16 +132,16 @@
     waiting: Option<DiskRequest>,
     pub answers: BTreeMap<u64, Result<(), WriteError>>,
     pub opened: bool,
-    pub shut: Option<CloseReason>,
+    pub close_reason: Option<CloseReason>,
     tickets: u64,
 }
 
 pub const NOW: f64 = 1.7e12;
 
 impl World {
-    pub fn open(rules: Options, disk: Disk, seed: u64) -> World {
+    pub fn open(options: Options, disk: Disk, seed: u64) -> World {
         let mut out = Vec::new();
-        let store = Store::open(rules, NOW - 1e9, &mut out);
+        let store = Store::open(options, NOW - 1e9, &mut out);
         let mut world = World {
             store,
             disk,
@@ -150,14 +150,14 @@
             waiting: None,
             answers: BTreeMap::new(),
             opened: false,
-            shut: None,
+            close_reason: None,
             tickets: 0,
         };
-        world.carry_out(out);
+        world.execute(out);
         world
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Disk(request) => {
@@ -168,7 +168,7 @@
                     assert!(self.answers.insert(ticket, answer).is_none(), "two answers to {ticket}");
                 }
                 Action::Opened => self.opened = true,
-                Action::Closed(reason) => self.shut = Some(reason),
+                Action::Closed(reason) => self.close_reason = Some(reason),
             }
         }
     }
@@ -176,7 +176,7 @@
     pub fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.store.handle(self.now, event, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
     /// One request of the disk; tells whether there was one.
@@ -199,8 +199,8 @@
     }
 
     /// What the store holds now.
-    pub fn holds(&self) -> Plain {
-        let mut all = Plain::new();
+    pub fn holds(&self) -> Tables {
+        let mut all = Tables::new();
         for table in ["a", "b"] {
             for (key, value) in self.store.entries(self.now, table) {
                 all.insert((table.to_owned(), key.to_vec()), value.to_vec());
@@ -210,20 +210,20 @@
     }
 
     /// The power goes; what is left is opened anew.
-    pub fn crash(mut self, rules: Options, seed: u64) -> World {
+    pub fn crash(mut self, options: Options, seed: u64) -> World {
         let request = self.waiting.take();
         self.disk.crash(request.as_ref(), &mut self.random);
         let mut disk = std::mem::take(&mut self.disk);
-        (disk.fails_at, disk.room) = (None, None);
-        let mut next = World::open(rules, disk, seed);
+        (disk.fails_at, disk.capacity) = (None, None);
+        let mut next = World::open(options, disk, seed);
         next.run();
         next
     }
 }
 
 /// What the tables are after so many of these batches.
-pub fn after(batches: &[Vec<Change>], n: usize) -> Plain {
-    let mut all = Plain::new();
+pub fn after(batches: &[Vec<Change>], n: usize) -> Tables {
+    let mut all = Tables::new();
     for change in batches[..n].iter().flatten() {
         let key = (change.table.clone(), change.key.clone());
         match &change.value {
