--- a/crates/pinepoint-idempotency/src/lib.rs
+++ b/crates/pinepoint-idempotency/src/lib.rs
@@ -9,23 +9,25 @@
 //!
 //! What is not promised: an answer for a key that had begun when the power went. Nobody can know, and its tries fail.
 //!
-//! [`ledger`] decides and [`time`] judges what the clock did meanwhile. Neither does I/O or reads a clock.
+//! [`records`] decides and [`clock`] judges what the clock did meanwhile. Neither does I/O or reads a clock.
 //!
 //! ```
-//! use pinepoint_idempotency::ledger::{Action, Event, Ledger, Rules, Try};
-//! use pinepoint_idempotency::time::Gap;
+//! use pinepoint_idempotency::clock::ClockContinuity;
+//! use pinepoint_idempotency::records::{Action, Attempt, Event, IdempotencyRecords, Options};
 //!
-//! let (mut ledger, _) = Ledger::open(Rules::default(), 0.0, Gap::Known(0.0), std::iter::empty());
+//! let continuity = ClockContinuity::Continuous(0.0);
+//! let (mut records, _) = IdempotencyRecords::open(Options::default(), 0.0, continuity, std::iter::empty());
 //! let mut out = Vec::new();
-//! let tried = Try { ticket: 1, key: b"k".to_vec(), caller: 1, digest: 7, t0_ms: 0.0, window_ms: 1000.0 };
-//! ledger.handle(0.0, Event::Try(tried), &mut out);
-//! assert!(matches!(out[..], [Action::Write(1, _)]), "the intent first");
+//! let attempt =
+//!     Attempt { ticket: 1, key: b"k".to_vec(), caller: 1, digest: 7, first_sent_ms: 0.0, window_ms: 1000.0 };
+//! records.handle(0.0, Event::Attempt(attempt), &mut out);
+//! assert!(matches!(out[..], [Action::WriteDurably(1, _)]), "the intent first");
 //! out.clear();
-//! ledger.handle(0.0, Event::Written(1, true), &mut out);
+//! records.handle(0.0, Event::WriteCompleted(1, true), &mut out);
 //! assert_eq!(out, [Action::Run(1, b"k".to_vec())]);
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
-pub mod ledger;
-pub mod time;
+pub mod clock;
+pub mod records;
--- a/crates/pinepoint-idempotency/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -6,12 +6,14 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use pinepoint_idempotency::ledger::{Action, End, Event, Fault, Key, Ledger, Rules, Try};
-use pinepoint_idempotency::time::Gap;
+use pinepoint_idempotency::clock::ClockContinuity;
+use pinepoint_idempotency::records::{
+    Action, Attempt, Event, Fault, IdempotencyRecords, Key, Options, RunOutcome,
+};
 use pinepoint_store::format::Change;
 
 const WINDOW: f64 = 1000.0;
-const AFTERLIFE: f64 = 500.0;
+const GRACE: f64 = 500.0;
 /// Choices in a row, where `LEDGER_DEPTH` says nothing else.
 const DEPTH: usize = 7;
 
@@ -19,13 +21,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Choice {
     /// A try of this key, with this body.
-    Try(u8, u64),
+    Attempt(u8, u64),
     /// The oldest write is durable.
     Synced,
     /// It fails, and is there or not.
     Fails(bool),
     /// A run of this key ends.
-    Ends(u8, Ended),
+    Ends(u8, RunEnd),
     /// The power goes, with so many of the writes that wait kept.
     Cut(usize, Clock),
     /// A window passes.
@@ -33,10 +35,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ended {
-    Whole,
-    Without,
-    Moot,
+enum RunEnd {
+    Completed,
+    NoResult,
+    NeverRan,
 }
 
 /// What the clock does over a cut.
@@ -50,8 +52,8 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    rules: Rules,
-    ledger: Ledger,
+    options: Options,
+    records: IdempotencyRecords,
     /// True time, and what the clock shows beyond it.
     now: f64,
     shown: f64,
@@ -72,11 +74,12 @@
 }
 
 impl World {
-    fn new(rules: Rules) -> World {
-        let (ledger, _) = Ledger::open(rules, 0.0, Gap::Known(0.0), std::iter::empty());
+    fn new(options: Options) -> World {
+        let (records, _) =
+            IdempotencyRecords::open(options, 0.0, ClockContinuity::Continuous(0.0), std::iter::empty());
         World {
-            rules,
-            ledger,
+            options,
+            records,
             now: 1e9,
             shown: 0.0,
             disk: BTreeMap::new(),
@@ -96,9 +99,9 @@
     fn choices(&self, tries: usize, cuts: u32) -> Vec<Choice> {
         let mut all = Vec::new();
         if self.tries.len() < tries {
-            all.extend([Choice::Try(0, 1), Choice::Try(1, 1)]);
+            all.extend([Choice::Attempt(0, 1), Choice::Attempt(1, 1)]);
             if self.tries.len() == 1 {
-                all.push(Choice::Try(0, 2));
+                all.push(Choice::Attempt(0, 2));
             }
         }
         if !self.writes.is_empty() {
@@ -108,7 +111,9 @@
             }
         }
         for key in &self.running {
-            all.extend([Ended::Whole, Ended::Without, Ended::Moot].map(|end| Choice::Ends(key[0], end)));
+            all.extend(
+                [RunEnd::Completed, RunEnd::NoResult, RunEnd::NeverRan].map(|end| Choice::Ends(key[0], end)),
+            );
         }
         if self.cuts < cuts {
             for kept in 0..=self.writes.len() {
@@ -123,18 +128,19 @@
 
     fn step(&mut self, choice: Choice) {
         match choice {
-            Choice::Try(key, digest) => {
+            Choice::Attempt(key, digest) => {
                 let ticket = self.tries.len() as u64;
                 self.tries.push((vec![key], digest, false, false));
                 self.sent_ms.push(self.now);
-                let t0_ms = self.now + self.shown;
-                let tried = Try { ticket, key: vec![key], caller: 1, digest, t0_ms, window_ms: WINDOW };
-                self.handle(Event::Try(tried));
+                let first_sent_ms = self.now + self.shown;
+                let attempt =
+                    Attempt { ticket, key: vec![key], caller: 1, digest, first_sent_ms, window_ms: WINDOW };
+                self.handle(Event::Attempt(attempt));
             }
             Choice::Synced => {
                 let (number, changes) = self.writes.remove(0);
                 self.keep(&changes);
-                number.into_iter().for_each(|number| self.handle(Event::Written(number, true)));
+                number.into_iter().for_each(|number| self.handle(Event::WriteCompleted(number, true)));
             }
             Choice::Fails(is_there) => {
                 self.fails += 1;
@@ -142,26 +148,26 @@
                 if is_there {
                     self.keep(&changes);
                 }
-                number.into_iter().for_each(|number| self.handle(Event::Written(number, false)));
+                number.into_iter().for_each(|number| self.handle(Event::WriteCompleted(number, false)));
             }
             Choice::Ends(key, end) => {
                 self.running.retain(|running| running[0] != key);
                 let end = match end {
-                    Ended::Whole => End::Whole(vec![key]),
-                    Ended::Without => End::Without,
-                    Ended::Moot => {
+                    RunEnd::Completed => RunOutcome::Completed(vec![key]),
+                    RunEnd::NoResult => RunOutcome::NoResult,
+                    RunEnd::NeverRan => {
                         // It is proved that it had none.
                         let last = self.effects.iter().rposition(|(of, ..)| of[0] == key);
                         last.map(|at| self.effects.remove(at));
-                        End::Moot
+                        RunOutcome::NeverRan
                     }
                 };
-                self.handle(Event::Ended(vec![key], end));
+                self.handle(Event::RunEnded(vec![key], end));
             }
             Choice::Cut(kept, clock) => self.cut(kept, clock),
             Choice::Passes => {
                 self.passed += 1;
-                self.now += WINDOW + AFTERLIFE;
+                self.now += WINDOW + GRACE;
                 self.handle(Event::Tick);
             }
         }
@@ -185,12 +191,12 @@
         let writes = std::mem::take(&mut self.writes);
         writes[..kept].iter().for_each(|(_, changes)| self.keep(changes));
         self.running.clear();
-        self.tries.iter_mut().for_each(|tried| tried.3 |= !tried.2);
-        let gap = match clock {
-            Clock::Right if self.old_mark => Gap::Unknown,
-            Clock::Right => Gap::Known(0.0),
-            Clock::Forward => Gap::Unknown,
-            Clock::Back => Gap::Back,
+        self.tries.iter_mut().for_each(|attempt| attempt.3 |= !attempt.2);
+        let continuity = match clock {
+            Clock::Right if self.old_mark => ClockContinuity::Unknown,
+            Clock::Right => ClockContinuity::Continuous(0.0),
+            Clock::Forward => ClockContinuity::Unknown,
+            Clock::Back => ClockContinuity::SteppedBack,
         };
         self.shown += match clock {
             Clock::Right => 0.0,
@@ -198,9 +204,10 @@
             Clock::Back => -10_000.0,
         };
         let entries = self.disk.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
-        let (ledger, mut opened) = Ledger::open(self.rules, self.now + self.shown, gap, entries);
-        self.ledger = ledger;
-        if !matches!(gap, Gap::Known(_)) {
+        let (records, mut report) =
+            IdempotencyRecords::open(self.options, self.now + self.shown, continuity, entries);
+        self.records = records;
+        if !matches!(continuity, ClockContinuity::Continuous(_)) {
             self.old_mark = true;
             let mark = Change {
                 table: "mark".into(),
@@ -208,21 +215,21 @@
                 value: Some(Vec::new()),
                 expires_at_ms: f64::MAX,
             };
-            opened.anew.push(mark);
-            self.writes.push((None, opened.anew));
+            report.rewritten.push(mark);
+            self.writes.push((None, report.rewritten));
         }
     }
 
     fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.ledger.handle(self.now + self.shown, event, &mut out);
+        self.records.handle(self.now + self.shown, event, &mut out);
         for action in out {
             match action {
-                Action::Write(number, changes) => self.writes.push((Some(number), changes)),
-                Action::Lazy(changes) => self.writes.push((None, changes)),
+                Action::WriteDurably(number, changes) => self.writes.push((Some(number), changes)),
+                Action::WriteLazily(changes) => self.writes.push((None, changes)),
                 Action::Run(ticket, key) => self.runs(ticket, key),
-                Action::Answer(ticket, _) | Action::Fail(ticket, _) => self.answered(ticket),
-                Action::Refuse(ticket, why) => {
+                Action::Respond(ticket, _) | Action::Fail(ticket, _) => self.answered(ticket),
+                Action::Reject(ticket, why) => {
                     self.answered(ticket);
                     let (key, digest, ..) = &self.tries[ticket as usize];
                     if self.had_effect(key, *digest, self.sent_ms[ticket as usize]) {
@@ -248,17 +255,17 @@
     }
 
     fn answered(&mut self, ticket: u64) {
-        let tried = &mut self.tries[ticket as usize];
-        if tried.2 {
+        let attempt = &mut self.tries[ticket as usize];
+        if attempt.2 {
             self.wrong = Some(format!("a second answer to try {ticket}"));
         }
-        tried.2 = true;
+        attempt.2 = true;
     }
 
     /// Where nothing is under way every try that the power did not end is answered.
     fn check(&mut self) {
         let idle = self.running.is_empty() && self.writes.iter().all(|(number, _)| number.is_none());
-        let open = |(at, tried): (usize, &(Key, u64, bool, bool))| (!tried.2 && !tried.3).then_some(at);
+        let open = |(at, attempt): (usize, &(Key, u64, bool, bool))| (!attempt.2 && !attempt.3).then_some(at);
         if idle && let Some(at) = self.tries.iter().enumerate().find_map(open) {
             self.wrong = Some(format!("try {at} waits for nothing"));
         }
@@ -296,9 +303,9 @@
     }
 }
 
-fn search(rules: Rules, tries: usize, cuts: u32, depth: usize) -> (Option<(Vec<Choice>, String)>, usize) {
+fn search(options: Options, tries: usize, cuts: u32, depth: usize) -> (Option<(Vec<Choice>, String)>, usize) {
     let mut search = Search { seen: HashSet::new(), wrong: None, tries, cuts };
-    search.go(&World::new(rules), &mut Vec::new(), depth);
+    search.go(&World::new(options), &mut Vec::new(), depth);
     (search.wrong, search.seen.len())
 }
 
@@ -306,24 +313,24 @@
     std::env::var("LEDGER_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEPTH)
 }
 
-fn rules() -> Rules {
-    Rules { entries: 1, afterlife_ms: AFTERLIFE, ..Rules::default() }
+fn options() -> Options {
+    Options { max_records: 1, grace_ms: GRACE, ..Options::default() }
 }
 
 #[test]
 fn no_course_runs_a_key_twice_refuses_what_ran_or_leaves_a_try_without_its_answer() {
     // One key more than may be kept, and room for both.
-    for entries in [1, 2] {
-        let (wrong, states) = search(Rules { entries, ..rules() }, 3, 2, depth());
-        println!("{states} states with room for {entries}");
-        assert!(wrong.is_none(), "with room for {entries}, after {states} states: {wrong:#?}");
+    for max_records in [1, 2] {
+        let (wrong, states) = search(Options { max_records, ..options() }, 3, 2, depth());
+        println!("{states} states with room for {max_records}");
+        assert!(wrong.is_none(), "with room for {max_records}, after {states} states: {wrong:#?}");
     }
 }
 
 #[test]
 fn an_intent_after_the_run_and_an_open_window_that_is_given_up_are_found() {
     for fault in [Fault::IntentAfterRun, Fault::EvictAtBound] {
-        let (wrong, states) = search(Rules { fault: Some(fault), ..rules() }, 3, 2, depth());
+        let (wrong, states) = search(Options { fault: Some(fault), ..options() }, 3, 2, depth());
         println!("{fault:?} after {states} states: {wrong:?}");
         assert!(wrong.is_some(), "{fault:?} is not found in {states} states");
     }
