--- a/crates/pinepoint-idempotency/src/clock.rs
+++ b/crates/pinepoint-idempotency/src/clock.rs
@@ -1,57 +1,70 @@
-//! How much time went by between two lives of a process. It owns that judgement; it must never read a clock.
+//! How the clock of an earlier process relates to the current one. No clock is read here.
 //!
-//! The Unix clock may have been set over a power cut, in either direction. Within one boot of the machine the time since boot
-//! tells how far; over a boot nothing does, and then no window is believed to be over sooner than the worst case allows.
+//! The Unix clock may have been set across a restart, in either direction. Within one boot of the machine the time since boot
+//! shows by how much; across a boot nothing does, and then all windows are assumed to start again.
 
 use serde::{Deserialize, Serialize};
 
-/// A mark of the time, kept lazily.
+/// Both clocks of the machine at one moment. The order of the fields is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// Unix ms.
+    /// The Unix clock, ms.
     pub unix_ms: f64,
-    /// Since the machine's boot, suspended time included, ms.
+    /// Time since the machine's boot, including suspended time, ms.
     pub boot_ms: f64,
-    /// Names that boot.
-    pub boot: u128,
+    /// Identifies that boot.
+    pub boot_id: u128,
 }
 
-/// What is known of the time between a mark and now.
+/// How the Unix clock went on between an earlier reading and now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClockContinuity {
-    /// So long, ms, and the clock was not set.
-    Continuous(f64),
-    /// So long, ms, and the clock was set by that much besides, ms; less than nothing: back.
-    Stepped(f64, f64),
-    /// The clock was set back over a boot: it shows less than the mark.
+    /// It was not set.
+    Continuous {
+        /// Time between the readings, ms.
+        elapsed_ms: f64,
+    },
+    /// It was set.
+    Stepped {
+        /// Time between the readings, ms.
+        elapsed_ms: f64,
+        /// By how much it was set, ms; negative if backwards.
+        step_ms: f64,
+    },
+    /// The machine was booted between the readings, and the clock shows less than before.
     SteppedBack,
-    /// Not known, over a boot: what the clock shows may be true.
+    /// The machine was booted between the readings: whether the clock was set is not known.
     Unknown,
 }
 
-/// Clocks drift and are steered by less than this, ms.
+/// Maximum difference of the two clocks through drift and slewing, ms; a larger one is a step.
 const MAX_SLEW_MS: f64 = 1000.0;
 
 impl ClockContinuity {
-    /// Between a mark that was read back and now.
-    pub fn between(mark: &ClockReading, now: &ClockReading) -> ClockContinuity {
-        let shown = now.unix_ms - mark.unix_ms;
-        if mark.boot == now.boot && now.boot_ms >= mark.boot_ms {
-            let gone = now.boot_ms - mark.boot_ms;
-            return if (shown - gone).abs() <= MAX_SLEW_MS {
-                ClockContinuity::Continuous(gone)
+    /// Compares an earlier reading with the current one.
+    pub fn between(earlier: &ClockReading, now: &ClockReading) -> ClockContinuity {
+        let unix_elapsed_ms = now.unix_ms - earlier.unix_ms;
+        let is_same_boot = earlier.boot_id == now.boot_id && now.boot_ms >= earlier.boot_ms;
+        if is_same_boot {
+            let elapsed_ms = now.boot_ms - earlier.boot_ms;
+            let step_ms = unix_elapsed_ms - elapsed_ms;
+            if step_ms.abs() <= MAX_SLEW_MS {
+                ClockContinuity::Continuous { elapsed_ms }
             } else {
-                ClockContinuity::Stepped(gone, shown - gone)
-            };
+                ClockContinuity::Stepped { elapsed_ms, step_ms }
+            }
+        } else if unix_elapsed_ms < -MAX_SLEW_MS {
+            ClockContinuity::SteppedBack
+        } else {
+            ClockContinuity::Unknown
         }
-        if shown < -MAX_SLEW_MS { ClockContinuity::SteppedBack } else { ClockContinuity::Unknown }
     }
 
-    /// What a time of the earlier life is on the clock of this one, if that is known.
+    /// Converts a time of the earlier clock to the current one, both Unix ms; `None` if their relation is not known.
     pub fn to_current_clock(self, earlier_ms: f64) -> Option<f64> {
         match self {
-            ClockContinuity::Continuous(_) => Some(earlier_ms),
-            ClockContinuity::Stepped(_, by) => Some(earlier_ms + by),
+            ClockContinuity::Continuous { .. } => Some(earlier_ms),
+            ClockContinuity::Stepped { step_ms, .. } => Some(earlier_ms + step_ms),
             ClockContinuity::SteppedBack | ClockContinuity::Unknown => None,
         }
     }
--- a/crates/pinepoint-idempotency/src/lib.rs
+++ b/crates/pinepoint-idempotency/src/lib.rs
@@ -1,30 +1,30 @@
-//! Which keyed requests were begun and how they ended, over restarts.
+//! Idempotency keys over restarts: which keyed requests were started, and how they ended.
 //!
-//! What holds, as long as the store keeps its own promises ([`pinepoint_store`]):
-//! - In the window of a key its effect happens at most once, whenever the process ends and however often it is started.
-//! - A try whose run may have begun is never told that it was refused.
-//! - A result is kept before it is told; an intent before its run leaves.
-//! - Keys, keys of one caller and bytes of results are bounded; at a bound new keys are refused before they run, and no open
-//!   window is given up.
+//! Guarantees, as long as those of [`pinepoint_store`] hold:
+//! - Within a key's window its request takes effect at most once, whenever the process ends and however often it is restarted.
+//! - An attempt whose request may have run is never rejected (which would say that it did not run).
+//! - A run starts only after its intent is durable; its result is written before it is delivered.
+//! - Keys, keys of one caller and retained results are bounded; at a bound new keys are rejected, and no record whose window is
+//!   open is evicted.
 //!
-//! What is not promised: an answer for a key that had begun when the power went. Nobody can know, and its tries fail.
+//! Not guaranteed: a result for a key whose run had started when the process ended. Its attempts fail.
 //!
-//! [`records`] decides and [`clock`] judges what the clock did meanwhile. Neither does I/O or reads a clock.
+//! [`records`] is the state machine, [`clock`] compares the clocks of two processes. Neither does I/O or reads a clock.
 //!
 //! ```
 //! use pinepoint_idempotency::clock::ClockContinuity;
 //! use pinepoint_idempotency::records::{Action, Attempt, Event, IdempotencyRecords, Options};
 //!
-//! let continuity = ClockContinuity::Continuous(0.0);
+//! let continuity = ClockContinuity::Continuous { elapsed_ms: 0.0 };
 //! let (mut records, _) = IdempotencyRecords::open(Options::default(), 0.0, continuity, std::iter::empty());
 //! let mut out = Vec::new();
 //! let attempt =
 //!     Attempt { ticket: 1, key: b"k".to_vec(), caller: 1, digest: 7, first_sent_ms: 0.0, window_ms: 1000.0 };
 //! records.handle(0.0, Event::Attempt(attempt), &mut out);
-//! assert!(matches!(out[..], [Action::WriteDurably(1, _)]), "the intent first");
+//! assert!(matches!(out[..], [Action::WriteDurably { write: 1, .. }]), "the intent first");
 //! out.clear();
-//! records.handle(0.0, Event::WriteCompleted(1, true), &mut out);
-//! assert_eq!(out, [Action::Run(1, b"k".to_vec())]);
+//! records.handle(0.0, Event::WriteCompleted { write: 1, is_durable: true }, &mut out);
+//! assert_eq!(out, [Action::Run { ticket: 1, key: b"k".to_vec() }]);
 //! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/pinepoint-idempotency/tests/format.rs
+++ b/crates/pinepoint-idempotency/tests/format.rs
@@ -23,15 +23,15 @@
     let (mut records, _) = IdempotencyRecords::open(
         Options::default(),
         1.7e12,
-        ClockContinuity::Continuous(0.0),
+        ClockContinuity::Continuous { elapsed_ms: 0.0 },
         std::iter::empty(),
     );
     let mut out = Vec::new();
     records.handle(1.7e12, Event::Attempt(attempt()), &mut out);
-    records.handle(1.7e12, Event::WriteCompleted(1, true), &mut out);
-    records.handle(1.7e12, Event::RunEnded(b"key".to_vec(), end), &mut out);
+    records.handle(1.7e12, Event::WriteCompleted { write: 1, is_durable: true }, &mut out);
+    records.handle(1.7e12, Event::RunEnded { key: b"key".to_vec(), outcome: end }, &mut out);
     let changes = out.into_iter().filter_map(|action| match action {
-        Action::WriteDurably(_, changes) => Some(changes),
+        Action::WriteDurably { changes, .. } => Some(changes),
         _ => None,
     });
     changes.flatten().map(|change| (change.table, change.value.expect("a record"))).collect()
@@ -42,7 +42,7 @@
     IdempotencyRecords::open(
         Options::default(),
         1.7e12,
-        ClockContinuity::Continuous(0.0),
+        ClockContinuity::Continuous { elapsed_ms: 0.0 },
         entries.into_iter(),
     )
 }
@@ -74,10 +74,10 @@
 #[test]
 fn records_of_an_earlier_build_are_read_back() {
     let cases = [
-        (WITHOUT_OUTCOME, Action::Fail(TICKET, FailReason::MayHaveRun)),
-        (WITH_RESULT, Action::Respond(TICKET, b"result".to_vec())),
-        (WITHOUT_RESULT, Action::Fail(TICKET, FailReason::NoResult)),
-        (NEVER_RAN, Action::Fail(TICKET, FailReason::NoResult)),
+        (WITHOUT_OUTCOME, Action::Fail { ticket: TICKET, reason: FailReason::MayHaveRun }),
+        (WITH_RESULT, Action::Respond { ticket: TICKET, result: b"result".to_vec() }),
+        (WITHOUT_RESULT, Action::Fail { ticket: TICKET, reason: FailReason::NoResult }),
+        (NEVER_RAN, Action::Fail { ticket: TICKET, reason: FailReason::NoResult }),
     ];
     for (outcome, expected) in cases {
         let (mut records, report) = read_back(&record(outcome));
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_stored_time_mark_keeps_its_bytes() {
-    let mark = ClockReading { unix_ms: 1.7e12, boot_ms: 5000.0, boot: 300 };
+    let mark = ClockReading { unix_ms: 1.7e12, boot_ms: 5000.0, boot_id: 300 };
     let bytes = [0, 0, 128, 86, 254, 188, 120, 66, 0, 0, 0, 0, 0, 136, 179, 64, 172, 2];
     assert_eq!(postcard::to_allocvec(&mark).as_deref(), Ok(bytes.as_slice()));
     assert_eq!(postcard::from_bytes(&bytes), Ok(mark));
--- a/crates/pinepoint-idempotency/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -1,6 +1,6 @@
 //! Every course of two keys, three tries, failing writes, ends of runs, cuts of power that keep any of the unsynced writes, and time
 //! that passes, up to a depth: at most one effect for each key in its window, one final answer for each try, and no refusal of
-//! what may have run. The program's own ledger is run; what is enumerated are the choices around it. Two faults that are built in
+//! what may have run. The program's own records are run; what is enumerated are the choices around it. Two faults that are built in
 //! have to be found.
 
 use std::collections::{BTreeMap, HashSet};
@@ -75,8 +75,12 @@
 
 impl World {
     fn new(options: Options) -> World {
-        let (records, _) =
-            IdempotencyRecords::open(options, 0.0, ClockContinuity::Continuous(0.0), std::iter::empty());
+        let (records, _) = IdempotencyRecords::open(
+            options,
+            0.0,
+            ClockContinuity::Continuous { elapsed_ms: 0.0 },
+            std::iter::empty(),
+        );
         World {
             options,
             records,
@@ -140,7 +144,9 @@
             Choice::Synced => {
                 let (number, changes) = self.writes.remove(0);
                 self.keep(&changes);
-                number.into_iter().for_each(|number| self.handle(Event::WriteCompleted(number, true)));
+                number.into_iter().for_each(|number| {
+                    self.handle(Event::WriteCompleted { write: number, is_durable: true })
+                });
             }
             Choice::Fails(is_there) => {
                 self.fails += 1;
@@ -148,7 +154,9 @@
                 if is_there {
                     self.keep(&changes);
                 }
-                number.into_iter().for_each(|number| self.handle(Event::WriteCompleted(number, false)));
+                number.into_iter().for_each(|number| {
+                    self.handle(Event::WriteCompleted { write: number, is_durable: false })
+                });
             }
             Choice::Ends(key, end) => {
                 self.running.retain(|running| running[0] != key);
@@ -162,7 +170,7 @@
                         RunOutcome::NeverRan
                     }
                 };
-                self.handle(Event::RunEnded(vec![key], end));
+                self.handle(Event::RunEnded { key: vec![key], outcome: end });
             }
             Choice::Cut(kept, clock) => self.cut(kept, clock),
             Choice::Passes => {
@@ -194,7 +202,7 @@
         self.tries.iter_mut().for_each(|attempt| attempt.3 |= !attempt.2);
         let continuity = match clock {
             Clock::Right if self.old_mark => ClockContinuity::Unknown,
-            Clock::Right => ClockContinuity::Continuous(0.0),
+            Clock::Right => ClockContinuity::Continuous { elapsed_ms: 0.0 },
             Clock::Forward => ClockContinuity::Unknown,
             Clock::Back => ClockContinuity::SteppedBack,
         };
@@ -207,7 +215,7 @@
         let (records, mut report) =
             IdempotencyRecords::open(self.options, self.now + self.shown, continuity, entries);
         self.records = records;
-        if !matches!(continuity, ClockContinuity::Continuous(_)) {
+        if !matches!(continuity, ClockContinuity::Continuous { .. }) {
             self.old_mark = true;
             let mark = Change {
                 table: "mark".into(),
@@ -225,15 +233,16 @@
         self.records.handle(self.now + self.shown, event, &mut out);
         for action in out {
             match action {
-                Action::WriteDurably(number, changes) => self.writes.push((Some(number), changes)),
+                Action::WriteDurably { write: number, changes } => self.writes.push((Some(number), changes)),
                 Action::WriteLazily(changes) => self.writes.push((None, changes)),
-                Action::Run(ticket, key) => self.runs(ticket, key),
-                Action::Respond(ticket, _) | Action::Fail(ticket, _) => self.answered(ticket),
-                Action::Reject(ticket, why) => {
+                Action::Run { ticket, key } => self.runs(ticket, key),
+                Action::Respond { ticket, .. } | Action::Fail { ticket, .. } => self.answered(ticket),
+                Action::Reject { ticket, reason } => {
                     self.answered(ticket);
                     let (key, digest, ..) = &self.tries[ticket as usize];
                     if self.had_effect(key, *digest, self.sent_ms[ticket as usize]) {
-                        self.wrong = Some(format!("try {ticket} is refused ({why:?}), and its key has run"));
+                        self.wrong =
+                            Some(format!("try {ticket} is refused ({reason:?}), and its key has run"));
                     }
                 }
             }
