--- a/crates/pinepoint-lab/src/rig.rs
+++ b/crates/pinepoint-lab/src/cluster.rs
@@ -9,7 +9,7 @@
 //! | --- | --- |
 //! | `n1 start`, `n1 kill` | start the process, kill it and its engine's runs outright |
 //! | `n1 stop`, `n1 continue` | stop it as by SIGSTOP, let it go on |
-//! | `n1 slow 0.3` | it runs only in that part of the time; 1 ends it |
+//! | `n1 throttle_stop 0.3` | it runs only in that part of the time; 1 ends it |
 //! | `n1 term` | tell it to leave, and wait for its end |
 //! | `n1 hup` | tell it to read its files again |
 //! | `n1 clock 10000` | set its clock off by so many ms |
@@ -25,7 +25,7 @@
 //! | `net heal` | all of the above is over |
 //! | `routers send 100`, `routers send 0` | requests a second from now on |
 //! | `routers wait served 50`, `routers wait quiet` | so many more are served; all have ended |
-//! | `rules hold` | no rule is broken: see [`Rig::broken_rules`] |
+//! | `rules hold` | no rule is broken: see [`Cluster::violations`] |
 //! | `all wait settled` | every process that runs has a settled view, the same, and true |
 //! | `n1 wait n2 STATE` | it holds that of it |
 //! | `n1 wait verdict KIND [OF]`, `n1 wait no verdict KIND` | it judges so, or no longer |
@@ -46,28 +46,28 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use crate::listen::own_port;
-use crate::machine::{Places, Switchboard, start_engine};
-use crate::process::Platform;
-use crate::routers::{Plan, Routers};
+use crate::fault_proxy::{Endpoint, FaultProxy};
+use crate::listen::bind_unique_address;
+use crate::machine::{EngineControl, ServiceAddresses, start_engine};
+use crate::process::PlatformConfig;
+use crate::routers::{Routers, Workload};
 use crate::script::{Step, matches, steps};
-use crate::store::{Crowd, Store};
-use crate::switch::{End, Switch};
-use crate::telemetry::classes;
+use crate::store::{Store, StoreState};
+use crate::telemetry::request_classes;
 
 /// What does not come within this time does not come.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 /// Cores of each engine.
-const CORES: f64 = 2.0;
+const ENGINE_CORES: f64 = 2.0;
 /// Between two looks at a view.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A slowed process runs and stands in turns, which together take so long.
-const SLICE: Duration = Duration::from_millis(40);
+const THROTTLE_SLICE: Duration = Duration::from_millis(40);
 /// Slots of the store and time of its calls, where a script says nothing else.
-const SLOTS: usize = 64;
-const CALL: Duration = Duration::from_millis(5);
+const STORE_SLOTS: usize = 64;
+const STORE_CALL: Duration = Duration::from_millis(5);
 /// Routers.
-const ROUTERS: usize = 3;
+const ROUTER_COUNT: usize = 3;
 
 /// What a rig is like.
 #[derive(Clone, Debug, Default)]
@@ -94,24 +94,24 @@
     /// In scripts.
     name: String,
     /// In its configuration.
-    goes_by: String,
+    configured_name: String,
     zone: String,
     listen: SocketAddr,
     rpc: SocketAddr,
-    places: Places,
-    board: Switchboard,
+    addresses: ServiceAddresses,
+    control: EngineControl,
     child: Option<Child>,
     stopped: bool,
     /// Ends its slowness when it is set.
-    slow: Option<Arc<AtomicBool>>,
+    throttle_stop: Option<Arc<AtomicBool>>,
 }
 
 /// The processes and what is around them. They end with this value.
-pub struct Rig {
+pub struct Cluster {
     options: Options,
     members: Vec<Member>,
     /// Between them.
-    pub switch: Switch,
+    pub proxy: FaultProxy,
     /// The store that all share.
     pub store: Store,
     /// The routers in front.
@@ -120,41 +120,41 @@
 
 /// A script that did not go as it says.
 #[derive(Debug)]
-pub struct Broken(pub String);
+pub struct ScriptError(pub String);
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for ScriptError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ScriptError {}
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for ScriptError {
     fn from(error: io::Error) -> Self {
-        Broken(error.to_string())
+        ScriptError(error.to_string())
     }
 }
 
 /// What is below the processes: an engine for each, the store, and the list service.
-struct Below {
-    engines: Vec<(SocketAddr, Switchboard)>,
+struct Services {
+    engines: Vec<(SocketAddr, EngineControl)>,
     store: Store,
     list: SocketAddr,
 }
 
 /// Starts that on a thread of its own.
-fn below(members: usize) -> io::Result<Below> {
+fn start_services(members: usize) -> io::Result<Services> {
     let (sender, started) = mpsc::channel();
     std::thread::spawn(move || {
         let executor = std::rc::Rc::new(async_executor::LocalExecutor::new());
         let start = || {
             let engine = |_| {
-                let board = Switchboard::default();
-                start_engine(CORES, &board, &executor).map(|address| (address, board))
+                let control = EngineControl::default();
+                start_engine(ENGINE_CORES, &control, &executor).map(|address| (address, control))
             };
             let engines: io::Result<Vec<_>> = (0..members).map(engine).collect();
-            let store = Store::start(Crowd::new(SLOTS, CALL), &executor)?;
+            let store = Store::start(StoreState::new(STORE_SLOTS, STORE_CALL), &executor)?;
             let socket = Async::<std::net::UdpSocket>::bind(([127, 0, 0, 1], 0))?;
             let list = socket.get_ref().local_addr()?;
             let reports = async move {
@@ -162,7 +162,7 @@
                 while socket.recv(&mut report).await.is_ok() {}
             };
             executor.spawn(reports).detach();
-            Ok(Below { engines: engines?, store, list })
+            Ok(Services { engines: engines?, store, list })
         };
         if sender.send(start()).is_ok() {
             async_io::block_on(executor.run(futures_lite::future::pending::<()>()));
@@ -173,63 +173,63 @@
 
 /// A port of loopback that nothing listens on now, at an address of its own.
 fn free() -> io::Result<SocketAddr> {
-    own_port()?.local_addr()
+    bind_unique_address()?.local_addr()
 }
 
-impl Rig {
+impl Cluster {
     /// Makes everything, and starts all processes at once.
-    pub fn start(options: Options) -> io::Result<Rig> {
-        let mut rig = Rig::prepare(options)?;
-        for at in 0..rig.members.len() {
-            rig.spawn(at)?;
+    pub fn start(options: Options) -> io::Result<Cluster> {
+        let mut cluster = Cluster::prepare(options)?;
+        for at in 0..cluster.members.len() {
+            cluster.start_member(at)?;
         }
-        Ok(rig)
+        Ok(cluster)
     }
 
     /// Makes everything but starts no process.
-    pub fn prepare(options: Options) -> io::Result<Rig> {
+    pub fn prepare(options: Options) -> io::Result<Cluster> {
         std::fs::create_dir_all(&options.folder)?;
-        let Below { engines, store, list } = below(options.members)?;
+        let Services { engines, store, list } = start_services(options.members)?;
         let listens: io::Result<Vec<SocketAddr>> = (0..options.members).map(|_| free()).collect();
         let listens = listens?;
-        let switch = Switch::start(listens.clone(), options.seed)?;
-        let (mut members, mut fronts, mut boards) = (Vec::new(), Vec::new(), Vec::new());
-        for (at, ((engine, board), listen)) in engines.into_iter().zip(listens).enumerate() {
-            let (end, of_store) = (End::Member(at), store.clone());
-            let places = Places {
+        let proxy = FaultProxy::start(listens.clone(), options.seed)?;
+        let (mut members, mut front_addresses, mut controls) = (Vec::new(), Vec::new(), Vec::new());
+        for (at, ((engine, control), listen)) in engines.into_iter().zip(listens).enumerate() {
+            let (end, of_store) = (Endpoint::Member(at), store.clone());
+            let addresses = ServiceAddresses {
                 engine,
-                store: switch.stream(end, End::Store, store.address, move || of_store.listens())?,
-                members: switch.datagrams(end, End::List, list)?,
+                store: proxy.stream(end, Endpoint::Store, store.address, move || of_store.listens())?,
+                members: proxy.datagrams(end, Endpoint::List, list)?,
             };
             let rpc = free()?;
-            fronts.push(switch.stream(End::Routers, end, rpc, || true)?);
-            boards.push(board.clone());
+            front_addresses.push(proxy.stream(Endpoint::Routers, end, rpc, || true)?);
+            controls.push(control.clone());
             let name = format!("n{}", at + 1);
             members.push(Member {
-                goes_by: name.clone(),
+                configured_name: name.clone(),
                 name,
                 zone: format!("z{}", at % options.zones.max(1) + 1),
                 listen,
                 rpc,
-                places,
-                board,
+                addresses,
+                control,
                 child: None,
                 stopped: false,
-                slow: None,
+                throttle_stop: None,
             });
         }
-        let plan = Plan {
-            classes: classes(1.0).0,
+        let workload = Workload {
+            classes: request_classes(1.0).0,
             rate: 0.0,
-            routers: ROUTERS,
-            repeat_keyed: false,
+            routers: ROUTER_COUNT,
+            retry_keyed: false,
             seed: options.seed,
         };
-        let routers = Routers::start(plan, fronts, boards)?;
-        Ok(Rig { options, members, switch, store, routers })
+        let routers = Routers::start(workload, front_addresses, controls)?;
+        Ok(Cluster { options, members, proxy, store, routers })
     }
 
-    fn spawn(&mut self, at: usize) -> io::Result<()> {
+    fn start_member(&mut self, at: usize) -> io::Result<()> {
         let Options { program, folder, period_ms, fleet, edge, seed, .. } = &self.options;
         let member = &mut self.members[at];
         let own = folder.join(&member.name);
@@ -239,20 +239,20 @@
             std::fs::write(&path, text)?;
             Ok(path)
         };
-        let platform = Platform {
-            name: &member.goes_by,
+        let platform = PlatformConfig {
+            name: &member.configured_name,
             listen: member.rpc,
-            places: member.places,
+            addresses: member.addresses,
             seed: seed + at as u64,
             memory_mb: 64,
             sockets: 256,
-            cores: CORES,
+            cores: ENGINE_CORES,
         };
-        let seeds = self.switch.seeds();
+        let seeds = self.proxy.seeds();
         let edge = format!(
             "[fleet]\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"{}\"\nperiod_ms = {period_ms}.0\nseeds = {seeds}\n{fleet}\n{}\n",
             member.listen,
-            self.switch.ports[at],
+            self.proxy.ports[at],
             member.zone,
             edge.replace("DIR", &own.display().to_string())
         );
@@ -263,7 +263,7 @@
         let child = Command::new(program)
             .arg("--edge")
             .arg(file("edge.toml", &edge)?)
-            .env("RELAY_CONFIG", file("config.json", &platform.file())?)
+            .env("RELAY_CONFIG", file("config.json", &platform.render())?)
             .env("PINEPOINT_TEST_CLOCK", folder.join(format!("{}-clock", member.name)))
             .stdin(Stdio::null())
             .stderr(log)
@@ -272,9 +272,9 @@
         Ok(())
     }
 
-    fn at(&self, name: &str) -> Result<usize, Broken> {
+    fn at(&self, name: &str) -> Result<usize, ScriptError> {
         let at = self.members.iter().position(|member| member.name == name);
-        at.ok_or_else(|| Broken(format!("no member {name}")))
+        at.ok_or_else(|| ScriptError(format!("no member {name}")))
     }
 
     fn pid(&self, at: usize) -> io::Result<Pid> {
@@ -287,13 +287,13 @@
     }
 
     /// The number by which the system knows a process that runs.
-    pub fn pid_of(&self, name: &str) -> Result<i32, Broken> {
+    pub fn pid_of(&self, name: &str) -> Result<i32, ScriptError> {
         Ok(self.pid(self.at(name)?)?.as_raw_nonzero().get())
     }
 
     /// The engine of a process.
-    pub fn board(&self, name: &str) -> Result<&Switchboard, Broken> {
-        Ok(&self.members[self.at(name)?].board)
+    pub fn control(&self, name: &str) -> Result<&EngineControl, ScriptError> {
+        Ok(&self.members[self.at(name)?].control)
     }
 
     /// The folder with the files and logs of the processes.
@@ -315,25 +315,25 @@
     }
 
     /// Runs a script.
-    pub fn run(&mut self, script: &str) -> Result<(), Broken> {
+    pub fn run(&mut self, script: &str) -> Result<(), ScriptError> {
         for step in steps(script) {
-            self.step(step).map_err(|Broken(why)| Broken(format!("{}: {why}", step.line)))?;
+            self.step(step).map_err(|ScriptError(why)| ScriptError(format!("{}: {why}", step.line)))?;
         }
         Ok(())
     }
 
-    fn step(&mut self, step: Step<'_>) -> Result<(), Broken> {
+    fn step(&mut self, step: Step<'_>) -> Result<(), ScriptError> {
         let words: Vec<&str> = step.words.split_whitespace().collect();
         match (step.actor, step.verb, words.as_slice()) {
             ("net", verb, words) => self.net(verb, words),
             ("store", verb, words) => self.change_store(verb, words),
             ("list", "down", []) => {
-                let ends: Vec<End> = (0..self.members.len()).map(End::Member).collect();
-                self.switch.faults().cut.extend(ends.into_iter().map(|end| (end, End::List)));
+                let ends: Vec<Endpoint> = (0..self.members.len()).map(Endpoint::Member).collect();
+                self.proxy.faults().blocked.extend(ends.into_iter().map(|end| (end, Endpoint::List)));
                 Ok(())
             }
             ("list", "up", []) => {
-                self.switch.faults().cut.retain(|(_, to)| *to != End::List);
+                self.proxy.faults().blocked.retain(|(_, to)| *to != Endpoint::List);
                 Ok(())
             }
             ("routers", "send", [rate]) => {
@@ -341,24 +341,28 @@
                 Ok(())
             }
             ("routers", "wait", ["served", n]) => {
-                let wanted = self.routers.book().all().served + number(n)? as u64;
-                self.await_routers(|book| book.all().served >= wanted)
+                let wanted = self.routers.stats().all().served + number(n)? as u64;
+                self.await_routers(|stats| stats.all().served >= wanted)
             }
-            ("routers", "wait", ["quiet"]) => self.await_routers(|book| book.open == 0),
+            ("routers", "wait", ["quiet"]) => self.await_routers(|stats| stats.in_flight == 0),
             ("rules", "hold", []) => {
-                let broken = self.broken_rules();
-                if broken.is_empty() { Ok(()) } else { Err(Broken(broken.join("; "))) }
+                let violations = self.violations();
+                if violations.is_empty() { Ok(()) } else { Err(ScriptError(violations.join("; "))) }
             }
-            ("all", "wait", ["settled"]) => self.wait(|| self.untrue()),
+            ("all", "wait", ["settled"]) => self.wait(|| self.unsettled_reason()),
             (actor, "wait", words) => self.await_each(actor, words),
-            (actor, "never", ["verdict", kind]) => self.each(actor, |rig, at| {
-                let view = rig.view(at).ok_or_else(|| Broken("it does not answer".into()))?;
-                if judges(&view, kind, None) { Err(Broken(view["verdicts"].to_string())) } else { Ok(()) }
+            (actor, "never", ["verdict", kind]) => self.each(actor, |cluster, at| {
+                let view = cluster.view(at).ok_or_else(|| ScriptError("it does not answer".into()))?;
+                if has_verdict(&view, kind, None) {
+                    Err(ScriptError(view["verdicts"].to_string()))
+                } else {
+                    Ok(())
+                }
             }),
             (actor, "never", ["log", ..]) => {
                 let pattern = step.words.trim_start_matches("log ");
-                self.each(actor, |rig, at| match rig.logged(at, pattern) {
-                    Some(line) => Err(Broken(line)),
+                self.each(actor, |cluster, at| match cluster.logged_line(at, pattern) {
+                    Some(line) => Err(ScriptError(line)),
                     None => Ok(()),
                 })
             }
@@ -366,7 +370,7 @@
                 let who = self.who(actor)?;
                 // All of them first, and only then what takes time.
                 for at in &who {
-                    self.act(*at, verb, words)?;
+                    self.apply(*at, verb, words)?;
                 }
                 who.into_iter().try_for_each(|at| self.finish(at, verb))
             }
@@ -374,7 +378,7 @@
     }
 
     /// The processes that an actor stands for.
-    fn who(&self, actor: &str) -> Result<Vec<usize>, Broken> {
+    fn who(&self, actor: &str) -> Result<Vec<usize>, ScriptError> {
         if actor == "all" {
             return Ok((0..self.members.len()).collect());
         }
@@ -390,37 +394,43 @@
         Ok(who)
     }
 
-    fn each(&self, actor: &str, check: impl Fn(&Rig, usize) -> Result<(), Broken>) -> Result<(), Broken> {
-        let told = |at: usize, why: Broken| Broken(format!("{}: {why}", self.members[at].name));
+    fn each(
+        &self,
+        actor: &str,
+        check: impl Fn(&Cluster, usize) -> Result<(), ScriptError>,
+    ) -> Result<(), ScriptError> {
+        let told = |at: usize, why: ScriptError| ScriptError(format!("{}: {why}", self.members[at].name));
         self.who(actor)?.into_iter().try_for_each(|at| check(self, at).map_err(|why| told(at, why)))
     }
 
-    fn await_each(&self, actor: &str, words: &[&str]) -> Result<(), Broken> {
+    fn await_each(&self, actor: &str, words: &[&str]) -> Result<(), ScriptError> {
         match words {
             ["verdict", kind, of @ ..] => {
                 let of = of.first().copied();
-                self.each(actor, |rig, at| rig.await_view(at, |view| judges(view, kind, of)))
+                self.each(actor, |cluster, at| cluster.await_view(at, |view| has_verdict(view, kind, of)))
             }
             ["no", "verdict", kind] => {
-                self.each(actor, |rig, at| rig.await_view(at, |view| !judges(view, kind, None)))
+                self.each(actor, |cluster, at| cluster.await_view(at, |view| !has_verdict(view, kind, None)))
             }
             ["log", words @ ..] => {
                 let pattern = words.join(" ");
-                let amiss = |rig: &Rig, at| {
-                    rig.logged(at, &pattern).is_none().then(|| "its log never said so".to_owned())
+                let problem = |cluster: &Cluster, at| {
+                    cluster.logged_line(at, &pattern).is_none().then(|| "its log never said so".to_owned())
                 };
-                self.each(actor, |rig, at| rig.wait(|| amiss(rig, at)))
+                self.each(actor, |cluster, at| cluster.wait(|| problem(cluster, at)))
             }
             [other, state] => {
                 self.at(other)?;
-                self.each(actor, |rig, at| rig.await_view(at, |view| state_of(view, other) == Some(state)))
+                self.each(actor, |cluster, at| {
+                    cluster.await_view(at, |view| state_of(view, other) == Some(state))
+                })
             }
-            _ => Err(Broken("no such line".into())),
+            _ => Err(ScriptError("no such line".into())),
         }
     }
 
     /// A line of its log that is so from `message=` on.
-    fn logged(&self, at: usize, pattern: &str) -> Option<String> {
+    fn logged_line(&self, at: usize, pattern: &str) -> Option<String> {
         let file = self.options.folder.join(format!("{}.log", self.members[at].name));
         let text = std::fs::read(file).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
@@ -430,72 +440,75 @@
 
     /// The rules that were broken so far: a second answer to one try, no answer by its time on a connection that lives,
     /// `Busy` told of a key that has run, a key that was run twice, a fall of the store, a process that ended by itself.
-    pub fn broken_rules(&mut self) -> Vec<String> {
-        let mut broken = self.routers.book().broken.clone();
+    pub fn violations(&mut self) -> Vec<String> {
+        let mut violations = self.routers.stats().violations.clone();
         let mut runs: std::collections::BTreeMap<String, u32> = Default::default();
         for member in &self.members {
-            for (body, n) in &member.board.power().begun {
+            for (body, n) in &member.control.state().started {
                 *runs.entry(body.clone()).or_default() += n;
             }
         }
         // Bodies of one request are the same in all its tries, and of no other.
         let keyed = |body: &str| body.ends_with(" keyed");
         let twice = runs.iter().filter(|(body, n)| **n > 1 && keyed(body));
-        broken.extend(twice.map(|(body, n)| format!("{body} was run {n} times")));
-        let falls = self.store.crowd().falls;
+        violations.extend(twice.map(|(body, n)| format!("{body} was run {n} times")));
+        let falls = self.store.state().crashes;
         if falls > 0 {
-            broken.push(format!("the store fell {falls} times"));
+            violations.push(format!("the store fell {falls} times"));
         }
         for member in &mut self.members {
             if let Some(Ok(Some(status))) = member.child.as_mut().map(Child::try_wait) {
-                broken.push(format!("{} ended by itself: {status}", member.name));
+                violations.push(format!("{} ended by itself: {status}", member.name));
             }
         }
-        broken
+        violations
     }
 
     /// Looks until nothing is amiss any more; tells what was amiss last if that does not come in time.
-    fn wait(&self, amiss: impl Fn() -> Option<String>) -> Result<(), Broken> {
-        let until = Instant::now() + PATIENCE;
+    fn wait(&self, problem: impl Fn() -> Option<String>) -> Result<(), ScriptError> {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let Some(why) = amiss() else { return Ok(()) };
+            let Some(why) = problem() else { return Ok(()) };
             if Instant::now() >= until {
-                return Err(Broken(format!("not so in time: {why}")));
+                return Err(ScriptError(format!("not so in time: {why}")));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn await_routers(&self, is_so: impl Fn(&crate::routers::Book) -> bool) -> Result<(), Broken> {
+    fn await_routers(
+        &self,
+        condition: impl Fn(&crate::routers::RouterStats) -> bool,
+    ) -> Result<(), ScriptError> {
         self.wait(|| {
-            let book = self.routers.book();
-            (!is_so(&book)).then(|| format!("{:?}", book.all()))
+            let stats = self.routers.stats();
+            (!condition(&stats)).then(|| format!("{:?}", stats.all()))
         })
     }
 
-    fn change_store(&mut self, verb: &str, words: &[&str]) -> Result<(), Broken> {
-        let mut crowd = self.store.crowd();
+    fn change_store(&mut self, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
+        let mut state = self.store.state();
         let ms = |word: &str| number(word).map(|ms| Duration::from_secs_f64(ms / 1000.0));
         match (verb, words) {
-            ("down", []) => crowd.down = true,
-            ("up", []) => crowd.down = false,
-            ("slots", [n]) => crowd.slots = number(n)? as usize,
-            ("call", [word]) => crowd.call = ms(word)?,
-            ("away", [word]) => crowd.away = ms(word)?,
-            _ => return Err(Broken("no such line".into())),
+            ("down", []) => state.down = true,
+            ("up", []) => state.down = false,
+            ("slots", [n]) => state.slots = number(n)? as usize,
+            ("call", [word]) => state.call = ms(word)?,
+            ("away", [word]) => state.outage = ms(word)?,
+            _ => return Err(ScriptError("no such line".into())),
         }
         Ok(())
     }
 
-    fn act(&mut self, at: usize, verb: &str, words: &[&str]) -> Result<(), Broken> {
+    fn apply(&mut self, at: usize, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         match (verb, words) {
-            ("start", []) => self.spawn(at)?,
+            ("start", []) => self.start_member(at)?,
             ("kill", []) => {
-                self.be_slow(at, 1.0)?;
+                self.throttle(at, 1.0)?;
                 self.signal(at, Signal::KILL)?;
             }
             ("stop", []) => {
-                self.routers.book().excused.insert(at);
+                self.routers.stats().excused.insert(at);
                 self.signal(at, Signal::STOP)?;
                 self.members[at].stopped = true;
             }
@@ -503,7 +516,7 @@
                 self.signal(at, Signal::CONT)?;
                 self.members[at].stopped = false;
             }
-            ("slow", [part]) => self.be_slow(at, number(part)?)?,
+            ("slow", [part]) => self.throttle(at, number(part)?)?,
             ("term", []) => self.signal(at, Signal::TERM)?,
             ("hup", []) => self.signal(at, Signal::HUP)?,
             ("clock", [ms]) => {
@@ -512,46 +525,46 @@
                 std::fs::write(file, ms)?;
             }
             ("wipe", []) => std::fs::remove_dir_all(self.options.folder.join(&self.members[at].name))?,
-            ("named", [name]) => self.members[at].goes_by = (*name).to_owned(),
-            ("engine", ["down"]) => self.members[at].board.power().down = true,
-            ("engine", ["up"]) => self.members[at].board.power().down = false,
+            ("named", [name]) => self.members[at].configured_name = (*name).to_owned(),
+            ("engine", ["down"]) => self.members[at].control.state().down = true,
+            ("engine", ["up"]) => self.members[at].control.state().down = false,
             ("engine", ["chilly", ms]) => {
-                self.members[at].board.power().chilly = Duration::from_secs_f64(number(ms)? / 1000.0);
+                self.members[at].control.state().warm_up = Duration::from_secs_f64(number(ms)? / 1000.0);
             }
-            _ => return Err(Broken("no such line".into())),
+            _ => return Err(ScriptError("no such line".into())),
         }
         Ok(())
     }
 
     /// What an act takes time for.
-    fn finish(&mut self, at: usize, verb: &str) -> Result<(), Broken> {
+    fn finish(&mut self, at: usize, verb: &str) -> Result<(), ScriptError> {
         if let "kill" | "term" = verb
             && let Some(mut child) = self.members[at].child.take()
         {
             let status = child.wait()?;
             if verb == "term" && !status.success() {
-                return Err(Broken(format!("it ended with {status}")));
+                return Err(ScriptError(format!("it ended with {status}")));
             }
         }
         Ok(())
     }
 
     /// Lets a process run only in this part of the time.
-    fn be_slow(&mut self, at: usize, part: f64) -> Result<(), Broken> {
-        if let Some(over) = self.members[at].slow.take() {
-            over.store(true, Ordering::Relaxed);
+    fn throttle(&mut self, at: usize, part: f64) -> Result<(), ScriptError> {
+        if let Some(stop) = self.members[at].throttle_stop.take() {
+            stop.store(true, Ordering::Relaxed);
         }
         if part >= 1.0 {
             return Ok(());
         }
-        self.routers.book().excused.insert(at);
+        self.routers.stats().excused.insert(at);
         let pid = self.pid(at)?;
-        let over = Arc::new(AtomicBool::new(false));
-        self.members[at].slow = Some(over.clone());
+        let stop = Arc::new(AtomicBool::new(false));
+        self.members[at].throttle_stop = Some(stop.clone());
         std::thread::spawn(move || {
-            let runs = SLICE.mul_f64(part.max(0.05));
-            while !over.load(Ordering::Relaxed) && kill_process(pid, Signal::STOP).is_ok() {
-                std::thread::sleep(SLICE - runs);
+            let runs = THROTTLE_SLICE.mul_f64(part.max(0.05));
+            while !stop.load(Ordering::Relaxed) && kill_process(pid, Signal::STOP).is_ok() {
+                std::thread::sleep(THROTTLE_SLICE - runs);
                 if kill_process(pid, Signal::CONT).is_err() {
                     return;
                 }
@@ -563,53 +576,54 @@
     }
 
     /// The end of a way that goes by this name.
-    fn end(&self, name: &str) -> Result<End, Broken> {
+    fn end(&self, name: &str) -> Result<Endpoint, ScriptError> {
         Ok(match name {
-            "store" => End::Store,
-            "list" => End::List,
-            "routers" => End::Routers,
-            _ => End::Member(self.at(name)?),
+            "store" => Endpoint::Store,
+            "list" => Endpoint::List,
+            "routers" => Endpoint::Routers,
+            _ => Endpoint::Member(self.at(name)?),
         })
     }
 
-    fn net(&mut self, verb: &str, words: &[&str]) -> Result<(), Broken> {
+    fn net(&mut self, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         let all: Vec<&str> = std::iter::once(verb).chain(words.iter().copied()).collect();
         match all.as_slice() {
-            ["heal"] => *self.switch.faults() = Default::default(),
-            ["loss", part] => self.switch.faults().loss = number(part)?,
-            ["twice", part] => self.switch.faults().twice = number(part)?,
-            ["delay", ms] => self.switch.faults().delay_ms = number(ms)? as u64,
+            ["heal"] => *self.proxy.faults() = Default::default(),
+            ["loss", part] => self.proxy.faults().loss = number(part)?,
+            ["twice", part] => self.proxy.faults().duplication = number(part)?,
+            ["delay", ms] => self.proxy.faults().delay_ms = number(ms)? as u64,
             ["deaf", name, part] => {
                 let (end, part) = (self.end(name)?, number(part)?);
-                self.switch.faults().deaf.insert(end, part);
+                self.proxy.faults().receive_loss.insert(end, part);
             }
             ["cut", from, to] => {
                 let pair = (self.end(from)?, self.end(to)?);
-                self.switch.faults().cut.insert(pair);
+                self.proxy.faults().blocked.insert(pair);
             }
             ["part", "zone", zone] => {
                 let within = self.members.iter().enumerate().filter(|(_, member)| member.zone == *zone);
                 let within: Vec<usize> = within.map(|(at, _)| at).collect();
-                self.part(within);
+                self.partition(within);
             }
             ["part", names @ ..] => {
-                let within: Result<Vec<usize>, Broken> = names.iter().map(|name| self.at(name)).collect();
-                self.part(within?);
+                let within: Result<Vec<usize>, ScriptError> =
+                    names.iter().map(|name| self.at(name)).collect();
+                self.partition(within?);
             }
-            _ => return Err(Broken("no such fault".into())),
+            _ => return Err(ScriptError("no such fault".into())),
         }
         Ok(())
     }
 
-    fn part(&mut self, within: Vec<usize>) {
-        let mut faults = self.switch.faults();
-        let number = faults.part.values().max().copied().unwrap_or(0) + 1;
-        faults.part.extend(within.into_iter().map(|at| (End::Member(at), number)));
+    fn partition(&mut self, within: Vec<usize>) {
+        let mut faults = self.proxy.faults();
+        let number = faults.partition.values().max().copied().unwrap_or(0) + 1;
+        faults.partition.extend(within.into_iter().map(|at| (Endpoint::Member(at), number)));
     }
 
-    fn await_view(&self, at: usize, is_so: impl Fn(&Value) -> bool) -> Result<(), Broken> {
+    fn await_view(&self, at: usize, condition: impl Fn(&Value) -> bool) -> Result<(), ScriptError> {
         self.wait(|| match self.view(at) {
-            Some(view) if is_so(&view) => None,
+            Some(view) if condition(&view) => None,
             view => Some(format!("it holds {}", view.unwrap_or(Value::Null))),
         })
     }
@@ -621,7 +635,7 @@
     }
 
     /// What is not settled, not the same or not true, if anything.
-    fn untrue(&self) -> Option<String> {
+    fn unsettled_reason(&self) -> Option<String> {
         let running = self.running();
         let mut digest: Option<Value> = None;
         for at in &running {
@@ -645,11 +659,11 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for member in &mut self.members {
-            if let Some(over) = &member.slow {
-                over.store(true, Ordering::Relaxed);
+            if let Some(stop) = &member.throttle_stop {
+                stop.store(true, Ordering::Relaxed);
             }
             if let Some(child) = &mut member.child {
                 let _ = child.kill();
@@ -659,8 +673,8 @@
     }
 }
 
-fn number(word: &str) -> Result<f64, Broken> {
-    word.parse::<f64>().map_err(|error| Broken(format!("{word}: {error}")))
+fn number(word: &str) -> Result<f64, ScriptError> {
+    word.parse::<f64>().map_err(|error| ScriptError(format!("{word}: {error}")))
 }
 
 /// What a view holds of a member.
@@ -670,7 +684,7 @@
 }
 
 /// Whether a view has this verdict, of anybody or of this one.
-pub fn judges(view: &Value, kind: &str, of: Option<&str>) -> bool {
+pub fn has_verdict(view: &Value, kind: &str, of: Option<&str>) -> bool {
     let verdicts = view["verdicts"].as_array().into_iter().flatten();
     verdicts.into_iter().any(|verdict| verdict["kind"] == kind && of.is_none_or(|of| verdict["of"] == of))
 }
--- a/crates/pinepoint-lab/src/collectd.rs
+++ b/crates/pinepoint-lab/src/collectd.rs
@@ -41,20 +41,20 @@
 
 /// What was taken.
 #[derive(Clone, Debug, Default)]
-pub struct Taken {
+pub struct Received {
     /// Values by `host/plugin-instance/type-instance`, each with its time in s.
     pub values: BTreeMap<String, Vec<(f64, Vec<Value>)>>,
     /// Notifications.
     pub notifications: Vec<Notification>,
     /// Packets and lines that were refused: bad form, wrong signature, wrong key, or not protected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Values that were not newer than the last.
-    pub old: u64,
+    pub stale: u64,
     /// Interval that senders told last, s.
     pub interval_s: f64,
 }
 
-impl Taken {
+impl Received {
     /// The last total or state of a series.
     pub fn last(&self, name: &str) -> Option<f64> {
         match self.values.get(name)?.last()?.1.first()? {
@@ -63,21 +63,21 @@
         }
     }
 
-    fn absorb(&mut self, other: Taken) {
+    fn merge(&mut self, other: Received) {
         for (name, rows) in other.values {
             for (time_s, values) in rows {
-                self.take(name.clone(), time_s, values);
+                self.insert(name.clone(), time_s, values);
             }
         }
         self.notifications.extend(other.notifications);
-        self.old += other.old;
+        self.stale += other.stale;
         self.interval_s = other.interval_s.max(self.interval_s);
     }
 
-    fn take(&mut self, name: String, time_s: f64, values: Vec<Value>) -> bool {
+    fn insert(&mut self, name: String, time_s: f64, values: Vec<Value>) -> bool {
         let row = self.values.entry(name).or_default();
         if row.last().is_some_and(|(last, _)| *last >= time_s) {
-            self.old += 1;
+            self.stale += 1;
             return false;
         }
         row.push((time_s, values));
@@ -87,31 +87,31 @@
 
 /// What packets have to be protected with.
 #[derive(Clone, Debug, Default)]
-pub enum Wanted {
+pub enum SecurityLevel {
     /// Nothing.
     #[default]
-    Nothing,
+    None,
     /// A signature by this user and password at least.
-    Signature(String, String),
+    Sign(String, String),
     /// Encryption by them.
-    Encryption(String, String),
+    Encrypt(String, String),
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-fn be<const N: usize>(bytes: &[u8]) -> Option<[u8; N]> {
+fn to_array<const N: usize>(bytes: &[u8]) -> Option<[u8; N]> {
     bytes.try_into().ok()
 }
 
 /// Takes what a packet holds; nothing of one that breaks off or is not what was wanted.
-pub fn packet(taken: &mut Taken, wanted: &Wanted, bytes: &[u8]) -> Option<()> {
-    let kind = u16::from_be_bytes(be(bytes.get(..2)?)?);
-    let length = usize::from(u16::from_be_bytes(be(bytes.get(2..4)?)?));
+pub fn packet(received: &mut Received, security: &SecurityLevel, bytes: &[u8]) -> Option<()> {
+    let kind = u16::from_be_bytes(to_array(bytes.get(..2)?)?);
+    let length = usize::from(u16::from_be_bytes(to_array(bytes.get(2..4)?)?));
     let (head, rest) = (bytes.get(4..length)?, bytes.get(length..)?);
-    match (wanted, kind) {
-        (Wanted::Signature(user, password), 0x0200) => {
+    match (security, kind) {
+        (SecurityLevel::Sign(user, password), 0x0200) => {
             let (mac, name) = head.split_at_checked(32)?;
             let mut check = <Hmac<Sha256> as KeyInit>::new_from_slice(password.as_bytes()).ok()?;
             check.update(name);
@@ -119,15 +119,15 @@
             if name != user.as_bytes() || check.verify_slice(mac).is_err() {
                 return None;
             }
-            parts(taken, rest)
+            parts(received, rest)
         }
-        (Wanted::Encryption(user, password), 0x0210) => {
+        (SecurityLevel::Encrypt(user, password), 0x0210) => {
             if !rest.is_empty() {
                 return None;
             }
-            let name_length = usize::from(u16::from_be_bytes(be(head.get(..2)?)?));
+            let name_length = usize::from(u16::from_be_bytes(to_array(head.get(..2)?)?));
             let name = head.get(2..2 + name_length)?;
-            let vector: [u8; 16] = be(head.get(2 + name_length..2 + name_length + 16)?)?;
+            let vector: [u8; 16] = to_array(head.get(2 + name_length..2 + name_length + 16)?)?;
             let mut sealed = head.get(2 + name_length + 16..)?.to_vec();
             let key = Sha256::digest(password.as_bytes());
             ofb::Ofb::<Aes256>::new(&key, &vector.into()).apply_keystream(&mut sealed);
@@ -135,9 +135,9 @@
             if name != user.as_bytes() || Sha1::digest(inner).as_slice() != digest {
                 return None;
             }
-            parts(taken, inner)
+            parts(received, inner)
         }
-        (Wanted::Nothing, kind) if kind < 0x0200 => parts(taken, bytes),
+        (SecurityLevel::None, kind) if kind < 0x0200 => parts(received, bytes),
         _ => None,
     }
 }
@@ -146,12 +146,12 @@
     named.get(&kind).map_or("", String::as_str)
 }
 
-fn parts(taken: &mut Taken, mut bytes: &[u8]) -> Option<()> {
+fn parts(received: &mut Received, mut bytes: &[u8]) -> Option<()> {
     let mut named: HashMap<u16, String> = HashMap::new();
     let (mut time_s, mut severity) = (0.0, 0);
     while !bytes.is_empty() {
-        let kind = u16::from_be_bytes(be(bytes.get(..2)?)?);
-        let length = usize::from(u16::from_be_bytes(be(bytes.get(2..4)?)?));
+        let kind = u16::from_be_bytes(to_array(bytes.get(..2)?)?);
+        let length = usize::from(u16::from_be_bytes(to_array(bytes.get(2..4)?)?));
         let part = bytes.get(4..length)?;
         bytes = bytes.get(length..)?;
         match kind {
@@ -160,28 +160,28 @@
                 named.insert(kind, text.to_owned());
                 if kind == 0x0100 {
                     let (type_instance, message) = (name_of(&named, 5).to_owned(), text.to_owned());
-                    taken.notifications.push(Notification { severity, type_instance, message });
+                    received.notifications.push(Notification { severity, type_instance, message });
                 }
             }
             0x0006 => {
-                let count = usize::from(u16::from_be_bytes(be(part.get(..2)?)?));
+                let count = usize::from(u16::from_be_bytes(to_array(part.get(..2)?)?));
                 let (kinds, numbers) = part.get(2..)?.split_at_checked(count)?;
                 if numbers.len() != count * 8 {
                     return None;
                 }
                 let value = |(kind, bytes): (&u8, &[u8])| match kind {
-                    1 => Some(Value::Gauge(f64::from_le_bytes(be(bytes)?))),
-                    2 => Some(Value::Derive(i64::from_be_bytes(be(bytes)?))),
+                    1 => Some(Value::Gauge(f64::from_le_bytes(to_array(bytes)?))),
+                    2 => Some(Value::Derive(i64::from_be_bytes(to_array(bytes)?))),
                     _ => None,
                 };
                 let values = kinds.iter().zip(numbers.chunks(8)).map(value).collect::<Option<Vec<_>>>()?;
                 let [host, plugin, instance, kind, what] = [0, 2, 3, 4, 5].map(|kind| name_of(&named, kind));
                 let name = format!("{host}/{plugin}-{instance}/{kind}-{what}");
-                taken.take(name, time_s, values);
+                received.insert(name, time_s, values);
             }
-            0x0008 => time_s = u64::from_be_bytes(be(part)?) as f64 / f64::from(1 << 30),
-            0x0009 => taken.interval_s = u64::from_be_bytes(be(part)?) as f64 / f64::from(1 << 30),
-            0x0101 => severity = u64::from_be_bytes(be(part)?),
+            0x0008 => time_s = u64::from_be_bytes(to_array(part)?) as f64 / f64::from(1 << 30),
+            0x0009 => received.interval_s = u64::from_be_bytes(to_array(part)?) as f64 / f64::from(1 << 30),
+            0x0101 => severity = u64::from_be_bytes(to_array(part)?),
             _ => return None,
         }
     }
@@ -189,7 +189,7 @@
 }
 
 /// Takes a command of the text protocol; returns the answer.
-fn command(taken: &mut Taken, line: &str) -> String {
+fn command(received: &mut Received, line: &str) -> String {
     let mut words = Vec::new();
     let mut rest = line.trim_end();
     while !rest.is_empty() {
@@ -229,14 +229,14 @@
                 .collect();
             match (time, values) {
                 (Some(time), Some(values)) if !values.is_empty() => {
-                    if taken.take((*name).to_owned(), time, values) {
+                    if received.insert((*name).to_owned(), time, values) {
                         "0 Success: 1 value has been dispatched.".into()
                     } else {
                         "-1 Dispatching values failed: value too old".into()
                     }
                 }
                 _ => {
-                    taken.refused += 1;
+                    received.rejected += 1;
                     "-1 Parsing the values string failed.".into()
                 }
             }
@@ -248,7 +248,7 @@
                 _ => 4,
             };
             let (type_instance, message) = (option("type_instance="), option("message="));
-            taken.notifications.push(Notification {
+            received.notifications.push(Notification {
                 severity,
                 type_instance: type_instance.unwrap_or_default(),
                 message: message.unwrap_or_default(),
@@ -256,7 +256,7 @@
             "0 Success".into()
         }
         _ => {
-            taken.refused += 1;
+            received.rejected += 1;
             "-1 Unknown command".into()
         }
     }
@@ -264,10 +264,10 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    taken: Mutex<Taken>,
+    received: Mutex<Received>,
     stalled: AtomicBool,
     /// Of a thousand datagrams, those that are lost.
-    lost: AtomicU64,
+    dropped_thousandths: AtomicU64,
     stopped: AtomicBool,
 }
 
@@ -275,87 +275,89 @@
 #[derive(Debug)]
 pub struct Collectd {
     shared: Arc<Shared>,
-    place: String,
+    address: String,
     path: Option<PathBuf>,
 }
 
 impl Collectd {
     /// Takes datagrams at a free port of the loopback, lost by this seed once some are to be.
-    pub fn network(wanted: Wanted, seed: u64) -> io::Result<Self> {
-        Collectd::network_at(([127, 0, 0, 1], 0).into(), wanted, seed)
+    pub fn network(security: SecurityLevel, seed: u64) -> io::Result<Self> {
+        Collectd::network_at(([127, 0, 0, 1], 0).into(), security, seed)
     }
 
     /// The same at this address.
-    pub fn network_at(address: SocketAddr, wanted: Wanted, seed: u64) -> io::Result<Self> {
+    pub fn network_at(address: SocketAddr, security: SecurityLevel, seed: u64) -> io::Result<Self> {
         let socket = UdpSocket::bind(address)?;
         socket.set_read_timeout(Some(Duration::from_millis(20)))?;
-        let place = socket.local_addr()?.to_string();
+        let address = socket.local_addr()?.to_string();
         let shared = Arc::<Shared>::default();
-        let kept = shared.clone();
+        let shared_with_thread = shared.clone();
         std::thread::spawn(move || {
             let mut random = Pcg64Mcg::seed_from_u64(seed);
             let mut bytes = [0; 65_536];
-            while !kept.stopped.load(Ordering::Relaxed) {
+            while !shared_with_thread.stopped.load(Ordering::Relaxed) {
                 // A signal to the process may interrupt it.
                 let Ok(n) = socket.recv(&mut bytes) else { continue };
-                if random.random_range(0..1000) < kept.lost.load(Ordering::Relaxed) {
+                if random.random_range(0..1000)
+                    < shared_with_thread.dropped_thousandths.load(Ordering::Relaxed)
+                {
                     continue;
                 }
-                let mut taken = lock(&kept.taken);
+                let mut received = lock(&shared_with_thread.received);
                 // One that breaks off leaves nothing.
-                let mut fresh = Taken::default();
-                match packet(&mut fresh, &wanted, &bytes[..n]) {
-                    Some(()) => taken.absorb(fresh),
-                    None => taken.refused += 1,
+                let mut fresh = Received::default();
+                match packet(&mut fresh, &security, &bytes[..n]) {
+                    Some(()) => received.merge(fresh),
+                    None => received.rejected += 1,
                 }
             }
         });
-        Ok(Collectd { shared, place, path: None })
+        Ok(Collectd { shared, address, path: None })
     }
 
     /// Takes text over TCP at a free port of the loopback.
     pub fn text() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let place = listener.local_addr()?.to_string();
+        let address = listener.local_addr()?.to_string();
         let shared = Arc::<Shared>::default();
-        let kept = shared.clone();
+        let shared_with_thread = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = kept.clone();
+                let shared = shared_with_thread.clone();
                 std::thread::spawn(move || {
                     let Ok(reader) = stream.try_clone() else { return };
                     serve(BufReader::new(reader), stream, &shared);
                 });
             }
         });
-        Ok(Collectd { shared, place, path: None })
+        Ok(Collectd { shared, address, path: None })
     }
 
     /// Takes text over a Unix socket at this path.
     pub fn text_at(path: &Path) -> io::Result<Self> {
         let listener = UnixListener::bind(path)?;
         let shared = Arc::<Shared>::default();
-        let kept = shared.clone();
+        let shared_with_thread = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = kept.clone();
+                let shared = shared_with_thread.clone();
                 std::thread::spawn(move || {
                     let Ok(reader) = stream.try_clone() else { return };
                     serve(BufReader::new(reader), stream, &shared);
                 });
             }
         });
-        Ok(Collectd { shared, place: format!("unix:{}", path.display()), path: Some(path.to_owned()) })
+        Ok(Collectd { shared, address: format!("unix:{}", path.display()), path: Some(path.to_owned()) })
     }
 
     /// Where it is, as the edge file has it.
-    pub fn place(&self) -> &str {
-        &self.place
+    pub fn address(&self) -> &str {
+        &self.address
     }
 
     /// What was taken so far.
-    pub fn taken(&self) -> Taken {
-        lock(&self.shared.taken).clone()
+    pub fn received(&self) -> Received {
+        lock(&self.shared.received).clone()
     }
 
     /// Reads nothing from a stream while this is set.
@@ -364,8 +366,8 @@
     }
 
     /// Loses so many of a thousand datagrams.
-    pub fn lose(&self, thousandths: u64) {
-        self.shared.lost.store(thousandths, Ordering::Relaxed);
+    pub fn drop_datagrams(&self, thousandths: u64) {
+        self.shared.dropped_thousandths.store(thousandths, Ordering::Relaxed);
     }
 }
 
@@ -388,7 +390,7 @@
         if !matches!(input.read_line(&mut line), Ok(n) if n > 0 && line.ends_with('\n')) {
             return;
         }
-        let answer = command(&mut lock(&shared.taken), &line);
+        let answer = command(&mut lock(&shared.received), &line);
         if output.write_all(format!("{answer}\n").as_bytes()).is_err() {
             return;
         }
--- a/crates/pinepoint-lab/src/switch.rs
+++ b/crates/pinepoint-lab/src/fault_proxy.rs
@@ -16,11 +16,11 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::listen::{listen, own_port};
+use crate::listen::{bind_unique_address, serve_while_up};
 
 /// Who is at an end of a way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     /// The process of this number.
     Member(usize),
     /// The store that all share.
@@ -32,9 +32,9 @@
 }
 
 /// How late what is lost of a stream comes: it is sent again.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 /// Between two looks whether a way is open again.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What happens on the ways.
 #[derive(Clone, Debug, Default)]
@@ -42,30 +42,30 @@
     /// Part of the datagrams that is lost.
     pub loss: f64,
     /// Part that is lost of what these are sent.
-    pub deaf: BTreeMap<End, f64>,
+    pub receive_loss: BTreeMap<Endpoint, f64>,
     /// Part that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// Most delay, ms: drawn evenly for each datagram, so that they overtake each other.
     pub delay_ms: u64,
     /// Nothing goes from the first to the second.
-    pub cut: BTreeSet<(End, End)>,
+    pub blocked: BTreeSet<(Endpoint, Endpoint)>,
     /// Those of different parts do not reach each other; who is in none is in part 0.
-    pub part: BTreeMap<End, usize>,
+    pub partition: BTreeMap<Endpoint, usize>,
 }
 
 impl Faults {
-    fn forwards(&self, (from, to): (End, End)) -> bool {
-        let part = |at: End| self.part.get(&at).copied().unwrap_or(0);
-        let outside = from == End::Routers || to == End::Routers;
-        (outside || part(from) == part(to)) && !self.cut.contains(&(from, to))
+    fn forwards(&self, (from, to): (Endpoint, Endpoint)) -> bool {
+        let partition = |at: Endpoint| self.partition.get(&at).copied().unwrap_or(0);
+        let outside = from == Endpoint::Routers || to == Endpoint::Routers;
+        (outside || partition(from) == partition(to)) && !self.blocked.contains(&(from, to))
     }
 
-    fn loss_to(&self, to: End) -> f64 {
-        self.loss.max(self.deaf.get(&to).copied().unwrap_or(0.0))
+    fn loss_to(&self, to: Endpoint) -> f64 {
+        self.loss.max(self.receive_loss.get(&to).copied().unwrap_or(0.0))
     }
 
-    fn delay(&self, random: &mut Pcg64Mcg) -> Duration {
-        Duration::from_millis(random.random_range(0..=self.delay_ms))
+    fn delay(&self, rng: &mut Pcg64Mcg) -> Duration {
+        Duration::from_millis(rng.random_range(0..=self.delay_ms))
     }
 }
 
@@ -77,7 +77,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Faults {
+    fn snapshot(&self) -> Faults {
         self.lock().clone()
     }
 }
@@ -86,31 +86,31 @@
 type IsUp = Box<dyn Fn() -> bool + Send>;
 
 /// A way that is opened while the switch runs.
-enum Way {
-    Stream { at: TcpListener, ends: (End, End), to: SocketAddr, is_up: IsUp },
-    Datagrams { socket: UdpSocket, ends: (End, End), to: SocketAddr },
+enum Route {
+    Stream { at: TcpListener, direction: (Endpoint, Endpoint), to: SocketAddr, is_up: IsUp },
+    Datagrams { socket: UdpSocket, direction: (Endpoint, Endpoint), to: SocketAddr },
 }
 
 /// The switch. Its thread ends with the process.
 #[derive(Clone, Debug)]
-pub struct Switch {
+pub struct FaultProxy {
     faults: Shared,
-    ways: Sender<Way>,
+    routes: Sender<Route>,
     /// Where each process is reached.
     pub ports: Vec<SocketAddr>,
 }
 
-impl Switch {
+impl FaultProxy {
     /// Forwards datagrams to these addresses, in their order; who sends from one of them is that process.
-    pub fn start(behind: Vec<SocketAddr>, seed: u64) -> io::Result<Switch> {
+    pub fn start(targets: Vec<SocketAddr>, seed: u64) -> io::Result<FaultProxy> {
         let sockets: io::Result<Vec<UdpSocket>> =
-            behind.iter().map(|_| UdpSocket::bind(("127.0.0.1", 0))).collect();
+            targets.iter().map(|_| UdpSocket::bind(("127.0.0.1", 0))).collect();
         let sockets = sockets?;
         let ports: io::Result<Vec<SocketAddr>> = sockets.iter().map(UdpSocket::local_addr).collect();
-        let (ways, opened) = unbounded();
-        let switch = Switch { faults: Shared::default(), ways, ports: ports? };
+        let (routes, new_routes) = unbounded();
+        let switch = FaultProxy { faults: Shared::default(), routes, ports: ports? };
         let faults = switch.faults.clone();
-        std::thread::spawn(move || forward(sockets, &behind, &faults, &opened, seed));
+        std::thread::spawn(move || run_proxy(sockets, &targets, &faults, &new_routes, seed));
         Ok(switch)
     }
 
@@ -129,69 +129,76 @@
     /// the first end is to connect.
     pub fn stream(
         &self,
-        from: End,
-        to: End,
+        from: Endpoint,
+        to: Endpoint,
         address: SocketAddr,
         is_up: impl Fn() -> bool + Send + 'static,
     ) -> io::Result<SocketAddr> {
-        let listener = own_port()?;
+        let listener = bind_unique_address()?;
         let at = listener.local_addr()?;
-        self.open(Way::Stream { at: listener, ends: (from, to), to: address, is_up: Box::new(is_up) })?;
+        self.open(Route::Stream {
+            at: listener,
+            direction: (from, to),
+            to: address,
+            is_up: Box::new(is_up),
+        })?;
         Ok(at)
     }
 
     /// Opens a way for datagrams in this direction only. Returns where the first end is to send them.
-    pub fn datagrams(&self, from: End, to: End, address: SocketAddr) -> io::Result<SocketAddr> {
+    pub fn datagrams(&self, from: Endpoint, to: Endpoint, address: SocketAddr) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let at = socket.local_addr()?;
-        self.open(Way::Datagrams { socket, ends: (from, to), to: address })?;
+        self.open(Route::Datagrams { socket, direction: (from, to), to: address })?;
         Ok(at)
     }
 
-    fn open(&self, way: Way) -> io::Result<()> {
-        self.ways.send_blocking(way).map_err(|_| io::Error::other("the switch has ended"))
+    fn open(&self, way: Route) -> io::Result<()> {
+        self.routes.send_blocking(way).map_err(|_| io::Error::other("the switch has ended"))
     }
 }
 
-fn forward(
+fn run_proxy(
     sockets: Vec<UdpSocket>,
-    behind: &[SocketAddr],
+    targets: &[SocketAddr],
     faults: &Shared,
-    opened: &Receiver<Way>,
+    new_routes: &Receiver<Route>,
     seed: u64,
 ) {
     let executor = Rc::new(LocalExecutor::new());
-    let mut random = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for (to, socket) in sockets.into_iter().enumerate() {
         let Ok(socket) = Async::new(socket) else { return };
-        let behind = behind.to_vec();
-        let ends = move |from: SocketAddr| {
-            let number = behind.iter().position(|address| *address == from)?;
-            Some((End::Member(number), behind[to], End::Member(to)))
+        let targets = targets.to_vec();
+        let direction = move |from: SocketAddr| {
+            let number = targets.iter().position(|address| *address == from)?;
+            Some((Endpoint::Member(number), targets[to], Endpoint::Member(to)))
         };
-        let random = Pcg64Mcg::seed_from_u64(random.next_u64());
-        executor.spawn(datagrams(socket, ends, faults.clone(), random, executor.clone())).detach();
+        let rng = Pcg64Mcg::seed_from_u64(rng.next_u64());
+        executor.spawn(forward_datagrams(socket, direction, faults.clone(), rng, executor.clone())).detach();
     }
     let open = async {
-        while let Ok(way) = opened.recv().await {
-            let random = Pcg64Mcg::seed_from_u64(random.next_u64());
+        while let Ok(way) = new_routes.recv().await {
+            let rng = Pcg64Mcg::seed_from_u64(rng.next_u64());
             match way {
-                Way::Datagrams { socket, ends: (from, to), to: address } => {
+                Route::Datagrams { socket, direction: (from, to), to: address } => {
                     let Ok(socket) = Async::new(socket) else { continue };
-                    let ends = move |_| Some((from, address, to));
+                    let direction = move |_| Some((from, address, to));
                     executor
-                        .spawn(datagrams(socket, ends, faults.clone(), random, executor.clone()))
+                        .spawn(forward_datagrams(socket, direction, faults.clone(), rng, executor.clone()))
                         .detach();
                 }
-                Way::Stream { at, ends, to, is_up } => {
-                    let (faults, random) = (faults.clone(), std::cell::RefCell::new(random));
+                Route::Stream { at, direction, to, is_up } => {
+                    let (faults, rng) = (faults.clone(), std::cell::RefCell::new(rng));
                     let serve = move |stream: Async<TcpStream>| {
-                        let random = Pcg64Mcg::seed_from_u64(random.borrow_mut().next_u64());
-                        carry(stream, to, ends, faults.clone(), random)
+                        let rng = Pcg64Mcg::seed_from_u64(rng.borrow_mut().next_u64());
+                        proxy_stream(stream, to, direction, faults.clone(), rng)
                     };
                     let is_up: Rc<dyn Fn() -> bool> = Rc::from(is_up as Box<dyn Fn() -> bool>);
-                    let Ok(listen) = listen(at, move || is_up(), serve, executor.clone()) else { continue };
-                    executor.spawn(listen).detach();
+                    let Ok(accepting) = serve_while_up(at, move || is_up(), serve, executor.clone()) else {
+                        continue;
+                    };
+                    executor.spawn(accepting).detach();
                 }
             }
         }
@@ -200,12 +207,12 @@
     async_io::block_on(executor.run(open));
 }
 
-/// Forwards what comes to a socket, to where `ends` says of its sender.
-async fn datagrams(
+/// Forwards what comes to a socket, to where `direction` says of its sender.
+async fn forward_datagrams(
     socket: Async<UdpSocket>,
-    ends: impl Fn(SocketAddr) -> Option<(End, SocketAddr, End)>,
+    direction: impl Fn(SocketAddr) -> Option<(Endpoint, SocketAddr, Endpoint)>,
     faults: Shared,
-    mut random: Pcg64Mcg,
+    mut rng: Pcg64Mcg,
     executor: Rc<LocalExecutor<'static>>,
 ) {
     let socket = Rc::new(socket);
@@ -213,13 +220,13 @@
     loop {
         // A refusal by the system of who is behind is told here, and is no end.
         let Ok((n, from)) = socket.recv_from(&mut buffer).await else { continue };
-        let now = faults.now();
-        let Some((from, target, to)) = ends(from) else { continue };
-        if !now.forwards((from, to)) || random.random::<f64>() < now.loss_to(to) {
+        let snapshot = faults.snapshot();
+        let Some((from, target, to)) = direction(from) else { continue };
+        if !snapshot.forwards((from, to)) || rng.random::<f64>() < snapshot.loss_to(to) {
             continue;
         }
-        for _ in 0..if random.random::<f64>() < now.twice { 2 } else { 1 } {
-            let wait = now.delay(&mut random);
+        for _ in 0..if rng.random::<f64>() < snapshot.duplication { 2 } else { 1 } {
+            let wait = snapshot.delay(&mut rng);
             let (socket, bytes) = (socket.clone(), buffer[..n].to_vec());
             let send = async move {
                 if !wait.is_zero() {
@@ -233,41 +240,41 @@
 }
 
 /// Carries a stream to its other end and back, as long as both are there.
-async fn carry(
+async fn proxy_stream(
     near: Async<TcpStream>,
     to: SocketAddr,
-    (from, end): (End, End),
+    (from, end): (Endpoint, Endpoint),
     faults: Shared,
-    mut random: Pcg64Mcg,
+    mut rng: Pcg64Mcg,
 ) -> io::Result<()> {
     // What asks for a connection goes there, and the answer back.
-    open_way(&faults, (from, end)).await;
-    open_way(&faults, (end, from)).await;
+    wait_until_open(&faults, (from, end)).await;
+    wait_until_open(&faults, (end, from)).await;
     let far = Async::<TcpStream>::connect(to).await?;
     far.get_ref().set_nodelay(true)?;
-    let there = pump(&near, &far, (from, end), &faults, Pcg64Mcg::seed_from_u64(random.next_u64()));
-    let back = pump(&far, &near, (end, from), &faults, Pcg64Mcg::seed_from_u64(random.next_u64()));
+    let there = copy_direction(&near, &far, (from, end), &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
+    let back = copy_direction(&far, &near, (end, from), &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
     let (there, back) = future::zip(there, back).await;
     there.and(back)
 }
 
-async fn open_way(faults: &Shared, ends: (End, End)) {
-    while !faults.lock().forwards(ends) {
-        Timer::after(LOOK).await;
+async fn wait_until_open(faults: &Shared, direction: (Endpoint, Endpoint)) {
+    while !faults.lock().forwards(direction) {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-async fn pump(
+async fn copy_direction(
     mut from: &Async<TcpStream>,
     mut to: &Async<TcpStream>,
-    ends: (End, End),
+    direction: (Endpoint, Endpoint),
     faults: &Shared,
-    mut random: Pcg64Mcg,
+    mut rng: Pcg64Mcg,
 ) -> io::Result<()> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read = from.read(&mut buffer).await;
-        open_way(faults, ends).await;
+        wait_until_open(faults, direction).await;
         let n = match read {
             Ok(n) if n > 0 => n,
             ended => {
@@ -276,10 +283,10 @@
                 return ended.map(|_| ());
             }
         };
-        let now = faults.now();
-        let mut wait = now.delay(&mut random);
-        if random.random::<f64>() < now.loss_to(ends.1) {
-            wait += AGAIN;
+        let snapshot = faults.snapshot();
+        let mut wait = snapshot.delay(&mut rng);
+        if rng.random::<f64>() < snapshot.loss_to(direction.1) {
+            wait += RETRANSMIT_DELAY;
         }
         if !wait.is_zero() {
             Timer::after(wait).await;
--- a/crates/pinepoint-lab/src/graphite.rs
+++ b/crates/pinepoint-lab/src/graphite.rs
@@ -11,15 +11,15 @@
 use serde_pickle::{DeOptions, Value};
 
 /// Longest line and batch that it takes, bytes.
-const MOST: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Between two looks at what it is to do.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What the receiver does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     /// Reads all that comes.
-    Good,
+    Normal,
     /// Accepts and reads nothing.
     Stalled,
     /// Reads so many bytes at a time, with a pause behind them.
@@ -30,7 +30,7 @@
 
 /// The form of what comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Protocol {
     /// Lines.
     Plaintext,
     /// Pickled batches.
@@ -43,9 +43,9 @@
     /// Value by path and time.
     pub values: HashMap<String, BTreeMap<u64, f64>>,
     /// Points that came with another value than before.
-    pub changed: u64,
+    pub conflicting: u64,
     /// Lines and batches that could not be understood.
-    pub bad: u64,
+    pub malformed: u64,
     /// Connections that were accepted.
     pub connections: u64,
 }
@@ -60,67 +60,67 @@
     pub fn merge(&mut self, other: &Points) {
         for (path, times) in &other.values {
             for (time, value) in times {
-                self.take(path, *time, *value);
+                self.insert(path, *time, *value);
             }
         }
-        self.bad += other.bad;
-        self.changed += other.changed;
+        self.malformed += other.malformed;
+        self.conflicting += other.conflicting;
     }
 
-    fn take(&mut self, path: &str, time: u64, value: f64) {
+    fn insert(&mut self, path: &str, time: u64, value: f64) {
         let known = self.values.entry(path.to_owned()).or_default().insert(time, value);
-        self.changed += u64::from(known.is_some_and(|known| known != value));
+        self.conflicting += u64::from(known.is_some_and(|known| known != value));
     }
 
-    fn line(&mut self, line: &[u8]) {
-        let text = std::str::from_utf8(line).unwrap_or_default();
+    fn insert_line(&mut self, insert_line: &[u8]) {
+        let text = std::str::from_utf8(insert_line).unwrap_or_default();
         let words: Vec<&str> = text.trim_end().split(' ').collect();
         match words.as_slice() {
             [path, value, time] => match (value.parse(), time.parse()) {
-                (Ok(value), Ok(time)) if !path.is_empty() => self.take(path, time, value),
-                _ => self.bad += 1,
+                (Ok(value), Ok(time)) if !path.is_empty() => self.insert(path, time, value),
+                _ => self.malformed += 1,
             },
-            _ => self.bad += 1,
+            _ => self.malformed += 1,
         }
     }
 
-    fn batch(&mut self, batch: &[u8]) {
-        let Ok(Value::List(rows)) = serde_pickle::value_from_slice(batch, DeOptions::new()) else {
-            self.bad += 1;
+    fn insert_batch(&mut self, insert_batch: &[u8]) {
+        let Ok(Value::List(rows)) = serde_pickle::value_from_slice(insert_batch, DeOptions::new()) else {
+            self.malformed += 1;
             return;
         };
         for row in rows {
-            let Value::Tuple(row) = row else { return self.bad += 1 };
-            let [Value::String(path), Value::Tuple(at)] = row.as_slice() else { return self.bad += 1 };
+            let Value::Tuple(row) = row else { return self.malformed += 1 };
+            let [Value::String(path), Value::Tuple(at)] = row.as_slice() else { return self.malformed += 1 };
             match at.as_slice() {
-                [Value::I64(time), Value::I64(value)] => self.take(path, *time as u64, *value as f64),
-                [Value::I64(time), Value::F64(value)] => self.take(path, *time as u64, *value),
-                _ => self.bad += 1,
+                [Value::I64(time), Value::I64(value)] => self.insert(path, *time as u64, *value as f64),
+                [Value::I64(time), Value::F64(value)] => self.insert(path, *time as u64, *value),
+                _ => self.malformed += 1,
             }
         }
     }
 
     /// Takes what is whole off the front.
-    fn read(&mut self, form: Form, input: &mut Vec<u8>) {
-        match form {
-            Form::Plaintext => {
+    fn read(&mut self, protocol: Protocol, input: &mut Vec<u8>) {
+        match protocol {
+            Protocol::Plaintext => {
                 while let Some(end) = input.iter().position(|b| *b == b'\n') {
-                    let line: Vec<u8> = input.drain(..=end).collect();
-                    self.line(&line);
+                    let insert_line: Vec<u8> = input.drain(..=end).collect();
+                    self.insert_line(&insert_line);
                 }
             }
-            Form::Pickle => {
+            Protocol::Pickle => {
                 while let Some(head) = input.first_chunk::<4>() {
                     let length = u32::from_be_bytes(*head) as usize;
-                    if length > MOST {
-                        self.bad += 1;
+                    if length > MAX_MESSAGE_BYTES {
+                        self.malformed += 1;
                         input.clear();
                         return;
                     }
-                    let Some(batch) = input.get(4..4 + length) else { return };
-                    let batch = batch.to_vec();
+                    let Some(insert_batch) = input.get(4..4 + length) else { return };
+                    let insert_batch = insert_batch.to_vec();
                     input.drain(..4 + length);
-                    self.batch(&batch);
+                    self.insert_batch(&insert_batch);
                 }
             }
         }
@@ -129,16 +129,16 @@
 
 #[derive(Debug)]
 struct Shared {
-    form: Form,
+    protocol: Protocol,
     mode: Mutex<Mode>,
     /// Connections and the listener of an earlier life end.
-    life: Mutex<u64>,
+    generation: Mutex<u64>,
     points: Mutex<Points>,
 }
 
 impl Shared {
-    fn lives(&self, life: u64) -> bool {
-        *lock(&self.life) == life
+    fn is_current(&self, generation: u64) -> bool {
+        *lock(&self.generation) == generation
     }
 }
 
@@ -155,14 +155,15 @@
 
 impl Graphite {
     /// Listens at a free port of the loopback.
-    pub fn start(form: Form) -> io::Result<Self> {
-        Graphite::start_at(([127, 0, 0, 1], 0).into(), form)
+    pub fn start(protocol: Protocol) -> io::Result<Self> {
+        Graphite::start_at(([127, 0, 0, 1], 0).into(), protocol)
     }
 
     /// Listens there.
-    pub fn start_at(address: SocketAddr, form: Form) -> io::Result<Self> {
-        let (mode, life, points) = (Mutex::new(Mode::Good), Mutex::new(0), Mutex::default());
-        let mut graphite = Graphite { address, shared: Arc::new(Shared { form, mode, life, points }) };
+    pub fn start_at(address: SocketAddr, protocol: Protocol) -> io::Result<Self> {
+        let (mode, generation, points) = (Mutex::new(Mode::Normal), Mutex::new(0), Mutex::default());
+        let mut graphite =
+            Graphite { address, shared: Arc::new(Shared { protocol, mode, generation, points }) };
         graphite.address = graphite.listen()?;
         Ok(graphite)
     }
@@ -173,24 +174,24 @@
     }
 
     /// What it does from now on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *lock(&self.shared.mode) = mode;
     }
 
     /// Ends: its connections break, and what it has not read is lost. What it has read stays.
     pub fn stop(&self) {
-        *lock(&self.shared.life) += 1;
+        *lock(&self.shared.generation) += 1;
     }
 
     /// Listens again at the same address after [`Graphite::stop`].
-    pub fn start_again(&self) -> io::Result<()> {
+    pub fn restart(&self) -> io::Result<()> {
         // The old listener takes a moment to go.
         let mut tries = 0;
         loop {
             match self.listen() {
                 Err(error) if error.kind() == io::ErrorKind::AddrInUse && tries < 400 => {
                     tries += 1;
-                    std::thread::sleep(LOOK);
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 result => return result.map(|_| ()),
             }
@@ -208,16 +209,16 @@
         let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 4096);
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (shared, life) = (self.shared.clone(), *lock(&self.shared.life));
+        let (shared, generation) = (self.shared.clone(), *lock(&self.shared.generation));
         std::thread::spawn(move || {
-            while shared.lives(life) {
+            while shared.is_current(generation) {
                 match listener.accept() {
                     Ok((stream, _)) => {
                         lock(&shared.points).connections += 1;
                         let shared = shared.clone();
-                        std::thread::spawn(move || serve(&stream, &shared, life));
+                        std::thread::spawn(move || serve(&stream, &shared, generation));
                     }
-                    Err(_) => std::thread::sleep(LOOK),
+                    Err(_) => std::thread::sleep(POLL_INTERVAL),
                 }
             }
         });
@@ -231,16 +232,16 @@
     }
 }
 
-fn serve(mut stream: &TcpStream, shared: &Shared, life: u64) {
+fn serve(mut stream: &TcpStream, shared: &Shared, generation: u64) {
     let _ = stream.set_nonblocking(false);
-    let _ = stream.set_read_timeout(Some(LOOK));
+    let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
     let (mut input, mut chunk, mut read) = (Vec::new(), [0; 4096], 0);
-    while shared.lives(life) {
+    while shared.is_current(generation) {
         let mode = *lock(&shared.mode);
         let most = match mode {
-            Mode::Good => chunk.len(),
+            Mode::Normal => chunk.len(),
             Mode::Stalled => {
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
             Mode::Drip(bytes, pause) => {
@@ -258,7 +259,7 @@
             Ok(n) => {
                 read += n;
                 input.extend_from_slice(&chunk[..n]);
-                lock(&shared.points).read(shared.form, &mut input);
+                lock(&shared.points).read(shared.protocol, &mut input);
             }
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
             Err(_) => return,
@@ -283,7 +284,7 @@
             let mut packet = [0; 65_536];
             loop {
                 let Ok(n) = socket.recv(&mut packet) else { continue };
-                lock(&kept).read(Form::Plaintext, &mut packet[..n].to_vec());
+                lock(&kept).read(Protocol::Plaintext, &mut packet[..n].to_vec());
             }
         });
         Ok(GraphiteUdp { address, points })
@@ -312,20 +313,20 @@
             if what(&points) {
                 return points;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         panic!("it did not come: {:?}", graphite.points());
     }
 
     #[test]
     fn whole_lines_are_kept_and_the_rest_is_not() {
-        let graphite = Graphite::start(Form::Plaintext).expect("it listens");
+        let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
         let mut stream = TcpStream::connect(graphite.address()).expect("connected");
         stream.write_all(b"a.b 3 100\na.b 4 110\nnonsense\na.b 5 1").expect("sent");
-        let points = wait(&graphite, |points| points.bad == 1);
-        assert_eq!((points.sum("a.b"), points.values["a.b"].len(), points.changed), (7.0, 2, 0));
+        let points = wait(&graphite, |points| points.malformed == 1);
+        assert_eq!((points.sum("a.b"), points.values["a.b"].len(), points.conflicting), (7.0, 2, 0));
         graphite.stop();
         assert!(matches!(stream.read(&mut [0]), Ok(0) | Err(_)));
-        assert!(TcpStream::connect(graphite.address()).is_err() || graphite.start_again().is_ok());
+        assert!(TcpStream::connect(graphite.address()).is_err() || graphite.restart().is_ok());
     }
 }
--- a/crates/pinepoint-lab/src/lib.rs
+++ b/crates/pinepoint-lab/src/lib.rs
@@ -4,7 +4,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod cluster;
 pub mod collectd;
+pub mod fault_proxy;
 pub mod fleet;
 pub mod graphite;
 mod listen;
@@ -12,9 +14,7 @@
 pub mod machine;
 pub mod operation;
 pub mod process;
-pub mod rig;
 pub mod routers;
 pub mod script;
 pub mod store;
-pub mod switch;
 pub mod telemetry;
--- a/crates/pinepoint-lab/src/listen.rs
+++ b/crates/pinepoint-lab/src/listen.rs
@@ -12,10 +12,10 @@
 use futures_lite::future;
 
 /// How often those that listen look whether they are to go on.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Takes a whole line off the front, with its body if its form has one.
-pub(crate) fn line(input: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+pub(crate) fn take_line(input: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     let end = input.windows(2).position(|two| two == b"\r\n")?;
     let text = String::from_utf8_lossy(&input[..end]).into_owned();
     let has_body = ["RUN ", "FEED ", "CALL "].iter().any(|head| text.starts_with(head));
@@ -33,7 +33,7 @@
 
 /// A port of loopback at an address of its own, for streams and datagrams: nobody else is given the same, also while
 /// nobody listens there.
-pub(crate) fn own_port() -> io::Result<TcpListener> {
+pub(crate) fn bind_unique_address() -> io::Result<TcpListener> {
     let mut last = io::ErrorKind::AddrInUse.into();
     for _ in 0..1000 {
         let number = HOSTS.fetch_add(1, Ordering::Relaxed);
@@ -49,7 +49,7 @@
 }
 
 /// Serves connections while this says so. While it does not nobody listens there, and those that were open are closed.
-pub(crate) fn listen<S, F>(
+pub(crate) fn serve_while_up<S, F>(
     listener: TcpListener,
     is_up: impl Fn() -> bool + Clone + 'static,
     serve: S,
@@ -59,8 +59,8 @@
     S: Fn(Async<TcpStream>) -> F,
     F: Future<Output = io::Result<()>> + 'static,
 {
-    async fn look<T>() -> Option<T> {
-        Timer::after(LOOK).await;
+    async fn poll_tick<T>() -> Option<T> {
+        Timer::after(POLL_INTERVAL).await;
         None
     }
     let address = listener.local_addr()?;
@@ -72,16 +72,16 @@
             }
             let Some(open) = listener.as_ref().filter(|_| is_up()) else {
                 listener = None;
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
                 continue;
             };
             let accepted = async { open.accept().await.ok().map(|(stream, _)| stream) };
-            if let Some(stream) = future::or(accepted, look()).await {
+            if let Some(stream) = future::or(accepted, poll_tick()).await {
                 let _ = stream.get_ref().set_nodelay(true);
                 let (served, is_up) = (serve(stream), is_up.clone());
                 let until_down = async move {
                     while is_up() {
-                        Timer::after(LOOK).await;
+                        Timer::after(POLL_INTERVAL).await;
                     }
                     Ok(())
                 };
--- a/crates/pinepoint-lab/src/load.rs
+++ b/crates/pinepoint-lab/src/load.rs
@@ -18,13 +18,13 @@
 use rmpv::Value;
 
 /// Requests that may be open on one MessagePack-RPC connection.
-const OPEN_MOST: usize = 32;
+const MAX_IN_FLIGHT: usize = 32;
 /// Answers that come later than this after the last request do not come, ms.
-const LAST_MS: u64 = 12_000;
+const ANSWER_WAIT_MS: u64 = 12_000;
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
     /// Its share of all.
@@ -39,32 +39,32 @@
 
 /// What is sent.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Workload {
     /// Classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Requests a second.
     pub rate: f64,
     /// Of these, the share that comes by AJP.
     pub ajp: f64,
     /// For how long.
-    pub length: Duration,
+    pub duration: Duration,
     /// Connections of MessagePack-RPC, and of AJP at the most.
     pub connections: (usize, usize),
     /// Spread of the work around its mean (the standard deviation of its logarithm).
-    pub spread: f64,
+    pub work_sigma: f64,
     /// Times and work follow from it.
     pub seed: u64,
 }
 
 /// What became of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Sent.
     pub sent: u64,
     /// Answered with a result.
     pub served: u64,
     /// Turned away.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Not answered.
@@ -73,60 +73,60 @@
 
 /// What the load tool saw.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct LoadSummary {
     /// By class.
-    pub ends: BTreeMap<&'static str, Ends>,
+    pub outcomes: BTreeMap<&'static str, OutcomeCounts>,
     /// Time from the sending to the answer of what was served, us.
     pub latency: Histogram<u64>,
     /// Requests that found no AJP connection free, and were not sent.
-    pub no_room: u64,
+    pub no_capacity: u64,
     /// Answers beyond the first to one request.
-    pub doubles: u64,
+    pub duplicate_answers: u64,
 }
 
-impl Seen {
+impl LoadSummary {
     /// All classes together.
-    pub fn all(&self) -> Ends {
-        self.ends.values().fold(Ends::default(), |sum, ends| Ends {
-            sent: sum.sent + ends.sent,
-            served: sum.served + ends.served,
-            refused: sum.refused + ends.refused,
-            failed: sum.failed + ends.failed,
-            unanswered: sum.unanswered + ends.unanswered,
+    pub fn all(&self) -> OutcomeCounts {
+        self.outcomes.values().fold(OutcomeCounts::default(), |sum, outcomes| OutcomeCounts {
+            sent: sum.sent + outcomes.sent,
+            served: sum.served + outcomes.served,
+            rejected: sum.rejected + outcomes.rejected,
+            failed: sum.failed + outcomes.failed,
+            unanswered: sum.unanswered + outcomes.unanswered,
         })
     }
 }
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
 
-struct Book {
-    seen: RefCell<Seen>,
-    open: Cell<u64>,
+struct Recorder {
+    summary: RefCell<LoadSummary>,
+    in_flight: Cell<u64>,
 }
 
-impl Book {
+impl Recorder {
     fn sent(&self, class: &'static str) {
-        self.seen.borrow_mut().ends.entry(class).or_default().sent += 1;
-        self.open.set(self.open.get() + 1);
+        self.summary.borrow_mut().outcomes.entry(class).or_default().sent += 1;
+        self.in_flight.set(self.in_flight.get() + 1);
     }
 
-    fn ended(&self, class: &'static str, end: End, since: Instant) {
-        self.open.set(self.open.get() - 1);
-        let mut seen = self.seen.borrow_mut();
-        let ends = seen.ends.entry(class).or_default();
+    fn ended(&self, class: &'static str, end: Outcome, since: Instant) {
+        self.in_flight.set(self.in_flight.get() - 1);
+        let mut summary = self.summary.borrow_mut();
+        let outcomes = summary.outcomes.entry(class).or_default();
         match end {
-            End::Served => ends.served += 1,
-            End::Refused => ends.refused += 1,
-            End::Failed => ends.failed += 1,
+            Outcome::Served => outcomes.served += 1,
+            Outcome::Rejected => outcomes.rejected += 1,
+            Outcome::Failed => outcomes.failed += 1,
         }
-        if end == End::Served {
-            seen.latency.saturating_record(since.elapsed().as_micros() as u64);
+        if end == Outcome::Served {
+            summary.latency.saturating_record(since.elapsed().as_micros() as u64);
         }
     }
 }
@@ -136,86 +136,87 @@
 pub(crate) struct Request {
     pub(crate) class: &'static str,
     pub(crate) work_ms: f64,
-    pub(crate) token: Option<String>,
+    pub(crate) idempotency_key: Option<String>,
     pub(crate) body: String,
-    pub(crate) rid: u64,
+    pub(crate) request_id: u64,
 }
 
 /// Sends what the plan says to a comparer that listens at these addresses, and waits for the answers.
 pub async fn run(
-    plan: &Plan,
+    workload: &Workload,
     rpc: SocketAddr,
     ajp: Option<SocketAddr>,
     executor: &Rc<LocalExecutor<'static>>,
-) -> io::Result<Seen> {
+) -> io::Result<LoadSummary> {
     let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
-    let seen = Seen { ends: BTreeMap::new(), latency, no_room: 0, doubles: 0 };
-    let book = Rc::new(Book { seen: RefCell::new(seen), open: Cell::new(0) });
-    let mut routers = Vec::new();
-    for _ in 0..plan.connections.0 {
-        routers.push(Router::connect(rpc, book.clone(), executor).await?);
+    let summary = LoadSummary { outcomes: BTreeMap::new(), latency, no_capacity: 0, duplicate_answers: 0 };
+    let recorder = Rc::new(Recorder { summary: RefCell::new(summary), in_flight: Cell::new(0) });
+    let mut connections = Vec::new();
+    for _ in 0..workload.connections.0 {
+        connections.push(RpcConnection::connect(rpc, recorder.clone(), executor).await?);
     }
-    let portal = Portal { ajp, idle: Rc::default(), all: Cell::new(0), most: plan.connections.1 };
-    let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
-    let gaps = Exp::new(plan.rate).map_err(io::Error::other)?;
+    let ajp_pool = AjpPool { ajp, idle: Rc::default(), all: Cell::new(0), most: workload.connections.1 };
+    let mut rng = Pcg64Mcg::seed_from_u64(workload.seed);
+    let gaps = Exp::new(workload.rate).map_err(io::Error::other)?;
     let began = Instant::now();
     let mut at = Duration::ZERO;
     let mut number = 0_u64;
-    let mut turn = 0;
+    let mut next_connection = 0;
     loop {
-        at += Duration::from_secs_f64(gaps.sample(&mut random));
-        if at > plan.length {
+        at += Duration::from_secs_f64(gaps.sample(&mut rng));
+        if at > workload.duration {
             break;
         }
         number += 1;
-        let request = draw(&plan.classes, plan.spread, plan.seed, number, &mut random)?;
-        let by_ajp = ajp.is_some() && random.random::<f64>() < plan.ajp;
+        let request = draw_request(&workload.classes, workload.work_sigma, workload.seed, number, &mut rng)?;
+        let by_ajp = ajp.is_some() && rng.random::<f64>() < workload.ajp;
         Timer::at(began + at).await;
         if by_ajp {
-            portal.send(request, &book, executor).await;
+            ajp_pool.send(request, &recorder, executor).await;
         } else {
             // The next connection with room; where none has, requests would wait at the router, not here.
-            let free =
-                (0..routers.len()).map(|n| (turn + n) % routers.len()).find(|n| routers[*n].has_room());
-            turn += 1;
+            let free = (0..connections.len())
+                .map(|n| (next_connection + n) % connections.len())
+                .find(|n| connections[*n].has_capacity());
+            next_connection += 1;
             match free {
-                Some(n) => routers[n].send(&request).await?,
-                None => book.seen.borrow_mut().no_room += 1,
+                Some(n) => connections[n].send(&request).await?,
+                None => recorder.summary.borrow_mut().no_capacity += 1,
             }
         }
     }
-    let until = Instant::now() + Duration::from_millis(LAST_MS);
-    while book.open.get() > 0 && Instant::now() < until {
+    let until = Instant::now() + Duration::from_millis(ANSWER_WAIT_MS);
+    while recorder.in_flight.get() > 0 && Instant::now() < until {
         Timer::after(Duration::from_millis(5)).await;
     }
-    let mut seen = book.seen.borrow().clone();
-    for ends in seen.ends.values_mut() {
-        ends.unanswered = ends.sent - ends.served - ends.refused - ends.failed;
+    let mut summary = recorder.summary.borrow().clone();
+    for outcomes in summary.outcomes.values_mut() {
+        outcomes.unanswered = outcomes.sent - outcomes.served - outcomes.rejected - outcomes.failed;
     }
-    Ok(seen)
+    Ok(summary)
 }
 
 /// The request of this number: a class by its share, and work around its mean.
-pub(crate) fn draw(
-    classes: &[Class],
-    spread: f64,
+pub(crate) fn draw_request(
+    classes: &[RequestClass],
+    work_sigma: f64,
     seed: u64,
     number: u64,
-    random: &mut Pcg64Mcg,
+    rng: &mut Pcg64Mcg,
 ) -> io::Result<Request> {
-    let mut share = random.random::<f64>() * classes.iter().map(|class| class.share).sum::<f64>();
+    let mut share = rng.random::<f64>() * classes.iter().map(|class| class.share).sum::<f64>();
     let class = classes.iter().find(|class| {
         share -= class.share;
         share <= 0.0
     });
     let class = class.or(classes.last()).ok_or_else(|| io::Error::other("a plan without classes"))?;
-    let mu = class.work_ms.ln() - spread * spread / 2.0;
-    let work_ms = LogNormal::new(mu, spread).map_err(io::Error::other)?.sample(random).max(0.05);
-    let token = class.keyed.then(|| format!("k{seed}-{number}"));
+    let mu = class.work_ms.ln() - work_sigma * work_sigma / 2.0;
+    let work_ms = LogNormal::new(mu, work_sigma).map_err(io::Error::other)?.sample(rng).max(0.05);
+    let idempotency_key = class.keyed.then(|| format!("k{seed}-{number}"));
     // Behind the numbers that the engine goes by it may say anything.
     let kind = if class.keyed { " keyed" } else { "" };
     let body = format!("{work_ms:.3} {} n{number}{kind}", u8::from(class.calls));
-    Ok(Request { class: class.name, work_ms, token, body, rid: seed << 32 | number })
+    Ok(Request { class: class.name, work_ms, idempotency_key, body, request_id: seed << 32 | number })
 }
 
 // ---- MessagePack-RPC ----
@@ -226,16 +227,16 @@
 }
 
 impl Request {
-    /// The message of one try, under an id of its connection; `t0` is when the request was first sent.
-    pub(crate) fn message(&self, id: u64, t0: u128, again: bool) -> io::Result<Vec<u8>> {
+    /// The message of one try, under an id of its connection; `first_sent_ms` is when the request was first sent.
+    pub(crate) fn message(&self, id: u64, first_sent_ms: u128, is_retry: bool) -> io::Result<Vec<u8>> {
         let mut fields = vec![
-            ("rid", format!("{:016x}", self.rid)),
-            ("t0", t0.to_string()),
+            ("rid", format!("{:016x}", self.request_id)),
+            ("t0", first_sent_ms.to_string()),
             ("est", format!("{:.3}", self.work_ms)),
             ("mem", "40".to_owned()),
         ];
-        fields.extend(self.token.clone().map(|token| ("token", token)));
-        fields.extend(again.then(|| ("again", "1".to_owned())));
+        fields.extend(self.idempotency_key.clone().map(|idempotency_key| ("token", idempotency_key)));
+        fields.extend(is_retry.then(|| ("again", "1".to_owned())));
         let fields =
             fields.into_iter().map(|(name, value)| (Value::from(name), Value::from(value))).collect();
         let body = Value::Binary(self.body.clone().into_bytes());
@@ -252,101 +253,101 @@
 }
 
 /// What came over a connection of MessagePack-RPC.
-pub(crate) enum Came {
+pub(crate) enum Incoming {
     /// An answer to the request of this id.
-    Answer(u64, End),
+    Answer(u64, Outcome),
     /// It is told to go.
-    Notice,
+    GoAway,
 }
 
 /// Takes a whole message off the front, if there is one; passes over what is none of these.
-pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Came> {
+pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Incoming> {
     loop {
         let mut rest = input.as_slice();
         let message = rmpv::decode::read_value(&mut rest).ok()?;
         let used = input.len() - rest.len();
         input.drain(..used);
         match message.as_array().map(Vec::as_slice) {
-            Some([kind, _, _]) if kind.as_u64() == Some(2) => return Some(Came::Notice),
+            Some([kind, _, _]) if kind.as_u64() == Some(2) => return Some(Incoming::GoAway),
             Some([kind, id, error, _]) if kind.as_u64() == Some(1) => {
                 let end = match error.as_array().and_then(|error| error.first()?.as_str()) {
-                    None => End::Served,
-                    Some("Busy") => End::Refused,
-                    Some(_) => End::Failed,
+                    None => Outcome::Served,
+                    Some("Busy") => Outcome::Rejected,
+                    Some(_) => Outcome::Failed,
                 };
-                return Some(Came::Answer(id.as_u64()?, end));
+                return Some(Incoming::Answer(id.as_u64()?, end));
             }
             _ => {}
         }
     }
 }
 
-type OpenRequests = Rc<RefCell<HashMap<u64, (&'static str, Instant)>>>;
+type PendingRequests = Rc<RefCell<HashMap<u64, (&'static str, Instant)>>>;
 
-struct Router {
+struct RpcConnection {
     stream: Rc<Async<TcpStream>>,
-    open: OpenRequests,
+    pending: PendingRequests,
     last: Cell<u64>,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
 }
 
-impl Router {
+impl RpcConnection {
     async fn connect(
         at: SocketAddr,
-        book: Rc<Book>,
+        recorder: Rc<Recorder>,
         executor: &Rc<LocalExecutor<'static>>,
-    ) -> io::Result<Router> {
+    ) -> io::Result<RpcConnection> {
         let stream = Rc::new(Async::<TcpStream>::connect(at).await?);
         stream.get_ref().set_nodelay(true)?;
-        let open = OpenRequests::default();
-        let (reader, waiting, kept) = (stream.clone(), open.clone(), book.clone());
+        let pending = PendingRequests::default();
+        let (reader, waiting, kept) = (stream.clone(), pending.clone(), recorder.clone());
         executor.spawn(async move { read_answers(&reader, &waiting, &kept).await }).detach();
-        Ok(Router { stream, open, last: Cell::new(0), book })
+        Ok(RpcConnection { stream, pending, last: Cell::new(0), recorder })
     }
 
-    fn has_room(&self) -> bool {
-        self.open.borrow().len() < OPEN_MOST
+    fn has_capacity(&self) -> bool {
+        self.pending.borrow().len() < MAX_IN_FLIGHT
     }
 
     async fn send(&self, request: &Request) -> io::Result<()> {
         let id = self.last.get() + 1;
         self.last.set(id);
         let bytes = request.message(id, unix_ms(), false)?;
-        self.open.borrow_mut().insert(id, (request.class, Instant::now()));
-        self.book.sent(request.class);
+        self.pending.borrow_mut().insert(id, (request.class, Instant::now()));
+        self.recorder.sent(request.class);
         (&*self.stream).write_all(&bytes).await
     }
 }
 
-async fn read_answers(mut stream: &Async<TcpStream>, open: &OpenRequests, book: &Book) {
+async fn read_answers(mut stream: &Async<TcpStream>, pending: &PendingRequests, recorder: &Recorder) {
     let (mut input, mut chunk) = (Vec::new(), vec![0; 16 * 1024]);
     loop {
         match stream.read(&mut chunk).await {
             Ok(n) if n > 0 => input.extend_from_slice(&chunk[..n]),
             _ => return,
         }
-        while let Some(came) = take_message(&mut input) {
-            let Came::Answer(id, end) = came else { continue };
-            let Some((class, since)) = open.borrow_mut().remove(&id) else {
-                book.seen.borrow_mut().doubles += 1;
+        while let Some(incoming) = take_message(&mut input) {
+            let Incoming::Answer(id, end) = incoming else { continue };
+            let Some((class, since)) = pending.borrow_mut().remove(&id) else {
+                recorder.summary.borrow_mut().duplicate_answers += 1;
                 continue;
             };
-            book.ended(class, end, since);
+            recorder.ended(class, end, since);
         }
     }
 }
 
 // ---- AJP ----
 
-struct Portal {
+struct AjpPool {
     ajp: Option<SocketAddr>,
     idle: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>>,
     all: Cell<usize>,
     most: usize,
 }
 
-impl Portal {
-    async fn send(&self, request: Request, book: &Rc<Book>, executor: &Rc<LocalExecutor<'static>>) {
+impl AjpPool {
+    async fn send(&self, request: Request, recorder: &Rc<Recorder>, executor: &Rc<LocalExecutor<'static>>) {
         let Some(address) = self.ajp else { return };
         let used = self.idle.borrow_mut().pop();
         let stream = match used {
@@ -357,14 +358,14 @@
                 self.all.set(self.all.get() + 1);
                 Rc::new(stream)
             }
-            None => return book.seen.borrow_mut().no_room += 1,
+            None => return recorder.summary.borrow_mut().no_capacity += 1,
         };
-        let (book, idle) = (book.clone(), self.idle.clone());
-        book.sent(request.class);
+        let (recorder, idle) = (recorder.clone(), self.idle.clone());
+        recorder.sent(request.class);
         let exchange = async move {
             let since = Instant::now();
             if let Ok(end) = ajp_exchange(&stream, &request).await {
-                book.ended(request.class, end, since);
+                recorder.ended(request.class, end, since);
                 idle.borrow_mut().push(stream);
             }
         };
@@ -383,9 +384,9 @@
 }
 
 /// One request over AJP13, up to the end of its answer ("The Apache Tomcat Connectors - AJP Protocol Reference").
-async fn ajp_exchange(mut stream: &Async<TcpStream>, request: &Request) -> io::Result<End> {
+async fn ajp_exchange(mut stream: &Async<TcpStream>, request: &Request) -> io::Result<Outcome> {
     let mut headers = vec![("est", format!("{:.3}", request.work_ms)), ("mem", "40".to_owned())];
-    headers.extend(request.token.clone().map(|token| ("token", token)));
+    headers.extend(request.idempotency_key.clone().map(|idempotency_key| ("token", idempotency_key)));
     let mut out = vec![2, 4];
     for text in ["HTTP/1.1", &format!("/{}", request.class), "127.0.0.1", "", "portal"] {
         ajp_text(&mut out, text);
@@ -403,7 +404,7 @@
     let data = [&(request.body.len() as u16).to_be_bytes(), request.body.as_bytes()].concat();
     bytes.extend(ajp_packet(&data));
     stream.write_all(&bytes).await?;
-    let mut end = End::Failed;
+    let mut end = Outcome::Failed;
     loop {
         let mut head = [0; 4];
         stream.read_exact(&mut head).await?;
@@ -412,9 +413,9 @@
         match payload.as_slice() {
             [4, high, low, ..] => {
                 end = match u16::from_be_bytes([*high, *low]) {
-                    200 => End::Served,
-                    503 => End::Refused,
-                    _ => End::Failed,
+                    200 => Outcome::Served,
+                    503 => Outcome::Rejected,
+                    _ => Outcome::Failed,
                 }
             }
             [5, reuse] => {
@@ -426,7 +427,7 @@
 }
 
 /// Waits for something, or gives up.
-pub async fn within<T>(limit: Duration, what: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout<T>(limit: Duration, what: impl Future<Output = T>) -> Option<T> {
     let late = async {
         Timer::after(limit).await;
         None
--- a/crates/pinepoint-lab/src/machine.rs
+++ b/crates/pinepoint-lab/src/machine.rs
@@ -14,11 +14,11 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 
-use crate::listen::{line, listen, own_port};
-use crate::store::{Crowd, Store};
+use crate::listen::{bind_unique_address, serve_while_up, take_line};
+use crate::store::{Store, StoreState};
 
 /// Speed of an engine that is quite cold, as a part of its own.
-const COLD: f64 = 0.29;
+const COLD_SPEED: f64 = 0.29;
 
 /// What the machine is like.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
 
 /// Where its services are.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ServiceAddresses {
     /// The engine.
     pub engine: SocketAddr,
     /// The store.
@@ -45,131 +45,141 @@
     body: Vec<u8>,
     left_ms: f64,
     /// Work left at which it stands before a call.
-    call_at_ms: Option<f64>,
-    waits: bool,
+    call_at_left_ms: Option<f64>,
+    waiting_for_call: bool,
 }
 
 /// The state of an engine that a script changes while it runs, and what it ran.
 #[derive(Debug, Default)]
-pub struct Power {
+pub struct EngineState {
     /// Nobody listens there.
     pub down: bool,
     /// Whoever attaches next finds it cold, and warm after so long.
-    pub chilly: Duration,
+    pub warm_up: Duration,
     /// How often each body was begun, and how often one of them was ended whole.
-    pub begun: HashMap<String, u32>,
+    pub started: HashMap<String, u32>,
     /// See above.
-    pub ended: HashMap<String, u32>,
+    pub completed: HashMap<String, u32>,
 }
 
 /// A handle on that; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Switchboard(Arc<Mutex<Power>>);
+pub struct EngineControl(Arc<Mutex<EngineState>>);
 
-impl Switchboard {
+impl EngineControl {
     /// To read and to change.
-    pub fn power(&self) -> MutexGuard<'_, Power> {
+    pub fn state(&self) -> MutexGuard<'_, EngineState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 struct Engine {
-    board: Switchboard,
-    chilly: Duration,
+    control: EngineControl,
+    warm_up: Duration,
     attached: Instant,
     cores: f64,
     runs: Vec<Run>,
-    told: Instant,
-    notice: u64,
-    busy: f64,
+    last_advanced: Instant,
+    last_notice: u64,
+    busy_share: f64,
     out: Vec<u8>,
 }
 
 impl Engine {
     /// What each run on the cores gets of one.
     fn share(&self) -> f64 {
-        let running = self.runs.iter().filter(|run| !run.waits).count() as f64;
-        let warm = self.attached.elapsed().as_secs_f64() / self.chilly.as_secs_f64().max(1e-9);
-        (self.cores / running.max(1.0)).min(1.0) * (COLD + (1.0 - COLD) * warm.min(1.0))
+        let running = self.runs.iter().filter(|run| !run.waiting_for_call).count() as f64;
+        let warm = self.attached.elapsed().as_secs_f64() / self.warm_up.as_secs_f64().max(1e-9);
+        (self.cores / running.max(1.0)).min(1.0) * (COLD_SPEED + (1.0 - COLD_SPEED) * warm.min(1.0))
     }
 
     /// A comparer that attaches: it starts with numbers of its own, and the engine without its runs.
     fn attach(&mut self) {
         self.runs.clear();
-        (self.notice, self.attached, self.told) = (0, Instant::now(), Instant::now());
-        self.chilly = std::mem::take(&mut self.board.power().chilly);
+        (self.last_notice, self.attached, self.last_advanced) = (0, Instant::now(), Instant::now());
+        self.warm_up = std::mem::take(&mut self.control.state().warm_up);
         self.out.clear();
     }
 
-    fn pass(&mut self) {
-        let (share, ms) = (self.share(), self.told.elapsed().as_secs_f64() * 1000.0);
-        self.told = Instant::now();
-        let running = self.runs.iter().filter(|run| !run.waits).count() as f64;
+    fn advance(&mut self) {
+        let (share, ms) = (self.share(), self.last_advanced.elapsed().as_secs_f64() * 1000.0);
+        self.last_advanced = Instant::now();
+        let running = self.runs.iter().filter(|run| !run.waiting_for_call).count() as f64;
         let weight = (ms / 100.0).min(1.0);
-        self.busy += ((running / self.cores).min(1.0) - self.busy) * weight;
-        let mut ended = Vec::new();
-        for run in self.runs.iter_mut().filter(|run| !run.waits) {
+        self.busy_share += ((running / self.cores).min(1.0) - self.busy_share) * weight;
+        let mut completed = Vec::new();
+        for run in self.runs.iter_mut().filter(|run| !run.waiting_for_call) {
             run.left_ms -= ms * share;
-            if run.call_at_ms.is_some_and(|at| run.left_ms <= at) {
-                run.call_at_ms = None;
-                run.waits = true;
-                self.notice += 1;
-                let head = format!("NEED {} {} {}\r\n", self.notice, run.rid, run.body.len());
+            if run.call_at_left_ms.is_some_and(|at| run.left_ms <= at) {
+                run.call_at_left_ms = None;
+                run.waiting_for_call = true;
+                self.last_notice += 1;
+                let head = format!("NEED {} {} {}\r\n", self.last_notice, run.rid, run.body.len());
                 self.out.extend_from_slice(head.as_bytes());
                 self.out.extend_from_slice(&run.body);
                 self.out.extend_from_slice(b"\r\n");
             } else if run.left_ms <= 1e-6 {
-                ended.push(run.rid.clone());
+                completed.push(run.rid.clone());
             }
         }
-        ended.iter().for_each(|rid| self.end(rid, "complete", b"result"));
+        completed.iter().for_each(|rid| self.finish_run(rid, "complete", b"result"));
     }
 
-    fn end(&mut self, rid: &str, how: &str, result: &[u8]) {
+    fn finish_run(&mut self, rid: &str, how: &str, result: &[u8]) {
         let Some(at) = self.runs.iter().position(|run| run.rid == rid) else { return };
         let run = self.runs.swap_remove(at);
         if how == "complete" {
             let body = String::from_utf8_lossy(&run.body).into_owned();
-            *self.board.power().ended.entry(body).or_default() += 1;
+            *self.control.state().completed.entry(body).or_default() += 1;
         }
-        self.notice += 1;
-        let head = format!("DONE {} {rid} {how} 1 {}\r\n", self.notice, result.len());
+        self.last_notice += 1;
+        let head = format!("DONE {} {rid} {how} 1 {}\r\n", self.last_notice, result.len());
         self.out.extend_from_slice(head.as_bytes());
         self.out.extend_from_slice(result);
         self.out.extend_from_slice(b"\r\n");
     }
 
-    fn next(&self) -> Option<Duration> {
+    fn next_event(&self) -> Option<Duration> {
         let share = self.share();
-        let runs = self.runs.iter().filter(|run| !run.waits);
-        let ms =
-            runs.map(|run| (run.left_ms - run.call_at_ms.unwrap_or(0.0)) / share).min_by(f64::total_cmp)?;
+        let runs = self.runs.iter().filter(|run| !run.waiting_for_call);
+        let ms = runs
+            .map(|run| (run.left_ms - run.call_at_left_ms.unwrap_or(0.0)) / share)
+            .min_by(f64::total_cmp)?;
         Some(Duration::from_secs_f64(ms.max(0.02) / 1000.0))
     }
 
     fn command(&mut self, words: &[&str], body: Vec<u8>) {
         match words {
-            ["ATTACH", _] if self.chilly.is_zero() => self.out.extend_from_slice(b"HELLO hot 60000\r\n"),
+            ["ATTACH", _] if self.warm_up.is_zero() => self.out.extend_from_slice(b"HELLO hot 60000\r\n"),
             ["ATTACH", _] => {
-                let hello = format!("HELLO chilly {}\r\n", self.chilly.as_millis());
+                let hello = format!("HELLO chilly {}\r\n", self.warm_up.as_millis());
                 self.out.extend_from_slice(hello.as_bytes());
             }
             ["RUN", rid, ..] => {
                 let text = String::from_utf8_lossy(&body).into_owned();
-                *self.board.power().begun.entry(text.clone()).or_default() += 1;
-                let mut told = text.split(' ').map(|word| word.parse::<f64>().unwrap_or(1.0));
-                let (work, calls) = (told.next().unwrap_or(1.0), told.next().unwrap_or(0.0));
-                let call_at_ms = (calls > 0.0).then_some(work / 2.0);
-                self.runs.push(Run { rid: (*rid).to_owned(), body, left_ms: work, call_at_ms, waits: false });
+                *self.control.state().started.entry(text.clone()).or_default() += 1;
+                let mut numbers = text.split(' ').map(|word| word.parse::<f64>().unwrap_or(1.0));
+                let (work, calls) = (numbers.next().unwrap_or(1.0), numbers.next().unwrap_or(0.0));
+                let call_at_left_ms = (calls > 0.0).then_some(work / 2.0);
+                self.runs.push(Run {
+                    rid: (*rid).to_owned(),
+                    body,
+                    left_ms: work,
+                    call_at_left_ms,
+                    waiting_for_call: false,
+                });
             }
-            ["HALT", rid] => self.end(rid, "cancelled", b""),
+            ["HALT", rid] => self.finish_run(rid, "cancelled", b""),
             ["FEED", rid, ..] | ["SKIP", rid, ..] => {
-                self.runs.iter_mut().filter(|run| run.rid == *rid).for_each(|run| run.waits = false);
+                self.runs
+                    .iter_mut()
+                    .filter(|run| run.rid == *rid)
+                    .for_each(|run| run.waiting_for_call = false);
             }
             ["STAT", tag] => {
-                let running = self.runs.iter().filter(|run| !run.waits).count();
-                let line = format!("STATS {tag} {:.3} {running} 0.1 3\r\n", self.busy);
-                self.out.extend_from_slice(line.as_bytes());
+                let running = self.runs.iter().filter(|run| !run.waiting_for_call).count();
+                let stats = format!("STATS {tag} {:.3} {running} 0.1 3\r\n", self.busy_share);
+                self.out.extend_from_slice(stats.as_bytes());
             }
             _ => {}
         }
@@ -179,22 +189,22 @@
 async fn serve_engine(mut stream: &Async<TcpStream>, engine: &RefCell<Engine>) -> io::Result<()> {
     let (mut input, mut chunk) = (Vec::new(), vec![0; 16 * 1024]);
     loop {
-        let next = engine.borrow().next();
+        let next_event = engine.borrow().next_event();
         let due = async {
-            match next {
+            match next_event {
                 Some(pause) => Timer::after(pause).await,
                 None => future::pending().await,
             };
             Ok(None)
         };
         let read = future::or(async { stream.read(&mut chunk).await.map(Some) }, due).await?;
-        engine.borrow_mut().pass();
+        engine.borrow_mut().advance();
         match read {
             Some(0) => return Ok(()),
             Some(n) => input.extend_from_slice(&chunk[..n]),
             None => {}
         }
-        while let Some((text, body)) = line(&mut input) {
+        while let Some((text, body)) = take_line(&mut input) {
             engine.borrow_mut().command(&text.split(' ').collect::<Vec<_>>(), body);
         }
         let out = std::mem::take(&mut engine.borrow_mut().out);
@@ -207,20 +217,20 @@
 /// Starts an engine of so many cores on this executor; scripts reach it by the board.
 pub fn start_engine(
     cores: f64,
-    board: &Switchboard,
+    control: &EngineControl,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<SocketAddr> {
-    let listener = own_port()?;
+    let listener = bind_unique_address()?;
     let address = listener.local_addr()?;
     let state = Rc::new(RefCell::new(Engine {
-        board: board.clone(),
-        chilly: Duration::ZERO,
+        control: control.clone(),
+        warm_up: Duration::ZERO,
         attached: Instant::now(),
         cores,
         runs: Vec::new(),
-        told: Instant::now(),
-        notice: 0,
-        busy: 0.0,
+        last_advanced: Instant::now(),
+        last_notice: 0,
+        busy_share: 0.0,
         out: Vec::new(),
     }));
     let serve = move |stream: Async<TcpStream>| {
@@ -230,35 +240,35 @@
             serve_engine(&stream, &state).await
         }
     };
-    let power = board.clone();
-    executor.spawn(listen(listener, move || !power.power().down, serve, executor.clone())?).detach();
+    let power = control.clone();
+    executor.spawn(serve_while_up(listener, move || !power.state().down, serve, executor.clone())?).detach();
     Ok(address)
 }
 
 impl Machine {
     /// Starts the three services on this executor. `runs` counts how often each body was run.
-    pub fn start(self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<(Places, Runs)> {
+    pub fn start(self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<(ServiceAddresses, RunCounts)> {
         let members = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
-        let board = Switchboard::default();
-        let engine = start_engine(self.cores, &board, executor)?;
+        let control = EngineControl::default();
+        let engine = start_engine(self.cores, &control, executor)?;
         // More slots than there are calls: it does not crowd.
-        let store = Store::start(Crowd::new(usize::MAX, self.call), executor)?.address;
-        let places = Places { engine, store, members: members.get_ref().local_addr()? };
-        let listen = async move {
+        let store = Store::start(StoreState::new(usize::MAX, self.call), executor)?.address;
+        let addresses = ServiceAddresses { engine, store, members: members.get_ref().local_addr()? };
+        let accepting = async move {
             let mut report = [0; 256];
             while members.recv(&mut report).await.is_ok() {}
         };
-        executor.spawn(listen).detach();
-        Ok((places, Runs(board)))
+        executor.spawn(accepting).detach();
+        Ok((addresses, RunCounts(control)))
     }
 }
 
 /// What was run.
-pub struct Runs(Switchboard);
+pub struct RunCounts(EngineControl);
 
-impl Runs {
+impl RunCounts {
     /// How often each body was run, since the start.
-    pub fn seen(&self) -> HashMap<String, u32> {
-        self.0.power().begun.clone()
+    pub fn counts(&self) -> HashMap<String, u32> {
+        self.0.state().started.clone()
     }
 }
--- a/crates/pinepoint-lab/src/main.rs
+++ b/crates/pinepoint-lab/src/main.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
+use pinepoint_lab::telemetry::{CONDITIONS, Condition, UnknownCondition};
 use pinepoint_lab::{fleet, operation, process, telemetry};
 
 /// Experiments on pinepoint with stand-ins that fail on command; loopback addresses only
@@ -115,24 +116,37 @@
 fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Telemetry { program, earlier, seconds, turns, part, cpu, ways, every, json } => {
-            let ways = match known(&ways) {
-                Ok(ways) => ways,
+            let conditions = match parse_conditions(&ways) {
+                Ok(conditions) => conditions,
                 Err(error) => {
                     eprintln!("pinepoint-lab: {error}");
                     return ExitCode::from(2);
                 }
             };
-            let length = Duration::from_secs(seconds);
-            let options =
-                telemetry::Options { program, earlier, length, turns, part, cpu, ways, every_s: every };
+            let options = telemetry::Options {
+                program,
+                legacy_config: earlier,
+                duration: Duration::from_secs(seconds),
+                rounds: turns,
+                load_factor: part,
+                cpu,
+                conditions,
+                interval_s: every,
+            };
             ended(
                 on(cpu, || telemetry::measure(&options))
                     .map(|outcomes| tell(&telemetry::report(&outcomes), json)),
             )
         }
         Command::Fleet { program, seconds, turns, peers, part, cpu } => {
-            let length = Duration::from_secs(seconds);
-            let options = fleet::Options { program, length, turns, peers, part, cpu };
+            let options = fleet::Options {
+                program,
+                duration: Duration::from_secs(seconds),
+                rounds: turns,
+                peers,
+                load_factor: part,
+                cpu,
+            };
             ended(on(cpu, || fleet::measure(&options)).map(|report| println!("{report:#}")))
         }
         Command::Operation { program, upgrades, clients } => {
@@ -141,8 +155,8 @@
             ended(operation::measure(&options, &mut tell).map(|summary| println!("{summary}")))
         }
         Command::OperationCpu { before, program, seconds, turns, rate } => {
-            let length = Duration::from_secs(seconds);
-            let options = operation::cost::Options { before, program, length, turns, rate };
+            let duration = Duration::from_secs(seconds);
+            let options = operation::cost::Options { before, program, duration, trials: turns, rate };
             let mut tell = |line: &serde_json::Value| println!("{line}");
             ended(operation::cost::measure(&options, &mut tell).map(|summary| println!("{summary}")))
         }
@@ -172,7 +186,7 @@
 
 /// Measures while this process keeps off the core that the program has for itself.
 fn on<T>(cpu: Option<usize>, measure: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
-    cpu.map_or(Ok(()), process::stay_off)?;
+    cpu.map_or(Ok(()), process::avoid_cpu)?;
     measure()
 }
 
@@ -186,13 +200,12 @@
     }
 }
 
-/// The ways of these names; all if none is named.
-fn known(names: &[String]) -> Result<Vec<telemetry::Way>, String> {
-    let known = |name: &String| {
-        let way = telemetry::WAYS.into_iter().find(|way| format!("{way:?}").eq_ignore_ascii_case(name));
-        way.ok_or_else(|| format!("{name} is none of off, good, stalled, dripping, down, restarting"))
-    };
-    if names.is_empty() { Ok(telemetry::WAYS.to_vec()) } else { names.iter().map(known).collect() }
+/// The conditions of these names; all of them if none is named.
+fn parse_conditions(names: &[String]) -> Result<Vec<Condition>, UnknownCondition> {
+    if names.is_empty() {
+        return Ok(CONDITIONS.to_vec());
+    }
+    names.iter().map(|name| name.parse()).collect()
 }
 
 /// Prints a report of telemetry, and what did not add up on standard error.
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -16,7 +16,7 @@
 use super::deployment::{Deployment, ManagementSource, Process, Setup, free_address};
 use super::engine::{Engine, Finish};
 use super::management;
-use crate::load::{self, Class, Ends, Plan};
+use crate::load::{self, OutcomeCounts, RequestClass, Workload};
 
 /// Time that a run takes on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
@@ -43,9 +43,9 @@
     /// The program.
     pub program: PathBuf,
     /// Length of the load of each turn.
-    pub length: Duration,
+    pub duration: Duration,
     /// Turns, beside the first one, which is not counted.
-    pub turns: u64,
+    pub trials: u64,
     /// Requests a second.
     pub rate: f64,
 }
@@ -82,15 +82,15 @@
 
 /// One turn of one process.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
-    ends: Ends,
+struct Trial {
+    outcomes: OutcomeCounts,
     cpu: CpuTime,
     info_calls: u64,
 }
 
-impl Turn {
+impl Trial {
     fn answered(&self) -> u64 {
-        self.ends.served + self.ends.refused + self.ends.failed
+        self.outcomes.served + self.outcomes.rejected + self.outcomes.failed
     }
 
     fn cpu_us_per_request(&self) -> f64 {
@@ -99,51 +99,51 @@
 }
 
 /// A process that is compared, with its surroundings.
-struct Arm {
+struct Variant {
     name: &'static str,
     /// Its management port is asked for its figures while it is loaded.
-    asked: bool,
+    polled: bool,
     deployment: Deployment,
     process: Process,
-    turns: Vec<Turn>,
+    trials: Vec<Trial>,
 }
 
-impl Arm {
-    fn start(name: &'static str, program: &PathBuf, managed: bool) -> io::Result<Arm> {
+impl Variant {
+    fn start(name: &'static str, program: &PathBuf, managed: bool) -> io::Result<Variant> {
         let deployment = Deployment::new(Setup { key_window: KEY_WINDOW, ..Setup::new(program) })?;
         let environment = if managed { Some(free_address()?) } else { None };
         let source = ManagementSource { environment, configuration: None };
         let process = deployment.start_with(Engine::start(Finish::After(RUN_TIME))?, source)?;
         await_healthy(&deployment)?;
-        Ok(Arm { name, asked: managed, deployment, process, turns: Vec::new() })
+        Ok(Variant { name, polled: managed, deployment, process, trials: Vec::new() })
     }
 
-    fn turn(&self, options: &Options, seed: u64) -> io::Result<Turn> {
-        let plan = Plan {
-            classes: vec![class(READ_CLASS, false), class(KEYED_CLASS, true)],
+    fn trial(&self, options: &Options, seed: u64) -> io::Result<Trial> {
+        let workload = Workload {
+            classes: vec![request_class(READ_CLASS, false), request_class(KEYED_CLASS, true)],
             rate: options.rate,
             ajp: 0.0,
-            length: options.length,
+            duration: options.duration,
             connections: (CONNECTIONS, 0),
-            spread: 0.5,
+            work_sigma: 0.5,
             seed,
         };
-        let asker = self.asked.then(|| Asker::start(&self.process));
+        let poller = self.polled.then(|| InfoPoller::start(&self.process));
         let before = CpuTime::of(&self.process)?;
         let executor = Rc::new(LocalExecutor::new());
-        let seen = async_io::block_on(executor.run(async {
-            let seen = load::run(&plan, self.deployment.listen, None, &executor).await?;
+        let summary = async_io::block_on(executor.run(async {
+            let summary = load::run(&workload, self.deployment.listen, None, &executor).await?;
             Timer::after(SETTLE).await;
-            Ok::<_, io::Error>(seen)
+            Ok::<_, io::Error>(summary)
         }))?;
         let cpu = CpuTime::of(&self.process)?.since(before);
-        let info_calls = asker.map_or(Ok(0), Asker::stop)?;
-        Ok(Turn { ends: seen.all(), cpu, info_calls })
+        let info_calls = poller.map_or(Ok(0), InfoPoller::stop)?;
+        Ok(Trial { outcomes: summary.all(), cpu, info_calls })
     }
 }
 
-fn class(name: &'static str, keyed: bool) -> Class {
-    Class { name, share: 0.5, work_ms: 1.0, keyed, calls: false }
+fn request_class(name: &'static str, keyed: bool) -> RequestClass {
+    RequestClass { name, share: 0.5, work_ms: 1.0, keyed, calls: false }
 }
 
 /// Waits until a health check is answered with yes.
@@ -159,16 +159,16 @@
 }
 
 /// Calls `INFO` once an interval on a thread of its own.
-struct Asker {
+struct InfoPoller {
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
     error: Arc<Mutex<Option<io::Error>>>,
 }
 
-impl Asker {
-    fn start(process: &Process) -> Asker {
-        let asker = Asker { stop: Arc::default(), calls: Arc::default(), error: Arc::default() };
-        let (stop, calls, error) = (asker.stop.clone(), asker.calls.clone(), asker.error.clone());
+impl InfoPoller {
+    fn start(process: &Process) -> InfoPoller {
+        let poller = InfoPoller { stop: Arc::default(), calls: Arc::default(), error: Arc::default() };
+        let (stop, calls, error) = (poller.stop.clone(), poller.calls.clone(), poller.error.clone());
         let address = process.management;
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
@@ -182,7 +182,7 @@
                 std::thread::sleep(INFO_INTERVAL);
             }
         });
-        asker
+        poller
     }
 
     /// Tells how many calls were answered; an error if one was not.
@@ -197,54 +197,55 @@
 
 /// Runs all turns, every other one in the reverse order, so that what grows with time favours no process.
 pub fn measure(options: &Options, tell: &mut dyn FnMut(&Value)) -> io::Result<Value> {
-    let mut arms = vec![
-        Arm::start("before", &options.before, false)?,
-        Arm::start("now", &options.program, false)?,
-        Arm::start("now, managed, INFO each second", &options.program, true)?,
+    let mut variants = vec![
+        Variant::start("before", &options.before, false)?,
+        Variant::start("now", &options.program, false)?,
+        Variant::start("now, managed, INFO each second", &options.program, true)?,
     ];
-    for number in 0..=options.turns {
-        let mut order: Vec<usize> = (0..arms.len()).collect();
+    for number in 0..=options.trials {
+        let mut order: Vec<usize> = (0..variants.len()).collect();
         if number % 2 == 1 {
             order.reverse();
         }
         for at in order {
-            let turn = arms[at].turn(options, number + 1)?;
+            let trial = variants[at].trial(options, number + 1)?;
             // The first turn, with a cold program, counts for nothing.
             if number > 0 {
-                tell(&turn_report(arms[at].name, number, &turn));
-                arms[at].turns.push(turn);
+                tell(&trial_report(variants[at].name, number, &trial));
+                variants[at].trials.push(trial);
             }
         }
     }
-    Ok(summary(&arms))
+    Ok(summary(&variants))
 }
 
-fn turn_report(arm: &str, number: u64, turn: &Turn) -> Value {
+fn trial_report(variant: &str, number: u64, trial: &Trial) -> Value {
     json!({
         "turn": number,
-        "arm": arm,
-        "sent": turn.ends.sent,
-        "served": turn.ends.served,
-        "refused": turn.ends.refused,
-        "failed": turn.ends.failed,
-        "unanswered": turn.ends.unanswered,
-        "info_calls": turn.info_calls,
-        "cpu_us_per_request": rounded(turn.cpu_us_per_request(), 2),
-        "cpu_ticks_s": turn.cpu.ticks_s,
+        "arm": variant,
+        "sent": trial.outcomes.sent,
+        "served": trial.outcomes.served,
+        "refused": trial.outcomes.rejected,
+        "failed": trial.outcomes.failed,
+        "unanswered": trial.outcomes.unanswered,
+        "info_calls": trial.info_calls,
+        "cpu_us_per_request": rounded(trial.cpu_us_per_request(), 2),
+        "cpu_ticks_s": trial.cpu.ticks_s,
     })
 }
 
-fn summary(arms: &[Arm]) -> Value {
-    let costs = |arm: &Arm| -> Vec<f64> { arm.turns.iter().map(Turn::cpu_us_per_request).collect() };
-    let base = arms.first().map(costs).unwrap_or_default();
-    let report = |arm: &Arm| {
-        let costs = costs(arm);
+fn summary(variants: &[Variant]) -> Value {
+    let costs =
+        |variant: &Variant| -> Vec<f64> { variant.trials.iter().map(Trial::cpu_us_per_request).collect() };
+    let base = variants.first().map(costs).unwrap_or_default();
+    let report = |variant: &Variant| {
+        let costs = costs(variant);
         let ratios: Vec<f64> = costs.iter().zip(&base).map(|(cost, base)| cost / base).collect();
-        let answered: u64 = arm.turns.iter().map(Turn::answered).sum();
-        let ticks_s: f64 = arm.turns.iter().map(|turn| turn.cpu.ticks_s).sum();
+        let answered: u64 = variant.trials.iter().map(Trial::answered).sum();
+        let ticks_s: f64 = variant.trials.iter().map(|trial| trial.cpu.ticks_s).sum();
         json!({
-            "arm": arm.name,
-            "turns": arm.turns.len(),
+            "arm": variant.name,
+            "turns": variant.trials.len(),
             "answered": answered,
             "cpu_us_per_request": spread(costs, 2),
             "by_ticks_us_per_request": rounded(ticks_s * 1e6 / answered.max(1) as f64, 2),
@@ -252,7 +253,7 @@
         })
     };
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
-    json!({ "cores": cores, "arms": arms.iter().map(report).collect::<Vec<_>>() })
+    json!({ "cores": cores, "arms": variants.iter().map(report).collect::<Vec<_>>() })
 }
 
 /// Median, least and largest.
@@ -261,7 +262,7 @@
     let middle = values.len() / 2;
     let median = match values.len() {
         0 => f64::NAN,
-        length if length % 2 == 0 => f64::midpoint(values[middle - 1], values[middle]),
+        count if count % 2 == 0 => f64::midpoint(values[middle - 1], values[middle]),
         _ => values[middle],
     };
     let at = |value: Option<&f64>| value.map(|value| rounded(*value, digits));
--- a/crates/pinepoint-lab/src/operation/deployment.rs
+++ b/crates/pinepoint-lab/src/operation/deployment.rs
@@ -15,8 +15,8 @@
 use super::engine::{CORES, Engine};
 use super::management::{self, Answer};
 use super::services::{ListService, Store};
-use crate::listen::own_port;
-use crate::process::Folder;
+use crate::listen::bind_unique_address;
+use crate::process::TempDir;
 
 /// The name of the socket by which processes hand over, in the directory for temporary files.
 const HANDOVER_SOCKET: &str = "pinepoint-handover.sock";
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Deployment {
     setup: Setup,
-    folder: Folder,
+    folder: TempDir,
     started: AtomicUsize,
     /// Where all processes listen for clients.
     pub listen: SocketAddr,
@@ -92,14 +92,14 @@
 
 /// An address of loopback that nothing listens on now.
 pub fn free_address() -> io::Result<SocketAddr> {
-    own_port()?.local_addr()
+    bind_unique_address()?.local_addr()
 }
 
 impl Deployment {
     /// One without processes.
     pub fn new(setup: Setup) -> io::Result<Deployment> {
         let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
-        let folder = Folder::new(&format!("operation-{number}"))?;
+        let folder = TempDir::new(&format!("operation-{number}"))?;
         std::fs::create_dir_all(folder.0.join("tmp"))?;
         let (listen, list, store) = (free_address()?, ListService::start()?, Store::start()?);
         Ok(Deployment { setup, folder, started: AtomicUsize::new(0), listen, list, store })
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::listen::{line, own_port};
+use crate::listen::{bind_unique_address, take_line};
 
 /// Cores that the engine reports as busy when as many runs are open: more than the requests that a light load has open at once,
 /// so that the decision module has no reason to refuse one.
@@ -173,7 +173,7 @@
 impl Engine {
     /// Starts an engine that is up, at a loopback address of its own.
     pub fn start(finish: Finish) -> io::Result<Engine> {
-        Engine::start_on(own_port()?, finish)
+        Engine::start_on(bind_unique_address()?, finish)
     }
 
     /// Starts an engine that is up and takes its link on this listener.
@@ -268,7 +268,7 @@
     while let Ok(n @ 1..) = stream.read(&mut chunk) {
         input.extend_from_slice(&chunk[..n]);
         let mut state = shared.state();
-        while let Some((text, body)) = line(&mut input) {
+        while let Some((text, body)) = take_line(&mut input) {
             state.command(&text.split(' ').collect::<Vec<_>>(), body);
         }
         shared.changed.notify_all();
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-use crate::listen::{line, own_port};
+use crate::listen::{bind_unique_address, take_line};
 
 /// One report to the list service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 impl Store {
     /// Starts it on threads of its own, at a loopback address of its own.
     pub fn start() -> io::Result<Store> {
-        Store::start_on(own_port()?)
+        Store::start_on(bind_unique_address()?)
     }
 
     /// Starts it on threads of its own, taking connections on this listener.
@@ -111,7 +111,7 @@
             return Ok(());
         }
         input.extend_from_slice(&chunk[..n]);
-        while let Some((text, _)) = line(&mut input) {
+        while let Some((text, _)) = take_line(&mut input) {
             if let ["CALL", rid, ..] = text.split(' ').collect::<Vec<_>>().as_slice() {
                 calls.fetch_add(1, Ordering::Relaxed);
                 stream.write_all(format!("{rid} OK 2\r\nok\r\n").as_bytes())?;
--- a/crates/pinepoint-lab/src/process.rs
+++ b/crates/pinepoint-lab/src/process.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use crate::machine::Places;
+use crate::machine::ServiceAddresses;
 
 /// The settings of the classes that the lab's plans send.
 pub const SETTINGS: &str = r#"{"services":[
@@ -23,39 +23,39 @@
 
 /// A folder of this process for files of the programs under test; it goes with this value.
 #[derive(Debug)]
-pub(crate) struct Folder(pub(crate) PathBuf);
+pub(crate) struct TempDir(pub(crate) PathBuf);
 
-impl Folder {
+impl TempDir {
     /// A new one of this name.
-    pub(crate) fn new(name: &str) -> io::Result<Folder> {
+    pub(crate) fn new(name: &str) -> io::Result<TempDir> {
         let path = std::env::temp_dir().join(format!("pinepoint-lab-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempDir(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// What the platform tells a comparer: the file that `RELAY_CONFIG` names.
-pub(crate) struct Platform<'a> {
+pub(crate) struct PlatformConfig<'a> {
     pub(crate) name: &'a str,
     pub(crate) listen: SocketAddr,
-    pub(crate) places: Places,
+    pub(crate) addresses: ServiceAddresses,
     pub(crate) seed: u64,
     pub(crate) memory_mb: u32,
     pub(crate) sockets: u32,
     pub(crate) cores: f64,
 }
 
-impl Platform<'_> {
+impl PlatformConfig<'_> {
     /// The file.
-    pub(crate) fn file(&self) -> String {
-        let Platform { name, listen, places, seed, memory_mb, sockets, cores } = self;
-        let Places { engine, store, members } = places;
+    pub(crate) fn render(&self) -> String {
+        let PlatformConfig { name, listen, addresses, seed, memory_mb, sockets, cores } = self;
+        let ServiceAddresses { engine, store, members } = addresses;
         let settings = SETTINGS.replace("CORES", &cores.to_string());
         format!(
             r#"{{"name":"{name}","listen":"{listen}","engine":"{engine}","members":"{members}","store":"{store}",
@@ -67,13 +67,13 @@
 
 /// A start of the program.
 #[derive(Clone, Debug)]
-pub struct Start<'a> {
+pub struct LaunchOptions<'a> {
     /// The program.
     pub program: &'a Path,
     /// A folder for its files.
     pub folder: &'a Path,
     /// What is below it.
-    pub places: Places,
+    pub addresses: ServiceAddresses,
     /// Cores of the engine, as it is told.
     pub cores: f64,
     /// The edge file, if any.
@@ -95,7 +95,7 @@
 
 /// What it cost.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cost {
+pub struct ResourceUsage {
     /// Time on a core, s.
     pub cpu_s: f64,
     /// Most memory, kB.
@@ -104,30 +104,30 @@
 
 impl Process {
     /// Starts it and waits until it listens.
-    pub fn start(start: &Start<'_>) -> io::Result<Process> {
-        let Start { program, folder, places, cores, edge, cpu } = start;
-        let platform = Platform {
+    pub fn start(start: &LaunchOptions<'_>) -> io::Result<Process> {
+        let LaunchOptions { program, folder, addresses, cores, edge, cpu } = start;
+        let platform = PlatformConfig {
             name: "n1",
             listen: ([127, 0, 0, 1], 0).into(),
-            places: *places,
+            addresses: *addresses,
             seed: 0x8c1f_30d2_7a5b_e964,
             memory_mb: 192,
             sockets: 1024,
             cores: *cores,
         };
-        let file = |name: &str, text: &str| -> io::Result<PathBuf> {
+        let render = |name: &str, text: &str| -> io::Result<PathBuf> {
             let path = folder.join(name);
             std::fs::write(&path, text)?;
             Ok(path)
         };
         let mut command = Command::new(program);
-        command.env("RELAY_CONFIG", file("config.json", &platform.file())?).stderr(Stdio::piped());
+        command.env("RELAY_CONFIG", render("config.json", &platform.render())?).stderr(Stdio::piped());
         if let Some(edge) = edge {
-            command.arg("--edge").arg(file("edge.toml", edge)?);
+            command.arg("--edge").arg(render("edge.toml", edge)?);
         }
         let mut child = command.spawn()?;
         if let Some(cpu) = cpu {
-            pin(&child, *cpu)?;
+            pin_to_cpu(&child, *cpu)?;
         }
         let log = BufReader::new(child.stderr.take().ok_or_else(|| io::Error::other("no log"))?);
         let (sender, lines) = channel();
@@ -147,7 +147,7 @@
     }
 
     /// What it has cost so far.
-    pub fn cost(&self) -> Cost {
+    pub fn usage(&self) -> ResourceUsage {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").unwrap_or_default();
         // Behind the name, which may hold anything: state is the third field, user and system time are 14 and 15.
@@ -156,11 +156,11 @@
         let status = read("status").unwrap_or_default();
         let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let memory_kb = most.and_then(|text| text.trim().strip_suffix(" kB")?.parse().ok()).unwrap_or(0);
-        Cost { cpu_s: (ticks(11) + ticks(12)) / 100.0, memory_kb }
+        ResourceUsage { cpu_s: (ticks(11) + ticks(12)) / 100.0, memory_kb }
     }
 
     /// Asks it to leave and waits for its end; returns how long that took and the lines that it wrote meanwhile.
-    pub fn leave(mut self) -> io::Result<(Duration, Vec<String>)> {
+    pub fn shut_down(mut self) -> io::Result<(Duration, Vec<String>)> {
         let since = Instant::now();
         let id = i32::try_from(self.child.id()).map_err(io::Error::other)?;
         if let Some(id) = rustix::process::Pid::from_raw(id) {
@@ -179,7 +179,7 @@
 }
 
 /// Keeps a process on one core.
-fn pin(child: &Child, cpu: usize) -> io::Result<()> {
+fn pin_to_cpu(child: &Child, cpu: usize) -> io::Result<()> {
     let mut set = rustix::thread::CpuSet::new();
     set.set(cpu);
     let id = i32::try_from(child.id()).map_err(io::Error::other)?;
@@ -187,7 +187,7 @@
 }
 
 /// Keeps the calling process off one core.
-pub fn stay_off(cpu: usize) -> io::Result<()> {
+pub fn avoid_cpu(cpu: usize) -> io::Result<()> {
     let mut set = rustix::thread::CpuSet::new();
     let all = std::thread::available_parallelism()?.get();
     (0..all).filter(|n| *n != cpu || all == 1).for_each(|n| set.set(n));
--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -4,10 +4,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use pinepoint_lab::load::Class;
-use pinepoint_lab::machine::Switchboard;
-use pinepoint_lab::routers::{Plan, Routers};
-use pinepoint_lab::switch::{End, Switch};
+use pinepoint_lab::fault_proxy::{Endpoint, FaultProxy};
+use pinepoint_lab::load::RequestClass;
+use pinepoint_lab::machine::EngineControl;
+use pinepoint_lab::routers::{Routers, Workload};
 use rmpv::Value;
 
 /// What does not come within this time does not come.
@@ -46,10 +46,10 @@
     address
 }
 
-fn plan(keyed: bool) -> Plan {
+fn workload(keyed: bool) -> Workload {
     let name = if keyed { "thesis-submit" } else { "quick-match" };
-    let classes = vec![Class { name, share: 1.0, work_ms: 5.0, keyed, calls: false }];
-    Plan { classes, rate: 50.0, routers: 2, repeat_keyed: false, seed: 3 }
+    let classes = vec![RequestClass { name, share: 1.0, work_ms: 5.0, keyed, calls: false }];
+    Workload { classes, rate: 50.0, routers: 2, retry_keyed: false, seed: 3 }
 }
 
 fn busy() -> Value {
@@ -59,62 +59,68 @@
 #[test]
 fn right_answers_break_no_rule_and_the_sums_come_out() {
     let address = wrong(|body| vec![if body.contains("n7") { busy() } else { Value::Nil }]);
-    let routers = Routers::start(plan(false), vec![address], vec![Switchboard::default()]).expect("started");
-    await_so("a hundred are served", || routers.book().all().served >= 100);
+    let routers =
+        Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
+    await_so("a hundred are served", || routers.stats().all().served >= 100);
     routers.set_rate(0.0);
-    await_so("all have ended", || routers.book().open == 0);
-    let all = routers.book().all();
-    let broken = routers.book().broken.clone();
+    await_so("all have ended", || routers.stats().in_flight == 0);
+    let all = routers.stats().all();
+    let broken = routers.stats().violations.clone();
     assert!(broken.is_empty(), "{broken:?}");
-    assert_eq!(all.asked, all.served + all.refused + all.failed + all.lost, "{all:?}");
-    assert!(all.refused >= 1 && all.tries > all.asked, "{all:?}");
-    assert!(all.worth_served > 0.0 && all.worth_served <= all.worth_asked, "{all:?}");
+    assert_eq!(all.requests, all.served + all.rejected + all.failed + all.lost, "{all:?}");
+    assert!(all.rejected >= 1 && all.attempts > all.requests, "{all:?}");
+    assert!(all.weight_served > 0.0 && all.weight_served <= all.weight_requested, "{all:?}");
 }
 
 #[test]
 fn a_second_answer_is_seen() {
     let address = wrong(|_| vec![Value::Nil, Value::Nil]);
-    let routers = Routers::start(plan(false), vec![address], vec![Switchboard::default()]).expect("started");
-    await_so("a broken rule", || routers.book().broken.iter().any(|rule| rule.contains("second answer")));
+    let routers =
+        Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
+    await_so("a broken rule", || {
+        routers.stats().violations.iter().any(|rule| rule.contains("second answer"))
+    });
 }
 
 #[test]
 fn no_answer_is_seen_unless_a_script_stopped_who_owes_it() {
     let silent = || wrong(|_| Vec::new());
-    let routers = Routers::start(plan(false), vec![silent()], vec![Switchboard::default()]).expect("started");
-    let excused = Routers::start(plan(false), vec![silent()], vec![Switchboard::default()]).expect("started");
-    excused.book().excused.insert(0);
-    await_so("a broken rule", || routers.book().broken.iter().any(|rule| rule.contains("no answer")));
-    await_so("some are lost", || excused.book().all().lost > 0);
-    assert!(excused.book().broken.is_empty());
+    let routers =
+        Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
+    let excused =
+        Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
+    excused.stats().excused.insert(0);
+    await_so("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("no answer")));
+    await_so("some are lost", || excused.stats().all().lost > 0);
+    assert!(excused.stats().violations.is_empty());
 }
 
 #[test]
 fn busy_told_of_a_key_that_has_run_is_seen() {
-    let board = Switchboard::default();
-    let engine = board.clone();
+    let control = EngineControl::default();
+    let engine = control.clone();
     let address = wrong(move |body| {
-        *engine.power().begun.entry(body.to_owned()).or_default() += 1;
+        *engine.state().started.entry(body.to_owned()).or_default() += 1;
         vec![busy()]
     });
-    let routers = Routers::start(plan(true), vec![address], vec![board]).expect("started");
-    await_so("a broken rule", || routers.book().broken.iter().any(|rule| rule.contains("Busy told")));
+    let routers = Routers::start(workload(true), vec![address], vec![control]).expect("started");
+    await_so("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy told")));
 }
 
 #[test]
 fn a_stream_that_is_cut_stands_and_comes_whole_once_it_is_healed() {
     let store = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let switch = Switch::start(Vec::new(), 1).expect("a switch");
-    let (one, other) = (End::Member(0), End::Store);
+    let proxy = FaultProxy::start(Vec::new(), 1).expect("a switch");
+    let (one, other) = (Endpoint::Member(0), Endpoint::Store);
     let far = store.local_addr().expect("bound");
-    let at = switch.stream(one, other, far, || true).expect("a way");
+    let at = proxy.stream(one, other, far, || true).expect("a way");
     let mut near = TcpStream::connect(at).expect("connected");
     near.write_all(b"a").expect("sent");
     let (mut served, _) = store.accept().expect("accepted");
     served.set_read_timeout(Some(Duration::from_millis(500))).expect("set");
     let mut first = [0];
     served.read_exact(&mut first).expect("it comes");
-    switch.faults().cut.insert((one, other));
+    proxy.faults().blocked.insert((one, other));
     near.write_all(b"bcd").expect("sent");
     let mut got = [0; 3];
     assert!(served.read(&mut got).is_err(), "nothing goes over a way that is cut");
@@ -122,7 +128,7 @@
     let mut back = [0; 4];
     near.set_read_timeout(Some(PATIENCE)).expect("set");
     near.read_exact(&mut back).expect("the other direction goes");
-    switch.faults().cut.clear();
+    proxy.faults().blocked.clear();
     served.set_read_timeout(Some(PATIENCE)).expect("set");
     served.read_exact(&mut got).expect("it comes");
     assert_eq!((&got, &back), (b"bcd", b"back"));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use pinepoint_lab::rig::{Options, Rig};
+use pinepoint_lab::cluster::{Cluster, Options};
 use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
 use pinepoint_membership::wire::{Body, Codec, Message, Packet, Sender};
 
@@ -15,7 +15,7 @@
 static FREE: (Mutex<usize>, Condvar) = (Mutex::new(AT_ONCE), Condvar::new());
 
 struct Course {
-    rig: Rig,
+    cluster: Cluster,
     _turn: Turn,
 }
 
@@ -52,7 +52,7 @@
     let fleet = fleet.to_owned();
     let options =
         Options { program, folder, members, zones, period_ms: 150, seed: 5, fleet, ..Options::default() };
-    Course { rig: Rig::prepare(options).expect("a rig"), _turn: turn }
+    Course { cluster: Cluster::prepare(options).expect("a rig"), _turn: turn }
 }
 
 impl Course {
@@ -61,14 +61,14 @@
     }
 
     fn run(&mut self, script: &str) {
-        if let Err(broken) = self.rig.run(script) {
-            panic!("{broken} (files in {})", self.rig.folder().display());
+        if let Err(broken) = self.cluster.run(script) {
+            panic!("{broken} (files in {})", self.cluster.folder().display());
         }
     }
 
     /// The view of the process of this number, from 1.
     fn view(&self, n: usize) -> serde_json::Value {
-        self.rig.view(n - 1).expect("it answers")
+        self.cluster.view(n - 1).expect("it answers")
     }
 }
 
@@ -76,7 +76,7 @@
     fn drop(&mut self) {
         // What a failed course leaves is worth a look.
         if !std::thread::panicking() {
-            let _ = std::fs::remove_dir_all(self.rig.folder());
+            let _ = std::fs::remove_dir_all(self.cluster.folder());
         }
     }
 }
@@ -111,7 +111,7 @@
          n2 continue
          all wait settled",
     );
-    let log = std::fs::read_to_string(course.rig.folder().join("n2.log")).expect("its log");
+    let log = std::fs::read_to_string(course.cluster.folder().join("n2.log")).expect("its log");
     assert!(log.contains("reason=own-trouble"), "it did not see that it was stopped: {log}");
     assert!(log.contains("reason=refuted"), "it was not told that it was held lost: {log}");
     let after = log.split_once("reason=own-trouble").map_or("", |(_, after)| after);
@@ -195,7 +195,7 @@
 fn garbage_is_not_answered_and_does_no_harm() {
     let mut course = course("garbage", 3, 1);
     course.all_start();
-    let to = course.rig.listen(0);
+    let to = course.cluster.listen(0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
     for n in 0..400_usize {
@@ -360,8 +360,8 @@
          all wait settled
          rules hold",
     );
-    let all = course.rig.routers.book().all();
-    assert_eq!(all.asked, all.served + all.refused + all.failed + all.lost, "{all:?}");
+    let all = course.cluster.routers.stats().all();
+    assert_eq!(all.requests, all.served + all.rejected + all.failed + all.lost, "{all:?}");
 }
 
 #[test]
@@ -474,7 +474,7 @@
     let mut version = bytes.clone();
     version[0] += 1;
     let foreign = other.encode(&sound).expect("encoded");
-    let to = course.rig.listen(0);
+    let to = course.cluster.listen(0);
     for wrong in [&version[..], &foreign[..], &bytes[..bytes.len() - 3], &[]] {
         socket.send_to(wrong, to).expect("sent");
     }
--- a/tests/rig.rs
+++ b/tests/rig.rs
@@ -1,19 +1,19 @@
 //! The rig's own promises, with processes of the program: what it counts adds up, and its rules can be broken.
 
-use pinepoint_lab::rig::{Options, Rig};
+use pinepoint_lab::cluster::{Cluster, Options};
 
-fn rig(name: &str) -> Rig {
+fn cluster(name: &str) -> Cluster {
     let folder = std::env::temp_dir().join(format!("pinepoint-rig-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_pinepoint").into();
     let options =
         Options { program, folder, members: 3, zones: 1, period_ms: 200, seed: 9, ..Options::default() };
-    Rig::prepare(options).expect("a rig")
+    Cluster::prepare(options).expect("a rig")
 }
 
 #[test]
 fn a_store_that_is_crowded_too_long_falls_comes_back_and_breaks_the_rules() {
-    let mut rig = rig("store");
-    let played = rig.run(
+    let mut cluster = cluster("store");
+    let played = cluster.run(
         "store slots 1
          store call 1500
          store away 1000
@@ -24,37 +24,39 @@
     );
     played.expect("it goes as it says");
     let until = std::time::Instant::now() + std::time::Duration::from_secs(40);
-    while rig.store.crowd().falls == 0 {
-        assert!(std::time::Instant::now() < until, "it never fell: {:?}", rig.store.crowd());
+    while cluster.store.state().crashes == 0 {
+        assert!(std::time::Instant::now() < until, "it never fell: {:?}", cluster.store.state());
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(rig.store.crowd().most > 5);
-    let broken = rig.run("rules hold").expect_err("a fall is a broken rule").to_string();
+    assert!(cluster.store.state().peak_in_flight > 5);
+    let broken = cluster.run("rules hold").expect_err("a fall is a broken rule").to_string();
     assert!(broken.contains("the store fell"), "{broken}");
-    rig.run("store slots 64\n store call 5\n routers wait served 100\n routers send 0\n routers wait quiet")
+    cluster
+        .run("store slots 64\n store call 5\n routers wait served 100\n routers send 0\n routers wait quiet")
         .expect("it is back, and so is service");
 }
 
 #[test]
 fn a_process_that_ends_by_itself_and_a_key_that_runs_twice_break_the_rules() {
-    let mut rig = rig("ends");
-    rig.run("all start\n all wait settled\n routers send 60\n routers wait served 30\n routers send 0")
+    let mut cluster = cluster("ends");
+    cluster
+        .run("all start\n all wait settled\n routers send 60\n routers wait served 30\n routers send 0")
         .expect("so far");
-    rig.run("routers wait quiet\n rules hold").expect("nothing is wrong yet");
+    cluster.run("routers wait quiet\n rules hold").expect("nothing is wrong yet");
     // One that is told to leave behind the rig's back ends as if by itself.
-    let pid = rig.pid_of("n2").expect("it runs").to_string();
+    let pid = cluster.pid_of("n2").expect("it runs").to_string();
     assert!(std::process::Command::new("kill").arg(&pid).status().is_ok_and(|status| status.success()));
     let until = std::time::Instant::now() + std::time::Duration::from_secs(30);
-    while rig.broken_rules().is_empty() {
+    while cluster.violations().is_empty() {
         assert!(std::time::Instant::now() < until, "its end is not seen");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(rig.broken_rules()[0].contains("n2 ended by itself"), "{:?}", rig.broken_rules());
+    assert!(cluster.violations()[0].contains("n2 ended by itself"), "{:?}", cluster.violations());
     // And a key that an engine counted twice.
-    rig.board("n1").expect("it is there").power().begun.insert("5.0 0 n1 keyed".into(), 2);
+    cluster.control("n1").expect("it is there").state().started.insert("5.0 0 n1 keyed".into(), 2);
     assert!(
-        rig.broken_rules().iter().any(|rule| rule.contains("was run 2 times")),
+        cluster.violations().iter().any(|rule| rule.contains("was run 2 times")),
         "{:?}",
-        rig.broken_rules()
+        cluster.violations()
     );
 }
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use pinepoint_lab::collectd::{Collectd, Taken, Wanted};
-use pinepoint_lab::graphite::{Form, Graphite, GraphiteUdp, Mode, Points};
+use pinepoint_lab::collectd::{Collectd, Received, SecurityLevel};
+use pinepoint_lab::graphite::{Graphite, GraphiteUdp, Mode, Points, Protocol};
 use scenario::{Options, World};
 
 /// An engine that ends every run at once, but for those with the body `slow`.
@@ -98,7 +98,7 @@
     }
 
     fn check(&self, points: &Points, path: impl Fn(&str) -> String) {
-        assert_eq!((points.bad, points.changed), (0, 0));
+        assert_eq!((points.malformed, points.conflicting), (0, 0));
         for (name, n) in &self.ends {
             // What else the class had says where one went that is missing.
             let head = path(name.rsplit_once('.').map_or(name, |(head, _)| head));
@@ -145,7 +145,7 @@
 
 #[test]
 fn what_arrives_over_plaintext_adds_up_the_last_interval_included() {
-    let graphite = Graphite::start(Form::Plaintext).expect("it listens");
+    let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 2\n", graphite.address()));
     let mut load = Load::new();
     load.round(&mut world);
@@ -159,7 +159,7 @@
 #[test]
 fn over_pickle_to_two_receivers_with_tags_each_path_stays_with_its_own() {
     let receivers: Vec<Graphite> =
-        (0..2).map(|_| Graphite::start(Form::Pickle).expect("it listens")).collect();
+        (0..2).map(|_| Graphite::start(Protocol::Pickle).expect("it listens")).collect();
     let mut world = start(&format!(
         "[graphite]\nreceivers = [\"{}\", \"{}\"]\nprotocol = \"pickle\"\ntags = true\nprefix = \"sko.edge\"\n",
         receivers[0].address(),
@@ -183,19 +183,19 @@
 
 #[test]
 fn a_receiver_that_restarts_and_one_that_resets_in_the_middle_of_a_line_cost_nothing() {
-    let graphite = Graphite::start(Form::Plaintext).expect("it listens");
+    let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
     let mut load = Load::new();
     load.round(&mut world);
-    graphite.set(Mode::ResetAfter(1234));
+    graphite.set_mode(Mode::ResetAfter(1234));
     wait_for("a reset", || graphite.points().connections >= 2);
     load.round(&mut world);
-    graphite.set(Mode::Good);
+    graphite.set_mode(Mode::Normal);
     wait_for("it is taken again", || graphite.points().sum(&plain("class.look.read")) >= 10.0);
     graphite.stop();
     load.round(&mut world);
     world.run("node wait receiver-lost to=graphite *");
-    graphite.start_again().expect("it listens");
+    graphite.restart().expect("it listens");
     world.run("node wait receiver-back to=graphite *");
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 15.0);
     leave(&mut world);
@@ -205,8 +205,8 @@
 /// It is stalled for the whole run: requests are answered as ever, the end is not held up, and what was lost is told.
 #[test]
 fn a_stalled_receiver_slows_nothing_and_holds_up_no_end() {
-    let graphite = Graphite::start(Form::Plaintext).expect("it listens");
-    graphite.set(Mode::Stalled);
+    let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
+    graphite.set_mode(Mode::Stalled);
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
     let mut load = Load::new();
     load.round(&mut world);
@@ -219,8 +219,8 @@
 #[test]
 fn receivers_of_the_edge_file_are_taken_over_at_sighup() {
     let (old, new) = (
-        Graphite::start(Form::Plaintext).expect("it listens"),
-        Graphite::start(Form::Plaintext).expect("it listens"),
+        Graphite::start(Protocol::Plaintext).expect("it listens"),
+        Graphite::start(Protocol::Plaintext).expect("it listens"),
     );
     let section = |address| format!("[graphite]\naddress = \"{address}\"\n");
     let mut world = start(&section(old.address()));
@@ -256,7 +256,7 @@
 /// A comparer and a prefix whose names are another syntax's words.
 #[test]
 fn names_that_are_no_names_break_no_line() {
-    let graphite = Graphite::start(Form::Plaintext).expect("it listens");
+    let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
     let edge = format!("[graphite]\naddress = \"{}\"\nprefix = \"a b.c;d=e\\nf 1 2\"\n", graphite.address());
     let mut world = start_as("n1.x y;z=\\n/../", &edge);
     let mut load = Load::new();
@@ -270,36 +270,37 @@
 }
 
 fn collectd_edge(collectd: &Collectd, more: &str) -> String {
-    format!("[collectd]\naddress = \"{}\"\n{more}\n", collectd.place())
+    format!("[collectd]\naddress = \"{}\"\n{more}\n", collectd.address())
 }
 
-fn check_collectd(load: &Load, taken: &Taken) {
-    assert_eq!(taken.refused, 0);
+fn check_collectd(load: &Load, received: &Received) {
+    assert_eq!(received.rejected, 0);
     for (name, n) in load.ends.iter().filter(|(name, _)| !name.contains("worth") && !name.contains("total")) {
         let (class, stat) =
             name.strip_prefix("class.").and_then(|name| name.split_once('.')).expect("of a class");
         let series = format!("n1/pinepoint-{class}/derive-{}", stat.replace('.', "-"));
-        let others = alike(&series).into_iter().skip(1).filter_map(|series| taken.last(&series)).sum::<f64>();
-        assert_eq!(taken.last(&series).map(|sum| sum + others), Some(f64::from(*n)), "{series}");
+        let others =
+            alike(&series).into_iter().skip(1).filter_map(|series| received.last(&series)).sum::<f64>();
+        assert_eq!(received.last(&series).map(|sum| sum + others), Some(f64::from(*n)), "{series}");
     }
-    assert_eq!(taken.last("n1/pinepoint-telemetry/gauge-law_off"), Some(0.0));
+    assert_eq!(received.last("n1/pinepoint-telemetry/gauge-law_off"), Some(0.0));
 }
 
 #[test]
 fn over_collectds_network_protocol_lost_datagrams_are_healed_by_the_next() {
-    let collectd = Collectd::network(Wanted::Nothing, 7).expect("it listens");
+    let collectd = Collectd::network(SecurityLevel::None, 7).expect("it listens");
     let mut world = start(&collectd_edge(&collectd, ""));
     let mut load = Load::new();
-    collectd.lose(500);
+    collectd.drop_datagrams(500);
     load.round(&mut world);
-    wait_for("something came through", || !collectd.taken().values.is_empty());
-    collectd.lose(0);
+    wait_for("something came through", || !collectd.received().values.is_empty());
+    collectd.drop_datagrams(0);
     load.round(&mut world);
     leave(&mut world);
-    let taken = collectd.taken();
-    check_collectd(&load, &taken);
-    assert_eq!(taken.interval_s, 1.0);
-    assert!(taken.notifications.iter().any(|n| n.severity == 2 && n.type_instance == "drain"));
+    let received = collectd.received();
+    check_collectd(&load, &received);
+    assert_eq!(received.interval_s, 1.0);
+    assert!(received.notifications.iter().any(|n| n.severity == 2 && n.type_instance == "drain"));
 }
 
 #[test]
@@ -307,8 +308,8 @@
     let secret = || ("pine".to_owned(), "point".to_owned());
     for security in ["sign", "encrypt"] {
         let wanted = || match security {
-            "sign" => Wanted::Signature(secret().0, secret().1),
-            _ => Wanted::Encryption(secret().0, secret().1),
+            "sign" => SecurityLevel::Sign(secret().0, secret().1),
+            _ => SecurityLevel::Encrypt(secret().0, secret().1),
         };
         let more = |password: &str| {
             format!(
@@ -320,15 +321,19 @@
         let mut load = Load::new();
         load.round(&mut world);
         leave(&mut world);
-        check_collectd(&load, &right.taken());
-        let hold = &right.taken().values["n1/pinepoint-look/pinepoint_dist-hold"];
+        check_collectd(&load, &right.received());
+        let hold = &right.received().values["n1/pinepoint-look/pinepoint_dist-hold"];
         assert_eq!(hold.last().expect("told").1.len(), 7, "a list of several values");
         let wrong = Collectd::network(wanted(), 1).expect("it listens");
         let mut world = start(&collectd_edge(&wrong, &more("wrong")));
         load.round(&mut world);
         leave(&mut world);
-        let taken = wrong.taken();
-        assert!(taken.refused > 0 && taken.values.is_empty(), "{security}: {} refused", taken.refused);
+        let received = wrong.received();
+        assert!(
+            received.rejected > 0 && received.values.is_empty(),
+            "{security}: {} refused",
+            received.rejected
+        );
     }
 }
 
@@ -339,16 +344,16 @@
     let mut world = start(&collectd_edge(&collectd, "protocol = \"text\""));
     let mut load = Load::new();
     load.round(&mut world);
-    wait_for("a first value", || collectd.taken().last("n1/pinepoint-look/derive-read") == Some(5.0));
+    wait_for("a first value", || collectd.received().last("n1/pinepoint-look/derive-read") == Some(5.0));
     collectd.stall(true);
     load.round(&mut world);
     std::thread::sleep(Duration::from_secs(2));
     collectd.stall(false);
     load.round(&mut world);
     leave(&mut world);
-    let taken = collectd.taken();
-    check_collectd(&load, &taken);
-    assert_eq!(taken.old, 0);
+    let received = collectd.received();
+    check_collectd(&load, &received);
+    assert_eq!(received.stale, 0);
 }
 
 /// A monitor that is down from the start and comes up later; another that stays away.
@@ -359,7 +364,7 @@
     let mut load = Load::new();
     load.round(&mut world);
     world.run("node wait receiver-lost *");
-    let graphite = Graphite::start_at(port, Form::Plaintext).expect("it listens");
+    let graphite = Graphite::start_at(port, Protocol::Plaintext).expect("it listens");
     world.run("node wait receiver-back to=graphite *");
     load.round(&mut world);
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 10.0);
@@ -390,7 +395,7 @@
 
 #[test]
 fn a_class_that_a_reload_adds_has_series_of_its_own_and_the_others_go_on() {
-    let graphite = Graphite::start(Form::Plaintext).expect("it listens");
+    let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
     let mut load = Load::new();
     load.round(&mut world);
@@ -402,7 +407,7 @@
     change_classes(&mut world);
     round_of_extra(&mut load, &mut world);
     load.round(&mut world);
-    graphite.start_again().expect("it listens");
+    graphite.restart().expect("it listens");
     wait_for("it has caught up", || graphite.points().sum(&plain("class.look.read")) >= 15.0);
     wait_for("the new class is told", || graphite.points().sum(&plain("class.extra.read")) >= 1.0);
     world.run("node send USR1\nnode wait counters * reloads=1 *");
@@ -416,14 +421,14 @@
 
 #[test]
 fn over_collectd_too_the_series_of_all_classes_go_on_over_a_reload() {
-    let collectd = Collectd::network(Wanted::Nothing, 7).expect("it listens");
+    let collectd = Collectd::network(SecurityLevel::None, 7).expect("it listens");
     let mut world = start(&collectd_edge(&collectd, ""));
     let mut load = Load::new();
     load.round(&mut world);
-    wait_for("the first interval", || collectd.taken().last("n1/pinepoint-look/derive-read") == Some(5.0));
+    wait_for("the first interval", || collectd.received().last("n1/pinepoint-look/derive-read") == Some(5.0));
     change_classes(&mut world);
     round_of_extra(&mut load, &mut world);
     load.round(&mut world);
     leave(&mut world);
-    check_collectd(&load, &collectd.taken());
+    check_collectd(&load, &collectd.received());
 }
