--- /dev/null
+++ b/crates/pinepoint-lab/src/cluster/services.rs
@@ -0,0 +1,74 @@
+//! The services below the members of a cluster: one engine each, the shared store and the list service. They run on one
+//! thread, which ends with the process.
+
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::rc::Rc;
+use std::sync::mpsc;
+use std::time::Duration;
+
+use async_executor::LocalExecutor;
+use async_io::Async;
+use futures_lite::future;
+
+use super::ENGINE_CORES;
+use crate::machine::{EngineControl, start_engine};
+use crate::store::{Store, StoreState};
+
+/// Calls that the store makes at once, unless a script says otherwise.
+const STORE_SLOTS: usize = 64;
+/// Time of a call of the store, unless a script says otherwise.
+const STORE_CALL: Duration = Duration::from_millis(5);
+
+/// An engine of one member.
+pub(super) struct MemberEngine {
+    pub(super) address: SocketAddr,
+    pub(super) control: EngineControl,
+}
+
+/// All services of a cluster.
+pub(super) struct Services {
+    pub(super) engines: Vec<MemberEngine>,
+    pub(super) store: Store,
+    /// Where the list service takes load reports.
+    pub(super) list: SocketAddr,
+}
+
+impl Services {
+    /// Starts the services of so many members on a thread of their own.
+    pub(super) fn start(members: usize) -> io::Result<Services> {
+        let (sender, started) = mpsc::channel();
+        std::thread::spawn(move || {
+            let executor = Rc::new(LocalExecutor::new());
+            if sender.send(start_on(members, &executor)).is_ok() {
+                async_io::block_on(executor.run(future::pending::<()>()));
+            }
+        });
+        started.recv().map_err(io::Error::other)?
+    }
+}
+
+fn start_on(members: usize, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Services> {
+    let engines: io::Result<Vec<_>> = (0..members).map(|_| start_member_engine(executor)).collect();
+    let store = Store::start(StoreState::new(STORE_SLOTS, STORE_CALL), executor)?;
+    let list = start_list_service(executor)?;
+    Ok(Services { engines: engines?, store, list })
+}
+
+fn start_member_engine(executor: &Rc<LocalExecutor<'static>>) -> io::Result<MemberEngine> {
+    let control = EngineControl::default();
+    let address = start_engine(ENGINE_CORES, &control, executor)?;
+    Ok(MemberEngine { address, control })
+}
+
+/// Starts a list service that reads load reports and discards them.
+fn start_list_service(executor: &Rc<LocalExecutor<'static>>) -> io::Result<SocketAddr> {
+    let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
+    let address = socket.get_ref().local_addr()?;
+    let discard_reports = async move {
+        let mut report = [0; 256];
+        while socket.recv(&mut report).await.is_ok() {}
+    };
+    executor.spawn(discard_reports).detach();
+    Ok(address)
+}
--- a/tests/rig.rs
+++ b/tests/cluster.rs
@@ -1,13 +1,13 @@
-//! The rig's own promises, with processes of the program: what it counts adds up, and its rules can be broken.
+//! The test cluster itself, with processes of the program: its counts add up, and each of its rules can be violated.
 
 use pinepoint_lab::cluster::{Cluster, Options};
 
 fn cluster(name: &str) -> Cluster {
-    let folder = std::env::temp_dir().join(format!("pinepoint-rig-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("pinepoint-cluster-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_pinepoint").into();
     let options =
         Options { program, folder, members: 3, zones: 1, period_ms: 200, seed: 9, ..Options::default() };
-    Cluster::prepare(options).expect("a rig")
+    Cluster::prepare(options).expect("a cluster")
 }
 
 #[test]
@@ -43,7 +43,7 @@
         .run("all start\n all wait settled\n routers send 60\n routers wait served 30\n routers send 0")
         .expect("so far");
     cluster.run("routers wait quiet\n rules hold").expect("nothing is wrong yet");
-    // One that is told to leave behind the rig's back ends as if by itself.
+    // One that is told to leave behind the back of the cluster ends as if by itself.
     let pid = cluster.pid_of("n2").expect("it runs").to_string();
     assert!(std::process::Command::new("kill").arg(&pid).status().is_ok_and(|status| status.success()));
     let until = std::time::Instant::now() + std::time::Duration::from_secs(30);
@@ -53,7 +53,7 @@
     }
     assert!(cluster.violations()[0].contains("n2 ended by itself"), "{:?}", cluster.violations());
     // And a key that an engine counted twice.
-    cluster.control("n1").expect("it is there").state().started.insert("5.0 0 n1 keyed".into(), 2);
+    cluster.engine("n1").expect("it is there").state().started.insert("5.0 0 n1 keyed".into(), 2);
     assert!(
         cluster.violations().iter().any(|rule| rule.contains("was run 2 times")),
         "{:?}",
