--- a/crates/pinepoint-lab/src/script.rs
+++ b/crates/pinepoint-lab/src/script.rs
@@ -1,16 +1,17 @@
-//! The language of scenarios, for the node's tests and for the rig of many processes alike: lines of `ACTOR VERB WORDS`,
-//! names that are learned, and patterns. It owns how a line is read; what an actor does with a verb is its user's.
+//! The language of scenarios, for the tests of one process and for the test cluster alike: lines of `ACTOR VERB WORDS`,
+//! variables that are captured from what was received, and patterns. It owns how a line is parsed; what an actor does with
+//! a verb is its user's.
 //!
-//! Empty lines and those that begin with `#` are passed over. `$name` stands for what was learned under that name.
+//! Empty lines and comments, which begin with `#`, are skipped. `$name` stands for what was captured under that name.
 //!
 //! ```
-//! use pinepoint_lab::script::{Names, matches, steps};
+//! use pinepoint_lab::script::{Bindings, matches, steps};
 //!
-//! let step = steps("  # a remark\n  n1 wait n2 lost").next().expect("a step");
+//! let step = steps("  # a comment\n  n1 wait n2 lost").next().expect("a step");
 //! assert_eq!((step.actor, step.verb, step.words), ("n1", "wait", "n2 lost"));
-//! let mut names = Names::default();
-//! names.learn("RUN $r *", "RUN 17 write");
-//! assert_eq!(names.put_in("DONE $r"), "DONE 17");
+//! let mut bindings = Bindings::default();
+//! bindings.capture("RUN $r *", "RUN 17 write");
+//! assert_eq!(bindings.substitute("DONE $r"), "DONE 17");
 //! assert!(matches("RUN * write", "RUN 17 write"));
 //! ```
 
@@ -21,7 +22,7 @@
 pub struct Step<'a> {
     /// The whole line.
     pub line: &'a str,
-    /// Who.
+    /// Who acts.
     pub actor: &'a str,
     /// What it does; empty if the line has but one word.
     pub verb: &'a str,
@@ -39,18 +40,19 @@
     })
 }
 
-/// What was learned under names that begin with `$`.
+/// Values of variables, whose names begin with `$`.
 #[derive(Clone, Debug, Default)]
-pub struct Names(HashMap<String, String>);
+pub struct Bindings(HashMap<String, String>);
 
-impl Names {
-    /// The text with what is known in the place of its names.
-    pub fn put_in(&self, text: &str) -> String {
+impl Bindings {
+    /// The text with each known variable replaced by its value.
+    pub fn substitute(&self, text: &str) -> String {
         self.0.iter().fold(text.to_owned(), |text, (name, value)| text.replace(name, value))
     }
 
-    /// Learns each name of the pattern from the word of the text in its place; returns the pattern with `*` there.
-    pub fn learn(&mut self, pattern: &str, text: &str) -> String {
+    /// Captures each variable of the pattern from the word of the text in its place; returns the pattern with `*` in the
+    /// place of variables.
+    pub fn capture(&mut self, pattern: &str, text: &str) -> String {
         let mut words = Vec::new();
         for (at, word) in pattern.split(' ').enumerate() {
             if word.starts_with('$') {
@@ -63,7 +65,7 @@
     }
 }
 
-/// Whether the text is the pattern, in which `*` stands for anything.
+/// Whether the text matches the pattern, in which `*` stands for any characters or none.
 pub fn matches(pattern: &str, text: &str) -> bool {
     match pattern.split_once('*') {
         None => pattern == text,
--- /dev/null
+++ b/tests/node_load.rs
@@ -0,0 +1,247 @@
+//! One program under load: both fronts past what the engine does, callers that do not read, and limits on connections,
+//! memory and the log. The scenarios are in the language of `scenario/mod.rs`.
+
+mod scenario;
+
+use std::collections::HashMap;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use scenario::{ENGINE_UP, Options, World, idle_gauges};
+
+/// Keys of the writes at full load; each comes four times, from different clients.
+const KEYS: usize = 150;
+
+/// How often each body of a write was run.
+type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
+
+/// An engine that counts the runs of writes. Eight runs end with each look at the gauges, and every third write stands at
+/// a call first.
+fn counting_engine(writes: RunCounts) -> scenario::Answer {
+    let (mut running, mut notice) = (Vec::<String>::new(), 0);
+    Box::new(move |text| {
+        let mut next = |kind: &str, rest: String| {
+            notice += 1;
+            format!("{kind} {notice} {rest}")
+        };
+        let words: Vec<&str> = text.split([' ', '|']).collect();
+        match words.as_slice() {
+            ["ATTACH", _] => vec!["HELLO hot 9000".into()],
+            ["RUN", rid, class, body] => {
+                if *class == "write" {
+                    *writes.lock().unwrap().entry((*body).to_owned()).or_default() += 1;
+                }
+                running.push((*rid).to_owned());
+                if *class == "write" && body.len() % 3 == 0 {
+                    return vec![next("NEED", format!("{rid}|{body}"))];
+                }
+                vec!["NOTE 0 begun".into()]
+            }
+            ["HALT", rid] => {
+                running.retain(|r| r != rid);
+                vec![next("DONE", format!("{rid} cancelled 1|"))]
+            }
+            ["STAT", tag] => {
+                let ended = running.drain(..running.len().min(8)).collect::<Vec<_>>();
+                let mut lines: Vec<String> =
+                    ended.iter().map(|rid| next("DONE", format!("{rid} complete 20|done"))).collect();
+                lines.push(format!("STATS {tag} 1 {} 0.1 3", running.len()));
+                lines
+            }
+            _ => vec!["NOTE 0 read".into()],
+        }
+    })
+}
+
+/// A store that answers each call at once.
+fn answering_store(text: &str) -> Vec<String> {
+    let words: Vec<&str> = text.split([' ', '|']).collect();
+    if words[0] == "CALL" { vec![format!("{} OK|reply", words[1])] } else { Vec::new() }
+}
+
+/// The scenario of all requests at full load, and how many each MessagePack-RPC client sends.
+fn full_load_scenario() -> (String, HashMap<String, usize>) {
+    let (mut sent, mut rid) = (HashMap::<String, usize>::new(), 0);
+    let mut script = String::new();
+    for key in 0..KEYS {
+        let body = "x".repeat(1 + key % 3) + &format!("-{key}");
+        let router = format!("rpc{}", key % 12);
+        let mut request = |router: &str, words: String| {
+            let id = sent.entry(router.to_owned()).or_default();
+            *id += 1;
+            rid += 1;
+            script.push_str(&format!(
+                "{router} send {id} {}\n",
+                words.replace("rid=", &format!("rid={rid:x}"))
+            ));
+        };
+        let again = format!("rpc{}", (key + 5) % 12);
+        request(&router, format!("look rid=|read{key}"));
+        request(&router, format!("write rid= token=key{key}|{body}"));
+        request(&again, format!("write rid= token=key{key} again=1|{body}"));
+        let length = body.len() + 5;
+        script.push_str(&format!(
+            "ajp-cut{key} send /write token=key{key} secret=s3 body=later content-length={length}\n\
+             ajp-cut{key} send data|{body}\n\
+             ajp{0} send /write token=key{key} again=1 secret=s3|{body}\n\
+             ajp-cut{key} close\n\
+             ajp{0} expect status *\n\
+             ajp{0} wait end 1\n",
+            key % 8
+        ));
+    }
+    (script, sent)
+}
+
+/// Both fronts past what the engine does, with AJP connections that break halfway through the body of a
+/// write while the same key comes by MessagePack-RPC, and comes again by both.
+#[test]
+fn at_full_load_over_both_fronts_nothing_runs_twice_and_nothing_stays_unanswered() {
+    let writes = RunCounts::default();
+    let mut world = World::start(counting_engine(writes.clone()), Box::new(answering_store));
+    world.run("members wait HB n1 UP");
+    let (script, sent) = full_load_scenario();
+    world.run(&script);
+    for (router, count) in &sent {
+        let mut answered: Vec<u64> = (0..*count)
+            .map(|_| {
+                let text = world.wait(router, "[1 *");
+                text.split(' ').nth(1).and_then(|id| id.parse().ok()).expect("a message id")
+            })
+            .collect();
+        answered.sort_unstable();
+        assert_eq!(answered, (1..=*count as u64).collect::<Vec<_>>(), "{router}: each once");
+    }
+    let writes = writes.lock().unwrap();
+    assert!(writes.len() > KEYS / 2, "the test is of no worth if hardly anything ran: {}", writes.len());
+    let doubles: Vec<_> = writes.iter().filter(|(_, runs)| **runs > 1).collect();
+    assert!(doubles.is_empty(), "run more than once: {doubles:?}");
+}
+
+/// Sends checks and reads no answer, until nothing more is taken. What the system keeps for it is little and does
+/// not grow: the first write that finds no room never ends.
+fn deafen(world: &World) -> TcpStream {
+    let mut deaf = TcpStream::connect(world.listen).expect("the program listens");
+    rustix::net::sockopt::set_socket_recv_buffer_size(&deaf, 4096).expect("a small buffer");
+    deaf.set_write_timeout(Some(Duration::from_secs(1))).expect("a time-out");
+    let mut ids = 1..=4_000_000_u32;
+    let blocked = loop {
+        let pings: Vec<u8> =
+            ids.by_ref().take(2000).flat_map(|id| scenario::rpc_request(&format!("{id} ping"))).collect();
+        if pings.is_empty() || deaf.write_all(&pings).is_err() {
+            break !pings.is_empty();
+        }
+    };
+    assert!(blocked, "the program went on reading for a caller that reads nothing");
+    deaf
+}
+
+/// A router that sends and never reads is not read either once its answers pile up, and holds up no one else.
+#[test]
+fn one_that_never_reads_stalls_nobody() {
+    let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
+    world.run(ENGINE_UP);
+    let deaf = deafen(&world);
+    world.run(
+        "rpc send 1 look rid=a1|paper
+         engine expect RUN 00000000000000a1 look|paper
+         engine send DONE 1 00000000000000a1 complete 12|report
+         rpc expect [1 1 nil [report *",
+    );
+    drop(deaf);
+    world.run("node wait conn-ended conn=1 front=rpc *");
+}
+
+/// What all those that read nothing leave unread stays within a part of the memory, however small that is: here
+/// less than what stops a connection from being read, and more than the answers to one read.
+#[test]
+fn what_is_not_read_does_not_fill_the_memory() {
+    let store = scenario::service(Box::new(|_| Vec::new()));
+    let mut world =
+        World::start_with(Box::new(idle_gauges), store, Options { memory_mb: 0.48, ..Options::default() });
+    world.run(ENGINE_UP);
+    let _deaf = deafen(&world);
+    world.run("node wait conn-ended conn=1 front=rpc reason=reader-too-slow *");
+}
+
+/// One that waited on full cores until no time was left is refused at once, and told when to come back.
+#[test]
+fn given_up_after_a_wait_it_is_told_when_to_come_back() {
+    let full = |text: &str| -> Vec<String> {
+        text.strip_prefix("STAT ").map(|tag| format!("STATS {tag} 1 4 0.1 3")).into_iter().collect()
+    };
+    let mut world = World::start(Box::new(full), Box::new(|_| Vec::new()));
+    world.run(ENGINE_UP);
+    world.run(
+        "rpc send 1 look rid=a1|paper
+         rpc send 2 look rid=a2|paper
+         rpc send 3 look rid=a3|paper
+         rpc send 4 look rid=a4|paper
+         engine wait RUN 00000000000000a4 look|paper
+         rpc send 5 brief rid=a5|paper
+         rpc expect [1 5 [Busy * backoff=*] nil]",
+    );
+}
+
+/// Of 256 descriptors 64 are kept back. Beyond 192 connections those that never spoke give way first, and the one
+/// that was idle longest where all did; the links stay.
+#[test]
+fn connections_stay_below_the_limit_on_descriptors_and_give_way() {
+    let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
+    world.run(ENGINE_UP);
+    let silent: Vec<TcpStream> = (0..300).flat_map(|_| TcpStream::connect(world.listen)).collect();
+    assert_eq!(silent.len(), 300, "none is kept from connecting");
+    world.run(
+        "rpc1 send 1 ping
+         rpc1 expect [1 1 nil *
+         node wait conn-ended conn=* front=rpc reason=gave-way read=0 *",
+    );
+    drop(silent);
+    let script: String =
+        (2..=192).map(|n| format!("rpc{n} send 1 ping\nrpc{n} expect [1 1 nil *\n")).collect();
+    world.run(&script);
+    world.run(
+        "rpc193 send 1 ping
+         rpc193 expect [1 1 nil *
+         rpc1 expect closed
+         node wait conn-ended conn=* front=rpc reason=gave-way read=1 *
+         rpc192 send 2 ping
+         rpc192 expect [1 2 nil *",
+    );
+}
+
+/// What routers would have closed themselves belongs to none that lives.
+#[test]
+fn one_that_asked_once_and_stays_is_closed() {
+    let store = scenario::service(Box::new(|_| Vec::new()));
+    let mut world =
+        World::start_with(Box::new(idle_gauges), store, Options { idle_ms: 300, ..Options::default() });
+    world.run(ENGINE_UP);
+    world.run(
+        "rpc send 1 ping
+         rpc expect [1 1 nil *
+         rpc expect closed
+         node wait conn-ended conn=1 front=rpc reason=idle *",
+    );
+}
+
+/// A log that nobody reads fills its pipe after some hundred lines; the program goes on without it.
+#[test]
+fn a_log_that_is_not_read_stalls_nobody() {
+    let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
+    world.run(ENGINE_UP);
+    let gate = world.log_gate.clone();
+    let unread = gate.lock().expect("not poisoned");
+    for _ in 0..2000 {
+        let mut stream = TcpStream::connect(world.listen).expect("the program listens");
+        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+        stream.write_all(&[0xc1]).expect("sent");
+        // To the end, as a plain read may be interrupted by a signal to the test process.
+        let end = stream.read_to_end(&mut Vec::new());
+        assert!(matches!(end, Ok(0)), "closed for a byte that begins no message: {end:?}");
+    }
+    drop(unread);
+    world.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
+}
--- /dev/null
+++ b/tests/scenario/options.rs
@@ -0,0 +1,100 @@
+//! How a scenario starts the program, and the configuration files that follow from it.
+
+use std::collections::HashMap;
+use std::net::{SocketAddr, TcpListener};
+
+/// How a scenario starts the program.
+pub struct Options {
+    /// Callers close idle connections after that time; 0 for never.
+    pub idle_ms: u32,
+    /// Limit of memory.
+    pub memory_mb: f64,
+    /// Sections of the edge file beside that of AJP.
+    pub edge: String,
+    /// The comparer's name, as JSON has it.
+    pub name: String,
+    /// As the platform starts it: without an edge file.
+    pub bare: bool,
+    /// What it is started under: a program and its words.
+    pub under: Vec<String>,
+    /// Text of the settings that is replaced by other text.
+    pub settings: Vec<(&'static str, &'static str)>,
+    /// Where it listens.
+    pub listen: SocketAddr,
+    /// Signals that come while it reads its configuration for the first time, and the name of the configuration that is
+    /// there when it reads it again.
+    pub early: Option<(&'static [&'static str], &'static str)>,
+    /// Has the address, until the program has said that it finds it in use.
+    pub blocked: Option<TcpListener>,
+}
+
+impl Default for Options {
+    fn default() -> Self {
+        Options {
+            idle_ms: 0,
+            memory_mb: 192.0,
+            edge: String::new(),
+            name: "n1".into(),
+            bare: false,
+            under: Vec::new(),
+            settings: Vec::new(),
+            listen: ([127, 0, 0, 1], 0).into(),
+            early: None,
+            blocked: None,
+        }
+    }
+}
+
+/// Addresses of the services that a configuration names.
+pub(super) struct ServiceAddresses {
+    pub(super) engine: SocketAddr,
+    pub(super) members: SocketAddr,
+    pub(super) store: SocketAddr,
+}
+
+const SETTINGS: &str = r#"{"services":[
+ {"name":"look","effect":"read_like","promiseMs":3000,"deadlineMs":9000,"worth":1},
+ {"name":"brief","effect":"read_like","promiseMs":900,"deadlineMs":1500,"worth":1},
+ {"name":"write","effect":"idempotency_key","keyTtlMs":20000,"promiseMs":3000,"deadlineMs":9000,"worth":3}],
+ "contract":{"answerSlackMs":100,"drainGraceMs":2000,"fallMultiple":8,"tipAfterMs":3000},
+ "ceilings":{"retryAfter":true,"maxRetryAfterMs":1000},
+ "specifics":{"cores":4,"heapKb":30000,"runFactor":4,"keyKb":5,"preemption":"drop","signal":"weight",
+ "registryFollows":true,"callerIdleMs":IDLE,"classCalls":[true,false,true],"worthWithout":[0,0.3,0],"callsOut":8,"callsOverMs":5000,"lingerMs":200,
+ "gauges":["cpu_busy","runnable","mem_used","sockets"]}}"#;
+
+impl Options {
+    fn settings_text(&self) -> String {
+        let text = SETTINGS.replace("IDLE", &self.idle_ms.to_string());
+        self.settings.iter().fold(text, |text, (old, new)| {
+            assert!(text.contains(old), "no {old} in the settings");
+            text.replace(old, new)
+        })
+    }
+
+    fn config(&self, services: &ServiceAddresses) -> String {
+        let (Options { name, listen, memory_mb, .. }, settings) = (self, self.settings_text());
+        let ServiceAddresses { engine, members, store } = services;
+        format!(
+            r#"{{"name":"{name}","listen":"{listen}","engine":"{engine}","members":"{members}",
+                "store":"{store}","seed":"8c1f30d27a5be964","stop_ms":3000,
+                "limits":{{"cores":1,"memory_mb":{memory_mb},"sockets":256}},"settings":{settings}}}"#
+        )
+    }
+
+    /// The configurations by the names that scenarios give them: with the first services, with those moved, and the
+    /// latter cut off in the middle.
+    pub(super) fn configs(
+        &self,
+        first: &ServiceAddresses,
+        moved: &ServiceAddresses,
+    ) -> HashMap<&'static str, String> {
+        let moved = self.config(moved);
+        let cut_off = moved[..moved.len() / 2].to_owned();
+        HashMap::from([("first", self.config(first)), ("cut-off", cut_off), ("moved", moved)])
+    }
+
+    /// The edge file.
+    pub(super) fn edge_file(&self) -> String {
+        format!("[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3\"\nmem_kb = 40.0\n{}", self.edge)
+    }
+}
--- /dev/null
+++ b/tests/scenario/world.rs
@@ -0,0 +1,375 @@
+//! The program under test among its stubs, and the steps of a scenario.
+
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::mpsc::{Sender, channel};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use pinepoint_lab::script::{Bindings, Step, matches, steps};
+
+use super::actor::{Actor, Streams, connect_client};
+use super::ajp::{self, ajp_request};
+use super::options::{Options, ServiceAddresses};
+use super::rpc::{self, rpc_request};
+use super::stubs::{Answer, datagrams, idle_gauges, read_line, service, wire_line};
+
+/// An event that does not come within this time does not come.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// The program looks at its test clock again after a millisecond, and its core looks around every 50 ms while it shuts
+/// down: a program that was stopped finds all of it due in the instant in which it goes on.
+const CLOCK_SETTLE: Duration = Duration::from_millis(60);
+
+/// Tells apart the folders of this process.
+static FOLDERS: AtomicU32 = AtomicU32::new(0);
+
+/// A folder of its own, removed when dropped.
+struct TempDir(PathBuf);
+
+impl TempDir {
+    fn new() -> TempDir {
+        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("pinepoint-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder of its own");
+        TempDir(path)
+    }
+}
+
+impl Drop for TempDir {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The bytes of what an actor sends.
+fn bytes_to_send(actor: &str, words: &str) -> Vec<u8> {
+    match (words.strip_prefix("hex="), &actor[..3]) {
+        (Some(hex), _) => (0..hex.len() / 2)
+            .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).expect("hexadecimal"))
+            .collect(),
+        (_, "rpc") => rpc_request(words),
+        (_, "ajp") => ajp_request(words),
+        _ => wire_line(words),
+    }
+}
+
+/// Sends a signal to a process.
+fn send_signal(name: &str, pid: u32) {
+    let sent = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
+    assert!(sent.is_ok_and(|status| status.success()), "no {name} to {pid}");
+}
+
+/// The stub services of a scenario, and the addresses before and after they are moved.
+struct Stubs {
+    actors: HashMap<String, Actor>,
+    first: ServiceAddresses,
+    moved: ServiceAddresses,
+}
+
+impl Stubs {
+    fn start(engine: Answer, store: (Actor, SocketAddr)) -> Stubs {
+        let mut actors = HashMap::new();
+        let mut add = |name: &str, (actor, address): (Actor, SocketAddr)| {
+            actors.insert(name.to_owned(), actor);
+            address
+        };
+        let members = || datagrams(|packet| vec![String::from_utf8_lossy(packet).into_owned()]);
+        let first = ServiceAddresses {
+            engine: add("engine", service(engine)),
+            store: add("store", store),
+            members: add("members", members()),
+        };
+        let moved = ServiceAddresses {
+            engine: add("engine2", service(Box::new(idle_gauges))),
+            store: add("store2", service(Box::new(|_| Vec::new()))),
+            members: add("members2", members()),
+        };
+        Stubs { actors, first, moved }
+    }
+}
+
+/// The program and everything around it; the program is killed when this is dropped.
+pub struct World {
+    actors: HashMap<String, Actor>,
+    /// Where the program takes MessagePack-RPC.
+    pub listen: SocketAddr,
+    /// Where the program takes AJP; the same as `listen` without an edge file.
+    pub ajp: SocketAddr,
+    child: Arc<Mutex<Child>>,
+    /// While it is held, nobody reads the program's log.
+    pub log_gate: Arc<Mutex<()>>,
+    bindings: Bindings,
+    /// The configurations by the names that scenarios give them.
+    configs: HashMap<&'static str, String>,
+    /// Where the program reads its configuration.
+    config: PathBuf,
+    edge: PathBuf,
+    folder: TempDir,
+}
+
+impl World {
+    /// Starts the program among its stubs. `engine` and `store` have each line first.
+    pub fn start(engine: Answer, store: Answer) -> World {
+        World::start_with(engine, service(store), Options::default())
+    }
+
+    /// The same with a store that is made elsewhere, and these options.
+    pub fn start_with(engine: Answer, store: (Actor, SocketAddr), mut options: Options) -> World {
+        let blocked = options.blocked.take();
+        if let Some(other) = &blocked {
+            options.listen = other.local_addr().expect("bound");
+        }
+        let Stubs { mut actors, first, moved } = Stubs::start(engine, store);
+        let configs = options.configs(&first, &moved);
+        let folder = TempDir::new();
+        let (config, edge) = (folder.0.join("config.json"), folder.0.join("edge.toml"));
+        if options.early.is_some() {
+            // Whoever reads a pipe waits for what is written to it.
+            assert!(Command::new("mkfifo").arg(&config).status().is_ok_and(|status| status.success()));
+        } else {
+            std::fs::write(&config, &configs["first"]).expect("written");
+        }
+        std::fs::write(&edge, options.edge_file()).expect("written");
+        let (child, log) = spawn_program(&options, &folder.0, &config, &edge);
+        if let Some((signals, next)) = options.early {
+            signal_while_reading(&config, child.id(), signals, &configs["first"], &configs[next]);
+        }
+        let child = Arc::new(Mutex::new(child));
+        let log_gate = Arc::new(Mutex::new(()));
+        actors.insert("node".into(), start_log_reader(log, child.clone(), log_gate.clone()));
+        let mut world = World {
+            actors,
+            listen: options.listen,
+            ajp: options.listen,
+            child,
+            log_gate,
+            bindings: Bindings::default(),
+            configs,
+            config,
+            edge,
+            folder,
+        };
+        if let Some(other) = blocked {
+            world.wait("node", "address-in-use *");
+            drop(other);
+        }
+        world.learn_addresses(options.bare);
+        world
+    }
+
+    /// Waits until the program has logged where it listens.
+    fn learn_addresses(&mut self, is_bare: bool) {
+        let address =
+            |text: String| text.rsplit_once('=').and_then(|(_, word)| word.parse().ok()).expect(&text);
+        if !is_bare {
+            self.ajp = address(self.wait("node", "ajp listen=*"));
+        }
+        self.listen = address(self.wait("node", "started *"));
+    }
+
+    /// The folder of this world, removed at its end.
+    pub fn folder(&self) -> &Path {
+        &self.folder.0
+    }
+
+    /// The program's process id.
+    pub fn pid(&self) -> u32 {
+        self.child.lock().expect("not poisoned").id()
+    }
+
+    /// The text of a configuration.
+    pub fn config(&self, name: &str) -> &str {
+        &self.configs[name]
+    }
+
+    /// Replaces the configuration.
+    pub fn write_config(&self, text: &str) {
+        std::fs::write(&self.config, text).expect("written");
+    }
+
+    /// Replaces the edge file.
+    pub fn write_edge(&self, text: &str) {
+        std::fs::write(&self.edge, text).expect("written");
+    }
+
+    fn receive(&mut self, actor: &str, wanted: &str) -> String {
+        self.receive_until(Instant::now() + EVENT_TIMEOUT, actor, wanted)
+    }
+
+    fn receive_until(&mut self, deadline: Instant, actor: &str, wanted: &str) -> String {
+        let inbox = &self.actor(actor).inbox;
+        let received = inbox.recv_timeout(deadline.saturating_duration_since(Instant::now()));
+        received.unwrap_or_else(|_| panic!("{actor}: nothing came, expected {wanted}"))
+    }
+
+    /// Waits for a line that matches, passing over others.
+    pub fn wait(&mut self, actor: &str, wanted: &str) -> String {
+        // One deadline for all lines: an actor that never falls silent must not be waited for without end.
+        let deadline = Instant::now() + EVENT_TIMEOUT;
+        loop {
+            let received = self.receive_until(deadline, actor, wanted);
+            if matches(wanted, &received) {
+                return received;
+            }
+        }
+    }
+
+    fn actor(&self, name: &str) -> &Actor {
+        self.actors.get(name).unwrap_or_else(|| panic!("no actor {name}"))
+    }
+
+    fn actor_mut(&mut self, name: &str) -> &mut Actor {
+        self.actors.get_mut(name).unwrap_or_else(|| panic!("no actor {name}"))
+    }
+
+    fn send(&mut self, actor: &str, words: &str) {
+        if let Some(name) = words.strip_prefix("config=") {
+            std::fs::write(&self.config, &self.configs[name]).expect("written");
+        } else if let Some(ahead) = words.strip_prefix("clock=") {
+            std::fs::write(self.folder.0.join("clock"), ahead).expect("written");
+            std::thread::sleep(CLOCK_SETTLE);
+        } else if actor == "node" {
+            send_signal(words, self.pid());
+        } else if words == "rest" {
+            let rest = std::mem::take(&mut self.actor_mut(actor).unsent);
+            self.stream(actor, "").write_all(&rest).expect("sent");
+        } else {
+            self.send_bytes(actor, words);
+        }
+    }
+
+    fn send_bytes(&mut self, actor: &str, words: &str) {
+        let (cut, words) = match words.strip_prefix("cut=").and_then(|rest| rest.split_once(' ')) {
+            Some((length, words)) => (length.parse().ok(), words),
+            None => (None, words),
+        };
+        let sender = self.actor_mut(actor);
+        let mut bytes = std::mem::take(&mut sender.unsent);
+        bytes.extend(bytes_to_send(actor, words));
+        if let Some(length) = cut {
+            sender.unsent = bytes.split_off(length);
+        }
+        let name = words.split(' ').next().unwrap_or_default();
+        self.stream(actor, name).write_all(&bytes).expect("sent");
+    }
+
+    /// The connection on which this was named, or the latest.
+    fn stream(&self, actor: &str, name: &str) -> TcpStream {
+        let streams = self.actors[actor].streams.lock().expect("not poisoned");
+        let stream = streams.get(name).or(streams.get("")).expect("connected");
+        stream.try_clone().expect("cloned")
+    }
+
+    /// Runs a scenario.
+    pub fn run(&mut self, scenario: &str) {
+        for step in steps(scenario) {
+            if !self.actors.contains_key(step.actor) {
+                self.connect(step.actor);
+            }
+            let words = self.bindings.substitute(step.words);
+            self.run_step(step, &words);
+        }
+    }
+
+    /// Connects a client that is named for the first time.
+    fn connect(&mut self, actor: &str) {
+        let client = match &actor[..3] {
+            "rpc" => connect_client(self.listen, rpc::read_message),
+            "ajp" => connect_client(self.ajp, ajp::read_packet),
+            _ => panic!("no actor {actor}"),
+        };
+        self.actors.insert(actor.to_owned(), client);
+    }
+
+    fn run_step(&mut self, step: Step<'_>, words: &str) {
+        let actor = step.actor;
+        match step.verb {
+            "send" => self.send(actor, words),
+            "expect" => {
+                let received = self.receive(actor, words);
+                let pattern = self.bindings.capture(words, &received);
+                assert!(matches(&pattern, &received), "{}\n     got {received}", step.line);
+            }
+            "wait" => {
+                self.wait(actor, words);
+            }
+            "close" => {
+                let _ = self.stream(actor, words).shutdown(Shutdown::Both);
+            }
+            "shut" => {
+                let _ = self.stream(actor, words).shutdown(Shutdown::Write);
+            }
+            // Without words, what was queued is forgotten.
+            "queue" if words.is_empty() => self.actor_mut(actor).unsent.clear(),
+            "queue" => self.actor_mut(actor).unsent.extend(bytes_to_send(actor, words)),
+            "never" => {
+                let received: Vec<String> = self.actor(actor).inbox.try_iter().collect();
+                let unexpected = received.iter().any(|text| matches(words, text));
+                assert!(!unexpected, "{}\n     in {received:?}", step.line);
+            }
+            verb => panic!("no verb {verb}"),
+        }
+    }
+}
+
+impl Drop for World {
+    fn drop(&mut self) {
+        let _ = self.child.lock().map(|mut child| child.kill());
+    }
+}
+
+/// Starts the program; returns it with its log.
+fn spawn_program(
+    options: &Options,
+    folder: &Path,
+    config: &Path,
+    edge: &Path,
+) -> (Child, BufReader<ChildStderr>) {
+    let command_line = [options.under.as_slice(), &[env!("CARGO_BIN_EXE_pinepoint").to_owned()]].concat();
+    let mut command = Command::new(&command_line[0]);
+    command.args(&command_line[1..]);
+    if !options.bare {
+        command.arg("--edge").arg(edge);
+    }
+    command.env("RELAY_CONFIG", config).env("PINEPOINT_TEST_CLOCK", folder.join("clock"));
+    let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+    let log = BufReader::new(child.stderr.take().expect("piped"));
+    (child, log)
+}
+
+/// Sends signals while the program reads its configuration from a pipe for the first time, then writes that one to the
+/// pipe, and the next one to the file that it reads afterwards.
+fn signal_while_reading(config: &Path, pid: u32, signals: &[&str], first: &str, next: &str) {
+    // Opened when the program has begun to read.
+    let mut pipe = std::fs::File::options().write(true).open(config).expect("read by the program");
+    signals.iter().for_each(|name| send_signal(name, pid));
+    std::fs::remove_file(config).expect("removed");
+    std::fs::write(config, next).expect("written");
+    pipe.write_all(first.as_bytes()).expect("written");
+}
+
+/// The actor whose inbox takes the lines of the log, and the exit code at its end.
+fn start_log_reader(
+    log: impl BufRead + Send + 'static,
+    child: Arc<Mutex<Child>>,
+    gate: Arc<Mutex<()>>,
+) -> Actor {
+    let (sender, inbox) = channel();
+    std::thread::spawn(move || read_log(log, &sender, &child, &gate));
+    Actor::new(inbox, Streams::default())
+}
+
+fn read_log(mut log: impl BufRead, sender: &Sender<String>, child: &Mutex<Child>, gate: &Mutex<()>) {
+    while let Some(text) = read_line(&mut log) {
+        drop(gate.lock());
+        // Time, level and module do not matter here.
+        let text = text.split_once(" message=").map_or(text.as_str(), |(_, message)| message).to_owned();
+        let _ = sender.send(text);
+    }
+    let code = child.lock().expect("not poisoned").wait().ok().and_then(|status| status.code());
+    let _ = sender.send(format!("exit {}", code.map_or("killed".into(), |code| code.to_string())));
+}
