--- a/crates/pinepoint-lab/src/graphite.rs
+++ b/crates/pinepoint-lab/src/graphite.rs
@@ -1,18 +1,21 @@
 //! A Graphite receiver, written from "Feeding In Your Data" of Graphite's documentation: plaintext and pickle over TCP,
-//! plaintext over UDP. It stalls, drips, resets and restarts on command. It keeps what it has read: whole lines and
-//! whole batches only.
+//! plaintext over UDP. It stalls, reads slowly, resets connections and restarts on command. It keeps what it has read:
+//! complete lines and batches only.
+
+mod points;
+#[cfg(test)]
+mod tests;
 
-use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use serde_pickle::{DeOptions, Value};
+pub use points::Points;
+
+use crate::sync::lock;
 
-/// Longest line and batch that it takes, bytes.
-const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Between two looks at what it is to do.
+/// Pause between two looks at the mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What the receiver does.
@@ -37,96 +40,6 @@
     Pickle,
 }
 
-/// What was read.
-#[derive(Clone, Debug, Default)]
-pub struct Points {
-    /// Value by path and time.
-    pub values: HashMap<String, BTreeMap<u64, f64>>,
-    /// Points that came with another value than before.
-    pub conflicting: u64,
-    /// Lines and batches that could not be understood.
-    pub malformed: u64,
-    /// Connections that were accepted.
-    pub connections: u64,
-}
-
-impl Points {
-    /// The sum of all values of a path.
-    pub fn sum(&self, path: &str) -> f64 {
-        self.values.get(path).map_or(0.0, |times| times.values().sum())
-    }
-
-    /// Adds what another receiver has: a time of a path that both have counts once.
-    pub fn merge(&mut self, other: &Points) {
-        for (path, times) in &other.values {
-            for (time, value) in times {
-                self.insert(path, *time, *value);
-            }
-        }
-        self.malformed += other.malformed;
-        self.conflicting += other.conflicting;
-    }
-
-    fn insert(&mut self, path: &str, time: u64, value: f64) {
-        let known = self.values.entry(path.to_owned()).or_default().insert(time, value);
-        self.conflicting += u64::from(known.is_some_and(|known| known != value));
-    }
-
-    fn insert_line(&mut self, insert_line: &[u8]) {
-        let text = std::str::from_utf8(insert_line).unwrap_or_default();
-        let words: Vec<&str> = text.trim_end().split(' ').collect();
-        match words.as_slice() {
-            [path, value, time] => match (value.parse(), time.parse()) {
-                (Ok(value), Ok(time)) if !path.is_empty() => self.insert(path, time, value),
-                _ => self.malformed += 1,
-            },
-            _ => self.malformed += 1,
-        }
-    }
-
-    fn insert_batch(&mut self, insert_batch: &[u8]) {
-        let Ok(Value::List(rows)) = serde_pickle::value_from_slice(insert_batch, DeOptions::new()) else {
-            self.malformed += 1;
-            return;
-        };
-        for row in rows {
-            let Value::Tuple(row) = row else { return self.malformed += 1 };
-            let [Value::String(path), Value::Tuple(at)] = row.as_slice() else { return self.malformed += 1 };
-            match at.as_slice() {
-                [Value::I64(time), Value::I64(value)] => self.insert(path, *time as u64, *value as f64),
-                [Value::I64(time), Value::F64(value)] => self.insert(path, *time as u64, *value),
-                _ => self.malformed += 1,
-            }
-        }
-    }
-
-    /// Takes what is whole off the front.
-    fn read(&mut self, protocol: Protocol, input: &mut Vec<u8>) {
-        match protocol {
-            Protocol::Plaintext => {
-                while let Some(end) = input.iter().position(|b| *b == b'\n') {
-                    let insert_line: Vec<u8> = input.drain(..=end).collect();
-                    self.insert_line(&insert_line);
-                }
-            }
-            Protocol::Pickle => {
-                while let Some(head) = input.first_chunk::<4>() {
-                    let length = u32::from_be_bytes(*head) as usize;
-                    if length > MAX_MESSAGE_BYTES {
-                        self.malformed += 1;
-                        input.clear();
-                        return;
-                    }
-                    let Some(insert_batch) = input.get(4..4 + length) else { return };
-                    let insert_batch = insert_batch.to_vec();
-                    input.drain(..4 + length);
-                    self.insert_batch(&insert_batch);
-                }
-            }
-        }
-    }
-}
-
 #[derive(Debug)]
 struct Shared {
     protocol: Protocol,
@@ -142,10 +55,6 @@
     }
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
-}
-
 /// The receiver. Its threads end with it.
 #[derive(Debug)]
 pub struct Graphite {
@@ -300,33 +209,3 @@
         lock(&self.points).clone()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use std::io::Write;
-
-    use super::*;
-
-    fn wait(graphite: &Graphite, what: impl Fn(&Points) -> bool) -> Points {
-        for _ in 0..2000 {
-            let points = graphite.points();
-            if what(&points) {
-                return points;
-            }
-            std::thread::sleep(POLL_INTERVAL);
-        }
-        panic!("it did not come: {:?}", graphite.points());
-    }
-
-    #[test]
-    fn whole_lines_are_kept_and_the_rest_is_not() {
-        let graphite = Graphite::start(Protocol::Plaintext).expect("it listens");
-        let mut stream = TcpStream::connect(graphite.address()).expect("connected");
-        stream.write_all(b"a.b 3 100\na.b 4 110\nnonsense\na.b 5 1").expect("sent");
-        let points = wait(&graphite, |points| points.malformed == 1);
-        assert_eq!((points.sum("a.b"), points.values["a.b"].len(), points.conflicting), (7.0, 2, 0));
-        graphite.stop();
-        assert!(matches!(stream.read(&mut [0]), Ok(0) | Err(_)));
-        assert!(TcpStream::connect(graphite.address()).is_err() || graphite.restart().is_ok());
-    }
-}
--- a/crates/pinepoint-lab/src/lib.rs
+++ b/crates/pinepoint-lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! The laboratory: stand-ins for everything around pinepoint, written from public specifications, which fail on command,
-//! and a load tool. They know nothing of the program and share no code with it, so that what they say of it is worth
-//! something. Loopback addresses only.
+//! The test tool of pinepoint: stub services for everything around it, written from public specifications, which fail on
+//! command; a load generator; experiments; and a test cluster of many processes. It knows nothing of the program and shares
+//! no code with it, so that its results are independent. Loopback addresses only.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod cluster;
 pub mod collectd;
@@ -15,6 +15,8 @@
 pub mod operation;
 pub mod process;
 pub mod routers;
+mod rpc;
 pub mod script;
 pub mod store;
+mod sync;
 pub mod telemetry;
--- a/crates/pinepoint-lab/src/load.rs
+++ b/crates/pinepoint-lab/src/load.rs
@@ -1,58 +1,67 @@
-//! A load tool: requests at random times, whatever becomes of those before them (an open loop), over MessagePack-RPC and
-//! AJP at once. It counts for itself what became of each, by class and outcome, and how long each took.
+//! A load generator with an open loop: requests at random times, whatever becomes of those before them, over MessagePack-RPC
+//! and AJP at once. It counts for itself what became of each, by class and outcome, and records latencies.
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap};
+mod ajp;
+mod recorder;
+mod request;
+mod rpc_connection;
+
+use std::collections::BTreeMap;
 use std::io;
-use std::net::{SocketAddr, TcpStream};
+use std::iter::Sum;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
-use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use async_io::Timer;
+use futures_lite::future;
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
-use rand_distr::{Distribution, Exp, LogNormal};
+use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
-use rmpv::Value;
 
-/// Requests that may be open on one MessagePack-RPC connection.
-const MAX_IN_FLIGHT: usize = 32;
-/// Answers that come later than this after the last request do not come, ms.
-const ANSWER_WAIT_MS: u64 = 12_000;
+use ajp::AjpPool;
+use recorder::Recorder;
+pub(crate) use request::{Incoming, Outcome, Request, draw_request, take_incoming};
+use rpc_connection::RpcConnection;
+
+/// How long answers are waited for after the last request.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
+/// Pause between two checks whether all requests are answered.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
-    /// Its share of all.
+    /// Its share of all requests, as a weight.
     pub share: f64,
     /// Mean work, ms on one core.
     pub work_ms: f64,
-    /// It needs a key.
+    /// Its requests carry an idempotency key.
     pub keyed: bool,
-    /// It makes a call.
+    /// Its requests call the store.
     pub calls: bool,
 }
 
 /// What is sent.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Classes.
+    /// Classes of requests.
     pub classes: Vec<RequestClass>,
     /// Requests a second.
     pub rate: f64,
-    /// Of these, the share that comes by AJP.
+    /// Share of the requests that is sent over AJP, from 0 to 1.
     pub ajp: f64,
-    /// For how long.
+    /// For how long requests are sent.
     pub duration: Duration,
-    /// Connections of MessagePack-RPC, and of AJP at the most.
+    /// Connections of MessagePack-RPC, and the most of AJP.
     pub connections: (usize, usize),
-    /// Spread of the work around its mean (the standard deviation of its logarithm).
+    /// Standard deviation of the logarithm of the work.
     pub work_sigma: f64,
-    /// Times and work follow from it.
+    /// Seed of times and work.
     pub seed: u64,
 }
 
@@ -63,22 +72,34 @@
     pub sent: u64,
     /// Answered with a result.
     pub served: u64,
-    /// Turned away.
+    /// Rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Answered with another error.
     pub failed: u64,
     /// Not answered.
     pub unanswered: u64,
 }
 
-/// What the load tool saw.
+impl Sum for OutcomeCounts {
+    fn sum<I: Iterator<Item = OutcomeCounts>>(counts: I) -> OutcomeCounts {
+        counts.fold(OutcomeCounts::default(), |sum, one| OutcomeCounts {
+            sent: sum.sent + one.sent,
+            served: sum.served + one.served,
+            rejected: sum.rejected + one.rejected,
+            failed: sum.failed + one.failed,
+            unanswered: sum.unanswered + one.unanswered,
+        })
+    }
+}
+
+/// What the load generator observed.
 #[derive(Clone, Debug)]
 pub struct LoadSummary {
     /// By class.
     pub outcomes: BTreeMap<&'static str, OutcomeCounts>,
-    /// Time from the sending to the answer of what was served, us.
+    /// Time from the sending to the answer of served requests, us.
     pub latency: Histogram<u64>,
-    /// Requests that found no AJP connection free, and were not sent.
+    /// Requests that found no connection free, and were not sent.
     pub no_capacity: u64,
     /// Answers beyond the first to one request.
     pub duplicate_answers: u64,
@@ -87,350 +108,95 @@
 impl LoadSummary {
     /// All classes together.
     pub fn all(&self) -> OutcomeCounts {
-        self.outcomes.values().fold(OutcomeCounts::default(), |sum, outcomes| OutcomeCounts {
-            sent: sum.sent + outcomes.sent,
-            served: sum.served + outcomes.served,
-            rejected: sum.rejected + outcomes.rejected,
-            failed: sum.failed + outcomes.failed,
-            unanswered: sum.unanswered + outcomes.unanswered,
-        })
-    }
-}
-
-/// What an answer says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Outcome {
-    Served,
-    Rejected,
-    Failed,
-}
-
-struct Recorder {
-    summary: RefCell<LoadSummary>,
-    in_flight: Cell<u64>,
-}
-
-impl Recorder {
-    fn sent(&self, class: &'static str) {
-        self.summary.borrow_mut().outcomes.entry(class).or_default().sent += 1;
-        self.in_flight.set(self.in_flight.get() + 1);
-    }
-
-    fn ended(&self, class: &'static str, end: Outcome, since: Instant) {
-        self.in_flight.set(self.in_flight.get() - 1);
-        let mut summary = self.summary.borrow_mut();
-        let outcomes = summary.outcomes.entry(class).or_default();
-        match end {
-            Outcome::Served => outcomes.served += 1,
-            Outcome::Rejected => outcomes.rejected += 1,
-            Outcome::Failed => outcomes.failed += 1,
-        }
-        if end == Outcome::Served {
-            summary.latency.saturating_record(since.elapsed().as_micros() as u64);
-        }
+        self.outcomes.values().copied().sum()
     }
 }
 
-/// One request as it is planned.
-#[derive(Clone, Debug)]
-pub(crate) struct Request {
-    pub(crate) class: &'static str,
-    pub(crate) work_ms: f64,
-    pub(crate) idempotency_key: Option<String>,
-    pub(crate) body: String,
-    pub(crate) request_id: u64,
-}
-
-/// Sends what the plan says to a comparer that listens at these addresses, and waits for the answers.
+/// Sends a workload to a process that listens at these addresses, and waits for the answers.
+///
+/// # Errors
+/// If a connection of MessagePack-RPC cannot be made or breaks, or the workload has no classes or no valid rate.
 pub async fn run(
     workload: &Workload,
     rpc: SocketAddr,
     ajp: Option<SocketAddr>,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<LoadSummary> {
-    let latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
-    let summary = LoadSummary { outcomes: BTreeMap::new(), latency, no_capacity: 0, duplicate_answers: 0 };
-    let recorder = Rc::new(Recorder { summary: RefCell::new(summary), in_flight: Cell::new(0) });
-    let mut connections = Vec::new();
-    for _ in 0..workload.connections.0 {
-        connections.push(RpcConnection::connect(rpc, recorder.clone(), executor).await?);
+    let recorder = Rc::new(Recorder::new());
+    let (rpc_connections, max_ajp_connections) = workload.connections;
+    let mut clients = Clients {
+        connections: Vec::new(),
+        next: 0,
+        ajp: AjpPool::new(ajp, max_ajp_connections),
+        recorder: recorder.clone(),
+        executor: executor.clone(),
+    };
+    for _ in 0..rpc_connections {
+        clients.connections.push(RpcConnection::connect(rpc, recorder.clone(), executor).await?);
+    }
+    send_all(workload, ajp.is_some(), &mut clients).await?;
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    while recorder.in_flight() > 0 && Instant::now() < deadline {
+        Timer::after(POLL_INTERVAL).await;
     }
-    let ajp_pool = AjpPool { ajp, idle: Rc::default(), all: Cell::new(0), most: workload.connections.1 };
+    Ok(recorder.finish())
+}
+
+/// Sends all requests of a workload, each at its time.
+async fn send_all(workload: &Workload, has_ajp: bool, clients: &mut Clients) -> io::Result<()> {
     let mut rng = Pcg64Mcg::seed_from_u64(workload.seed);
     let gaps = Exp::new(workload.rate).map_err(io::Error::other)?;
-    let began = Instant::now();
-    let mut at = Duration::ZERO;
+    let start = Instant::now();
+    let mut offset = Duration::ZERO;
     let mut number = 0_u64;
-    let mut next_connection = 0;
     loop {
-        at += Duration::from_secs_f64(gaps.sample(&mut rng));
-        if at > workload.duration {
-            break;
+        offset += Duration::from_secs_f64(gaps.sample(&mut rng));
+        if offset > workload.duration {
+            return Ok(());
         }
         number += 1;
         let request = draw_request(&workload.classes, workload.work_sigma, workload.seed, number, &mut rng)?;
-        let by_ajp = ajp.is_some() && rng.random::<f64>() < workload.ajp;
-        Timer::at(began + at).await;
+        let by_ajp = has_ajp && rng.random::<f64>() < workload.ajp;
+        Timer::at(start + offset).await;
         if by_ajp {
-            ajp_pool.send(request, &recorder, executor).await;
+            clients.ajp.send(request, &clients.recorder, &clients.executor).await;
         } else {
-            // The next connection with room; where none has, requests would wait at the router, not here.
-            let free = (0..connections.len())
-                .map(|n| (next_connection + n) % connections.len())
-                .find(|n| connections[*n].has_capacity());
-            next_connection += 1;
-            match free {
-                Some(n) => connections[n].send(&request).await?,
-                None => recorder.summary.borrow_mut().no_capacity += 1,
-            }
-        }
-    }
-    let until = Instant::now() + Duration::from_millis(ANSWER_WAIT_MS);
-    while recorder.in_flight.get() > 0 && Instant::now() < until {
-        Timer::after(Duration::from_millis(5)).await;
-    }
-    let mut summary = recorder.summary.borrow().clone();
-    for outcomes in summary.outcomes.values_mut() {
-        outcomes.unanswered = outcomes.sent - outcomes.served - outcomes.rejected - outcomes.failed;
-    }
-    Ok(summary)
-}
-
-/// The request of this number: a class by its share, and work around its mean.
-pub(crate) fn draw_request(
-    classes: &[RequestClass],
-    work_sigma: f64,
-    seed: u64,
-    number: u64,
-    rng: &mut Pcg64Mcg,
-) -> io::Result<Request> {
-    let mut share = rng.random::<f64>() * classes.iter().map(|class| class.share).sum::<f64>();
-    let class = classes.iter().find(|class| {
-        share -= class.share;
-        share <= 0.0
-    });
-    let class = class.or(classes.last()).ok_or_else(|| io::Error::other("a plan without classes"))?;
-    let mu = class.work_ms.ln() - work_sigma * work_sigma / 2.0;
-    let work_ms = LogNormal::new(mu, work_sigma).map_err(io::Error::other)?.sample(rng).max(0.05);
-    let idempotency_key = class.keyed.then(|| format!("k{seed}-{number}"));
-    // Behind the numbers that the engine goes by it may say anything.
-    let kind = if class.keyed { " keyed" } else { "" };
-    let body = format!("{work_ms:.3} {} n{number}{kind}", u8::from(class.calls));
-    Ok(Request { class: class.name, work_ms, idempotency_key, body, request_id: seed << 32 | number })
-}
-
-// ---- MessagePack-RPC ----
-
-/// Now, Unix ms.
-pub(crate) fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
-}
-
-impl Request {
-    /// The message of one try, under an id of its connection; `first_sent_ms` is when the request was first sent.
-    pub(crate) fn message(&self, id: u64, first_sent_ms: u128, is_retry: bool) -> io::Result<Vec<u8>> {
-        let mut fields = vec![
-            ("rid", format!("{:016x}", self.request_id)),
-            ("t0", first_sent_ms.to_string()),
-            ("est", format!("{:.3}", self.work_ms)),
-            ("mem", "40".to_owned()),
-        ];
-        fields.extend(self.idempotency_key.clone().map(|idempotency_key| ("token", idempotency_key)));
-        fields.extend(is_retry.then(|| ("again", "1".to_owned())));
-        let fields =
-            fields.into_iter().map(|(name, value)| (Value::from(name), Value::from(value))).collect();
-        let body = Value::Binary(self.body.clone().into_bytes());
-        let message = Value::Array(vec![
-            0.into(),
-            id.into(),
-            self.class.into(),
-            Value::Array(vec![Value::Map(fields), body]),
-        ]);
-        let mut bytes = Vec::new();
-        rmpv::encode::write_value(&mut bytes, &message).map_err(io::Error::other)?;
-        Ok(bytes)
-    }
-}
-
-/// What came over a connection of MessagePack-RPC.
-pub(crate) enum Incoming {
-    /// An answer to the request of this id.
-    Answer(u64, Outcome),
-    /// It is told to go.
-    GoAway,
-}
-
-/// Takes a whole message off the front, if there is one; passes over what is none of these.
-pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Incoming> {
-    loop {
-        let mut rest = input.as_slice();
-        let message = rmpv::decode::read_value(&mut rest).ok()?;
-        let used = input.len() - rest.len();
-        input.drain(..used);
-        match message.as_array().map(Vec::as_slice) {
-            Some([kind, _, _]) if kind.as_u64() == Some(2) => return Some(Incoming::GoAway),
-            Some([kind, id, error, _]) if kind.as_u64() == Some(1) => {
-                let end = match error.as_array().and_then(|error| error.first()?.as_str()) {
-                    None => Outcome::Served,
-                    Some("Busy") => Outcome::Rejected,
-                    Some(_) => Outcome::Failed,
-                };
-                return Some(Incoming::Answer(id.as_u64()?, end));
-            }
-            _ => {}
+            clients.send_by_rpc(&request).await?;
         }
     }
 }
 
-type PendingRequests = Rc<RefCell<HashMap<u64, (&'static str, Instant)>>>;
-
-struct RpcConnection {
-    stream: Rc<Async<TcpStream>>,
-    pending: PendingRequests,
-    last: Cell<u64>,
+/// The connections of a load.
+struct Clients {
+    connections: Vec<RpcConnection>,
+    /// Where the search for a connection with capacity starts.
+    next: usize,
+    ajp: AjpPool,
     recorder: Rc<Recorder>,
-}
-
-impl RpcConnection {
-    async fn connect(
-        at: SocketAddr,
-        recorder: Rc<Recorder>,
-        executor: &Rc<LocalExecutor<'static>>,
-    ) -> io::Result<RpcConnection> {
-        let stream = Rc::new(Async::<TcpStream>::connect(at).await?);
-        stream.get_ref().set_nodelay(true)?;
-        let pending = PendingRequests::default();
-        let (reader, waiting, kept) = (stream.clone(), pending.clone(), recorder.clone());
-        executor.spawn(async move { read_answers(&reader, &waiting, &kept).await }).detach();
-        Ok(RpcConnection { stream, pending, last: Cell::new(0), recorder })
-    }
-
-    fn has_capacity(&self) -> bool {
-        self.pending.borrow().len() < MAX_IN_FLIGHT
-    }
-
-    async fn send(&self, request: &Request) -> io::Result<()> {
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        let bytes = request.message(id, unix_ms(), false)?;
-        self.pending.borrow_mut().insert(id, (request.class, Instant::now()));
-        self.recorder.sent(request.class);
-        (&*self.stream).write_all(&bytes).await
-    }
-}
-
-async fn read_answers(mut stream: &Async<TcpStream>, pending: &PendingRequests, recorder: &Recorder) {
-    let (mut input, mut chunk) = (Vec::new(), vec![0; 16 * 1024]);
-    loop {
-        match stream.read(&mut chunk).await {
-            Ok(n) if n > 0 => input.extend_from_slice(&chunk[..n]),
-            _ => return,
-        }
-        while let Some(incoming) = take_message(&mut input) {
-            let Incoming::Answer(id, end) = incoming else { continue };
-            let Some((class, since)) = pending.borrow_mut().remove(&id) else {
-                recorder.summary.borrow_mut().duplicate_answers += 1;
-                continue;
-            };
-            recorder.ended(class, end, since);
-        }
-    }
-}
-
-// ---- AJP ----
-
-struct AjpPool {
-    ajp: Option<SocketAddr>,
-    idle: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>>,
-    all: Cell<usize>,
-    most: usize,
-}
-
-impl AjpPool {
-    async fn send(&self, request: Request, recorder: &Rc<Recorder>, executor: &Rc<LocalExecutor<'static>>) {
-        let Some(address) = self.ajp else { return };
-        let used = self.idle.borrow_mut().pop();
-        let stream = match used {
-            Some(stream) => stream,
-            None if self.all.get() < self.most => {
-                let Ok(stream) = Async::<TcpStream>::connect(address).await else { return };
-                let _ = stream.get_ref().set_nodelay(true);
-                self.all.set(self.all.get() + 1);
-                Rc::new(stream)
-            }
-            None => return recorder.summary.borrow_mut().no_capacity += 1,
-        };
-        let (recorder, idle) = (recorder.clone(), self.idle.clone());
-        recorder.sent(request.class);
-        let exchange = async move {
-            let since = Instant::now();
-            if let Ok(end) = ajp_exchange(&stream, &request).await {
-                recorder.ended(request.class, end, since);
-                idle.borrow_mut().push(stream);
-            }
-        };
-        executor.spawn(exchange).detach();
-    }
-}
-
-fn ajp_text(out: &mut Vec<u8>, text: &str) {
-    out.extend_from_slice(&(text.len() as u16).to_be_bytes());
-    out.extend_from_slice(text.as_bytes());
-    out.push(0);
-}
-
-fn ajp_packet(payload: &[u8]) -> Vec<u8> {
-    [&[0x12, 0x34], &(payload.len() as u16).to_be_bytes()[..], payload].concat()
-}
-
-/// One request over AJP13, up to the end of its answer ("The Apache Tomcat Connectors - AJP Protocol Reference").
-async fn ajp_exchange(mut stream: &Async<TcpStream>, request: &Request) -> io::Result<Outcome> {
-    let mut headers = vec![("est", format!("{:.3}", request.work_ms)), ("mem", "40".to_owned())];
-    headers.extend(request.idempotency_key.clone().map(|idempotency_key| ("token", idempotency_key)));
-    let mut out = vec![2, 4];
-    for text in ["HTTP/1.1", &format!("/{}", request.class), "127.0.0.1", "", "portal"] {
-        ajp_text(&mut out, text);
-    }
-    out.extend_from_slice(&[0x1f, 0x90, 0]);
-    out.extend_from_slice(&(headers.len() as u16 + 1).to_be_bytes());
-    out.extend_from_slice(&[0xa0, 8]);
-    ajp_text(&mut out, &request.body.len().to_string());
-    for (name, value) in &headers {
-        ajp_text(&mut out, name);
-        ajp_text(&mut out, value);
-    }
-    out.push(0xff);
-    let mut bytes = ajp_packet(&out);
-    let data = [&(request.body.len() as u16).to_be_bytes(), request.body.as_bytes()].concat();
-    bytes.extend(ajp_packet(&data));
-    stream.write_all(&bytes).await?;
-    let mut end = Outcome::Failed;
-    loop {
-        let mut head = [0; 4];
-        stream.read_exact(&mut head).await?;
-        let mut payload = vec![0; usize::from(u16::from_be_bytes([head[2], head[3]]))];
-        stream.read_exact(&mut payload).await?;
-        match payload.as_slice() {
-            [4, high, low, ..] => {
-                end = match u16::from_be_bytes([*high, *low]) {
-                    200 => Outcome::Served,
-                    503 => Outcome::Rejected,
-                    _ => Outcome::Failed,
-                }
-            }
-            [5, reuse] => {
-                return if *reuse == 1 { Ok(end) } else { Err(io::ErrorKind::ConnectionAborted.into()) };
-            }
-            _ => {}
+    executor: Rc<LocalExecutor<'static>>,
+}
+
+impl Clients {
+    /// Sends a request on the next connection with capacity, round-robin. Where none has, it would wait at the router, not
+    /// here, and is counted only.
+    async fn send_by_rpc(&mut self, request: &Request) -> io::Result<()> {
+        let count = self.connections.len();
+        let mut candidates = (0..count).map(|n| (self.next + n) % count);
+        let free = candidates.find(|n| self.connections[*n].has_capacity());
+        self.next += 1;
+        match free {
+            Some(n) => self.connections[n].send(request).await?,
+            None => self.recorder.no_capacity(),
         }
+        Ok(())
     }
 }
 
-/// Waits for something, or gives up.
+/// Waits for a future, or gives up.
 pub async fn timeout<T>(limit: Duration, what: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let expired = async {
         Timer::after(limit).await;
         None
     };
-    future::or(async { Some(what.await) }, late).await
+    future::or(async { Some(what.await) }, expired).await
 }
--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -9,7 +9,7 @@
 
 use rmpv::Value;
 
-use crate::load::unix_ms;
+use crate::rpc::{self, NOTIFICATION, RESPONSE, RequestFields, take_message, unix_ms};
 
 /// Class of requests that only read.
 pub const READ_CLASS: &str = "look";
@@ -23,8 +23,8 @@
 /// How long a connection is waited for.
 const CONNECT_LIMIT: Duration = Duration::from_secs(5);
 
-/// Names of tries, unique in this process.
-static TRIES: AtomicU64 = AtomicU64::new(1);
+/// Numbers of attempts, unique in this process.
+static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
 /// A request; each time it is sent is a try with a name of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,27 +57,18 @@
         Request { class: KEYED_CLASS, token: Some(token.to_owned()), ..Request::read(token) }
     }
 
-    fn message(&self, id: u64) -> io::Result<Vec<u8>> {
-        let rid = u64::from(std::process::id()) << 40 | TRIES.fetch_add(1, Ordering::Relaxed);
-        let mut fields = vec![
-            ("rid", format!("{rid:016x}")),
-            ("t0", self.t0.to_string()),
-            ("est", self.work_ms.to_string()),
-            ("mem", "40".to_owned()),
-        ];
-        fields.extend(self.token.clone().map(|token| ("token", token)));
-        let fields = fields.into_iter().map(|(name, value)| (name.into(), value.into())).collect();
-        let params = vec![Value::Map(fields), Value::Binary(self.body.clone().into_bytes())];
-        encode(vec![0.into(), id.into(), self.class.into(), Value::Array(params)])
+    fn message(&self, message_id: u64) -> io::Result<Vec<u8>> {
+        let fields = RequestFields {
+            request_id: u64::from(std::process::id()) << 40 | ATTEMPTS.fetch_add(1, Ordering::Relaxed),
+            first_sent_ms: self.t0,
+            estimate_ms: self.work_ms.to_string(),
+            idempotency_key: self.token.clone(),
+            is_retry: false,
+        };
+        rpc::encode_request(message_id, self.class, fields, &self.body)
     }
 }
 
-fn encode(message: Vec<Value>) -> io::Result<Vec<u8>> {
-    let mut bytes = Vec::new();
-    rmpv::encode::write_value(&mut bytes, &Value::Array(message)).map_err(io::Error::other)?;
-    Ok(bytes)
-}
-
 /// What became of a request or a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
@@ -201,13 +192,13 @@
     /// A health check.
     pub fn ping(&self) -> Reply {
         let id = self.next_id();
-        let message = encode(vec![0.into(), id.into(), "ping".into(), Value::Array(Vec::new())]);
+        let message = rpc::encode_call(id, "ping", Vec::new());
         message.and_then(|bytes| self.write(&bytes)).map_or(Reply::Lost, |()| self.wait(id))
     }
 
     /// Gives a request up.
     pub fn abort(&self, id: u64) -> io::Result<()> {
-        self.write(&encode(vec![2.into(), "abort".into(), Value::Array(vec![id.into()])])?)
+        self.write(&rpc::encode_notification("abort", vec![id.into()])?)
     }
 
     /// Whether the notice to go has come.
@@ -255,21 +246,12 @@
     shared.changed.notify_all();
 }
 
-/// Takes a whole message off the front, if there is one.
-fn take_message(input: &mut Vec<u8>) -> Option<Value> {
-    let mut rest = input.as_slice();
-    let message = rmpv::decode::read_value(&mut rest).ok()?;
-    let used = input.len() - rest.len();
-    input.drain(..used);
-    Some(message)
-}
-
 fn accept_message(inbox: &mut Inbox, message: &Value) {
     match message.as_array().map(Vec::as_slice) {
-        Some([kind, name, _]) if kind.as_u64() == Some(2) && name.as_str() == Some("goaway") => {
+        Some([kind, name, _]) if kind.as_u64() == Some(NOTIFICATION) && name.as_str() == Some("goaway") => {
             inbox.told_to_go = true;
         }
-        Some([kind, id, error, result]) if kind.as_u64() == Some(1) => {
+        Some([kind, id, error, result]) if kind.as_u64() == Some(RESPONSE) => {
             if let Some(id) = id.as_u64() {
                 inbox.replies.insert(id, reply(error, result));
             }
--- /dev/null
+++ b/crates/pinepoint-lab/src/routers/connection.rs
@@ -0,0 +1,114 @@
+//! The connection of one router to one member: kept open, and matched to the requests in flight on it.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::{Receiver, Sender, bounded};
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+
+use super::pool::{Path, RouterPool};
+use crate::load::{Incoming, Outcome, Request, take_incoming};
+
+/// Requests that may be in flight on one connection.
+const MAX_IN_FLIGHT: usize = 32;
+/// Pause before a connection is made again.
+pub(super) const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// Bytes that are read at a time.
+const READ_BYTES: usize = 16 * 1024;
+
+/// The connection was lost before the answer came.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ConnectionLost;
+
+/// How a request on a connection ended.
+pub(super) type Answer = Result<Outcome, ConnectionLost>;
+
+/// An open connection.
+pub(super) struct Connection {
+    stream: Async<TcpStream>,
+    pending: RefCell<HashMap<u64, Sender<Answer>>>,
+    last_id: Cell<u64>,
+    is_draining: Cell<bool>,
+}
+
+impl Connection {
+    fn new(stream: Async<TcpStream>) -> Connection {
+        Connection {
+            stream,
+            pending: RefCell::default(),
+            last_id: Cell::new(0),
+            is_draining: Cell::new(false),
+        }
+    }
+
+    /// Whether a request may be sent on it now.
+    pub(super) fn accepts_requests(&self) -> bool {
+        !self.is_draining.get() && self.pending.borrow().len() < MAX_IN_FLIGHT
+    }
+
+    /// Sends one attempt of a request; its answer comes on the channel.
+    pub(super) async fn send(
+        &self,
+        request: &Request,
+        first_sent_ms: u128,
+        is_retry: bool,
+    ) -> Result<Receiver<Answer>, ConnectionLost> {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let bytes = request.message(id, first_sent_ms, is_retry).map_err(|_| ConnectionLost)?;
+        let (sender, answer) = bounded(1);
+        self.pending.borrow_mut().insert(id, sender);
+        (&self.stream).write_all(&bytes).await.map_err(|_| ConnectionLost)?;
+        Ok(answer)
+    }
+
+    /// Reads what comes until the connection ends, or nothing is in flight on one that is draining.
+    async fn read_messages(&self, on_unexpected_answer: impl Fn()) {
+        let (mut input, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+        loop {
+            match (&self.stream).read(&mut chunk).await {
+                Ok(n) if n > 0 => input.extend_from_slice(&chunk[..n]),
+                _ => return,
+            }
+            while let Some(incoming) = take_incoming(&mut input) {
+                match incoming {
+                    Incoming::GoAway => self.is_draining.set(true),
+                    Incoming::Answer(id, outcome) => match self.pending.borrow_mut().remove(&id) {
+                        Some(waiting) => {
+                            let _ = waiting.try_send(Ok(outcome));
+                        }
+                        None => on_unexpected_answer(),
+                    },
+                }
+            }
+            if self.is_draining.get() && self.pending.borrow().is_empty() {
+                return;
+            }
+        }
+    }
+
+    fn fail_pending(&self) {
+        for (_, waiting) in self.pending.take() {
+            let _ = waiting.try_send(Err(ConnectionLost));
+        }
+    }
+}
+
+/// Keeps a connection of one router to one member open, and reads what comes.
+pub(super) async fn maintain_connection(pool: Rc<RouterPool>, path: Path, address: SocketAddr) {
+    loop {
+        if let Ok(stream) = Async::<TcpStream>::connect(address).await {
+            let _ = stream.get_ref().set_nodelay(true);
+            let connection = Rc::new(Connection::new(stream));
+            pool.set_connection(path, Some(connection.clone()));
+            connection.read_messages(|| pool.record_second_answer(path.member)).await;
+            pool.set_connection(path, None);
+            connection.fail_pending();
+        }
+        Timer::after(RECONNECT_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -0,0 +1,266 @@
+//! All routers of one load: which members each may ask, and the attempts and retries of a request.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use rand::{RngExt, SeedableRng};
+use rand_distr::{Distribution, Exp};
+use rand_pcg::Pcg64Mcg;
+
+use super::connection::{Connection, ConnectionLost, RECONNECT_INTERVAL};
+use super::service_level::{ServiceLevel, ServiceLevels};
+use super::{RouterStats, Workload};
+use crate::load::{Outcome, Request, draw_request, timeout};
+use crate::machine::EngineControl;
+use crate::rpc::unix_ms;
+
+/// Attempts of one request at most.
+const MAX_ATTEMPTS: u32 = 3;
+/// Backoff after the first rejection; it doubles with each further one, and has a jitter of half of it.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// An answer later than this after its deadline violates a rule: the rule's own slack, and what a loaded machine may add.
+const ANSWER_GRACE: Duration = Duration::from_millis(150 + 3000);
+/// Pause between two looks at the rate while it is 0.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Standard deviation of the logarithm of the work of requests.
+const WORK_SIGMA: f64 = 0.5;
+/// Where the number of the attempt stands in a request id.
+const ATTEMPT_SHIFT: u32 = 48;
+/// The bits of the number of the attempt, before they are shifted.
+const ATTEMPT_MASK: u64 = 7;
+
+/// From one router to one member, both by number.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Path {
+    pub(super) router: usize,
+    pub(super) member: usize,
+}
+
+/// How an attempt ended.
+enum AttemptOutcome {
+    Answered(Outcome),
+    ConnectionLost,
+    /// No answer by its time, on a connection that lives.
+    TimedOut,
+}
+
+/// What to do after an attempt.
+enum NextStep {
+    Finish(Option<Outcome>),
+    /// Any member may be asked after this pause.
+    RetryAnywhere(Duration),
+    /// Another member may be asked at once; a request with an idempotency key goes to the same one.
+    Retry,
+}
+
+/// The routers, on one thread.
+pub(super) struct RouterPool {
+    workload: Workload,
+    stats: Arc<Mutex<RouterStats>>,
+    service_levels: ServiceLevels,
+    engines: Vec<EngineControl>,
+    /// By router and member.
+    connections: RefCell<Vec<Vec<Option<Rc<Connection>>>>>,
+}
+
+impl RouterPool {
+    /// Routers without any connection. The engines are those of the members, in their order.
+    pub(super) fn new(
+        workload: Workload,
+        stats: Arc<Mutex<RouterStats>>,
+        service_levels: ServiceLevels,
+        engines: Vec<EngineControl>,
+        members: usize,
+    ) -> RouterPool {
+        let connections = (0..workload.routers).map(|_| vec![None; members]).collect();
+        RouterPool { workload, stats, service_levels, engines, connections: RefCell::new(connections) }
+    }
+
+    fn stats(&self) -> MutexGuard<'_, RouterStats> {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn set_connection(&self, path: Path, connection: Option<Rc<Connection>>) {
+        self.connections.borrow_mut()[path.router][path.member] = connection;
+    }
+
+    fn connection(&self, path: Path) -> Option<Rc<Connection>> {
+        self.connections.borrow()[path.router][path.member].clone()
+    }
+
+    /// An answer came to an attempt that has none to come.
+    pub(super) fn record_second_answer(&self, member: usize) {
+        self.stats().record_violation(member, format!("n{}: a second answer to one try", member + 1));
+    }
+
+    /// The members that this router may ask now.
+    fn available_members(&self, router: usize) -> Vec<usize> {
+        let accepts = |connection: &Rc<Connection>| connection.accepts_requests();
+        let connections = self.connections.borrow();
+        let members = connections[router].iter().enumerate();
+        members.filter(|(_, connection)| connection.as_ref().is_some_and(accepts)).map(|(at, _)| at).collect()
+    }
+
+    async fn attempt(
+        &self,
+        path: Path,
+        request: &Request,
+        first_sent_ms: u128,
+        is_retry: bool,
+    ) -> AttemptOutcome {
+        let Some(connection) = self.connection(path) else { return AttemptOutcome::ConnectionLost };
+        let Ok(answer) = connection.send(request, first_sent_ms, is_retry).await else {
+            return AttemptOutcome::ConnectionLost;
+        };
+        let limit = self.service_levels.answer_limit(request.class) + ANSWER_GRACE;
+        match timeout(limit, answer.recv()).await {
+            Some(Ok(Ok(outcome))) => AttemptOutcome::Answered(outcome),
+            Some(Ok(Err(ConnectionLost)) | Err(_)) => AttemptOutcome::ConnectionLost,
+            None => AttemptOutcome::TimedOut,
+        }
+    }
+
+    /// Sends requests at random times, whatever becomes of those before them.
+    pub(super) async fn generate_requests(
+        self: Rc<Self>,
+        rate: &Mutex<f64>,
+        executor: Rc<LocalExecutor<'static>>,
+    ) {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.workload.seed);
+        let mut number = 0;
+        loop {
+            let rate = *rate.lock().unwrap_or_else(PoisonError::into_inner);
+            if rate <= 0.0 {
+                Timer::after(IDLE_POLL_INTERVAL).await;
+                continue;
+            }
+            let Ok(gaps) = Exp::new(rate) else { return };
+            Timer::after(Duration::from_secs_f64(gaps.sample(&mut rng))).await;
+            number += 1;
+            let Workload { classes, routers, seed, .. } = &self.workload;
+            let Ok(request) = draw_request(classes, WORK_SIGMA, *seed, number, &mut rng) else { return };
+            let router = rng.random_range(0..(*routers).max(1));
+            let rng_of_request = Pcg64Mcg::seed_from_u64(seed ^ number << 20);
+            self.stats().in_flight += 1;
+            executor.spawn(self.clone().execute(router, request, rng_of_request)).detach();
+        }
+    }
+
+    /// Sends a request by one router, with its retries, and counts what became of it.
+    async fn execute(self: Rc<Self>, router: usize, mut request: Request, mut rng: Pcg64Mcg) {
+        let (start, first_sent_ms) = (Instant::now(), unix_ms());
+        let level = self.service_levels.of(request.class);
+        let (mut attempts, mut sticky_member) = (0, None);
+        let outcome = loop {
+            if start.elapsed() >= level.deadline {
+                break None;
+            }
+            let Some(member) = self.choose_member(router, sticky_member, &mut rng) else {
+                Timer::after(RECONNECT_INTERVAL).await;
+                continue;
+            };
+            attempts += 1;
+            request.set_attempt(attempts);
+            if request.idempotency_key.is_some() {
+                sticky_member = Some(member);
+            }
+            let path = Path { router, member };
+            let ended = self.attempt(path, &request, first_sent_ms, attempts > 1).await;
+            match self.next_step(member, &request, attempts, ended) {
+                NextStep::Finish(outcome) => break outcome,
+                NextStep::RetryAnywhere(backoff) => {
+                    sticky_member = None;
+                    Timer::after(backoff.mul_f64(0.5 + rng.random::<f64>())).await;
+                }
+                NextStep::Retry => {}
+            }
+        };
+        self.record(request.class, &level, attempts, outcome, start.elapsed());
+    }
+
+    /// A member that may be asked now. A request with an idempotency key stays at the member that may have run it.
+    fn choose_member(
+        &self,
+        router: usize,
+        sticky_member: Option<usize>,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<usize> {
+        let available = self.available_members(router);
+        match sticky_member {
+            Some(member) => available.contains(&member).then_some(member),
+            None if available.is_empty() => None,
+            None => Some(available[rng.random_range(0..available.len())]),
+        }
+    }
+
+    fn next_step(&self, member: usize, request: &Request, attempts: u32, ended: AttemptOutcome) -> NextStep {
+        let may_retry = attempts < MAX_ATTEMPTS;
+        let is_keyed = request.idempotency_key.is_some();
+        match ended {
+            AttemptOutcome::Answered(Outcome::Rejected) => {
+                self.check_rejection(member, request);
+                if !may_retry {
+                    return NextStep::Finish(Some(Outcome::Rejected));
+                }
+                // It was not run, so that another member may be asked.
+                NextStep::RetryAnywhere(INITIAL_BACKOFF * 2_u32.pow(attempts - 1))
+            }
+            AttemptOutcome::Answered(outcome) => NextStep::Finish(Some(outcome)),
+            AttemptOutcome::ConnectionLost if may_retry && (!is_keyed || self.workload.retry_keyed) => {
+                NextStep::Retry
+            }
+            AttemptOutcome::ConnectionLost => NextStep::Finish(None),
+            AttemptOutcome::TimedOut => {
+                let rule = format!("n{}: no answer to {} by its time", member + 1, request.body);
+                self.stats().record_violation(member, rule);
+                NextStep::Finish(None)
+            }
+        }
+    }
+
+    /// A rejection says that the request was not run: records it if the engine has run it.
+    fn check_rejection(&self, member: usize, request: &Request) {
+        let was_run = self.engines[member].state().started.contains_key(&request.body);
+        if request.idempotency_key.is_some() && was_run {
+            let rule = format!("n{}: Busy told of {}, which has run", member + 1, request.body);
+            self.stats().record_violation(member, rule);
+        }
+    }
+
+    fn record(
+        &self,
+        class: &'static str,
+        level: &ServiceLevel,
+        attempts: u32,
+        outcome: Option<Outcome>,
+        latency: Duration,
+    ) {
+        let mut stats = self.stats();
+        stats.in_flight -= 1;
+        let stats = stats.classes.entry(class).or_default();
+        stats.requests += 1;
+        stats.attempts += u64::from(attempts);
+        stats.weight_requested += level.weight;
+        match outcome {
+            Some(Outcome::Served) => {
+                stats.served += 1;
+                stats.weight_served += level.weight_after(latency);
+            }
+            Some(Outcome::Rejected) => stats.rejected += 1,
+            Some(Outcome::Failed) => stats.failed += 1,
+            None => stats.lost += 1,
+        }
+    }
+}
+
+impl Request {
+    /// Gives the next attempt a request id of its own.
+    fn set_attempt(&mut self, attempt: u32) {
+        self.request_id =
+            self.request_id & !(ATTEMPT_MASK << ATTEMPT_SHIFT) | u64::from(attempt) << ATTEMPT_SHIFT;
+    }
+}
--- /dev/null
+++ b/crates/pinepoint-lab/src/rpc.rs
@@ -0,0 +1,85 @@
+//! MessagePack-RPC messages as callers of the program write and read them. It owns their encoding; connections are their
+//! users'.
+
+use std::io;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use rmpv::Value;
+
+/// First element of a request.
+const REQUEST: u64 = 0;
+/// First element of a response.
+pub(crate) const RESPONSE: u64 = 1;
+/// First element of a notification.
+pub(crate) const NOTIFICATION: u64 = 2;
+
+/// Memory that every request asks for, kB.
+const MEMORY_KB: &str = "40";
+
+/// Now, Unix ms.
+pub(crate) fn unix_ms() -> u128 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
+}
+
+/// The fields of a request beside its class and body.
+#[derive(Clone, Debug)]
+pub(crate) struct RequestFields {
+    /// Identifies one attempt.
+    pub(crate) request_id: u64,
+    /// When the request was first sent, Unix ms.
+    pub(crate) first_sent_ms: u128,
+    /// Estimate of its work, ms, as it is written.
+    pub(crate) estimate_ms: String,
+    pub(crate) idempotency_key: Option<String>,
+    pub(crate) is_retry: bool,
+}
+
+impl RequestFields {
+    fn into_map(self) -> Value {
+        let mut fields = vec![
+            ("rid", format!("{:016x}", self.request_id)),
+            ("t0", self.first_sent_ms.to_string()),
+            ("est", self.estimate_ms),
+            ("mem", MEMORY_KB.to_owned()),
+        ];
+        fields.extend(self.idempotency_key.map(|key| ("token", key)));
+        fields.extend(self.is_retry.then(|| ("again", "1".to_owned())));
+        Value::Map(fields.into_iter().map(|(name, value)| (name.into(), value.into())).collect())
+    }
+}
+
+/// The bytes of a request under this message id.
+pub(crate) fn encode_request(
+    message_id: u64,
+    class: &str,
+    fields: RequestFields,
+    body: &str,
+) -> io::Result<Vec<u8>> {
+    let params = vec![fields.into_map(), Value::Binary(body.as_bytes().to_vec())];
+    encode_call(message_id, class, params)
+}
+
+/// The bytes of a request of this method and parameters.
+pub(crate) fn encode_call(message_id: u64, method: &str, params: Vec<Value>) -> io::Result<Vec<u8>> {
+    encode(vec![REQUEST.into(), message_id.into(), method.into(), Value::Array(params)])
+}
+
+/// The bytes of a notification.
+pub(crate) fn encode_notification(method: &str, params: Vec<Value>) -> io::Result<Vec<u8>> {
+    encode(vec![NOTIFICATION.into(), method.into(), Value::Array(params)])
+}
+
+fn encode(message: Vec<Value>) -> io::Result<Vec<u8>> {
+    let mut bytes = Vec::new();
+    rmpv::encode::write_value(&mut bytes, &Value::Array(message)).map_err(io::Error::other)?;
+    Ok(bytes)
+}
+
+/// Takes a complete message off the front, if there is one.
+pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Value> {
+    let mut rest = input.as_slice();
+    let message = rmpv::decode::read_value(&mut rest).ok()?;
+    let used = input.len() - rest.len();
+    input.drain(..used);
+    Some(message)
+}
