--- a/crates/pinepoint-membership/benches/measure.rs
+++ b/crates/pinepoint-membership/benches/measure.rs
@@ -9,10 +9,12 @@
 use std::time::Instant;
 
 use clap::{Parser, ValueEnum};
-use pinepoint_membership::fleet::{Action, Detector, Event, Fleet, Rules, Told};
-use pinepoint_membership::judge::Kind;
-use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing, key};
-use pinepoint_membership::wire::{Body, Packet, Sender};
+use pinepoint_membership::diagnosis::VerdictKind;
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase, key};
+use pinepoint_membership::membership::{
+    Action, Event, FailureDetector, Membership, MembershipSettings, Notification,
+};
+use pinepoint_membership::wire::{Packet, PacketBody, SenderState};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sim::{Net, PERIOD, World, address};
@@ -30,7 +32,7 @@
     /// Time on a core of one member's decisions alone, a period, among so many that answer it
     Alone,
     /// Verdicts over courses with and without the loss of a zone
-    Judge,
+    DiagnosisEngine,
 }
 
 #[derive(Parser)]
@@ -51,8 +53,8 @@
     bench: bool,
 }
 
-fn rules(detector: Detector) -> Rules {
-    Rules { detector, ..Rules::default() }
+fn rules(detector: FailureDetector) -> MembershipSettings {
+    MembershipSettings { detector, ..MembershipSettings::default() }
 }
 
 /// Simulations at once.
@@ -89,7 +91,7 @@
     format!("{} / {} / {}", text(at(0.5)), text(at(0.99)), text(values.last()))
 }
 
-fn detect(size: usize, detector: Detector, seeds: u64) {
+fn detect(size: usize, detector: FailureDetector, seeds: u64) {
     let found = over(seeds, |seed| {
         let mut world = World::preloaded(size, 3, rules(detector), seed);
         world.weigh = 0;
@@ -98,7 +100,7 @@
         let mut times = Vec::new();
         while times.len() < size - 1 && world.now - since < 60.0 * PERIOD {
             world.run(1.0);
-            times = world.told_of(gone, Standing::Lost, since);
+            times = world.told_of(gone, Liveness::Lost, since);
         }
         (times.first().map(|ms| ms / PERIOD), (times.len() == size - 1).then(|| times[size - 2] / PERIOD))
     });
@@ -112,7 +114,7 @@
     );
 }
 
-fn accuse(size: usize, detector: Detector, seeds: u64) {
+fn accuse(size: usize, detector: FailureDetector, seeds: u64) {
     for (name, loss, paused) in
         [("loss 0", 0.0, 0), ("loss 5 %", 0.05, 0), ("loss 20 %", 0.2, 0), ("paused", 0.0, size / 10)]
     {
@@ -134,13 +136,13 @@
                 for (own, told) in
                     world.nodes.iter().flat_map(|node| node.told.iter().map(|t| (&node.name, &t.1)))
                 {
-                    if let Told::Member { record, .. } = told
+                    if let Notification::MemberChanged { record, .. } = told
                         && !quiet(&record.identity.name)
                     {
-                        suspected += usize::from(record.standing == Standing::Suspected);
-                        lost += usize::from(record.standing == Standing::Lost);
+                        suspected += usize::from(record.liveness == Liveness::Suspected);
+                        lost += usize::from(record.liveness == Liveness::Lost);
                         let by = key(own) as u32 | 1;
-                        first_hand += usize::from(record.standing == Standing::Lost && record.by == by);
+                        first_hand += usize::from(record.liveness == Liveness::Lost && record.by == by);
                     }
                 }
                 world.clear();
@@ -162,7 +164,7 @@
 
 fn heal(size: usize, seeds: u64) {
     let took = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
         world.weigh = 0;
         for _ in 0..6 {
             let (kind, some) = (world.below(9), 1 + world.below(size / 10 + 1));
@@ -200,7 +202,7 @@
     println!("| {size} | {} | {} of {seeds} | {within} of {seeds} |", spread(healed.clone()), healed.len());
 }
 
-fn cost(size: usize, detector: Detector, seeds: u64) {
+fn cost(size: usize, detector: FailureDetector, seeds: u64) {
     let periods = 20.0;
     let seeds = seeds.min(5);
     let mut rows = Vec::new();
@@ -208,7 +210,7 @@
         let mut world = World::preloaded(size, 3, rules(detector), seed);
         world.weigh = 101;
         // Past the first minutes, in which each member judges whether the whole fleet starts.
-        if detector != Detector::Heartbeat {
+        if detector != FailureDetector::Heartbeat {
             world.run(130.0);
             world.clear();
         }
@@ -233,8 +235,8 @@
 /// One member among peers that answer it at once and hold the same, so that what is timed is its own decisions and nothing
 /// of a simulation.
 struct Alone {
-    fleet: Fleet,
-    peers: Vec<Record>,
+    fleet: Membership,
+    peers: Vec<MemberRecord>,
     random: Pcg64Mcg,
     now: f64,
     seq: u32,
@@ -247,20 +249,20 @@
         let peer = |at: usize| {
             let (name, zone) = (format!("n{at}"), format!("z{}", at % 3));
             let identity = Identity { name, zone, address: address(at), cores: 4, instance: at as u32 };
-            let standing = if at <= lost { Standing::Lost } else { Standing::Alive };
-            Record {
+            let liveness = if at <= lost { Liveness::Lost } else { Liveness::Alive };
+            MemberRecord {
                 identity: identity.into(),
                 start: now as u64 - 9_000_000,
                 incarnation: 0,
                 phase: Phase::Serving,
-                standing,
+                liveness,
                 by: 0,
             }
         };
         let own = (*peer(0).identity).clone();
-        let peers: Vec<Record> = (1..size).map(peer).collect();
+        let peers: Vec<MemberRecord> = (1..size).map(peer).collect();
         let seeds = (1..4).map(address).collect();
-        let mut fleet = Fleet::new(Rules::default(), now, own, seeds, 7);
+        let mut fleet = Membership::new(MembershipSettings::default(), now, own, seeds, 7);
         fleet.preload(now, peers.iter());
         Alone { fleet, peers, random: Pcg64Mcg::seed_from_u64(size as u64), now, seq: 0, spent: 0.0 }
     }
@@ -273,10 +275,14 @@
         out
     }
 
-    fn says(&self, at: usize, body: Body, news: Vec<Record>) -> Event {
+    fn says(&self, at: usize, body: PacketBody, news: Vec<MemberRecord>) -> Event {
         let load = Load { up_s: 9000, healthy: true, ..Load::default() };
         let (record, digest, known) = (self.peers[at].clone(), self.fleet.digest(), self.peers.len() as u32);
-        Event::Packet(Packet { from: Sender { record, load, digest, known, now_ms: self.now }, body, news })
+        Event::PacketReceived(Packet {
+            from: SenderState { record, load, digest, known, now_ms: self.now },
+            body,
+            news,
+        })
     }
 
     /// Lets periods pass, with one question of a peer in each, and, where it is wished, one change of a member.
@@ -285,7 +291,7 @@
         for _ in 0..periods {
             let until = self.now + PERIOD;
             let at = self.random.next_u64() as usize % self.peers.len();
-            if self.peers[at].standing == Standing::Alive {
+            if self.peers[at].liveness == Liveness::Alive {
                 let news = if changes {
                     let of = self.peers.len() - 1 - self.random.next_u64() as usize % (self.peers.len() / 2);
                     self.peers[of].incarnation += 1;
@@ -294,18 +300,20 @@
                     Vec::new()
                 };
                 self.seq += 1;
-                let asked = self.says(at, Body::Ping { seq: self.seq }, news);
+                let asked = self.says(at, PacketBody::Ping { seq: self.seq }, news);
                 self.handle(asked);
             }
             while self.fleet.next_due() < until {
                 self.now = self.fleet.next_due();
                 let mut queue = self.handle(Event::Tick);
                 while let Some(action) = queue.pop() {
-                    let Action::Send(to, Packet { body: Body::Ping { seq }, .. }) = action else { continue };
+                    let Action::Send(to, Packet { body: PacketBody::Ping { seq }, .. }) = action else {
+                        continue;
+                    };
                     let peer = self.peers.iter().position(|peer| peer.identity.address == to);
-                    let peer = peer.filter(|at| self.peers[*at].standing == Standing::Alive);
+                    let peer = peer.filter(|at| self.peers[*at].liveness == Liveness::Alive);
                     if let Some(peer) = peer {
-                        let answer = self.says(peer, Body::Ack { seq }, Vec::new());
+                        let answer = self.says(peer, PacketBody::Ack { seq }, Vec::new());
                         queue.extend(self.handle(answer));
                     }
                 }
@@ -342,18 +350,20 @@
     }
 }
 
-fn zone_kinds(world: &World) -> Vec<(f64, Kind, String)> {
+fn zone_kinds(world: &World) -> Vec<(f64, VerdictKind, String)> {
     let told = world.nodes.iter().flat_map(|node| &node.told);
     let verdicts = told.filter_map(|(at, told)| match told {
-        Told::Verdict(change) if change.holds => Some((*at, change.verdict.kind, change.verdict.of.clone())),
+        Notification::VerdictChanged(change) if change.holds => {
+            Some((*at, change.verdict.kind, change.verdict.of.clone()))
+        }
         _ => None,
     });
-    verdicts.filter(|(_, kind, _)| !matches!(kind, Kind::FleetStart | Kind::OneWay)).collect()
+    verdicts.filter(|(_, kind, _)| !matches!(kind, VerdictKind::FleetStart | VerdictKind::OneWay)).collect()
 }
 
 fn judge(size: usize, seeds: u64) {
     let quiet = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
         world.weigh = 0;
         // A zone of which chance has left nobody that runs is rightly judged gone.
         let mut emptied: Vec<String> = Vec::new();
@@ -380,16 +390,18 @@
     });
     let wrong = quiet.iter().filter(|n| **n > 0).count();
     let found = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
         world.weigh = 0;
         let since = world.now;
         (0..size).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
         world.run(25.0);
         let verdicts = zone_kinds(&world);
-        let right = verdicts.iter().filter(|(_, kind, of)| *kind == Kind::ZoneUnreachable && of == "z1");
+        let right =
+            verdicts.iter().filter(|(_, kind, of)| *kind == VerdictKind::ZoneUnreachable && of == "z1");
         let mut times: Vec<f64> = right.map(|(at, ..)| (at - since) / PERIOD).collect();
         times.sort_by(f64::total_cmp);
-        let strange = verdicts.iter().any(|(_, kind, of)| *kind != Kind::ZoneUnreachable || of != "z1");
+        let strange =
+            verdicts.iter().any(|(_, kind, of)| *kind != VerdictKind::ZoneUnreachable || of != "z1");
         (times.first().copied(), times.last().copied(), times.len() >= size - size.div_ceil(3), strange)
     });
     let firsts = found.iter().filter_map(|row| row.0).collect();
@@ -428,23 +440,23 @@
             );
             return alone(&sizes, seeds);
         }
-        What::Judge => println!(
+        What::DiagnosisEngine => println!(
             "| members | wrong verdicts without a zone's loss | first, periods: p50 / p99 / most | last | judged by all | another verdict |"
         ),
     }
-    let all = [Detector::OwnTrouble, Detector::Plain, Detector::Heartbeat];
-    let named = |detector: &Detector| {
+    let all = [FailureDetector::Lifeguard, FailureDetector::Swim, FailureDetector::Heartbeat];
+    let named = |detector: &FailureDetector| {
         let name = match detector {
-            Detector::OwnTrouble => "own-trouble",
-            Detector::Plain => "plain",
-            Detector::Heartbeat => "heartbeat",
+            FailureDetector::Lifeguard => "own-trouble",
+            FailureDetector::Swim => "plain",
+            FailureDetector::Heartbeat => "heartbeat",
         };
         detectors.iter().any(|wanted| wanted == name)
     };
     // All to all is n² datagrams: beyond some hundreds nothing else is simulated in the time, unless it is named.
     let kinds = |size: usize| {
-        let known = all.iter().copied().filter(move |d| size <= 300 || *d != Detector::Heartbeat);
-        let kinds: Vec<Detector> =
+        let known = all.iter().copied().filter(move |d| size <= 300 || *d != FailureDetector::Heartbeat);
+        let kinds: Vec<FailureDetector> =
             if detectors.is_empty() { known.collect() } else { all.iter().copied().filter(named).collect() };
         kinds
     };
@@ -455,7 +467,7 @@
             What::Heal => heal(size, seeds),
             What::Cost => kinds(size).iter().for_each(|detector| cost(size, *detector, seeds)),
             What::Alone => {}
-            What::Judge => judge(size, seeds),
+            What::DiagnosisEngine => judge(size, seeds),
         }
     }
     eprintln!("{:.0} s", began.elapsed().as_secs_f64());
--- a/crates/pinepoint-membership/src/config.rs
+++ b/crates/pinepoint-membership/src/config.rs
@@ -6,14 +6,14 @@
 use ipnet::IpNet;
 use serde::Deserialize;
 
-use crate::fleet::Rules;
-use crate::member::NAME_MOST;
+use crate::member::MAX_NAME_BYTES;
+use crate::membership::MembershipSettings;
 
 /// Bounds of the period, ms: below, a busy machine looks dead; above, nobody hears of anything in time.
 const PERIOD_MS: std::ops::RangeInclusive<f64> = 50.0..=60_000.0;
 /// Bounds of the number of members.
 const MEMBERS: std::ops::RangeInclusive<usize> = 2..=8192;
-const SEEDS_MOST: usize = 16;
+const MAX_SEEDS: usize = 16;
 
 /// The section.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -62,22 +62,22 @@
 }
 
 fn period_ms() -> f64 {
-    Rules::default().period_ms
+    MembershipSettings::default().period_ms
 }
 
 fn members() -> usize {
-    Rules::default().members
+    MembershipSettings::default().members
 }
 
 impl TryFrom<Raw> for Config {
     type Error = String;
 
     fn try_from(raw: Raw) -> Result<Self, String> {
-        if raw.name.is_empty() || raw.name.len() > NAME_MOST {
-            return Err(format!("name has to have 1 to {NAME_MOST} bytes"));
+        if raw.name.is_empty() || raw.name.len() > MAX_NAME_BYTES {
+            return Err(format!("name has to have 1 to {MAX_NAME_BYTES} bytes"));
         }
-        if raw.zone.len() > NAME_MOST {
-            return Err(format!("zone has to have at most {NAME_MOST} bytes"));
+        if raw.zone.len() > MAX_NAME_BYTES {
+            return Err(format!("zone has to have at most {MAX_NAME_BYTES} bytes"));
         }
         if !PERIOD_MS.contains(&raw.period_ms) {
             let (least, most) = (PERIOD_MS.start(), PERIOD_MS.end());
@@ -87,8 +87,8 @@
             let (least, most) = (MEMBERS.start(), MEMBERS.end());
             return Err(format!("members is {} and has to be {least} to {most}", raw.members));
         }
-        if raw.seeds.len() > SEEDS_MOST {
-            return Err(format!("seeds are {} and may be {SEEDS_MOST} at most", raw.seeds.len()));
+        if raw.seeds.len() > MAX_SEEDS {
+            return Err(format!("seeds are {} and may be {MAX_SEEDS} at most", raw.seeds.len()));
         }
         let reached = raw.advertise.unwrap_or(raw.listen);
         if reached.ip().is_unspecified() {
@@ -103,8 +103,12 @@
 
 impl Config {
     /// The rules that follow.
-    pub fn rules(&self) -> Rules {
-        Rules { period_ms: self.period_ms, members: self.members, ..Rules::default() }
+    pub fn rules(&self) -> MembershipSettings {
+        MembershipSettings {
+            period_ms: self.period_ms,
+            members: self.members,
+            ..MembershipSettings::default()
+        }
     }
 
     /// Whether this address may ask for the view.
--- a/crates/pinepoint-membership/src/judge.rs
+++ b/crates/pinepoint-membership/src/diagnosis.rs
@@ -7,11 +7,11 @@
 use pinepoint_events::reason_codes;
 use serde::Serialize;
 
-use crate::table::{Returned, Table};
+use crate::table::{MemberTable, Recovery};
 
 reason_codes! {
     /// What is judged of more than one member.
-    Kind {
+    VerdictKind {
         /// The members of a zone went in one stroke, and their processes are not there.
         ZoneLost = "zone-lost",
         /// The members of a zone went in one stroke, and some of them were seen alive since.
@@ -29,17 +29,17 @@
     }
 }
 
-impl Kind {
+impl VerdictKind {
     /// Kinds of one subject: of these one holds at a time, and they flap together.
-    fn subject(self) -> Kind {
+    fn subject(self) -> VerdictKind {
         match self {
-            Kind::ZoneLost | Kind::ZoneCutOff => Kind::ZoneUnreachable,
+            VerdictKind::ZoneLost | VerdictKind::ZoneCutOff => VerdictKind::ZoneUnreachable,
             kind => kind,
         }
     }
 }
 
-impl Serialize for Kind {
+impl Serialize for VerdictKind {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(pinepoint_events::ReasonCode::code(*self))
     }
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
     /// What is judged.
-    pub kind: Kind,
+    pub kind: VerdictKind,
     /// Of whom: a zone, a member, or nothing where it is of this member or the fleet.
     pub of: String,
     /// How sure that is, 0 to 1: the part of the members concerned that bear it out.
@@ -64,7 +64,7 @@
 
 /// The figures of judgement. Times are periods.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct DiagnosisSettings {
     /// Within so long members go in one stroke.
     pub stroke: f64,
     /// The part of a zone that has to go in it.
@@ -85,9 +85,9 @@
     pub silent: f64,
 }
 
-impl Default for Rules {
+impl Default for DiagnosisSettings {
     fn default() -> Self {
-        Rules {
+        DiagnosisSettings {
             stroke: 12.0,
             part: 0.8,
             still: 0.5,
@@ -104,7 +104,7 @@
 const DOUBLINGS: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HoldDown {
     since_ms: f64,
     seen_ms: f64,
     /// How often it was made again soon after it had ended.
@@ -113,12 +113,12 @@
 
 /// Makes and keeps verdicts.
 #[derive(Clone, Debug)]
-pub struct Judge {
-    rules: Rules,
+pub struct DiagnosisEngine {
+    rules: DiagnosisSettings,
     period_ms: f64,
-    verdicts: BTreeMap<(Kind, String), (Verdict, Held)>,
+    verdicts: BTreeMap<(VerdictKind, String), (Verdict, HoldDown)>,
     /// Verdicts that ended of late: when, and how often they had flapped. By subject.
-    ended: BTreeMap<(Kind, String), (f64, u32)>,
+    ended: BTreeMap<(VerdictKind, String), (f64, u32)>,
     /// Zones that went in one stroke and when, till their members are back.
     gone: BTreeMap<String, f64>,
     /// When those went that make this member cut off, while it is.
@@ -129,7 +129,7 @@
 
 /// A change of a verdict.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct VerdictChange {
     /// The verdict.
     pub verdict: Verdict,
     /// It holds from now on, or no longer.
@@ -138,7 +138,7 @@
 
 /// What the judge is told of this member itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Own<'a> {
+pub struct LocalObservation<'a> {
     /// Its zone.
     pub zone: &'a str,
     /// How long it runs, ms.
@@ -153,7 +153,7 @@
     pub dubious: &'a BTreeSet<u64>,
 }
 
-struct Zone<'a> {
+struct ZoneTally<'a> {
     members: &'a BTreeSet<u64>,
     /// Members that are, or were until the stroke, there.
     all: usize,
@@ -164,10 +164,10 @@
     first_gone_ms: f64,
 }
 
-impl Judge {
+impl DiagnosisEngine {
     /// No verdicts yet.
-    pub fn new(rules: Rules, period_ms: f64) -> Self {
-        Judge {
+    pub fn new(rules: DiagnosisSettings, period_ms: f64) -> Self {
+        DiagnosisEngine {
             rules,
             period_ms,
             verdicts: BTreeMap::new(),
@@ -184,18 +184,24 @@
     }
 
     /// Whether one of this kind holds, of anybody.
-    pub fn holds(&self, kind: Kind) -> bool {
+    pub fn holds(&self, kind: VerdictKind) -> bool {
         self.verdicts.keys().any(|(of, _)| *of == kind)
     }
 
     /// Notes a clash of names, which is seen by a message and not by the table.
-    pub fn clash(&mut self, now: f64, with: &str, out: &mut Vec<Change>) {
+    pub fn clash(&mut self, now: f64, with: &str, out: &mut Vec<VerdictChange>) {
         let evidence = format!("a message came from another process of this name at {with}");
-        self.see(now, Kind::NameClash, with.to_owned(), 1.0, evidence, out);
+        self.see(now, VerdictKind::NameClash, with.to_owned(), 1.0, evidence, out);
     }
 
     /// Judges the table as it is now. To be called once a period.
-    pub fn judge(&mut self, now: f64, own: Own<'_>, table: &Table, out: &mut Vec<Change>) {
+    pub fn judge(
+        &mut self,
+        now: f64,
+        own: LocalObservation<'_>,
+        table: &MemberTable,
+        out: &mut Vec<VerdictChange>,
+    ) {
         let window = self.rules.stroke * self.period_ms * own.stretch;
         // Where all answer there is nothing to judge, however large the fleet.
         let all_well =
@@ -211,7 +217,7 @@
     }
 
     /// Ends what has held for its time and is not seen any more.
-    fn end(&mut self, now: f64, in_trouble: bool, out: &mut Vec<Change>) {
+    fn end(&mut self, now: f64, in_trouble: bool, out: &mut Vec<VerdictChange>) {
         let memory = self.rules.memory * self.period_ms;
         self.ended.retain(|_, (at, _)| now - *at < memory);
         let mut over = Vec::new();
@@ -230,18 +236,26 @@
         }
     }
 
-    fn drop_verdict(&mut self, now: f64, kind: Kind, of: &str, out: &mut Vec<Change>) {
+    fn drop_verdict(&mut self, now: f64, kind: VerdictKind, of: &str, out: &mut Vec<VerdictChange>) {
         if let Some((verdict, held)) = self.verdicts.remove(&(kind, of.to_owned())) {
             self.ended.insert((kind.subject(), of.to_owned()), (now, held.flaps));
-            out.push(Change { verdict, holds: false });
+            out.push(VerdictChange { verdict, holds: false });
         }
     }
 
-    fn judge_zones(&mut self, now: f64, window: f64, own: Own<'_>, table: &Table, out: &mut Vec<Change>) {
-        let mut zones: BTreeMap<&str, Zone<'_>> = BTreeMap::new();
+    fn judge_zones(
+        &mut self,
+        now: f64,
+        window: f64,
+        own: LocalObservation<'_>,
+        table: &MemberTable,
+        out: &mut Vec<VerdictChange>,
+    ) {
+        let mut zones: BTreeMap<&str, ZoneTally<'_>> = BTreeMap::new();
         for (name, members) in table.zones() {
             let all = members.len();
-            let zone = Zone { members, all, gone: 0, refused: 0, heard: 0, first_gone_ms: f64::INFINITY };
+            let zone =
+                ZoneTally { members, all, gone: 0, refused: 0, heard: 0, first_gone_ms: f64::INFINITY };
             zones.insert(name, zone);
         }
         // Only those that do not answer are looked at one by one.
@@ -250,7 +264,7 @@
             let Some(zone) = zones.get_mut(name) else { continue };
             // What comes as lost by news alone is what one held who was cut off, till those it speaks of refute it: it
             // counts once it has stood.
-            let pause = if member.told_lost { self.rules.stroke * self.period_ms } else { 0.0 };
+            let pause = if member.lost_by_gossip { self.rules.stroke * self.period_ms } else { 0.0 };
             let since_ms = member.since_ms + pause;
             if since_ms > now {
                 continue;
@@ -267,7 +281,7 @@
             // Heard after it was held lost: it runs, and hears nothing of mine.
             zone.heard += usize::from(member.heard_ms > member.since_ms);
         }
-        let sum = |of: fn(&Zone<'_>) -> usize| zones.values().map(of).sum::<usize>();
+        let sum = |of: fn(&ZoneTally<'_>) -> usize| zones.values().map(of).sum::<usize>();
         let (all, gone, refused) = (sum(|zone| zone.all), sum(|zone| zone.gone), sum(|zone| zone.refused));
         let part = |n: usize, of: usize| n as f64 / of.max(1) as f64;
         // Most of the fleet at once, and it is not known to be down: the trouble is here. Or nobody is heard at all.
@@ -290,7 +304,7 @@
                 format!("{gone} of {all} members stopped answering within {window:.0} ms")
             };
             let sure = if is_deaf { 1.0 } else { part(gone, all) };
-            self.see(now, Kind::SelfCutOff, String::new(), sure, evidence, out);
+            self.see(now, VerdictKind::SelfCutOff, String::new(), sure, evidence, out);
         }
         let answering = all - gone;
         self.gone.retain(|name, _| zones.contains_key(name.as_str()));
@@ -309,40 +323,47 @@
             }
             let since = *self.gone.entry((*name).to_owned()).or_insert(zone.first_gone_ms);
             let anew = |key: &&u64| {
-                let back =
-                    |m: &crate::table::Member| m.returned == Returned::NewStart && m.returned_ms >= since;
+                let back = |m: &crate::table::MemberState| {
+                    m.recovery == Recovery::NewGeneration && m.recovered_ms >= since
+                };
                 table.get(**key).is_some_and(back)
             };
             let restarted = zone.members.iter().filter(anew).count();
-            let Zone { all, gone, refused, heard, .. } = *zone;
+            let ZoneTally { all, gone, refused, heard, .. } = *zone;
             let found = if heard > 0 {
-                Kind::ZoneCutOff
+                VerdictKind::ZoneCutOff
             } else if 2 * refused >= gone || restarted > 0 {
-                Kind::ZoneLost
+                VerdictKind::ZoneLost
             } else {
-                Kind::ZoneUnreachable
+                VerdictKind::ZoneUnreachable
             };
             let evidence = format!(
                 "{gone} of {all} stopped answering; of these {refused} have nobody listening, {heard} were heard since, \
                  {restarted} came back with a new start"
             );
             // A better founded verdict takes the place of a poorer one about the same zone, and not the other way.
-            let known = [Kind::ZoneLost, Kind::ZoneCutOff]
+            let known = [VerdictKind::ZoneLost, VerdictKind::ZoneCutOff]
                 .into_iter()
                 .find(|kind| self.verdicts.contains_key(&(*kind, (*name).to_owned())));
-            let kind = if found == Kind::ZoneUnreachable { known.unwrap_or(found) } else { found };
+            let kind = if found == VerdictKind::ZoneUnreachable { known.unwrap_or(found) } else { found };
             self.see(now, kind, (*name).to_owned(), part(gone, all), evidence, out);
         }
     }
 
     /// Ends the verdicts about a zone.
-    fn withdraw(&mut self, now: f64, zone: &str, out: &mut Vec<Change>) {
-        for kind in [Kind::ZoneUnreachable, Kind::ZoneLost, Kind::ZoneCutOff] {
+    fn withdraw(&mut self, now: f64, zone: &str, out: &mut Vec<VerdictChange>) {
+        for kind in [VerdictKind::ZoneUnreachable, VerdictKind::ZoneLost, VerdictKind::ZoneCutOff] {
             self.drop_verdict(now, kind, zone, out);
         }
     }
 
-    fn judge_links(&mut self, now: f64, own: Own<'_>, table: &Table, out: &mut Vec<Change>) {
+    fn judge_links(
+        &mut self,
+        now: f64,
+        own: LocalObservation<'_>,
+        table: &MemberTable,
+        out: &mut Vec<VerdictChange>,
+    ) {
         let lately = 4.0 * self.period_ms;
         for member in own.dubious.iter().filter_map(|key| table.get(*key)) {
             let heard = now - member.heard_ms < lately;
@@ -355,7 +376,7 @@
                 );
                 self.see(
                     now,
-                    Kind::OneWay,
+                    VerdictKind::OneWay,
                     name,
                     1.0 - 0.5_f64.powi(member.unanswered as i32),
                     evidence,
@@ -365,7 +386,13 @@
         }
     }
 
-    fn judge_start(&mut self, now: f64, own: Own<'_>, table: &Table, out: &mut Vec<Change>) {
+    fn judge_start(
+        &mut self,
+        now: f64,
+        own: LocalObservation<'_>,
+        table: &MemberTable,
+        out: &mut Vec<VerdictChange>,
+    ) {
         let young_ms = self.rules.young * self.period_ms;
         if self.elder || own.up_ms > 2.0 * young_ms {
             return;
@@ -377,18 +404,18 @@
             let evidence = format!(
                 "none of {n} members heard started over {young_ms:.0} ms before me, and none has left"
             );
-            self.see(now, Kind::FleetStart, String::new(), n as f64 / (n as f64 + 1.0), evidence, out);
+            self.see(now, VerdictKind::FleetStart, String::new(), n as f64 / (n as f64 + 1.0), evidence, out);
         }
     }
 
     fn see(
         &mut self,
         now: f64,
-        kind: Kind,
+        kind: VerdictKind,
         of: String,
         confidence: f64,
         evidence: String,
-        out: &mut Vec<Change>,
+        out: &mut Vec<VerdictChange>,
     ) {
         if let Some((verdict, held)) = self.verdicts.get_mut(&(kind, of.clone())) {
             (verdict.confidence, verdict.evidence, held.seen_ms) = (confidence, evidence, now);
@@ -396,16 +423,16 @@
         }
         let verdict = Verdict { kind, of: of.clone(), confidence, evidence, since_ms: now, held: false };
         // Another of the same subject gives way, which is no flap.
-        let subject = |key: &(Kind, String)| key.0.subject() == kind.subject() && key.1 == of;
+        let subject = |key: &(VerdictKind, String)| key.0.subject() == kind.subject() && key.1 == of;
         let other = self.verdicts.keys().find(|key| subject(key)).cloned();
         let flaps = if let Some((verdict, held)) = other.and_then(|key| self.verdicts.remove(&key)) {
-            out.push(Change { verdict, holds: false });
+            out.push(VerdictChange { verdict, holds: false });
             held.flaps
         } else {
             let ended = self.ended.remove(&(kind.subject(), of.clone()));
             ended.map_or(0, |(_, flaps)| (flaps + 1).min(DOUBLINGS))
         };
-        out.push(Change { verdict: verdict.clone(), holds: true });
-        self.verdicts.insert((kind, of), (verdict, Held { since_ms: now, seen_ms: now, flaps }));
+        out.push(VerdictChange { verdict: verdict.clone(), holds: true });
+        self.verdicts.insert((kind, of), (verdict, HoldDown { since_ms: now, seen_ms: now, flaps }));
     }
 }
--- a/crates/pinepoint-membership/src/io.rs
+++ b/crates/pinepoint-membership/src/io.rs
@@ -18,17 +18,17 @@
 use pinepoint_events::{Observer, ProcessEvent, ReasonCode};
 
 use crate::config::Config;
-use crate::fleet::{Action, Event, Fleet, Told, View};
-use crate::judge::Change;
-use crate::member::{Identity, Load, NAME_MOST, Phase, Standing};
-use crate::wire::{Codec, MOST, Message};
+use crate::diagnosis::VerdictChange;
+use crate::member::{Identity, Liveness, Load, MAX_NAME_BYTES, Phase};
+use crate::membership::{Action, Event, Membership, MembershipView, Notification};
+use crate::wire::{Codec, MAX_DATAGRAM_BYTES, Message};
 
 /// Text in one page of a view: with its head it is never larger than the question.
-pub const PAGE: usize = 1200;
+pub const PAGE_BYTES: usize = 1200;
 /// Snapshots that are kept for their further pages.
-const SNAPSHOTS: usize = 4;
+const MAX_SNAPSHOTS: usize = 4;
 /// Members at once of which is asked whether anybody listens there.
-const KNOCKS_MOST: u32 = 8;
+const MAX_REFUSAL_CHECKS: u32 = 8;
 
 /// What a member is told of its own process.
 pub trait StatusSource {
@@ -58,7 +58,7 @@
 
 /// How many datagrams went and came, and why some were not understood.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct DatagramCounters {
     /// Sent.
     pub sent: Cell<u64>,
     /// Received and understood.
@@ -78,7 +78,7 @@
     config: Config,
     codec: Codec,
     socket: Async<UdpSocket>,
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<Membership>,
     clock: Clock,
     source: Rc<dyn StatusSource>,
     observer: Rc<dyn Observer>,
@@ -90,15 +90,17 @@
     /// Addresses at which nobody listens.
     refused: (Sender<SocketAddr>, Receiver<SocketAddr>),
     /// Datagrams.
-    pub counts: Counts,
+    pub counts: DatagramCounters,
 }
 
 /// Opens the socket and begins to take part.
 pub fn start(config: &Config, parts: Dependencies) -> io::Result<Rc<MembershipService>> {
     let Dependencies { name, cores, seed, clock, executor, source, observer } = parts;
-    if name.len() > NAME_MOST {
-        let wrong =
-            format!("the comparer's name has {} bytes, and {NAME_MOST} are the most in a fleet", name.len());
+    if name.len() > MAX_NAME_BYTES {
+        let wrong = format!(
+            "the comparer's name has {} bytes, and {MAX_NAME_BYTES} are the most in a fleet",
+            name.len()
+        );
         return Err(io::Error::new(io::ErrorKind::InvalidInput, wrong));
     }
     let socket = Async::<UdpSocket>::bind(config.listen)?;
@@ -106,8 +108,13 @@
     let instance = instance(&clock, address);
     let cores = cores.round().clamp(0.0, f64::from(u16::MAX)) as u16;
     let identity = Identity { name, zone: config.zone.clone(), address, cores, instance };
-    let fleet =
-        Fleet::new(config.rules(), clock.now(), identity, config.seeds.clone(), seed ^ u64::from(instance));
+    let fleet = Membership::new(
+        config.rules(),
+        clock.now(),
+        identity,
+        config.seeds.clone(),
+        seed ^ u64::from(instance),
+    );
     tracing::info!(listen = %address, zone = config.zone, fleet = config.name, "fleet");
     let member = Rc::new(MembershipService {
         codec: Codec::new(&config.name),
@@ -122,7 +129,7 @@
         snapshots: RefCell::default(),
         knocks: Cell::new(0),
         refused: async_channel::bounded(64),
-        counts: Counts::default(),
+        counts: DatagramCounters::default(),
     });
     executor.spawn(member.clone().run()).detach();
     Ok(member)
@@ -143,12 +150,12 @@
 
 impl MembershipService {
     /// The view now.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> MembershipView {
         self.fleet.borrow().view(self.clock.now())
     }
 
     async fn run(self: Rc<Self>) {
-        let mut buffer = vec![0; MOST + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = self.fleet.borrow().next_due();
             // However much comes in, what is due is done.
@@ -171,15 +178,15 @@
             match future::or(came, future::or(refused, timer)).await {
                 Wake::Due => self.step(),
                 Wake::Came(n, from) => self.came(&buffer[..n], from),
-                Wake::Refused(address) => self.handle(Event::Refused(address)),
+                Wake::Refused(address) => self.handle(Event::ConnectionRefused(address)),
                 Wake::Nothing => {}
             }
         }
     }
 
     fn step(self: &Rc<Self>) {
-        self.handle(Event::Phase(self.source.phase()));
-        self.handle(Event::Load(self.source.load()));
+        self.handle(Event::PhaseChanged(self.source.phase()));
+        self.handle(Event::LoadChanged(self.source.load()));
         self.handle(Event::Tick);
         let now = self.clock.now();
         let figures = self.fleet.borrow().figures(now);
@@ -190,7 +197,7 @@
 
     /// Tells the last word: others need not guess.
     pub fn leave(self: &Rc<Self>) {
-        self.handle(Event::Phase(Phase::Left));
+        self.handle(Event::PhaseChanged(Phase::Left));
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
@@ -199,7 +206,7 @@
         for action in out {
             match action {
                 Action::Send(to, packet) => self.send(to, &Message::Peer(packet)),
-                Action::Tell(told) => self.tell(&told),
+                Action::Notify(told) => self.tell(&told),
             }
         }
     }
@@ -226,10 +233,10 @@
         match self.codec.decode(bytes) {
             Ok(Message::Peer(packet)) => {
                 count(&self.counts.received);
-                self.handle(Event::Packet(packet));
+                self.handle(Event::PacketReceived(packet));
             }
-            Ok(Message::Ask { id, page, .. }) => self.answer(id, page, bytes.len(), from),
-            Ok(Message::Page { .. }) => {}
+            Ok(Message::ViewRequest { id, page, .. }) => self.answer(id, page, bytes.len(), from),
+            Ok(Message::ViewPage { .. }) => {}
             Err(error) => {
                 count(&self.counts.not_understood);
                 tracing::debug!(%from, %error, "fleet-not-understood");
@@ -248,23 +255,23 @@
         let kept = snapshots.iter().find(|(kept, _)| *kept == id).map(|(_, text)| text.clone());
         let text = kept.unwrap_or_else(|| {
             let text: Rc<[u8]> = serde_json::to_vec(&self.view()).unwrap_or_default().into();
-            if snapshots.len() >= SNAPSHOTS {
+            if snapshots.len() >= MAX_SNAPSHOTS {
                 snapshots.pop_front();
             }
             snapshots.push_back((id, text.clone()));
             text
         });
-        let pages = text.len().div_ceil(PAGE).min(usize::from(u16::MAX)) as u16;
-        let Some(part) = text.chunks(PAGE).nth(usize::from(page)) else { return };
-        let message = Message::Page { id, page, pages, text: part.to_vec() };
+        let pages = text.len().div_ceil(PAGE_BYTES).min(usize::from(u16::MAX)) as u16;
+        let Some(part) = text.chunks(PAGE_BYTES).nth(usize::from(page)) else { return };
+        let message = Message::ViewPage { id, page, pages, text: part.to_vec() };
         if self.codec.encode(&message).is_ok_and(|bytes| bytes.len() <= asked) {
             self.send(from, &message);
         }
     }
 
-    fn tell(self: &Rc<Self>, told: &Told) {
+    fn tell(self: &Rc<Self>, told: &Notification) {
         match told {
-            Told::Member { record, new } => {
+            Notification::MemberChanged { record, new } => {
                 let (name, zone) = (&record.identity.name, &record.identity.zone);
                 tracing::info!(
                     name,
@@ -274,27 +281,31 @@
                     new,
                     "fleet-member"
                 );
-                if record.standing == Standing::Suspected {
+                if record.liveness == Liveness::Suspected {
                     self.knock(record.identity.address);
                 }
             }
-            Told::Verdict(Change { verdict, holds }) => {
+            Notification::VerdictChanged(VerdictChange { verdict, holds }) => {
                 let (of, evidence, sure) = (&verdict.of, &verdict.evidence, verdict.confidence);
                 tracing::warn!(reason = verdict.kind.code(), of, holds, sure, evidence, "fleet-verdict");
             }
-            Told::Trouble(late_ms) => tracing::warn!(reason = "own-trouble", late_ms, "fleet-self"),
-            Told::Refuted(standing) => {
-                tracing::warn!(reason = "refuted", held = standing.code(), "fleet-self");
+            Notification::Stalled(late_ms) => tracing::warn!(reason = "own-trouble", late_ms, "fleet-self"),
+            Notification::Refuted(liveness) => {
+                tracing::warn!(reason = "refuted", held = liveness.code(), "fleet-self");
             }
-            Told::StartRaised(start) => tracing::warn!(reason = "start-raised", start, "fleet-self"),
-            Told::Disbelieved(why, name) => tracing::warn!(reason = why.code(), name, "fleet-disbelieved"),
-            Told::Settled(settled) => tracing::info!(settled, "fleet-view"),
+            Notification::GenerationRaised(start) => {
+                tracing::warn!(reason = "start-raised", start, "fleet-self")
+            }
+            Notification::RecordRejected(why, name) => {
+                tracing::warn!(reason = why.code(), name, "fleet-disbelieved")
+            }
+            Notification::SettledChanged(settled) => tracing::info!(settled, "fleet-view"),
         }
     }
 
     /// Asks the system whether anybody listens there: a socket of its own hears of a refusal, the shared one does not.
     fn knock(self: &Rc<Self>, address: SocketAddr) {
-        if self.knocks.get() >= KNOCKS_MOST {
+        if self.knocks.get() >= MAX_REFUSAL_CHECKS {
             return;
         }
         self.knocks.set(self.knocks.get() + 1);
@@ -387,16 +398,16 @@
     (id, page): (u64, u16),
     tries: u32,
 ) -> Result<(Vec<u8>, u16), QueryError> {
-    let question = Message::Ask { id, page, pad: vec![0; MOST - 40] };
+    let question = Message::ViewRequest { id, page, pad: vec![0; MAX_DATAGRAM_BYTES - 40] };
     let bytes = codec.encode(&question).map_err(|_| QueryError::NoAnswer)?;
-    let mut buffer = vec![0; MOST + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     for _ in 0..tries.max(1) {
         // Refused by its system is told at the next call: nobody listens there, or not yet.
         if socket.send(&bytes).is_err() {
             continue;
         }
         while let Ok(n) = socket.recv(&mut buffer) {
-            if let Ok(Message::Page { id: i, page: p, pages, text }) = codec.decode(&buffer[..n])
+            if let Ok(Message::ViewPage { id: i, page: p, pages, text }) = codec.decode(&buffer[..n])
                 && (i, p) == (id, page)
             {
                 return Ok((text, pages));
--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -14,7 +14,7 @@
 //! messages; [`io`] carries out; [`config`] is what operators choose. Decisions do no I/O and read no clock.
 //!
 //! ```
-//! use pinepoint_membership::fleet::{Action, Event, Fleet, Rules};
+//! use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings};
 //! use pinepoint_membership::member::Identity;
 //!
 //! let member = |n: u8, seeds: &[u8]| {
@@ -22,7 +22,7 @@
 //!     let identity = Identity {
 //!         name: format!("n{n}"), zone: "a".into(), address: at(n), cores: 2, instance: u32::from(n),
 //!     };
-//!     Fleet::new(Rules::default(), 0.0, identity, seeds.iter().map(|n| at(*n)).collect(), u64::from(n))
+//!     Membership::new(MembershipSettings::default(), 0.0, identity, seeds.iter().map(|n| at(*n)).collect(), u64::from(n))
 //! };
 //! let (mut a, mut b) = (member(1, &[]), member(2, &[1]));
 //! let mut out = Vec::new();
@@ -32,10 +32,10 @@
 //!     for action in std::mem::take(&mut out) {
 //!         let Action::Send(_, packet) = action else { continue };
 //!         let mut answers = Vec::new();
-//!         a.handle(now, Event::Packet(packet), &mut answers);
+//!         a.handle(now, Event::PacketReceived(packet), &mut answers);
 //!         for answer in answers {
 //!             if let Action::Send(_, packet) = answer {
-//!                 b.handle(now, Event::Packet(packet), &mut Vec::new());
+//!                 b.handle(now, Event::PacketReceived(packet), &mut Vec::new());
 //!             }
 //!         }
 //!     }
@@ -46,9 +46,10 @@
 #![warn(missing_docs)]
 
 pub mod config;
-pub mod fleet;
+
+pub mod diagnosis;
 pub mod io;
-pub mod judge;
 pub mod member;
+pub mod membership;
 pub mod table;
 pub mod wire;
--- a/crates/pinepoint-membership/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Longest name of a member or zone, bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Who a process is, for the whole of its life.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -38,8 +38,8 @@
     /// One that takes as many bytes as any can.
     pub(crate) fn largest() -> Self {
         Identity {
-            name: "n".repeat(NAME_MOST),
-            zone: "z".repeat(NAME_MOST),
+            name: "n".repeat(MAX_NAME_BYTES),
+            zone: "z".repeat(MAX_NAME_BYTES),
             address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().expect("an address"),
             cores: u16::MAX,
             instance: u32::MAX,
@@ -72,7 +72,7 @@
 reason_codes! {
     /// What others believe of its life, in the order in which one overrides the other.
     #[derive(Serialize, Deserialize)]
-    Standing {
+    Liveness {
         /// It answers.
         Alive = "alive",
         /// It did not answer somebody, and may still refute that.
@@ -84,7 +84,7 @@
 
 /// One saying about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// Who.
     pub identity: Rc<Identity>,
     /// Which of its lives: only grows.
@@ -94,21 +94,21 @@
     /// What it tells of itself.
     pub phase: Phase,
     /// What is believed of it.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// Who accused it, in short, while it is suspected.
     pub by: u32,
 }
 
 /// The order of sayings about one member: the larger is the later.
-pub type Rank = (u64, u32, bool, u32, Standing);
+pub type Precedence = (u64, u32, bool, u32, Liveness);
 
-impl Record {
+impl MemberRecord {
     /// A later start overrides an earlier one; of two processes that chose one start, one overrides the other the same way
     /// everywhere. In one life, having left is the last word; else a later incarnation overrides, and in one incarnation
     /// the graver standing.
-    pub fn rank(&self) -> Rank {
+    pub fn precedence(&self) -> Precedence {
         let left = self.phase == Phase::Left;
-        (self.start, self.identity.instance, left, self.incarnation, self.standing)
+        (self.start, self.identity.instance, left, self.incarnation, self.liveness)
     }
 
     /// Which process it speaks of: a start, and the instance that tells two of one start apart.
@@ -118,15 +118,15 @@
 
     /// The word for its state: what it tells of itself while it answers, else what is believed.
     pub fn state(&self) -> &'static str {
-        match self.standing {
-            Standing::Alive => self.phase.code(),
-            standing => standing.code(),
+        match self.liveness {
+            Liveness::Alive => self.phase.code(),
+            liveness => liveness.code(),
         }
     }
 
     /// Whether it is there, as far as is believed: not left and not lost.
     pub fn is_up(&self) -> bool {
-        self.phase != Phase::Left && self.standing != Standing::Lost
+        self.phase != Phase::Left && self.liveness != Liveness::Lost
     }
 
     /// Its part of a digest.
@@ -136,7 +136,7 @@
         bytes.extend_from_slice(&self.start.to_le_bytes());
         bytes.extend_from_slice(&self.identity.instance.to_le_bytes());
         bytes.extend_from_slice(&self.incarnation.to_le_bytes());
-        bytes.extend_from_slice(&[self.phase as u8, self.standing as u8]);
+        bytes.extend_from_slice(&[self.phase as u8, self.liveness as u8]);
         xxh3_64(&bytes)
     }
 
@@ -177,16 +177,16 @@
 mod tests {
     use super::*;
 
-    fn record(start: u64, incarnation: u32, phase: Phase, standing: Standing) -> Record {
+    fn record(start: u64, incarnation: u32, phase: Phase, liveness: Liveness) -> MemberRecord {
         let address = ([10, 0, 0, 1], 7000).into();
         let identity = Identity { name: "n1".into(), zone: "a".into(), address, cores: 4, instance: 9 };
-        Record { identity: Rc::new(identity), start, incarnation, phase, standing, by: 0 }
+        MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 0 }
     }
 
     #[test]
     fn later_lives_leaving_incarnations_and_graver_standings_override_in_that_order() {
+        use Liveness::{Alive, Lost, Suspected};
         use Phase::{Left, Serving};
-        use Standing::{Alive, Lost, Suspected};
         let order = [
             record(1, 0, Serving, Alive),
             record(1, 0, Serving, Suspected),
@@ -195,12 +195,12 @@
             record(1, 0, Left, Alive),
             record(2, 0, Serving, Alive),
         ];
-        assert!(order.is_sorted_by(|a, b| a.rank() < b.rank()));
+        assert!(order.is_sorted_by(|a, b| a.precedence() < b.precedence()));
     }
 
     #[test]
     fn a_record_never_takes_more_than_it_says() {
-        let mut largest = record(u64::MAX, u32::MAX, Phase::Left, Standing::Lost);
+        let mut largest = record(u64::MAX, u32::MAX, Phase::Left, Liveness::Lost);
         largest.identity = Rc::new(Identity::largest());
         largest.by = u32::MAX;
         let bytes = postcard::to_allocvec(&largest).expect("encoded");
--- a/crates/pinepoint-membership/src/fleet.rs
+++ b/crates/pinepoint-membership/src/membership.rs
@@ -14,47 +14,47 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::judge::{self, Change, Judge, Own, Verdict};
-use crate::member::{Identity, Load, Phase, Record, Standing};
-use crate::table::{Table, Taken, bucket};
-use crate::wire::{BUCKETS, Body, FRAME, MOST, Packet, Sender};
+use crate::diagnosis::{self, DiagnosisEngine, LocalObservation, Verdict, VerdictChange};
+use crate::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use crate::table::{MemberTable, MergeOutcome, bucket};
+use crate::wire::{BUCKET_COUNT, FRAME_BYTES, MAX_DATAGRAM_BYTES, Packet, PacketBody, SenderState};
 
 /// Steps in a period: news spread on their own once in each.
-const STEPS: f64 = 5.0;
+const TICKS_PER_PERIOD: f64 = 5.0;
 /// Members that are asked to ask in one's place, and confirmations that shorten a suspicion to its least.
-const HELPERS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// To how many news go in a step.
-const SPREAD: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
 /// Parts of a period: till helpers are asked, till a question has failed, a clock's gap that counts as a stop.
-const DIRECT: f64 = 0.3;
-const FAILED: f64 = 0.8;
-const GAP: f64 = 0.6;
+const DIRECT_PROBE_TIMEOUT: f64 = 0.3;
+const PROBE_TIMEOUT: f64 = 0.8;
+const STALL_THRESHOLD: f64 = 0.6;
 /// Most that own trouble stretches waits by, beside once.
-const TROUBLE_MOST: u32 = 8;
+const MAX_LOCAL_HEALTH: u32 = 8;
 /// Questions under way at once, questions for others, datagrams of one repair.
-const PROBES_MOST: usize = 8;
-const RELAYS_MOST: usize = 64;
-const REPAIR_MOST: usize = 4;
+const MAX_PROBES: usize = 8;
+const MAX_RELAYED_PROBES: usize = 64;
+const MAX_SYNC_DATAGRAMS: usize = 4;
 /// Seeds asked in a period by one that knows nobody.
-const SEEDS: usize = 3;
+const SEEDS_PER_PERIOD: usize = 3;
 /// Among how many a suspicion makes others ask at once.
-const CHECKERS: f64 = 6.0;
+const EXPECTED_VERIFIERS: f64 = 6.0;
 /// Periods without change till the view may be settled; between repairs while it changes; till a rival that says nothing is
 /// held to be gone.
-const QUIET: f64 = 3.0;
-const REPAIR_EVERY: f64 = 5.0;
-const RIVAL: f64 = 2.0;
+const SETTLED_AFTER: f64 = 3.0;
+const MAX_SYNC_INTERVAL: f64 = 5.0;
+const NAME_CONFLICT_TIMEOUT: f64 = 2.0;
 /// Periods after which the plain heartbeat holds a silent member lost.
-const SILENT: f64 = 5.0;
+const HEARTBEAT_TIMEOUT: f64 = 5.0;
 
 /// How members are watched. The others than the first are what it is measured against.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Detector {
+pub enum FailureDetector {
     /// SWIM with own trouble, as described above.
     #[default]
-    OwnTrouble,
+    Lifeguard,
     /// SWIM without own trouble and with fixed times of suspicion.
-    Plain,
+    Swim,
     /// Everybody tells everybody once a period.
     Heartbeat,
 }
@@ -62,20 +62,20 @@
 /// A fault that is built in for tests that have to find it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum InjectedFault {
     /// The accused says nothing.
     NoRefutation,
     /// An earlier start overrides a later one.
-    OldStart,
+    AcceptStaleGeneration,
 }
 
 /// What holds for a member. All times are ms.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct MembershipSettings {
     /// Between two questions of one member.
     pub period_ms: f64,
     /// How members are watched.
-    pub detector: Detector,
+    pub detector: FailureDetector,
     /// Members that are known at most.
     pub members: usize,
     /// Who left is known for so long, and who was lost is known and asked again.
@@ -83,20 +83,20 @@
     /// See above.
     pub keep_lost_ms: f64,
     /// Of verdicts.
-    pub judge: judge::Rules,
+    pub judge: diagnosis::DiagnosisSettings,
     #[doc(hidden)]
-    pub fault: Option<Fault>,
+    pub fault: Option<InjectedFault>,
 }
 
-impl Default for Rules {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Rules {
+        MembershipSettings {
             period_ms: 1000.0,
-            detector: Detector::OwnTrouble,
+            detector: FailureDetector::Lifeguard,
             members: 4096,
             keep_left_ms: 600_000.0,
             keep_lost_ms: 86_400_000.0,
-            judge: judge::Rules::default(),
+            judge: diagnosis::DiagnosisSettings::default(),
             fault: None,
         }
     }
@@ -105,16 +105,16 @@
 /// What reaches a member.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed: [`Fleet::next_due`] is over.
+    /// Time has passed: [`Membership::next_due`] is over.
     Tick,
     /// A message came.
-    Packet(Packet),
+    PacketReceived(Packet),
     /// The system says that nobody listens at this address.
-    Refused(SocketAddr),
+    ConnectionRefused(SocketAddr),
     /// How this member is loaded.
-    Load(Load),
+    LoadChanged(Load),
     /// What this member is to tell of itself from now on.
-    Phase(Phase),
+    PhaseChanged(Phase),
 }
 
 /// What is to be done.
@@ -123,41 +123,41 @@
     /// Send this there.
     Send(SocketAddr, Packet),
     /// Tell whoever watches.
-    Tell(Told),
+    Notify(Notification),
 }
 
 reason_codes! {
     /// Why a saying was not believed.
-    Disbelief {
+    RecordRejectReason {
         /// Its start lies in the future.
-        ForgedStart = "forged-start",
+        ForgedGeneration = "forged-start",
         /// As many members are known as may be.
-        Full = "full",
+        TableFull = "full",
     }
 }
 
 /// What is worth telling.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Notification {
     /// A member is known anew, or its phase, standing or start has changed.
-    Member {
+    MemberChanged {
         /// As it is now.
-        record: Record,
+        record: MemberRecord,
         /// It was not known, or it is another life.
         new: bool,
     },
     /// A verdict holds, or no longer.
-    Verdict(Change),
+    VerdictChanged(VerdictChange),
     /// This member was stopped or starved for so long, ms.
-    Trouble(f64),
+    Stalled(f64),
     /// This member was held suspected or lost, and refutes that.
-    Refuted(Standing),
+    Refuted(Liveness),
     /// Others knew a later start of this member: it goes on from that.
-    StartRaised(u64),
+    GenerationRaised(u64),
     /// Something was not believed.
-    Disbelieved(Disbelief, String),
+    RecordRejected(RecordRejectReason, String),
     /// The view is settled, or no longer.
-    Settled(bool),
+    SettledChanged(bool),
 }
 
 struct Probe {
@@ -168,7 +168,7 @@
     nacks: u32,
 }
 
-struct Relay {
+struct RelayedProbe {
     seq: u32,
     origin: SocketAddr,
     origin_seq: u32,
@@ -186,19 +186,19 @@
 impl Suspicion {
     /// When it is over, by the law of Lifeguard: the more have accused independently, the sooner.
     fn over_ms(&self) -> f64 {
-        let confirmed = (self.accusers.len().max(1) as f64).ln() / ((HELPERS + 1) as f64).ln();
+        let confirmed = (self.accusers.len().max(1) as f64).ln() / ((INDIRECT_PROBES + 1) as f64).ln();
         self.began_ms + (self.most_ms - (self.most_ms - self.least_ms) * confirmed).max(self.least_ms)
     }
 }
 
-struct Rival {
-    record: Record,
+struct NameConflict {
+    record: MemberRecord,
     since_ms: f64,
 }
 
 /// A member's view as others may read it.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct View {
+pub struct MembershipView {
     /// The member whose view it is.
     #[serde(rename = "self")]
     pub own: String,
@@ -209,12 +209,12 @@
     /// Judgements over more than one member.
     pub verdicts: Vec<Verdict>,
     /// All members, this one included, by name.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberView>,
 }
 
 /// A member in a view.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct Seen {
+pub struct MemberView {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -234,19 +234,19 @@
 }
 
 /// One member.
-pub struct Fleet {
-    rules: Rules,
+pub struct Membership {
+    rules: MembershipSettings,
     random: Pcg64Mcg,
-    own: Record,
+    own: MemberRecord,
     load: Load,
     began_ms: f64,
     own_since_ms: f64,
     seeds: Vec<SocketAddr>,
-    table: Table,
-    judge: Judge,
+    table: MemberTable,
+    judge: DiagnosisEngine,
     order: Vec<u64>,
     probes: Vec<Probe>,
-    relays: VecDeque<Relay>,
+    relays: VecDeque<RelayedProbe>,
     suspects: BTreeMap<u64, Suspicion>,
     /// What is passed on, and how often it was.
     news: BTreeMap<u64, u32>,
@@ -264,26 +264,32 @@
     differed: Option<(f64, SocketAddr, u32)>,
     repaired_ms: f64,
     horizon_ms: f64,
-    rival: Option<Rival>,
+    rival: Option<NameConflict>,
     settled: bool,
 }
 
-impl Fleet {
+impl Membership {
     /// A member that knows nobody yet, at this time. Its start is the time unless others know a later one.
-    pub fn new(rules: Rules, now: f64, identity: Identity, seeds: Vec<SocketAddr>, seed: u64) -> Self {
+    pub fn new(
+        rules: MembershipSettings,
+        now: f64,
+        identity: Identity,
+        seeds: Vec<SocketAddr>,
+        seed: u64,
+    ) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let record = Record {
+        let record = MemberRecord {
             identity: Rc::new(identity),
             start: now.max(1.0) as u64,
             incarnation: 0,
             phase: Phase::Joining,
-            standing: Standing::Alive,
+            liveness: Liveness::Alive,
             by: 0,
         };
         // All that start in one instant are spread over a period.
         let first = now + rules.period_ms * (random.next_u32() as f64 / f64::from(u32::MAX));
         let own_key = record.identity.key();
-        Fleet {
+        Membership {
             rules,
             random,
             own: record,
@@ -291,8 +297,8 @@
             began_ms: now,
             own_since_ms: now,
             seeds,
-            table: Table::new(rules.members.saturating_sub(1)),
-            judge: Judge::new(rules.judge, rules.period_ms),
+            table: MemberTable::new(rules.members.saturating_sub(1)),
+            judge: DiagnosisEngine::new(rules.judge, rules.period_ms),
             order: Vec::new(),
             probes: Vec::new(),
             relays: VecDeque::new(),
@@ -303,7 +309,7 @@
             dubious: BTreeSet::new(),
             quiet_until_ms: f64::NEG_INFINITY,
             seq: 0,
-            step_ms: now + (first - now) / STEPS,
+            step_ms: now + (first - now) / TICKS_PER_PERIOD,
             probe_ms: first,
             period_ms: first,
             changed_ms: now,
@@ -318,7 +324,7 @@
 
     /// A member that knows these already, as one that has been there for long: for simulations of large fleets.
     #[doc(hidden)]
-    pub fn preload<'a>(&mut self, now: f64, records: impl Iterator<Item = &'a Record>) {
+    pub fn preload<'a>(&mut self, now: f64, records: impl Iterator<Item = &'a MemberRecord>) {
         for record in records.filter(|record| record.identity.key() != self.own.identity.key()) {
             self.table.take(now, self.horizon_ms, record);
         }
@@ -331,12 +337,12 @@
     }
 
     /// What this member says of itself.
-    pub fn own(&self) -> &Record {
+    pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
     /// The members that it knows.
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
@@ -352,7 +358,7 @@
 
     /// Whether nothing changes and those heard lately hold the same.
     pub fn is_settled(&self, now: f64) -> bool {
-        let quiet = QUIET * self.rules.period_ms;
+        let quiet = SETTLED_AFTER * self.rules.period_ms;
         let alone = self.table.up() == 0;
         let differs = self.differed.is_some_and(|(at, ..)| now - at < quiet);
         now - self.changed_ms >= quiet
@@ -373,8 +379,8 @@
     }
 
     /// The view.
-    pub fn view(&self, now: f64) -> View {
-        let seen = |record: &Record, since_ms: f64, load: Option<(Load, f64)>| Seen {
+    pub fn view(&self, now: f64) -> MembershipView {
+        let seen = |record: &MemberRecord, since_ms: f64, load: Option<(Load, f64)>| MemberView {
             name: record.identity.name.clone(),
             zone: record.identity.zone.clone(),
             state: record.state(),
@@ -388,10 +394,10 @@
             let load = member.heard_ms.is_finite().then_some((member.load, now - member.heard_ms));
             seen(&member.record, member.since_ms, load)
         });
-        let mut members: Vec<Seen> = others.collect();
+        let mut members: Vec<MemberView> = others.collect();
         members.push(seen(&self.own, self.own_since_ms, Some((self.load, 0.0))));
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        View {
+        MembershipView {
             own: self.own.identity.name.clone(),
             settled: self.is_settled(now),
             digest: format!("{:016x}", self.digest()),
@@ -406,8 +412,8 @@
         self.notice_gap(now, out);
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Packet(packet) => self.packet(now, packet, out),
-            Event::Refused(address) => {
+            Event::PacketReceived(packet) => self.packet(now, packet, out),
+            Event::ConnectionRefused(address) => {
                 let there: Vec<u64> = self.table.at(address).collect();
                 for key in there {
                     if let Some(member) = self.table.get_mut(key) {
@@ -415,8 +421,8 @@
                     }
                 }
             }
-            Event::Load(load) => self.load = load,
-            Event::Phase(phase) => self.change_phase(now, phase, out),
+            Event::LoadChanged(load) => self.load = load,
+            Event::PhaseChanged(phase) => self.change_phase(now, phase, out),
         }
     }
 
@@ -449,7 +455,7 @@
     }
 
     fn minds_itself(&self) -> bool {
-        self.rules.detector == Detector::OwnTrouble
+        self.rules.detector == FailureDetector::Lifeguard
     }
 
     /// How much own waits are stretched.
@@ -458,14 +464,14 @@
     }
 
     fn worse(&mut self, by: u32) {
-        self.trouble = (self.trouble + by).min(TROUBLE_MOST);
+        self.trouble = (self.trouble + by).min(MAX_LOCAL_HEALTH);
     }
 
     /// A clock that jumped, or a process that was not run: what it holds to be unanswered may have been answered. It accuses
     /// nobody for a while, and what ran out meanwhile did not.
     fn notice_gap(&mut self, now: f64, out: &mut Vec<Action>) {
         let late = now - self.step_ms;
-        if !self.minds_itself() || late < GAP * self.rules.period_ms {
+        if !self.minds_itself() || late < STALL_THRESHOLD * self.rules.period_ms {
             return;
         }
         self.worse(2);
@@ -473,18 +479,18 @@
         self.relays.clear();
         // What refuted them meanwhile was not heard: they begin anew, and others are asked for what they hold.
         self.suspects.values_mut().for_each(|suspicion| suspicion.began_ms = now);
-        for identity in self.some(HELPERS, 0) {
+        for identity in self.some(INDIRECT_PROBES, 0) {
             self.ask_for_repair(now, identity.address, out);
         }
         self.quiet_until_ms = now + self.rules.period_ms * self.stretch();
         (self.step_ms, self.probe_ms, self.period_ms) = (now, now, now);
-        out.push(Action::Tell(Told::Trouble(late)));
+        out.push(Action::Notify(Notification::Stalled(late)));
     }
 
     // ---- messages out ----
 
-    fn sender(&self, now: f64) -> Sender {
-        Sender {
+    fn sender(&self, now: f64) -> SenderState {
+        SenderState {
             record: self.own.clone(),
             load: Load { up_s: ((now - self.began_ms).max(0.0) / 1000.0) as u32, ..self.load },
             digest: self.digest(),
@@ -494,7 +500,7 @@
     }
 
     /// The saying that is passed on about a member.
-    fn saying(&self, key: u64, turn: u32) -> Option<Record> {
+    fn saying(&self, key: u64, turn: u32) -> Option<MemberRecord> {
         if key == self.own.identity.key() {
             return Some(self.own.clone());
         }
@@ -511,9 +517,9 @@
     }
 
     /// Sayings that fit into so many bytes: what the receiver most needs to know first, then what was passed on least.
-    fn pick_news(&mut self, to: Option<u64>, room: usize) -> Vec<Record> {
+    fn pick_news(&mut self, to: Option<u64>, room: usize) -> Vec<MemberRecord> {
         let (mut picked, mut left) = (Vec::new(), room);
-        if let Some(record) = to.and_then(|key| self.saying(key, 0)).filter(|r| r.standing != Standing::Alive)
+        if let Some(record) = to.and_then(|key| self.saying(key, 0)).filter(|r| r.liveness != Liveness::Alive)
         {
             left = left.saturating_sub(record.size());
             picked.push(record);
@@ -540,13 +546,13 @@
         picked
     }
 
-    fn send(&mut self, now: f64, to: (SocketAddr, Option<u64>), body: Body, out: &mut Vec<Action>) {
+    fn send(&mut self, now: f64, to: (SocketAddr, Option<u64>), body: PacketBody, out: &mut Vec<Action>) {
         let frame = match body {
-            Body::Sync { .. } => MOST,
-            Body::PingReq { .. } => 2 * FRAME,
-            _ => FRAME,
+            PacketBody::SyncDigests { .. } => MAX_DATAGRAM_BYTES,
+            PacketBody::PingReq { .. } => 2 * FRAME_BYTES,
+            _ => FRAME_BYTES,
         };
-        let news = self.pick_news(to.1, MOST - frame);
+        let news = self.pick_news(to.1, MAX_DATAGRAM_BYTES - frame);
         out.push(Action::Send(to.0, Packet { from: self.sender(now), body, news }));
     }
 
@@ -557,14 +563,14 @@
 
     fn ping(&mut self, now: f64, to: (SocketAddr, Option<u64>), out: &mut Vec<Action>) -> u32 {
         let seq = self.next_seq();
-        self.send(now, to, Body::Ping { seq }, out);
+        self.send(now, to, PacketBody::Ping { seq }, out);
         seq
     }
 
     // ---- time ----
 
     fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        let step = self.rules.period_ms / STEPS;
+        let step = self.rules.period_ms / TICKS_PER_PERIOD;
         if now < self.step_ms {
             return;
         }
@@ -578,7 +584,7 @@
         if now >= self.probe_ms {
             self.probe_ms = now + self.rules.period_ms * self.stretch();
             match self.rules.detector {
-                Detector::Heartbeat => self.beat(now, out),
+                FailureDetector::Heartbeat => self.beat(now, out),
                 _ => self.probe_next(now, out),
             }
         }
@@ -586,26 +592,26 @@
             self.period_ms = now + self.rules.period_ms;
             self.each_period(now, out);
         }
-        if !self.news.is_empty() && self.rules.detector != Detector::Heartbeat {
-            for identity in self.some(SPREAD, 0) {
+        if !self.news.is_empty() && self.rules.detector != FailureDetector::Heartbeat {
+            for identity in self.some(GOSSIP_FANOUT, 0) {
                 if self.news.is_empty() {
                     break;
                 }
-                self.send(now, (identity.address, Some(identity.key())), Body::Gossip, out);
+                self.send(now, (identity.address, Some(identity.key())), PacketBody::Gossip, out);
             }
         }
         self.repair(now, out);
         let settled = self.is_settled(now);
         if settled != self.settled {
             self.settled = settled;
-            out.push(Action::Tell(Told::Settled(settled)));
+            out.push(Action::Notify(Notification::SettledChanged(settled)));
         }
     }
 
     fn each_period(&mut self, now: f64, out: &mut Vec<Action>) {
         self.find_others(now, out);
         if let Some(rival) = &self.rival
-            && now - rival.since_ms >= RIVAL * self.rules.period_ms
+            && now - rival.since_ms >= NAME_CONFLICT_TIMEOUT * self.rules.period_ms
         {
             let start = rival.record.start;
             self.rival = None;
@@ -619,7 +625,7 @@
         self.dubious.retain(|key| table.get(*key).is_some_and(|member| member.unanswered >= 2));
         let mut changes = Vec::new();
         let identity = self.own.identity.clone();
-        let own = Own {
+        let own = LocalObservation {
             zone: &identity.zone,
             up_ms: now - self.began_ms,
             in_trouble: now < self.quiet_until_ms,
@@ -628,14 +634,14 @@
             dubious: &self.dubious,
         };
         self.judge.judge(now, own, &self.table, &mut changes);
-        out.extend(changes.into_iter().map(|change| Action::Tell(Told::Verdict(change))));
+        out.extend(changes.into_iter().map(|change| Action::Notify(Notification::VerdictChanged(change))));
     }
 
     /// Asks seeds while nobody is known, and now and then one that is nobody's address: what was never one fleet, or fell
     /// apart for longer than the lost are kept, finds together through them. Of the lost one is asked again now and then.
     fn find_others(&mut self, now: f64, out: &mut Vec<Action>) {
         let up = self.table.up();
-        let asked = if up == 0 { SEEDS } else { usize::from(self.below(10) == 0) };
+        let asked = if up == 0 { SEEDS_PER_PERIOD } else { usize::from(self.below(10) == 0) };
         let first = self.below(self.seeds.len());
         for at in (0..self.seeds.len()).take(asked) {
             let seed = self.seeds[(first + at) % self.seeds.len()];
@@ -657,7 +663,7 @@
     }
 
     fn beat(&mut self, now: f64, out: &mut Vec<Action>) {
-        let silent = now - SILENT * self.rules.period_ms;
+        let silent = now - HEARTBEAT_TIMEOUT * self.rules.period_ms;
         let all: Vec<(u64, Rc<Identity>, bool)> = self
             .table
             .iter()
@@ -665,9 +671,9 @@
             .map(|(key, m)| (key, m.record.identity.clone(), m.heard_ms.max(m.since_ms) < silent))
             .collect();
         for (key, identity, is_silent) in all {
-            self.send(now, (identity.address, Some(key)), Body::Gossip, out);
+            self.send(now, (identity.address, Some(key)), PacketBody::Gossip, out);
             if is_silent {
-                self.hold(now, key, Standing::Lost, out);
+                self.hold(now, key, Liveness::Lost, out);
             }
         }
     }
@@ -695,7 +701,7 @@
     }
 
     fn probe(&mut self, now: f64, key: u64, out: &mut Vec<Action>) {
-        if self.probes.len() >= PROBES_MOST || self.probes.iter().any(|probe| probe.target == key) {
+        if self.probes.len() >= MAX_PROBES || self.probes.iter().any(|probe| probe.target == key) {
             return;
         }
         let Some(identity) = self.table.identity(key).cloned() else { return };
@@ -707,17 +713,17 @@
         let (period, stretch) = (self.rules.period_ms, self.stretch());
         for at in 0..self.probes.len() {
             let Probe { seq, target, sent_ms, helpers, .. } = self.probes[at];
-            if helpers == 0 && now - sent_ms >= DIRECT * period * stretch {
+            if helpers == 0 && now - sent_ms >= DIRECT_PROBE_TIMEOUT * period * stretch {
                 let Some(identity) = self.table.identity(target).cloned() else { continue };
-                let asked = self.some(HELPERS, target);
+                let asked = self.some(INDIRECT_PROBES, target);
                 self.probes[at].helpers = asked.len().max(1) as u32;
                 for helper in asked {
-                    let body = Body::PingReq { seq, target: identity.clone() };
+                    let body = PacketBody::PingReq { seq, target: identity.clone() };
                     self.send(now, (helper.address, Some(helper.key())), body, out);
                 }
             }
         }
-        let failed = |probe: &Probe| now - probe.sent_ms >= FAILED * period * stretch;
+        let failed = |probe: &Probe| now - probe.sent_ms >= PROBE_TIMEOUT * period * stretch;
         let (over, going): (Vec<Probe>, Vec<Probe>) = self.probes.drain(..).partition(failed);
         self.probes = going;
         for probe in over {
@@ -743,7 +749,7 @@
             })
             .collect();
         for (origin, seq) in due {
-            self.send(now, (origin, None), Body::Nack { seq }, out);
+            self.send(now, (origin, None), PacketBody::Nack { seq }, out);
         }
         self.relays.retain(|relay| relay.over_ms > now);
     }
@@ -760,27 +766,27 @@
             return;
         }
         let address = member.record.identity.address;
-        if member.record.standing == Standing::Alive {
-            self.hold(now, key, Standing::Suspected, out);
+        if member.record.liveness == Liveness::Alive {
+            self.hold(now, key, Liveness::Suspected, out);
         } else {
             let by = self.by();
             self.confirm(key, by);
         }
         // The accused hears of it first.
-        self.send(now, (address, Some(key)), Body::Gossip, out);
+        self.send(now, (address, Some(key)), PacketBody::Gossip, out);
     }
 
     /// This member's own judgement of another.
-    fn hold(&mut self, now: f64, key: u64, standing: Standing, out: &mut Vec<Action>) {
+    fn hold(&mut self, now: f64, key: u64, liveness: Liveness, out: &mut Vec<Action>) {
         let Some(member) = self.table.get(key) else { return };
-        let record = Record { standing, by: self.by(), ..member.record.clone() };
+        let record = MemberRecord { liveness, by: self.by(), ..member.record.clone() };
         self.take(now, &record, out);
     }
 
     fn confirm(&mut self, key: u64, by: u32) {
         if let Some(suspicion) = self.suspects.get_mut(&key)
             && by != 0
-            && suspicion.accusers.len() <= HELPERS
+            && suspicion.accusers.len() <= INDIRECT_PROBES
             && !suspicion.accusers.contains(&by)
         {
             suspicion.accusers.push(by);
@@ -804,7 +810,7 @@
         let over: Vec<u64> = over.map(|(key, _)| *key).collect();
         for key in over {
             self.suspects.remove(&key);
-            self.hold(now, key, Standing::Lost, out);
+            self.hold(now, key, Liveness::Lost, out);
         }
     }
 
@@ -821,26 +827,28 @@
             return;
         }
         // Clocks that are somewhat ahead move the horizon; one that is far off does not.
-        if from.now_ms > self.horizon_ms && from.now_ms < self.horizon_ms + crate::table::START_AHEAD_MS {
+        if from.now_ms > self.horizon_ms
+            && from.now_ms < self.horizon_ms + crate::table::MAX_GENERATION_AHEAD_MS
+        {
             self.horizon_ms = from.now_ms;
         }
         let address = from.record.identity.address;
         self.take(now, &from.record, out);
         let Some(member) = self.table.get(key) else { return };
         let current = member.record.life() == from.record.life();
-        let must_refute = !current || member.record.standing != Standing::Alive;
+        let must_refute = !current || member.record.liveness != Liveness::Alive;
         if current {
             self.table.hear(now, key, from.load);
         }
         let mut outdated = Vec::new();
         for record in &news {
-            if self.take(now, record, out) == Taken::Old && record.standing != Standing::Alive {
+            if self.take(now, record, out) == MergeOutcome::Stale && record.liveness != Liveness::Alive {
                 outdated.extend(self.saying(record.identity.key(), 0));
             }
         }
         // Who holds gone what has refuted that hears so at once.
-        if !outdated.is_empty() && !matches!(body, Body::Want { .. }) {
-            let mut room = MOST - FRAME;
+        if !outdated.is_empty() && !matches!(body, PacketBody::SyncPull { .. }) {
+            let mut room = MAX_DATAGRAM_BYTES - FRAME_BYTES;
             outdated.retain(|record| {
                 let fits = record.size() <= room;
                 room -= if fits { record.size() } else { 0 };
@@ -848,7 +856,7 @@
             });
             out.push(Action::Send(
                 address,
-                Packet { from: self.sender(now), body: Body::Gossip, news: outdated },
+                Packet { from: self.sender(now), body: PacketBody::Gossip, news: outdated },
             ));
         }
         if from.digest == self.digest() {
@@ -860,32 +868,34 @@
             self.differed = Some((now, address, from.known));
         }
         match body {
-            Body::Ping { seq } => self.send(now, (address, Some(key)), Body::Ack { seq }, out),
-            Body::PingReq { seq, target } => {
+            PacketBody::Ping { seq } => self.send(now, (address, Some(key)), PacketBody::Ack { seq }, out),
+            PacketBody::PingReq { seq, target } => {
                 let own_seq = self.ping(now, (target.address, Some(target.key())), out);
-                if self.relays.len() >= RELAYS_MOST {
+                if self.relays.len() >= MAX_RELAYED_PROBES {
                     self.relays.pop_front();
                 }
                 let period = self.rules.period_ms;
-                self.relays.push_back(Relay {
+                self.relays.push_back(RelayedProbe {
                     seq: own_seq,
                     origin: address,
                     origin_seq: seq,
-                    nack_ms: Some(now + DIRECT * period),
-                    over_ms: now + period * f64::from(TROUBLE_MOST),
+                    nack_ms: Some(now + DIRECT_PROBE_TIMEOUT * period),
+                    over_ms: now + period * f64::from(MAX_LOCAL_HEALTH),
                 });
             }
-            Body::Ack { seq } => self.acked(now, key, seq, out),
-            Body::Nack { seq } => {
+            PacketBody::Ack { seq } => self.acked(now, key, seq, out),
+            PacketBody::Nack { seq } => {
                 if let Some(probe) = self.probes.iter_mut().find(|probe| probe.seq == seq) {
                     probe.nacks += 1;
                 }
             }
-            Body::Gossip if must_refute => self.send(now, (address, Some(key)), Body::Gossip, out),
-            Body::Gossip => {}
-            Body::Sync { buckets } => self.compare(now, (address, key), &buckets, out),
-            Body::Want { buckets } => {
-                let wanted = (0..BUCKETS).filter(|at| buckets >> at & 1 == 1).collect();
+            PacketBody::Gossip if must_refute => {
+                self.send(now, (address, Some(key)), PacketBody::Gossip, out)
+            }
+            PacketBody::Gossip => {}
+            PacketBody::SyncDigests { buckets } => self.compare(now, (address, key), &buckets, out),
+            PacketBody::SyncPull { buckets } => {
+                let wanted = (0..BUCKET_COUNT).filter(|at| buckets >> at & 1 == 1).collect();
                 self.tell_buckets(now, address, wanted, false, out);
             }
         }
@@ -913,53 +923,64 @@
         if let Some(at) = self.relays.iter().position(|relay| relay.seq == seq)
             && let Some(relay) = self.relays.remove(at)
         {
-            self.send(now, (relay.origin, None), Body::Ack { seq: relay.origin_seq }, out);
+            self.send(now, (relay.origin, None), PacketBody::Ack { seq: relay.origin_seq }, out);
         }
     }
 
     /// Takes a saying, whoever it is about.
-    fn take(&mut self, now: f64, record: &Record, out: &mut Vec<Action>) -> Taken {
+    fn take(&mut self, now: f64, record: &MemberRecord, out: &mut Vec<Action>) -> MergeOutcome {
         let key = record.identity.key();
         if key == self.own.identity.key() {
             self.about_self(now, record, out);
-            return Taken::Known;
+            return MergeOutcome::Duplicate;
         }
         let was = self.table.get(key).map(|member| member.record.clone());
-        if self.rules.fault == Some(Fault::OldStart)
+        if self.rules.fault == Some(InjectedFault::AcceptStaleGeneration)
             && let Some(was) = &was
             && record.start < was.start
         {
             let (start, identity) = (was.start, was.identity.clone());
-            let forged = Record { start, identity, incarnation: was.incarnation, ..record.clone() };
+            let forged = MemberRecord { start, identity, incarnation: was.incarnation, ..record.clone() };
             self.table.take(now, self.horizon_ms, &forged);
         }
         let taken = self.table.take(now, self.horizon_ms, record);
         match taken {
-            Taken::News => self.learned(now, key, was.as_ref(), record, out),
-            Taken::Known if record.standing == Standing::Suspected => self.confirm(key, record.by),
-            Taken::Known | Taken::Old => {}
-            Taken::Forged => {
+            MergeOutcome::Applied => self.learned(now, key, was.as_ref(), record, out),
+            MergeOutcome::Duplicate if record.liveness == Liveness::Suspected => self.confirm(key, record.by),
+            MergeOutcome::Duplicate | MergeOutcome::Stale => {}
+            MergeOutcome::ForgedGeneration => {
                 let name = record.identity.name.clone();
-                out.push(Action::Tell(Told::Disbelieved(Disbelief::ForgedStart, name)));
+                out.push(Action::Notify(Notification::RecordRejected(
+                    RecordRejectReason::ForgedGeneration,
+                    name,
+                )));
             }
-            Taken::Full => {
+            MergeOutcome::TableFull => {
                 let name = record.identity.name.clone();
-                out.push(Action::Tell(Told::Disbelieved(Disbelief::Full, name)));
+                out.push(Action::Notify(Notification::RecordRejected(RecordRejectReason::TableFull, name)));
             }
         }
         taken
     }
 
-    fn learned(&mut self, now: f64, key: u64, was: Option<&Record>, record: &Record, out: &mut Vec<Action>) {
+    fn learned(
+        &mut self,
+        now: f64,
+        key: u64,
+        was: Option<&MemberRecord>,
+        record: &MemberRecord,
+        out: &mut Vec<Action>,
+    ) {
         self.changed_ms = now;
         self.news.insert(key, 0);
         let new = was.is_none_or(|was| was.life() != record.life());
-        if record.standing == Standing::Suspected {
+        if record.liveness == Liveness::Suspected {
             if new || !self.suspects.contains_key(&key) {
                 self.begin_suspicion(now, key, record.by);
                 // A few look for themselves at once, however large the fleet.
                 let n = self.table.up() as f64;
-                if record.by != self.by() && (self.below(1 << 20) as f64) < CHECKERS / n * f64::from(1 << 20)
+                if record.by != self.by()
+                    && (self.below(1 << 20) as f64) < EXPECTED_VERIFIERS / n * f64::from(1 << 20)
                 {
                     self.probe(now, key, out);
                 }
@@ -971,9 +992,9 @@
             let at = self.below(self.order.len() + 1);
             self.order.insert(at, key);
         }
-        let told = was.is_none_or(|was| new || was.standing != record.standing || was.phase != record.phase);
+        let told = was.is_none_or(|was| new || was.liveness != record.liveness || was.phase != record.phase);
         if told {
-            out.push(Action::Tell(Told::Member { record: record.clone(), new }));
+            out.push(Action::Notify(Notification::MemberChanged { record: record.clone(), new }));
         }
     }
 
@@ -991,7 +1012,7 @@
             // Its last word goes out at once, and more than once.
             let n = self.passes() as usize;
             for identity in self.some(n, 0) {
-                self.send(now, (identity.address, Some(identity.key())), Body::Gossip, out);
+                self.send(now, (identity.address, Some(identity.key())), PacketBody::Gossip, out);
             }
         }
     }
@@ -1003,7 +1024,7 @@
         self.news.insert(self.own.identity.key(), 0);
     }
 
-    fn about_self(&mut self, now: f64, record: &Record, out: &mut Vec<Action>) {
+    fn about_self(&mut self, now: f64, record: &MemberRecord, out: &mut Vec<Action>) {
         let own = &self.own;
         if record.identity.instance != own.identity.instance {
             if record.start < own.start {
@@ -1011,25 +1032,29 @@
                 self.news.insert(self.own.identity.key(), 0);
                 return;
             }
-            if record.start as f64 > self.horizon_ms + crate::table::START_AHEAD_MS {
+            if record.start as f64 > self.horizon_ms + crate::table::MAX_GENERATION_AHEAD_MS {
                 let name = record.identity.name.clone();
-                out.push(Action::Tell(Told::Disbelieved(Disbelief::ForgedStart, name)));
+                out.push(Action::Notify(Notification::RecordRejected(
+                    RecordRejectReason::ForgedGeneration,
+                    name,
+                )));
                 return;
             }
             // An earlier life of this member, unless its process speaks for itself.
             if record.identity.address == own.identity.address || record.phase == Phase::Left {
                 self.raise_start(now, record.start, out);
-            } else if self.rival.as_ref().is_none_or(|rival| rival.record.rank() < record.rank()) {
+            } else if self.rival.as_ref().is_none_or(|rival| rival.record.precedence() < record.precedence())
+            {
                 let address = record.identity.address;
-                self.rival = Some(Rival { record: record.clone(), since_ms: now });
+                self.rival = Some(NameConflict { record: record.clone(), since_ms: now });
                 self.ping(now, (address, None), out);
             }
             return;
         }
-        if record.start != own.start || record.rank() <= own.rank() {
+        if record.start != own.start || record.precedence() <= own.precedence() {
             return;
         }
-        if self.rules.fault == Some(Fault::NoRefutation) {
+        if self.rules.fault == Some(InjectedFault::NoRefutation) {
             return;
         }
         if record.incarnation == u32::MAX {
@@ -1040,7 +1065,7 @@
         self.own.incarnation = record.incarnation;
         self.speak(now);
         self.worse(1);
-        out.push(Action::Tell(Told::Refuted(record.standing)));
+        out.push(Action::Notify(Notification::Refuted(record.liveness)));
     }
 
     fn raise_start(&mut self, now: f64, over: u64, out: &mut Vec<Action>) {
@@ -1048,20 +1073,20 @@
             self.own.start = over + 1;
             self.own.incarnation = 0;
             self.speak(now);
-            out.push(Action::Tell(Told::StartRaised(self.own.start)));
+            out.push(Action::Notify(Notification::GenerationRaised(self.own.start)));
         }
     }
 
     /// A message from a process of this member's name.
-    fn namesake(&mut self, now: f64, record: &Record, out: &mut Vec<Action>) {
+    fn namesake(&mut self, now: f64, record: &MemberRecord, out: &mut Vec<Action>) {
         if record.identity.instance == self.own.identity.instance {
             return;
         }
         let address = record.identity.address;
-        let known = self.judge.holds(judge::Kind::NameClash);
+        let known = self.judge.holds(diagnosis::VerdictKind::NameClash);
         let mut changes = Vec::new();
         self.judge.clash(now, &address.to_string(), &mut changes);
-        out.extend(changes.into_iter().map(|change| Action::Tell(Told::Verdict(change))));
+        out.extend(changes.into_iter().map(|change| Action::Notify(Notification::VerdictChanged(change))));
         // It lives: the name is the later start's, and both say so.
         self.rival = None;
         if !known {
@@ -1077,7 +1102,7 @@
         let period = self.rules.period_ms;
         let knows_more = f64::from(known) > 1.1 * self.table.len() as f64 + 1.0;
         let pause = if knows_more { 0.0 } else { period };
-        let calm = now - self.changed_ms >= period || now - self.repaired_ms >= REPAIR_EVERY * period;
+        let calm = now - self.changed_ms >= period || now - self.repaired_ms >= MAX_SYNC_INTERVAL * period;
         if now - at > 2.0 * period || now - self.repaired_ms < pause || !(calm || knows_more) {
             return;
         }
@@ -1087,13 +1112,13 @@
 
     fn ask_for_repair(&mut self, now: f64, with: SocketAddr, out: &mut Vec<Action>) {
         let buckets = self.table.digests(&self.own).iter().map(|digest| *digest as u32).collect();
-        self.send(now, (with, None), Body::Sync { buckets }, out);
+        self.send(now, (with, None), PacketBody::SyncDigests { buckets }, out);
     }
 
     fn compare(&mut self, now: f64, from: (SocketAddr, u64), theirs: &[u32], out: &mut Vec<Action>) {
         let own = self.table.digests(&self.own);
         let differ = |at: &usize| own[*at] as u32 != theirs.get(*at).copied().unwrap_or(0);
-        let mut differing: Vec<usize> = (0..BUCKETS).filter(differ).collect();
+        let mut differing: Vec<usize> = (0..BUCKET_COUNT).filter(differ).collect();
         if differing.is_empty() {
             return;
         }
@@ -1112,21 +1137,22 @@
         ask: bool,
         out: &mut Vec<Action>,
     ) {
-        let (mut parts, mut room) = (vec![Vec::new()], MOST - FRAME);
+        let (mut parts, mut room) = (vec![Vec::new()], MAX_DATAGRAM_BYTES - FRAME_BYTES);
         let mut told = 0_u128;
         let own_bucket = bucket(self.own.identity.key());
         'all: for at in wanted {
-            let mut records: Vec<Record> = self.table.in_bucket(at).map(|(_, m)| m.record.clone()).collect();
+            let mut records: Vec<MemberRecord> =
+                self.table.in_bucket(at).map(|(_, m)| m.record.clone()).collect();
             if at == own_bucket {
                 records.push(self.own.clone());
             }
             for record in records {
                 if record.size() > room {
-                    if parts.len() == REPAIR_MOST {
+                    if parts.len() == MAX_SYNC_DATAGRAMS {
                         break 'all;
                     }
                     parts.push(Vec::new());
-                    room = MOST - FRAME;
+                    room = MAX_DATAGRAM_BYTES - FRAME_BYTES;
                 }
                 room -= record.size();
                 if let Some(part) = parts.last_mut() {
@@ -1136,7 +1162,8 @@
             told |= 1 << at;
         }
         for (at, news) in parts.into_iter().enumerate() {
-            let body = if ask && at == 0 { Body::Want { buckets: told } } else { Body::Gossip };
+            let body =
+                if ask && at == 0 { PacketBody::SyncPull { buckets: told } } else { PacketBody::Gossip };
             out.push(Action::Send(to, Packet { from: self.sender(now), body, news }));
         }
     }
--- a/crates/pinepoint-membership/src/table.rs
+++ b/crates/pinepoint-membership/src/table.rs
@@ -9,17 +9,17 @@
 use indexmap::IndexSet;
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
-use crate::member::{Identity, Load, Phase, Record, Standing};
-use crate::wire::BUCKETS;
+use crate::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use crate::wire::BUCKET_COUNT;
 
 /// A start further ahead of the clock than this is forged or of a broken clock, ms.
-pub const START_AHEAD_MS: f64 = 86_400_000.0;
+pub const MAX_GENERATION_AHEAD_MS: f64 = 86_400_000.0;
 
 /// A member as it is known here.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct MemberState {
     /// The latest saying.
-    pub record: Record,
+    pub record: MemberRecord,
     /// When its standing or phase changed here, ms.
     pub since_ms: f64,
     /// When a message came from itself, ms; minus infinity if none did.
@@ -31,49 +31,49 @@
     /// Its system said that nobody listens there.
     pub refused: bool,
     /// It came to be held lost by news alone: nobody was seen to suspect it first.
-    pub told_lost: bool,
+    pub lost_by_gossip: bool,
     /// Where it stood in its life before this one, if that was known: a new start came after a loss.
-    pub returned: Returned,
+    pub recovery: Recovery,
     /// When it returned, ms.
-    pub returned_ms: f64,
+    pub recovered_ms: f64,
 }
 
 /// How a member came back after it was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Returned {
+pub enum Recovery {
     /// It was not lost.
     #[default]
-    Never,
+    None,
     /// It was there all the while: the same start.
-    SameStart,
+    SameGeneration,
     /// It was started anew.
-    NewStart,
+    NewGeneration,
 }
 
 /// What became of a saying.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// It is news.
-    News,
+    Applied,
     /// It is what is known.
-    Known,
+    Duplicate,
     /// It is older than what is known.
-    Old,
+    Stale,
     /// Its start lies in the future.
-    Forged,
+    ForgedGeneration,
     /// There is no room for another member.
-    Full,
+    TableFull,
 }
 
 /// The table, without this member itself. Beside the members it keeps, as sayings come, whatever is asked of them each
 /// period, so that neither a fleet in which nothing happens nor one in which something does costs more the larger it is.
 #[derive(Clone, Debug)]
-pub struct Table {
-    members: FxHashMap<u64, Member>,
+pub struct MemberTable {
+    members: FxHashMap<u64, MemberState>,
     /// Of all of them: a bucket is a range of these.
     keys: BTreeSet<u64>,
     most: usize,
-    buckets: [u64; BUCKETS],
+    buckets: [u64; BUCKET_COUNT],
     /// Of all buckets.
     digest: u64,
     /// Who is there, as far as is believed, in an order in which one can be drawn at random.
@@ -101,14 +101,14 @@
     (key >> 57) as usize
 }
 
-impl Table {
+impl MemberTable {
     /// An empty table for at most so many members.
     pub fn new(most: usize) -> Self {
-        Table {
+        MemberTable {
             members: FxHashMap::default(),
             keys: BTreeSet::new(),
             most,
-            buckets: [0; BUCKETS],
+            buckets: [0; BUCKET_COUNT],
             digest: 0,
             ups: IndexSet::default(),
             gone: BTreeSet::new(),
@@ -124,22 +124,22 @@
     }
 
     /// The member of this key.
-    pub fn get(&self, key: u64) -> Option<&Member> {
+    pub fn get(&self, key: u64) -> Option<&MemberState> {
         self.members.get(&key)
     }
 
-    /// The same; its record is changed by [`Table::take`] only.
-    pub fn get_mut(&mut self, key: u64) -> Option<&mut Member> {
+    /// The same; its record is changed by [`MemberTable::take`] only.
+    pub fn get_mut(&mut self, key: u64) -> Option<&mut MemberState> {
         self.members.get_mut(&key)
     }
 
     /// All of them, by key.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &Member)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &MemberState)> {
         self.keys.iter().filter_map(|key| Some((*key, self.members.get(key)?)))
     }
 
     /// All in one bucket.
-    pub fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = (u64, &Member)> {
+    pub fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = (u64, &MemberState)> {
         let first = (bucket as u64) << 57;
         let keys = self.keys.range(first..=first | (u64::MAX >> 7));
         keys.filter_map(|key| Some((*key, self.members.get(key)?)))
@@ -205,14 +205,14 @@
     }
 
     /// Digests of the buckets with this member's own saying about itself in them.
-    pub fn digests(&self, own: &Record) -> [u64; BUCKETS] {
+    pub fn digests(&self, own: &MemberRecord) -> [u64; BUCKET_COUNT] {
         let mut buckets = self.buckets;
         buckets[bucket(own.identity.key())] ^= own.hash();
         buckets
     }
 
     /// Digest of all, with this member's own saying about itself in it.
-    pub fn digest(&self, own: &Record) -> u64 {
+    pub fn digest(&self, own: &MemberRecord) -> u64 {
         self.digest ^ own.hash()
     }
 
@@ -223,63 +223,68 @@
     }
 
     /// Takes a saying, if it is later than what is known.
-    pub fn take(&mut self, now: f64, horizon_ms: f64, record: &Record) -> Taken {
-        if record.start as f64 > horizon_ms + START_AHEAD_MS {
-            return Taken::Forged;
+    pub fn take(&mut self, now: f64, horizon_ms: f64, record: &MemberRecord) -> MergeOutcome {
+        if record.start as f64 > horizon_ms + MAX_GENERATION_AHEAD_MS {
+            return MergeOutcome::ForgedGeneration;
         }
         let key = record.identity.key();
         if let Some(member) = self.members.get_mut(&key) {
-            if record.rank() <= member.record.rank() {
-                return if record.rank() == member.record.rank() { Taken::Known } else { Taken::Old };
+            if record.precedence() <= member.record.precedence() {
+                return if record.precedence() == member.record.precedence() {
+                    MergeOutcome::Duplicate
+                } else {
+                    MergeOutcome::Stale
+                };
             }
             let was = &member.record;
             let new_life = was.life() != record.life();
-            if was.standing == Standing::Lost && record.is_up() {
-                member.returned = if new_life { Returned::NewStart } else { Returned::SameStart };
-                member.returned_ms = now;
+            if was.liveness == Liveness::Lost && record.is_up() {
+                member.recovery = if new_life { Recovery::NewGeneration } else { Recovery::SameGeneration };
+                member.recovered_ms = now;
             }
             if new_life {
                 self.heard -= usize::from(member.heard_ms.is_finite());
                 (member.heard_ms, member.load, member.refused) = (f64::NEG_INFINITY, Load::default(), false);
             }
-            if record.standing != was.standing {
-                member.told_lost = record.standing == Standing::Lost && was.standing != Standing::Suspected;
+            if record.liveness != was.liveness {
+                member.lost_by_gossip =
+                    record.liveness == Liveness::Lost && was.liveness != Liveness::Suspected;
             }
-            if new_life || was.standing != record.standing || was.phase != record.phase {
+            if new_life || was.liveness != record.liveness || was.phase != record.phase {
                 (member.since_ms, member.unanswered) = (now, 0);
             }
             let change = was.hash() ^ record.hash();
             let identity =
                 if was.identity == record.identity { was.identity.clone() } else { record.identity.clone() };
-            let was = std::mem::replace(&mut member.record, Record { identity, ..record.clone() });
+            let was = std::mem::replace(&mut member.record, MemberRecord { identity, ..record.clone() });
             self.mix(key, change);
             self.sort(key, Some(&was), Some(record));
-            return Taken::News;
+            return MergeOutcome::Applied;
         }
         if self.members.len() >= self.most && !self.make_room() {
-            return Taken::Full;
+            return MergeOutcome::TableFull;
         }
         self.mix(key, record.hash());
-        let member = Member {
+        let member = MemberState {
             record: record.clone(),
             since_ms: now,
             heard_ms: f64::NEG_INFINITY,
             load: Load::default(),
             unanswered: 0,
             refused: false,
-            told_lost: record.standing == Standing::Lost,
-            returned: Returned::Never,
-            returned_ms: f64::NEG_INFINITY,
+            lost_by_gossip: record.liveness == Liveness::Lost,
+            recovery: Recovery::None,
+            recovered_ms: f64::NEG_INFINITY,
         };
         self.members.insert(key, member);
         self.keys.insert(key);
         self.sort(key, None, Some(record));
-        Taken::News
+        MergeOutcome::Applied
     }
 
     /// Keeps the sets, where what was said of a member is now this, or forgotten.
-    fn sort(&mut self, key: u64, was: Option<&Record>, now: Option<&Record>) {
-        let here = |record: Option<&Record>, is: fn(&Record) -> bool| record.is_some_and(is);
+    fn sort(&mut self, key: u64, was: Option<&MemberRecord>, now: Option<&MemberRecord>) {
+        let here = |record: Option<&MemberRecord>, is: fn(&MemberRecord) -> bool| record.is_some_and(is);
         fn keep(set: &mut BTreeSet<u64>, key: u64, within: bool) {
             if within {
                 set.insert(key);
@@ -287,21 +292,21 @@
                 set.remove(&key);
             }
         }
-        if here(now, Record::is_up) {
+        if here(now, MemberRecord::is_up) {
             self.ups.insert(key);
         } else {
             self.ups.swap_remove(&key);
         }
         keep(&mut self.gone, key, here(now, |r| !r.is_up()));
-        keep(&mut self.down, key, here(now, |r| r.phase != Phase::Left && r.standing != Standing::Alive));
-        keep(&mut self.lost, key, here(now, |r| r.phase != Phase::Left && r.standing == Standing::Lost));
+        keep(&mut self.down, key, here(now, |r| r.phase != Phase::Left && r.liveness != Liveness::Alive));
+        keep(&mut self.lost, key, here(now, |r| r.phase != Phase::Left && r.liveness == Liveness::Lost));
         self.seen_leave |= here(now, |r| r.phase == Phase::Left);
-        let address = |record: &Record| record.identity.address;
+        let address = |record: &MemberRecord| record.identity.address;
         if was.map(address) != now.map(address) {
             was.map(|was| self.addresses.remove(&(address(was), key)));
             now.map(|now| self.addresses.insert((address(now), key)));
         }
-        let zone = |record: Option<&Record>| {
+        let zone = |record: Option<&MemberRecord>| {
             record.filter(|r| r.phase != Phase::Left).map(|r| r.identity.zone.clone())
         };
         // Names are compared only where they may differ: nearly always it is one and the same.
@@ -340,7 +345,7 @@
 
     /// Forgets who left or was lost before these times, ms.
     pub fn forget(&mut self, left_before: f64, lost_before: f64) -> usize {
-        let over = |member: &Member| match member.record.phase {
+        let over = |member: &MemberState| match member.record.phase {
             Phase::Left => member.since_ms < left_before,
             _ => member.since_ms < lost_before,
         };
@@ -366,18 +371,18 @@
     use proptest::prelude::*;
 
     /// What the sets have to be, from the members alone.
-    fn check(table: &Table) {
-        let keys = |is: fn(&Member) -> bool| -> BTreeSet<u64> {
+    fn check(table: &MemberTable) {
+        let keys = |is: fn(&MemberState) -> bool| -> BTreeSet<u64> {
             table.iter().filter(|(_, member)| is(member)).map(|(key, _)| key).collect()
         };
-        let here = |m: &Member| m.record.phase != Phase::Left;
+        let here = |m: &MemberState| m.record.phase != Phase::Left;
         assert_eq!(table.ups.iter().copied().collect::<BTreeSet<_>>(), keys(|m| m.record.is_up()));
         assert_eq!(table.gone, keys(|m| !m.record.is_up()));
-        let down = |m: &Member| m.record.phase != Phase::Left && m.record.standing != Standing::Alive;
+        let down = |m: &MemberState| m.record.phase != Phase::Left && m.record.liveness != Liveness::Alive;
         assert_eq!(table.down, keys(down));
         assert_eq!(
             table.lost,
-            keys(|m| m.record.phase != Phase::Left && m.record.standing == Standing::Lost)
+            keys(|m| m.record.phase != Phase::Left && m.record.liveness == Liveness::Lost)
         );
         assert_eq!(table.heard, keys(|m| m.heard_ms.is_finite()).len());
         let mut zones: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
@@ -392,11 +397,11 @@
         assert!(table.len() <= table.most);
     }
 
-    fn record() -> impl Strategy<Value = Record> {
+    fn record() -> impl Strategy<Value = MemberRecord> {
         let phase = prop_oneof![Just(Phase::Serving), Just(Phase::Draining), Just(Phase::Left)];
-        let standing = prop_oneof![Just(Standing::Alive), Just(Standing::Suspected), Just(Standing::Lost)];
-        (0..9_u8, 0..3_u8, 0..4_u8, 1..4_u64, 0..3_u32, phase, standing).prop_map(
-            |(name, zone, address, start, incarnation, phase, standing)| {
+        let liveness = prop_oneof![Just(Liveness::Alive), Just(Liveness::Suspected), Just(Liveness::Lost)];
+        (0..9_u8, 0..3_u8, 0..4_u8, 1..4_u64, 0..3_u32, phase, liveness).prop_map(
+            |(name, zone, address, start, incarnation, phase, liveness)| {
                 let identity = Identity {
                     name: format!("n{name}"),
                     zone: format!("z{zone}"),
@@ -404,7 +409,7 @@
                     cores: 4,
                     instance: u32::from(name) + start as u32,
                 };
-                Record { identity: Rc::new(identity), start, incarnation, phase, standing, by: 0 }
+                MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 0 }
             },
         )
     }
@@ -414,7 +419,7 @@
 
         #[test]
         fn its_sets_are_what_its_members_say(sayings in proptest::collection::vec((record(), any::<bool>()), 1..120)) {
-            let mut table = Table::new(6);
+            let mut table = MemberTable::new(6);
             for (at, (record, heard)) in sayings.into_iter().enumerate() {
                 let now = at as f64;
                 table.take(now, 1e6, &record);
--- a/crates/pinepoint-membership/src/wire.rs
+++ b/crates/pinepoint-membership/src/wire.rs
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::member::{Identity, Load, NAME_MOST, Record};
+use crate::member::{Identity, Load, MAX_NAME_BYTES, MemberRecord};
 
 /// First byte of every message.
 pub const VERSION: u8 = 1;
 /// Longest message, bytes: one datagram on every path.
-pub const MOST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// What a message takes beside the records and buckets in it, at most.
-pub const FRAME: usize = 330;
+pub const FRAME_BYTES: usize = 330;
 /// Buckets of a view, by the first bits of a member's key.
-pub const BUCKETS: usize = 128;
+pub const BUCKET_COUNT: usize = 128;
 /// Records that a message may hold: more can't be in a datagram.
-const RECORDS_MOST: usize = 64;
-const HEAD: usize = 5;
+const MAX_RECORDS: usize = 64;
+const HEADER_BYTES: usize = 5;
 
 /// The sender of a message, as it tells itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sender {
+pub struct SenderState {
     /// What it says of itself.
-    pub record: Record,
+    pub record: MemberRecord,
     /// How it is loaded.
     pub load: Load,
     /// Digest of its view.
@@ -38,7 +38,7 @@
 
 /// What a message is for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum PacketBody {
     /// Answer this.
     Ping {
         /// Names it.
@@ -64,12 +64,12 @@
     /// Only news.
     Gossip,
     /// Digests of the buckets of my view: tell me what differs.
-    Sync {
+    SyncDigests {
         /// One for each bucket.
         buckets: Vec<u32>,
     },
     /// What differs is in the news; tell me yours of these buckets.
-    Want {
+    SyncPull {
         /// A bit for each bucket.
         buckets: u128,
     },
@@ -79,11 +79,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
     /// From whom.
-    pub from: Sender,
+    pub from: SenderState,
     /// What for.
-    pub body: Body,
+    pub body: PacketBody,
     /// What it knows of others.
-    pub news: Vec<Record>,
+    pub news: Vec<MemberRecord>,
 }
 
 /// Everything that goes over a fleet address.
@@ -92,7 +92,7 @@
     /// Between members.
     Peer(Packet),
     /// A page of the view is asked for. As large as the largest answer: nobody gets more than was sent.
-    Ask {
+    ViewRequest {
         /// Names the snapshot: all pages asked for under one name are of one.
         id: u64,
         /// From 0.
@@ -101,7 +101,7 @@
         pad: Vec<u8>,
     },
     /// A page of the view, as JSON.
-    Page {
+    ViewPage {
         /// As asked.
         id: u64,
         /// As asked.
@@ -116,23 +116,23 @@
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// Longer than [`MOST`], or shorter than its head.
-    Length,
+    /// Longer than [`MAX_DATAGRAM_BYTES`], or shorter than its head.
+    InvalidLength,
     /// Of another version.
-    Version(u8),
+    UnsupportedVersion(u8),
     /// Cut, changed, garbage, or of a fleet of another name.
-    Checksum,
+    ChecksumMismatch,
     /// Sound bytes that can't be a message of this version, or that break a bound.
-    Form,
+    Malformed,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Length => f.write_str("length"),
-            WireError::Version(version) => write!(f, "version-{version}"),
-            WireError::Checksum => f.write_str("checksum-or-other-fleet"),
-            WireError::Form => f.write_str("form"),
+            WireError::InvalidLength => f.write_str("length"),
+            WireError::UnsupportedVersion(version) => write!(f, "version-{version}"),
+            WireError::ChecksumMismatch => f.write_str("checksum-or-other-fleet"),
+            WireError::Malformed => f.write_str("form"),
         }
     }
 }
@@ -157,41 +157,43 @@
 
     /// The bytes of a message; an error if it breaks the bound, which whoever made it has to keep.
     pub fn encode(&self, message: &Message) -> Result<Vec<u8>, WireError> {
-        let body = postcard::to_allocvec(message).map_err(|_| WireError::Form)?;
-        if body.len() + HEAD > MOST {
-            return Err(WireError::Length);
+        let body = postcard::to_allocvec(message).map_err(|_| WireError::Malformed)?;
+        if body.len() + HEADER_BYTES > MAX_DATAGRAM_BYTES {
+            return Err(WireError::InvalidLength);
         }
         Ok([&[VERSION], &self.sum(&body)[..], &body].concat())
     }
 
     /// The message that these bytes are.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, WireError> {
-        if bytes.len() < HEAD || bytes.len() > MOST {
-            return Err(WireError::Length);
+        if bytes.len() < HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(WireError::InvalidLength);
         }
-        let (head, body) = bytes.split_at(HEAD);
+        let (head, body) = bytes.split_at(HEADER_BYTES);
         if head[0] != VERSION {
-            return Err(WireError::Version(head[0]));
+            return Err(WireError::UnsupportedVersion(head[0]));
         }
         if head[1..] != self.sum(body) {
-            return Err(WireError::Checksum);
+            return Err(WireError::ChecksumMismatch);
         }
-        let message: Message = postcard::from_bytes(body).map_err(|_| WireError::Form)?;
-        if is_sound(&message) { Ok(message) } else { Err(WireError::Form) }
+        let message: Message = postcard::from_bytes(body).map_err(|_| WireError::Malformed)?;
+        if is_sound(&message) { Ok(message) } else { Err(WireError::Malformed) }
     }
 }
 
 fn is_sound(message: &Message) -> bool {
     let Message::Peer(packet) = message else { return true };
     let named = |identity: &Identity| {
-        !identity.name.is_empty() && identity.name.len() <= NAME_MOST && identity.zone.len() <= NAME_MOST
+        !identity.name.is_empty()
+            && identity.name.len() <= MAX_NAME_BYTES
+            && identity.zone.len() <= MAX_NAME_BYTES
     };
     let form = match &packet.body {
-        Body::Sync { buckets } => buckets.len() == BUCKETS,
-        Body::PingReq { target, .. } => named(target),
+        PacketBody::SyncDigests { buckets } => buckets.len() == BUCKET_COUNT,
+        PacketBody::PingReq { target, .. } => named(target),
         _ => true,
     };
-    form && packet.news.len() <= RECORDS_MOST
+    form && packet.news.len() <= MAX_RECORDS
         && packet.from.now_ms.is_finite()
         && named(&packet.from.record.identity)
         && packet.news.iter().all(|record| named(&record.identity))
@@ -200,21 +202,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::member::{Phase, Standing};
+    use crate::member::{Liveness, Phase};
 
     fn packet() -> Packet {
         let address = ([10, 0, 0, 1], 7000).into();
         let identity = Identity { name: "n1".into(), zone: "a".into(), address, cores: 4, instance: 9 };
-        let record = Record {
+        let record = MemberRecord {
             identity: Rc::new(identity),
             start: 7,
             incarnation: 0,
             phase: Phase::Serving,
-            standing: Standing::Alive,
+            liveness: Liveness::Alive,
             by: 0,
         };
-        let from = Sender { record: record.clone(), load: Load::default(), digest: 1, known: 1, now_ms: 5.0 };
-        Packet { from, body: Body::Ping { seq: 3 }, news: vec![record] }
+        let from =
+            SenderState { record: record.clone(), load: Load::default(), digest: 1, known: 1, now_ms: 5.0 };
+        Packet { from, body: PacketBody::Ping { seq: 3 }, news: vec![record] }
     }
 
     #[test]
@@ -223,7 +226,7 @@
         let message = Message::Peer(packet());
         let bytes = codec.encode(&message).expect("within the bound");
         assert_eq!(codec.decode(&bytes), Ok(message));
-        assert_eq!(Codec::new("g").decode(&bytes), Err(WireError::Checksum));
+        assert_eq!(Codec::new("g").decode(&bytes), Err(WireError::ChecksumMismatch));
         for at in 0..bytes.len() {
             let mut changed = bytes.clone();
             changed[at] ^= 1;
@@ -232,7 +235,7 @@
         }
         assert_eq!(
             codec.decode(&[&[VERSION + 1], &bytes[1..]].concat()),
-            Err(WireError::Version(VERSION + 1))
+            Err(WireError::UnsupportedVersion(VERSION + 1))
         );
     }
 
@@ -245,13 +248,13 @@
         (largest.from.digest, largest.from.known) = (u64::MAX, u32::MAX);
         largest.from.load = Load { hold_ms: u16::MAX, up_s: u32::MAX, ..Load::default() };
         largest.news.clear();
-        largest.body = Body::Want { buckets: u128::MAX };
+        largest.body = PacketBody::SyncPull { buckets: u128::MAX };
         let bytes = Codec::new("f").encode(&Message::Peer(largest.clone())).expect("within the bound");
-        assert!(bytes.len() <= FRAME, "{}", bytes.len());
-        largest.body = Body::Sync { buckets: vec![u32::MAX; BUCKETS] };
+        assert!(bytes.len() <= FRAME_BYTES, "{}", bytes.len());
+        largest.body = PacketBody::SyncDigests { buckets: vec![u32::MAX; BUCKET_COUNT] };
         assert!(Codec::new("f").encode(&Message::Peer(largest.clone())).is_ok());
-        largest.body = Body::PingReq { seq: u32::MAX, target: Rc::new(identity) };
+        largest.body = PacketBody::PingReq { seq: u32::MAX, target: Rc::new(identity) };
         let bytes = Codec::new("f").encode(&Message::Peer(largest)).expect("within the bound");
-        assert!(bytes.len() <= 2 * FRAME, "{}", bytes.len());
+        assert!(bytes.len() <= 2 * FRAME_BYTES, "{}", bytes.len());
     }
 }
--- a/crates/pinepoint-membership/tests/courses.rs
+++ b/crates/pinepoint-membership/tests/courses.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use pinepoint_membership::fleet::Rules;
+use pinepoint_membership::membership::MembershipSettings;
 use sim::{Net, World};
 
 fn seeds(n: u64) -> Vec<u64> {
@@ -16,7 +16,7 @@
 fn hold(members: usize, n: u64, within: f64, course: impl Fn(&mut World)) {
     let mut worst: f64 = 0.0;
     for seed in seeds(n) {
-        let mut world = World::settled(members, 3, Rules::default(), seed);
+        let mut world = World::settled(members, 3, MembershipSettings::default(), seed);
         course(&mut world);
         let took = world.await_truth(within);
         assert!(took.is_some(), "FLEET_SEED={seed}: not true after {within} periods: {}", world.untrue());
@@ -42,7 +42,7 @@
 #[test]
 fn stopped_for_eight_periods_and_continued() {
     for seed in seeds(10) {
-        let mut world = World::settled(30, 3, Rules::default(), seed);
+        let mut world = World::settled(30, 3, MembershipSettings::default(), seed);
         world.stop(7);
         world.run(8.0);
         world.clear();
@@ -50,13 +50,13 @@
         let took = world.await_truth(15.0);
         assert!(took.is_some(), "FLEET_SEED={seed}: {}", world.untrue());
         // It suspects itself before it accuses others.
-        use pinepoint_membership::fleet::Told;
-        use pinepoint_membership::member::Standing;
+        use pinepoint_membership::member::Liveness;
+        use pinepoint_membership::membership::Notification;
         let accused = world.nodes[7].told.iter().filter(
-            |(_, told)| matches!(told, Told::Member { record, .. } if record.standing != Standing::Alive),
+            |(_, told)| matches!(told, Notification::MemberChanged { record, .. } if record.liveness != Liveness::Alive),
         );
         assert_eq!(accused.count(), 0, "FLEET_SEED={seed}: it accused others");
-        assert!(world.nodes[7].told.iter().any(|(_, told)| matches!(told, Told::Trouble(_))));
+        assert!(world.nodes[7].told.iter().any(|(_, told)| matches!(told, Notification::Stalled(_))));
     }
 }
 
@@ -138,7 +138,7 @@
 #[test]
 fn all_seeds_down_at_the_start_then_one_appears() {
     for seed in seeds(6) {
-        let mut world = World::new(20, 2, Rules::default(), seed);
+        let mut world = World::new(20, 2, MembershipSettings::default(), seed);
         (3..20).for_each(|at| world.start(at));
         world.run(30.0);
         assert!(world.running().all(|(_, fleet)| fleet.table().is_empty()), "there was nobody to ask");
@@ -167,7 +167,7 @@
 fn any_course_of_faults() {
     for seed in seeds(12) {
         let n = 24;
-        let mut world = World::settled(n, 3, Rules::default(), seed);
+        let mut world = World::settled(n, 3, MembershipSettings::default(), seed);
         for _ in 0..12 {
             let at = world.below(n);
             match world.below(8) {
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -5,7 +5,7 @@
 
 mod sim;
 
-use pinepoint_membership::fleet::{Fault, Rules};
+use pinepoint_membership::membership::{InjectedFault, MembershipSettings};
 use sim::{One, World};
 
 /// Moments at which it happens, in fifths of a period, and datagrams that may be touched.
@@ -48,7 +48,7 @@
 }
 
 /// Runs one; tells what is wrong for ever, if anything.
-fn run(rules: Rules, course: Course) -> Option<String> {
+fn run(rules: MembershipSettings, course: Course) -> Option<String> {
     let mut world = World::settled(3, 2, rules, course.seed);
     world.net.one = course.one;
     world.run(course.moment as f64 / 5.0);
@@ -70,8 +70,8 @@
 }
 
 /// The first course that ends wrongly, and how many were run.
-fn search(fault: Option<Fault>) -> (Option<(Course, String)>, usize) {
-    let rules = Rules { fault, ..Rules::default() };
+fn search(fault: Option<InjectedFault>) -> (Option<(Course, String)>, usize) {
+    let rules = MembershipSettings { fault, ..MembershipSettings::default() };
     let mut ran = 0;
     let wrong = courses().into_iter().find_map(|course| {
         ran += 1;
@@ -89,7 +89,7 @@
 
 #[test]
 fn without_refutation_and_with_earlier_starts_taken_it_finds_wrong_states() {
-    for fault in [Fault::NoRefutation, Fault::OldStart] {
+    for fault in [InjectedFault::NoRefutation, InjectedFault::AcceptStaleGeneration] {
         let (wrong, all) = search(Some(fault));
         println!("{fault:?}: after {all} courses: {wrong:?}");
         assert!(wrong.is_some(), "{fault:?} is not found in {all} courses");
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -3,26 +3,26 @@
 
 mod sim;
 
-use pinepoint_membership::fleet::{Detector, Rules, Told};
-use pinepoint_membership::judge::Kind;
-use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_membership::wire::{Body, Packet, Sender};
+use pinepoint_membership::diagnosis::VerdictKind;
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use pinepoint_membership::membership::{FailureDetector, MembershipSettings, Notification};
+use pinepoint_membership::wire::{Packet, PacketBody, SenderState};
 use sim::{Net, World, address};
 
-fn rules(detector: Detector) -> Rules {
-    Rules { detector, ..Rules::default() }
+fn rules(detector: FailureDetector) -> MembershipSettings {
+    MembershipSettings { detector, ..MembershipSettings::default() }
 }
 
 /// Verdicts that came to hold anywhere, each once.
-fn judged(world: &World) -> Vec<(Kind, String)> {
-    let mut all: Vec<(Kind, String)> = Vec::new();
+fn judged(world: &World) -> Vec<(VerdictKind, String)> {
+    let mut all: Vec<(VerdictKind, String)> = Vec::new();
     for (_, told) in world.nodes.iter().flat_map(|node| &node.told) {
-        if let Told::Verdict(change) = told
+        if let Notification::VerdictChanged(change) = told
             && change.holds
         {
             let verdict = (change.verdict.kind, change.verdict.of.clone());
             // All worlds here start at once, and their members say so.
-            if !all.contains(&verdict) && verdict.0 != Kind::FleetStart {
+            if !all.contains(&verdict) && verdict.0 != VerdictKind::FleetStart {
                 all.push(verdict);
             }
         }
@@ -35,11 +35,11 @@
 fn a_crash_is_held_lost_by_all_within_eight_periods_at_a_hundred_members() {
     let mut last: Vec<f64> = (0..10)
         .map(|seed| {
-            let mut world = World::settled(100, 3, rules(Detector::OwnTrouble), seed);
+            let mut world = World::settled(100, 3, rules(FailureDetector::Lifeguard), seed);
             let since = world.now;
             world.kill(31);
             world.run(20.0);
-            let times = world.told_of(31, Standing::Lost, since);
+            let times = world.told_of(31, Liveness::Lost, since);
             assert_eq!(times.len(), 99, "seed {seed}: all hold it lost");
             times[98] / sim::PERIOD
         })
@@ -52,15 +52,15 @@
 #[test]
 fn members_that_live_are_not_held_lost_at_a_twentieth_lost() {
     for seed in 0..3 {
-        let mut world = World::settled(60, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::settled(60, 3, rules(FailureDetector::Lifeguard), seed);
         world.net.loss = 0.05;
         world.run(200.0);
-        assert_eq!(world.wrongly(Standing::Lost), 0, "seed {seed}");
+        assert_eq!(world.wrongly(Liveness::Lost), 0, "seed {seed}");
     }
 }
 
 /// Members wrongly held lost by others while a tenth is paused in turns, each for three periods.
-fn wrongly_lost_with_pauses(detector: Detector, seed: u64) -> usize {
+fn wrongly_lost_with_pauses(detector: FailureDetector, seed: u64) -> usize {
     let mut world = World::settled(60, 3, rules(detector), seed);
     let mut paused: Vec<usize> = Vec::new();
     let mut lost = 0;
@@ -75,9 +75,9 @@
             .filter(|at| !paused.contains(at) && !before.contains(at))
             .map(|at| world.nodes[at].name.clone())
             .collect();
-        let wrong = |told: &Told| {
-            matches!(told, Told::Member { record, .. }
-            if record.standing != Standing::Alive && names.contains(&record.identity.name))
+        let wrong = |told: &Notification| {
+            matches!(told, Notification::MemberChanged { record, .. }
+            if record.liveness != Liveness::Alive && names.contains(&record.identity.name))
         };
         lost += world.nodes.iter().flat_map(|node| &node.told).filter(|(_, told)| wrong(told)).count();
         world.clear();
@@ -88,7 +88,7 @@
 #[test]
 fn one_that_was_paused_accuses_hardly_anyone_where_plain_swim_does() {
     let sum = |detector| (0..3).map(|seed| wrongly_lost_with_pauses(detector, seed)).sum::<usize>();
-    let (own, plain) = (sum(Detector::OwnTrouble), sum(Detector::Plain));
+    let (own, plain) = (sum(FailureDetector::Lifeguard), sum(FailureDetector::Swim));
     println!("accusations of members that were not paused: {own} against {plain} of plain SWIM");
     assert!(plain >= 5 * own.max(1), "{own} against {plain}");
 }
@@ -96,7 +96,7 @@
 #[test]
 fn what_it_costs_a_member_does_not_grow_with_the_fleet() {
     let cost = |n: usize| {
-        let mut world = World::settled(n, 3, rules(Detector::OwnTrouble), 1);
+        let mut world = World::settled(n, 3, rules(FailureDetector::Lifeguard), 1);
         world.run(10.0);
         world.clear();
         world.run(30.0);
@@ -110,54 +110,55 @@
 #[test]
 fn a_zone_that_is_killed_cut_off_or_does_not_hear_is_judged_so() {
     // Killed, and whether anybody listens there is not known.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 5);
+    let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 5);
     (0..30).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
     world.run(14.0);
-    assert_eq!(judged(&world), [(Kind::ZoneUnreachable, "z1".to_owned())]);
+    assert_eq!(judged(&world), [(VerdictKind::ZoneUnreachable, "z1".to_owned())]);
 
     // Killed, and the system of others says that nobody listens.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 6);
+    let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 6);
     (0..30).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
     for at in (0..30).filter(|at| at % 3 != 1) {
         for zone in (0..30).filter(|at| at % 3 == 1) {
-            world.tell(at, pinepoint_membership::fleet::Event::Refused(address(zone)));
+            world.tell(at, pinepoint_membership::membership::Event::ConnectionRefused(address(zone)));
         }
     }
     world.run(14.0);
-    assert_eq!(judged(&world), [(Kind::ZoneLost, "z1".to_owned())]);
+    assert_eq!(judged(&world), [(VerdictKind::ZoneLost, "z1".to_owned())]);
 
     // Cut off: those within know that it is they, those outside that the zone is gone.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 7);
+    let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 7);
     world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
     world.run(25.0);
     for (at, fleet) in world.running() {
-        let kinds: Vec<Kind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
-        let kinds: Vec<Kind> = kinds.into_iter().filter(|kind| *kind != Kind::FleetStart).collect();
-        let wanted = if at % 3 == 1 { Kind::SelfCutOff } else { Kind::ZoneUnreachable };
+        let kinds: Vec<VerdictKind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
+        let kinds: Vec<VerdictKind> =
+            kinds.into_iter().filter(|kind| *kind != VerdictKind::FleetStart).collect();
+        let wanted = if at % 3 == 1 { VerdictKind::SelfCutOff } else { VerdictKind::ZoneUnreachable };
         assert_eq!(kinds, [wanted], "n{at}");
     }
 
     // Its messages still come out, and nothing goes in.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 8);
+    let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 8);
     world.net.cut = (0..30)
         .flat_map(|from| (0..30).map(move |to| (from, to)))
         .filter(|(from, to)| from % 3 != 1 && to % 3 == 1)
         .collect();
     world.run(20.0);
-    assert!(judged(&world).contains(&(Kind::ZoneCutOff, "z1".to_owned())), "{:?}", judged(&world));
+    assert!(judged(&world).contains(&(VerdictKind::ZoneCutOff, "z1".to_owned())), "{:?}", judged(&world));
 }
 
 #[test]
 fn one_that_loses_most_at_once_knows_that_it_is_cut_off_itself() {
     for seed in 0..5 {
-        let mut world = World::settled(20, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::settled(20, 3, rules(FailureDetector::Lifeguard), seed);
         world.net.parts = (0..20).map(|at| usize::from(at == 7)).collect();
         world.run(40.0);
         let own = world.nodes[7].fleet.as_ref().expect("it runs");
-        assert!(own.verdicts().any(|verdict| verdict.kind == Kind::SelfCutOff), "seed {seed}");
+        assert!(own.verdicts().any(|verdict| verdict.kind == VerdictKind::SelfCutOff), "seed {seed}");
         let others = world.running().filter(|(at, _)| *at != 7);
         assert!(
-            others.flat_map(|(_, fleet)| fleet.verdicts()).all(|v| v.kind != Kind::SelfCutOff),
+            others.flat_map(|(_, fleet)| fleet.verdicts()).all(|v| v.kind != VerdictKind::SelfCutOff),
             "seed {seed}"
         );
     }
@@ -165,17 +166,17 @@
 
 #[test]
 fn one_dead_direction_of_a_link_is_seen_by_the_one_who_is_not_heard() {
-    let mut world = World::settled(8, 2, rules(Detector::OwnTrouble), 3);
+    let mut world = World::settled(8, 2, rules(FailureDetector::Lifeguard), 3);
     world.net.cut = vec![(2, 5)];
     world.run(60.0);
-    assert_eq!(world.wrongly(Standing::Lost), 0, "others can ask");
-    assert!(judged(&world).contains(&(Kind::OneWay, "n5".to_owned())), "{:?}", judged(&world));
+    assert_eq!(world.wrongly(Liveness::Lost), 0, "others can ask");
+    assert!(judged(&world).contains(&(VerdictKind::OneWay, "n5".to_owned())), "{:?}", judged(&world));
 }
 
 #[test]
 fn crashes_drains_slow_members_and_loss_make_no_verdict() {
     for seed in 0..6 {
-        let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), seed);
         world.run(100.0);
         world.clear();
         world.net = Net { loss: 0.05, delay: 60.0, ..Net::default() };
@@ -190,7 +191,8 @@
         world.run(10.0);
         world.go_on(21);
         world.run(20.0);
-        let wrong: Vec<_> = judged(&world).into_iter().filter(|(kind, _)| *kind != Kind::OneWay).collect();
+        let wrong: Vec<_> =
+            judged(&world).into_iter().filter(|(kind, _)| *kind != VerdictKind::OneWay).collect();
         assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
     }
 }
@@ -198,7 +200,7 @@
 #[test]
 fn a_zone_that_flaps_is_held_gone_and_its_verdict_changes_rarely() {
     for seed in 0..3 {
-        let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), seed);
+        let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), seed);
         let rounds = 30;
         for _ in 0..rounds {
             world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
@@ -206,7 +208,7 @@
             world.net.parts.clear();
             world.run(14.0);
         }
-        let of_zone = |told: &Told| matches!(told, Told::Verdict(change) if change.verdict.of == "z1");
+        let of_zone = |told: &Notification| matches!(told, Notification::VerdictChanged(change) if change.verdict.of == "z1");
         for at in (0..30).filter(|at| at % 3 != 1) {
             let told: Vec<f64> =
                 world.nodes[at].told.iter().filter(|(_, t)| of_zone(t)).map(|(when, _)| *when).collect();
@@ -227,8 +229,8 @@
 
 /// What the larger side judges wrongly of itself and of its own zones when a zone that was cut off comes back and tells what
 /// it held meanwhile: that all others are gone.
-fn wrongly_judged_after_a_cut(members: usize, periods: f64, seed: u64) -> Vec<(Kind, String)> {
-    let mut world = World::settled(members, 3, rules(Detector::OwnTrouble), seed);
+fn wrongly_judged_after_a_cut(members: usize, periods: f64, seed: u64) -> Vec<(VerdictKind, String)> {
+    let mut world = World::settled(members, 3, rules(FailureDetector::Lifeguard), seed);
     world.net.parts = (0..members).map(|at| usize::from(at % 3 == 1)).collect();
     world.run(periods);
     world.net.parts.clear();
@@ -236,10 +238,10 @@
     let mut wrong = Vec::new();
     for (_, node) in world.nodes.iter().enumerate().filter(|(at, _)| at % 3 != 1) {
         for (_, told) in &node.told {
-            if let Told::Verdict(change) = told
+            if let Notification::VerdictChanged(change) = told
                 && change.holds
                 && change.verdict.of != "z1"
-                && !matches!(change.verdict.kind, Kind::OneWay | Kind::FleetStart)
+                && !matches!(change.verdict.kind, VerdictKind::OneWay | VerdictKind::FleetStart)
             {
                 wrong.push((change.verdict.kind, change.verdict.of.clone()));
             }
@@ -262,7 +264,7 @@
 
 #[test]
 fn a_restart_long_ago_says_nothing_of_a_zone_that_goes_now() {
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 3);
+    let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 3);
     world.kill(4);
     world.run(20.0);
     world.start(4);
@@ -272,21 +274,24 @@
     world.run(25.0);
     let outside = world.running().filter(|(at, _)| at % 3 != 1);
     for (at, fleet) in outside {
-        let kinds: Vec<Kind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
-        assert_eq!(kinds, [Kind::ZoneUnreachable], "n{at}");
+        let kinds: Vec<VerdictKind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
+        assert_eq!(kinds, [VerdictKind::ZoneUnreachable], "n{at}");
     }
 }
 
 #[test]
 fn a_start_of_the_whole_fleet_is_told_from_a_rolling_deploy() {
-    let mut world = World::settled(12, 3, rules(Detector::OwnTrouble), 2);
+    let mut world = World::settled(12, 3, rules(FailureDetector::Lifeguard), 2);
     world.run(120.0);
-    assert!(world.running().all(|(_, f)| f.verdicts().all(|v| v.kind != Kind::FleetStart)), "long over");
+    assert!(
+        world.running().all(|(_, f)| f.verdicts().all(|v| v.kind != VerdictKind::FleetStart)),
+        "long over"
+    );
     (0..12).for_each(|at| world.kill(at));
     (0..12).for_each(|at| world.start(at));
     world.run(40.0);
     let judge = |world: &World| {
-        world.running().filter(|(_, f)| f.verdicts().any(|v| v.kind == Kind::FleetStart)).count()
+        world.running().filter(|(_, f)| f.verdicts().any(|v| v.kind == VerdictKind::FleetStart)).count()
     };
     assert_eq!(judge(&world), 12);
     world.run(200.0);
@@ -301,18 +306,18 @@
 
 #[test]
 fn two_processes_of_one_name_are_found_and_both_say_so() {
-    let mut world = World::settled(10, 2, rules(Detector::OwnTrouble), 4);
+    let mut world = World::settled(10, 2, rules(FailureDetector::Lifeguard), 4);
     world.nodes[8].name = "n3".into();
     world.kill(8);
     world.start(8);
     world.run(20.0);
     for at in [3, 8] {
         let fleet = world.nodes[at].fleet.as_ref().expect("it runs");
-        assert!(fleet.verdicts().any(|v| v.kind == Kind::NameClash), "n{at} says nothing");
+        assert!(fleet.verdicts().any(|v| v.kind == VerdictKind::NameClash), "n{at} says nothing");
     }
 }
 
-fn forged(of: usize, start: u64, standing: Standing, incarnation: u32) -> Record {
+fn forged(of: usize, start: u64, liveness: Liveness, incarnation: u32) -> MemberRecord {
     let identity = Identity {
         name: format!("n{of}"),
         zone: "z0".into(),
@@ -320,25 +325,25 @@
         cores: 4,
         instance: 77,
     };
-    Record { identity: identity.into(), start, incarnation, phase: Phase::Serving, standing, by: 0 }
+    MemberRecord { identity: identity.into(), start, incarnation, phase: Phase::Serving, liveness, by: 0 }
 }
 
 #[test]
 fn forged_starts_and_incarnations_do_bounded_harm_and_are_told() {
-    let mut world = World::settled(10, 2, rules(Detector::OwnTrouble), 4);
+    let mut world = World::settled(10, 2, rules(FailureDetector::Lifeguard), 4);
     let now = world.now as u64;
-    let from = |record| Sender { record, load: Load::default(), digest: 0, known: 1, now_ms: 0.0 };
-    let mut stranger = forged(0, now, Standing::Alive, 0);
+    let from = |record| SenderState { record, load: Load::default(), digest: 0, known: 1, now_ms: 0.0 };
+    let mut stranger = forged(0, now, Liveness::Alive, 0);
     stranger.identity = Identity { name: "stranger".into(), ..(*stranger.identity).clone() }.into();
     let own = world.nodes[6].fleet.as_ref().expect("it runs").own().clone();
     let news = vec![
-        forged(3, u64::MAX, Standing::Alive, 0),
-        forged(4, now + 5000, Standing::Lost, 0),
-        Record { standing: Standing::Lost, incarnation: u32::MAX, ..own },
+        forged(3, u64::MAX, Liveness::Alive, 0),
+        forged(4, now + 5000, Liveness::Lost, 0),
+        MemberRecord { liveness: Liveness::Lost, incarnation: u32::MAX, ..own },
     ];
-    world.forge(1, Packet { from: from(stranger), body: Body::Gossip, news });
+    world.forge(1, Packet { from: from(stranger), body: PacketBody::Gossip, news });
     world.run(1.0);
-    let told = |told: &Told| matches!(told, Told::Disbelieved(..));
+    let told = |told: &Notification| matches!(told, Notification::RecordRejected(..));
     assert!(world.nodes[1].told.iter().any(|(_, t)| told(t)), "nothing is told of the forged start");
     // The stranger never answers and is lost in the end; those it spoke of are themselves again.
     let took = world.await_truth(40.0);
@@ -347,11 +352,11 @@
 
 #[test]
 fn at_the_bound_of_members_the_gone_give_way_and_no_one_else_is_taken() {
-    let mut world = World::new(20, 2, Rules { members: 12, ..Rules::default() }, 1);
+    let mut world = World::new(20, 2, MembershipSettings { members: 12, ..MembershipSettings::default() }, 1);
     (0..20).for_each(|at| world.start(at));
     world.run(40.0);
     assert!(world.running().all(|(_, fleet)| fleet.table().len() <= 11));
     assert!(world.running().any(|(_, fleet)| fleet.table().len() == 11));
-    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_events::ReasonCode::code(*why) == "full");
+    let full = |told: &Notification| matches!(told, Notification::RecordRejected(why, _) if pinepoint_events::ReasonCode::code(*why) == "full");
     assert!(world.nodes.iter().flat_map(|node| &node.told).any(|(_, t)| full(t)), "nothing is told of it");
 }
--- a/crates/pinepoint-membership/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use pinepoint_membership::fleet::{Action, Event, Fleet, Rules, Told};
-use pinepoint_membership::member::{Identity, Phase, Standing, key};
+use pinepoint_membership::member::{Identity, Liveness, Phase, key};
+use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings, Notification};
 use pinepoint_membership::wire::{Codec, Message, Packet};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,7 +17,7 @@
 const EPOCH: f64 = 1_700_000_000_000.0;
 
 pub struct Node {
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<Membership>,
     pub name: String,
     pub zone: usize,
     /// Stopped as by a signal: it gets nothing done, and what comes waits.
@@ -25,7 +25,7 @@
     waiting: Vec<Packet>,
     /// Of its clock, ms.
     pub clock_off: f64,
-    pub told: Vec<(f64, Told)>,
+    pub told: Vec<(f64, Notification)>,
     lives: u32,
     ticking: u64,
 }
@@ -67,7 +67,7 @@
     pub now: f64,
     pub nodes: Vec<Node>,
     pub net: Net,
-    pub rules: Rules,
+    pub rules: MembershipSettings,
     pub random: Pcg64Mcg,
     pub datagrams: u64,
     pub bytes: u64,
@@ -95,7 +95,7 @@
 
 impl World {
     /// Members in so many zones, none of them started.
-    pub fn new(members: usize, zones: usize, rules: Rules, seed: u64) -> World {
+    pub fn new(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
         let node = |at: usize| Node {
             fleet: None,
             name: format!("n{at}"),
@@ -124,7 +124,7 @@
     }
 
     /// The same, all started at once and settled.
-    pub fn settled(members: usize, zones: usize, rules: Rules, seed: u64) -> World {
+    pub fn settled(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
         let mut world = World::new(members, zones, rules, seed);
         (0..members).for_each(|at| world.start(at));
         let took = world.await_truth(60.0);
@@ -138,7 +138,7 @@
     }
 
     /// The same for large fleets: all know each other from the start.
-    pub fn preloaded(members: usize, zones: usize, rules: Rules, seed: u64) -> World {
+    pub fn preloaded(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
         let mut world = World::new(members, zones, rules, seed);
         (0..members).for_each(|at| world.start(at));
         let records: Vec<_> = world.running().map(|(_, fleet)| fleet.own().clone()).collect();
@@ -189,9 +189,9 @@
         let (lives, off, ticking) = (node.lives, node.clock_off, node.ticking);
         let seed = self.random.next_u64() ^ u64::from(lives);
         let seeds = (0..3.min(self.nodes.len())).map(address).collect();
-        let mut fleet = Fleet::new(self.rules, self.now + off, identity, seeds, seed);
+        let mut fleet = Membership::new(self.rules, self.now + off, identity, seeds, seed);
         let mut out = Vec::new();
-        fleet.handle(self.now + off, Event::Phase(Phase::Serving), &mut out);
+        fleet.handle(self.now + off, Event::PhaseChanged(Phase::Serving), &mut out);
         let due = fleet.next_due() - off;
         self.nodes[at].fleet = Some(fleet);
         self.push(due, Thing::Tick(at, ticking));
@@ -205,9 +205,9 @@
     }
 
     pub fn leave(&mut self, at: usize) {
-        self.tell(at, Event::Phase(Phase::Draining));
+        self.tell(at, Event::PhaseChanged(Phase::Draining));
         self.run(1.0);
-        self.tell(at, Event::Phase(Phase::Left));
+        self.tell(at, Event::PhaseChanged(Phase::Left));
         self.kill(at);
     }
 
@@ -243,7 +243,7 @@
     fn carry_out(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell(told) => self.nodes[from].told.push((self.now, told)),
+                Action::Notify(told) => self.nodes[from].told.push((self.now, told)),
                 Action::Send(to, packet) => self.send(from, index(to), packet),
             }
         }
@@ -312,7 +312,7 @@
                     self.nodes[at].waiting.push(packet);
                 }
             }
-            Thing::Arrive(at, packet) => self.tell(at, Event::Packet(packet)),
+            Thing::Arrive(at, packet) => self.tell(at, Event::PacketReceived(packet)),
         }
         true
     }
@@ -336,7 +336,7 @@
         None
     }
 
-    pub fn running(&self) -> impl Iterator<Item = (usize, &Fleet)> {
+    pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.fleet.as_ref()?)))
     }
 
@@ -355,7 +355,7 @@
                 let seen = fleet.table().get(key(&node.name)).map(|member| &member.record);
                 let right = match (&node.fleet, seen) {
                     (Some(runs), Some(seen)) => {
-                        seen.start == runs.own().start && seen.standing == Standing::Alive
+                        seen.start == runs.own().start && seen.liveness == Liveness::Alive
                     }
                     (Some(_), None) => false,
                     (None, Some(seen)) => !seen.is_up(),
@@ -373,7 +373,7 @@
     }
 
     /// When members other than this one told that they hold it so, ms from this time on, sorted.
-    pub fn told_of(&self, of: usize, standing: Standing, since: f64) -> Vec<f64> {
+    pub fn told_of(&self, of: usize, liveness: Liveness, since: f64) -> Vec<f64> {
         let name = &self.nodes[of].name;
         let mut times: Vec<f64> = Vec::new();
         for (at, node) in self.nodes.iter().enumerate() {
@@ -381,8 +381,8 @@
                 continue;
             }
             let first = node.told.iter().find(|(when, told)| {
-                let Told::Member { record, .. } = told else { return false };
-                *when >= since && record.identity.name == *name && record.standing == standing
+                let Notification::MemberChanged { record, .. } = told else { return false };
+                *when >= since && record.identity.name == *name && record.liveness == liveness
             });
             times.extend(first.map(|(when, _)| when - since));
         }
@@ -391,9 +391,9 @@
     }
 
     /// How often a member that runs was held so by another.
-    pub fn wrongly(&self, standing: Standing) -> usize {
-        let of = |told: &Told| match told {
-            Told::Member { record, .. } if record.standing == standing => {
+    pub fn wrongly(&self, liveness: Liveness) -> usize {
+        let of = |told: &Notification| match told {
+            Notification::MemberChanged { record, .. } if record.liveness == liveness => {
                 self.nodes.iter().any(|node| node.fleet.is_some() && node.name == record.identity.name)
             }
             _ => false,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use pinepoint_lab::rig::{Options, Rig};
-use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_membership::wire::{Body, Codec, Message, Packet, Sender};
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use pinepoint_membership::wire::{Codec, Message, Packet, PacketBody, SenderState};
 
 /// Courses at once: a process that is not run looks dead, and these are to be stopped by scripts only.
 const AT_ONCE: usize = 3;
@@ -452,13 +452,13 @@
 }
 
 /// What one that goes by this name and start would send.
-fn message(name: &str, start: u64, standing: Standing, from: &UdpSocket, news: Vec<Record>) -> Message {
+fn message(name: &str, start: u64, liveness: Liveness, from: &UdpSocket, news: Vec<MemberRecord>) -> Message {
     let address = from.local_addr().expect("bound");
     let identity = Identity { name: name.to_owned(), zone: "z1".into(), address, cores: 2, instance: 77 };
     let phase = Phase::Serving;
-    let record = Record { identity: Rc::new(identity), start, incarnation: 0, phase, standing, by: 0 };
-    let from = Sender { record, load: Load::default(), digest: 0, known: 9, now_ms: start as f64 };
-    Message::Peer(Packet { from, body: Body::Ping { seq: 7 }, news })
+    let record = MemberRecord { identity: Rc::new(identity), start, incarnation: 0, phase, liveness, by: 0 };
+    let from = SenderState { record, load: Load::default(), digest: 0, known: 9, now_ms: start as f64 };
+    Message::Peer(Packet { from, body: PacketBody::Ping { seq: 7 }, news })
 }
 
 #[test]
@@ -469,7 +469,7 @@
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
     let now = course.view(1)["members"][0]["start"].as_u64().expect("a start");
     let (own, other) = (Codec::new("pinepoint"), Codec::new("another"));
-    let sound = message("stranger", now, Standing::Alive, &socket, Vec::new());
+    let sound = message("stranger", now, Liveness::Alive, &socket, Vec::new());
     let bytes = own.encode(&sound).expect("encoded");
     let mut version = bytes.clone();
     version[0] += 1;
@@ -488,17 +488,17 @@
     };
     let n3 = member(3);
     let address = n3["address"].as_str().and_then(|text| text.parse().ok()).expect("an address");
-    let of = |name: &str, start, standing, incarnation| {
+    let of = |name: &str, start, liveness, incarnation| {
         let zone = "z1".into();
         let identity = Identity { name: name.to_owned(), zone, address, cores: 2, instance: 9 };
         let phase = Phase::Serving;
-        Record { identity: Rc::new(identity), start, incarnation, phase, standing, by: 1 }
+        MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 1 }
     };
     let news = vec![
-        of("n2", u64::MAX, Standing::Alive, 0),
-        of("n3", n3["start"].as_u64().expect("a start") + 1, Standing::Lost, 3),
+        of("n2", u64::MAX, Liveness::Alive, 0),
+        of("n3", n3["start"].as_u64().expect("a start") + 1, Liveness::Lost, 3),
     ];
-    let forged = message("stranger", now, Standing::Alive, &socket, news);
+    let forged = message("stranger", now, Liveness::Alive, &socket, news);
     socket.send_to(&own.encode(&forged).expect("encoded"), to).expect("sent");
     course.run(
         "n1 wait log fleet-disbelieved *reason=forged-start*
