--- a/crates/pinepoint-handover/src/io.rs
+++ b/crates/pinepoint-handover/src/io.rs
@@ -32,15 +32,15 @@
 /// Before it is renamed, with the number of the process. Shorter than [`SOCKET_NAME`] for any number.
 const TEMPORARY_PREFIX: &str = ".pphandover";
 /// How long a peer may take for its preamble, and a predecessor for its hello too.
-const GREETING_TIME: Duration = Duration::from_secs(1);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Connections that are being greeted at once.
-const GREETED_AT_ONCE: usize = 8;
+const MAX_PENDING_HANDSHAKES: usize = 8;
 /// Listening sockets that are passed at most.
-pub const LISTENERS_MOST: usize = 8;
+pub const MAX_LISTENERS: usize = 8;
 /// Bytes that wait to be sent at most.
-const QUEUE_BYTES: usize = 8 << 20;
+const MAX_QUEUED_BYTES: usize = 8 << 20;
 /// Bytes of one read.
-const READ_BYTES: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Where the predecessor listens.
 pub fn socket_path(shared_directory: &Path) -> PathBuf {
@@ -63,24 +63,24 @@
 
 /// Looks for a predecessor, for a second at most. The number names the link.
 pub async fn connect(path: &Path, number: u64) -> Result<Connected, NoPredecessor> {
-    within_greeting_time(greet_predecessor(path, number), NoPredecessor::Silent).await
+    with_handshake_timeout(handshake_with_predecessor(path, number), NoPredecessor::TimedOut).await
 }
 
-async fn within_greeting_time<T, E>(work: impl Future<Output = Result<T, E>>, late: E) -> Result<T, E> {
+async fn with_handshake_timeout<T, E>(work: impl Future<Output = Result<T, E>>, late: E) -> Result<T, E> {
     let timer = async {
-        Timer::after(GREETING_TIME).await;
+        Timer::after(HANDSHAKE_TIMEOUT).await;
         Err(late)
     };
     future::or(work, timer).await
 }
 
-async fn greet_predecessor(path: &Path, number: u64) -> Result<Connected, NoPredecessor> {
+async fn handshake_with_predecessor(path: &Path, number: u64) -> Result<Connected, NoPredecessor> {
     SocketAddr::from_pathname(path).map_err(|_| NoPredecessor::BadPath)?;
-    let mut stream = Async::<UnixStream>::connect(path).await.map_err(|error| not_connected(&error))?;
+    let mut stream = Async::<UnixStream>::connect(path).await.map_err(|error| connect_error(&error))?;
     if !is_same_user(&stream) {
         return Err(NoPredecessor::OtherUser);
     }
-    stream.write_all(&wire::preamble()).await.map_err(|error| lost_in_greeting(&error))?;
+    stream.write_all(&wire::preamble()).await.map_err(|error| handshake_io_error(&error))?;
     let passed = receive_preamble(&stream).await?;
     let mut decoder = Decoder::default();
     let hello = receive_hello(&mut stream, &mut decoder).await?;
@@ -89,7 +89,7 @@
     Ok(Connected { hello, listeners, link, task })
 }
 
-fn not_connected(error: &io::Error) -> NoPredecessor {
+fn connect_error(error: &io::Error) -> NoPredecessor {
     match error.kind() {
         io::ErrorKind::NotFound => NoPredecessor::NoSocket,
         io::ErrorKind::ConnectionRefused => NoPredecessor::Refused,
@@ -101,7 +101,7 @@
     }
 }
 
-fn lost_in_greeting(error: &io::Error) -> NoPredecessor {
+fn handshake_io_error(error: &io::Error) -> NoPredecessor {
     match error.kind() {
         io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe => {
             NoPredecessor::Closed
@@ -112,7 +112,11 @@
 
 impl From<WireError> for NoPredecessor {
     fn from(error: WireError) -> Self {
-        if error == WireError::Version { NoPredecessor::OtherVersion } else { NoPredecessor::Stranger }
+        if error == WireError::Version {
+            NoPredecessor::OtherVersion
+        } else {
+            NoPredecessor::ProtocolMismatch
+        }
     }
 }
 
@@ -124,9 +128,9 @@
     while filled < PREAMBLE_LENGTH {
         let buffer = &mut preamble[filled..];
         let n = stream
-            .read_with(|stream| receive_with_sockets(stream, buffer, &mut passed))
+            .read_with(|stream| receive_with_fds(stream, buffer, &mut passed))
             .await
-            .map_err(|error| lost_in_greeting(&error))?;
+            .map_err(|error| handshake_io_error(&error))?;
         if n == 0 {
             return Err(NoPredecessor::Closed);
         }
@@ -136,12 +140,8 @@
     Ok(passed)
 }
 
-fn receive_with_sockets(
-    stream: &UnixStream,
-    buffer: &mut [u8],
-    passed: &mut Vec<OwnedFd>,
-) -> io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MOST))];
+fn receive_with_fds(stream: &UnixStream, buffer: &mut [u8], passed: &mut Vec<OwnedFd>) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut slices = [IoSliceMut::new(buffer)];
     let received = rustix::net::recvmsg(stream, &mut slices, &mut control, RecvFlags::CMSG_CLOEXEC)?;
@@ -157,14 +157,14 @@
     stream: &mut Async<UnixStream>,
     decoder: &mut Decoder,
 ) -> Result<Hello, NoPredecessor> {
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         match decoder.next_message()? {
             Some(Message::Hello(hello)) => return Ok(hello),
-            Some(_) => return Err(NoPredecessor::Stranger),
+            Some(_) => return Err(NoPredecessor::ProtocolMismatch),
             None => {}
         }
-        let n = stream.read(&mut buffer).await.map_err(|error| lost_in_greeting(&error))?;
+        let n = stream.read(&mut buffer).await.map_err(|error| handshake_io_error(&error))?;
         if n == 0 {
             return Err(NoPredecessor::Closed);
         }
@@ -190,25 +190,29 @@
 
 reason_codes! {
     /// Why a connection to the handover socket is closed.
-    Rejected {
+    HandshakeError {
         /// It comes from another user.
         OtherUser = "other-user",
         /// It said nothing in time.
-        Silent = "no-preamble-in-time",
+        TimedOut = "no-preamble-in-time",
         /// What it said is no handover.
-        Stranger = "not-a-handover",
+        ProtocolMismatch = "not-a-handover",
         /// It speaks another version.
         OtherVersion = "other-version",
         /// Its connection failed.
-        Closed = "closed-in-preamble",
+        ConnectionLost = "closed-in-preamble",
         /// Too many are being greeted, and it was the oldest of them.
-        TooMany = "too-many-greeted",
+        TooManyPending = "too-many-greeted",
     }
 }
 
-impl From<WireError> for Rejected {
+impl From<WireError> for HandshakeError {
     fn from(error: WireError) -> Self {
-        if error == WireError::Version { Rejected::OtherVersion } else { Rejected::Stranger }
+        if error == WireError::Version {
+            HandshakeError::OtherVersion
+        } else {
+            HandshakeError::ProtocolMismatch
+        }
     }
 }
 
@@ -225,15 +229,15 @@
     socket: Async<UnixListener>,
     listeners: RefCell<Vec<OwnedFd>>,
     /// Connections that are being greeted, the oldest first.
-    greeting: RefCell<BTreeMap<u64, Task<()>>>,
+    handshakes: RefCell<BTreeMap<u64, Task<()>>>,
 }
 
 impl Acceptor {
     /// Listens, in place of whatever is at the path. The listening sockets are passed to each successor, in this order.
     pub fn bind(path: &Path, listeners: &[&TcpListener]) -> io::Result<Acceptor> {
-        if listeners.len() > LISTENERS_MOST {
+        if listeners.len() > MAX_LISTENERS {
             let wrong =
-                format!("{} listening sockets: {LISTENERS_MOST} can be passed at most", listeners.len());
+                format!("{} listening sockets: {MAX_LISTENERS} can be passed at most", listeners.len());
             return Err(io::Error::new(io::ErrorKind::InvalidInput, wrong));
         }
         // The temporary name is shorter: what could be bound might not be connected to.
@@ -246,7 +250,7 @@
         let socket = bind_and_rename(path, &temporary).inspect_err(|_| {
             let _ = std::fs::remove_file(&temporary);
         })?;
-        Ok(Acceptor { socket, listeners: RefCell::new(listeners), greeting: RefCell::default() })
+        Ok(Acceptor { socket, listeners: RefCell::new(listeners), handshakes: RefCell::default() })
     }
 
     /// Closes its copies of the listening sockets: none is passed from here on, and a successor finds none.
@@ -272,35 +276,42 @@
             match future::or(accepted, closed).await {
                 None => return,
                 Some(Ok((stream, _))) => {
-                    self.make_way();
-                    let task = executor.spawn(self.clone().greet(number, stream, peers.clone()));
-                    self.greeting.borrow_mut().insert(number, task);
+                    self.evict_oldest_handshake();
+                    let task = executor.spawn(self.clone().handle_connection(number, stream, peers.clone()));
+                    self.handshakes.borrow_mut().insert(number, task);
                     number += 1;
                 }
                 // No descriptors, or a peer that is gone again.
                 Some(Err(error)) => {
                     tracing::warn!(%error, "handover-accept");
-                    Timer::after(GREETING_TIME).await;
+                    Timer::after(HANDSHAKE_TIMEOUT).await;
                 }
             }
         }
     }
 
     /// Ends the oldest greeting where there are too many: a successor speaks at once, and must not wait for those who do not.
-    fn make_way(&self) {
-        let mut greeting = self.greeting.borrow_mut();
-        if greeting.len() >= GREETED_AT_ONCE {
-            tracing::warn!(reason = %Rejected::TooMany, "handover-rejected");
-            greeting.pop_first();
+    fn evict_oldest_handshake(&self) {
+        let mut handshakes = self.handshakes.borrow_mut();
+        if handshakes.len() >= MAX_PENDING_HANDSHAKES {
+            tracing::warn!(reason = %HandshakeError::TooManyPending, "handover-rejected");
+            handshakes.pop_first();
         }
     }
 
-    async fn greet(self: Rc<Self>, number: u64, stream: Async<UnixStream>, peers: Sender<Accepted>) {
-        let greeted = within_greeting_time(self.greet_successor(number, stream), Rejected::Silent).await;
-        if let Some(task) = self.greeting.borrow_mut().remove(&number) {
+    async fn handle_connection(
+        self: Rc<Self>,
+        number: u64,
+        stream: Async<UnixStream>,
+        peers: Sender<Accepted>,
+    ) {
+        let result =
+            with_handshake_timeout(self.handshake_with_successor(number, stream), HandshakeError::TimedOut)
+                .await;
+        if let Some(task) = self.handshakes.borrow_mut().remove(&number) {
             task.detach();
         }
-        match greeted {
+        match result {
             Ok(accepted) => {
                 let _ = peers.send(accepted).await;
             }
@@ -308,16 +319,16 @@
         }
     }
 
-    async fn greet_successor(
+    async fn handshake_with_successor(
         &self,
         number: u64,
         mut stream: Async<UnixStream>,
-    ) -> Result<Accepted, Rejected> {
+    ) -> Result<Accepted, HandshakeError> {
         if !is_same_user(&stream) {
-            return Err(Rejected::OtherUser);
+            return Err(HandshakeError::OtherUser);
         }
         let mut preamble = [0; PREAMBLE_LENGTH];
-        stream.read_exact(&mut preamble).await.map_err(|_| Rejected::Closed)?;
+        stream.read_exact(&mut preamble).await.map_err(|_| HandshakeError::ConnectionLost)?;
         if let Err(error) = wire::check_preamble(&preamble) {
             // To another version this version is told, and nothing is passed.
             if error == WireError::Version {
@@ -325,16 +336,15 @@
             }
             return Err(error.into());
         }
-        self.send_preamble(&mut stream).await.map_err(|_| Rejected::Closed)?;
+        self.send_preamble(&mut stream).await.map_err(|_| HandshakeError::ConnectionLost)?;
         let (link, task) = Link::new(number, stream, Decoder::default());
         Ok(Accepted { link, task })
     }
 
     async fn send_preamble(&self, stream: &mut Async<UnixStream>) -> io::Result<()> {
         let preamble = wire::preamble();
-        let sent = stream
-            .write_with(|stream| send_with_sockets(stream, &preamble, &self.listeners.borrow()))
-            .await?;
+        let sent =
+            stream.write_with(|stream| send_with_fds(stream, &preamble, &self.listeners.borrow())).await?;
         stream.write_all(&preamble[sent..]).await
     }
 }
@@ -348,9 +358,9 @@
     Ok(socket)
 }
 
-fn send_with_sockets(stream: &UnixStream, bytes: &[u8], sockets: &[OwnedFd]) -> io::Result<usize> {
+fn send_with_fds(stream: &UnixStream, bytes: &[u8], sockets: &[OwnedFd]) -> io::Result<usize> {
     let borrowed: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MOST))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     if !borrowed.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&borrowed)) {
         return Err(io::ErrorKind::InvalidInput.into());
@@ -363,7 +373,7 @@
 
 reason_codes! {
     /// Why a link is over.
-    LinkEnd {
+    LinkCloseReason {
         /// The peer closed it, or has died.
         PeerClosed = "peer-closed",
         /// What came is no message.
@@ -375,7 +385,7 @@
         /// The system failed.
         System = "link-system-error",
         /// This side closed it.
-        Closed = "self-closed",
+        ClosedLocally = "self-closed",
     }
 }
 
@@ -384,7 +394,7 @@
     Open,
     /// What waits is still sent.
     Finishing,
-    Over(LinkEnd),
+    Closed(LinkCloseReason),
 }
 
 struct LinkInner {
@@ -427,7 +437,7 @@
         }
         match wire::encode(message) {
             Ok(frame) => self.enqueue(frame),
-            Err(_) => self.end(LinkEnd::MessageTooLong),
+            Err(_) => self.end(LinkCloseReason::MessageTooLong),
         }
     }
 
@@ -441,13 +451,13 @@
 
     /// Ends at once.
     pub fn close(&self) {
-        self.end(LinkEnd::Closed);
+        self.end(LinkCloseReason::ClosedLocally);
     }
 
     fn enqueue(&self, frame: Vec<u8>) {
         let queued = self.inner.queued_bytes.get() + frame.len();
-        if queued > QUEUE_BYTES {
-            self.end(LinkEnd::QueueFull);
+        if queued > MAX_QUEUED_BYTES {
+            self.end(LinkCloseReason::QueueFull);
             return;
         }
         self.inner.queued_bytes.set(queued);
@@ -455,9 +465,9 @@
         self.wake();
     }
 
-    fn end(&self, why: LinkEnd) {
-        if !matches!(self.inner.state.get(), LinkState::Over(_)) {
-            self.inner.state.set(LinkState::Over(why));
+    fn end(&self, why: LinkCloseReason) {
+        if !matches!(self.inner.state.get(), LinkState::Closed(_)) {
+            self.inner.state.set(LinkState::Closed(why));
             self.inner.queue.borrow_mut().clear();
             self.wake();
         }
@@ -479,7 +489,7 @@
 
 impl LinkTask {
     /// Hands on each message until the link is over, and says why it is.
-    pub async fn run(self, mut deliver: impl FnMut(Message)) -> LinkEnd {
+    pub async fn run(self, mut deliver: impl FnMut(Message)) -> LinkCloseReason {
         let LinkTask { link, stream, mut decoder, woken } = self;
         let end = future::or(
             write_messages(&link, &stream, &woken),
@@ -492,23 +502,23 @@
 }
 
 /// Sends what is queued. A peer that is gone is the reader's to tell: what it sent before is still read.
-async fn write_messages(link: &Link, stream: &Async<UnixStream>, woken: &Receiver<()>) -> LinkEnd {
+async fn write_messages(link: &Link, stream: &Async<UnixStream>, woken: &Receiver<()>) -> LinkCloseReason {
     loop {
-        if let LinkState::Over(why) = link.inner.state.get() {
+        if let LinkState::Closed(why) = link.inner.state.get() {
             return why;
         }
         let next = link.inner.queue.borrow_mut().pop_front();
         match next {
             Some(frame) => {
-                let over = async { Err(wait_until_over(link, woken).await) };
+                let over = async { Err(wait_until_closed(link, woken).await) };
                 let written = async { Ok(write_frame(stream, &frame).await) };
                 match future::or(written, over).await {
                     Ok(true) => link.inner.queued_bytes.set(link.inner.queued_bytes.get() - frame.len()),
-                    Ok(false) => return wait_until_over(link, woken).await,
+                    Ok(false) => return wait_until_closed(link, woken).await,
                     Err(why) => return why,
                 }
             }
-            None if link.inner.state.get() == LinkState::Finishing => return LinkEnd::Closed,
+            None if link.inner.state.get() == LinkState::Finishing => return LinkCloseReason::ClosedLocally,
             None => {
                 let _ = woken.recv().await;
             }
@@ -521,9 +531,9 @@
     stream.write_all(frame).await.is_ok()
 }
 
-async fn wait_until_over(link: &Link, woken: &Receiver<()>) -> LinkEnd {
+async fn wait_until_closed(link: &Link, woken: &Receiver<()>) -> LinkCloseReason {
     loop {
-        if let LinkState::Over(why) = link.inner.state.get() {
+        if let LinkState::Closed(why) = link.inner.state.get() {
             return why;
         }
         let _ = woken.recv().await;
@@ -535,29 +545,31 @@
     stream: &Async<UnixStream>,
     decoder: &mut Decoder,
     deliver: &mut impl FnMut(Message),
-) -> LinkEnd {
+) -> LinkCloseReason {
     let mut stream = stream;
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         loop {
-            if let LinkState::Over(why) = link.inner.state.get() {
+            if let LinkState::Closed(why) = link.inner.state.get() {
                 return why;
             }
             match decoder.next_message() {
                 Ok(Some(message)) => deliver(message),
                 Ok(None) => break,
-                Err(_) => return LinkEnd::Malformed,
+                Err(_) => return LinkCloseReason::Malformed,
             }
         }
         match stream.read(&mut buffer).await {
-            Ok(0) => return LinkEnd::PeerClosed,
+            Ok(0) => return LinkCloseReason::PeerClosed,
             Ok(n) => {
                 decoder.push(&buffer[..n]);
                 // However much comes, others have their turn.
                 future::yield_now().await;
             }
-            Err(error) if error.kind() == io::ErrorKind::ConnectionReset => return LinkEnd::PeerClosed,
-            Err(_) => return LinkEnd::System,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionReset => {
+                return LinkCloseReason::PeerClosed;
+            }
+            Err(_) => return LinkCloseReason::System,
         }
     }
 }
--- a/crates/pinepoint-handover/src/message.rs
+++ b/crates/pinepoint-handover/src/message.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a result in one message at most; a longer one is sent as [`KeyState::Failed`].
-pub const RESULT_MOST: usize = 32 << 10;
+pub const MAX_RESULT_BYTES: usize = 32 << 10;
 /// Bytes of records in one message beyond which the next record goes into the next message.
-const BATCH_BYTES: usize = 24 << 10;
+const MAX_BATCH_BYTES: usize = 24 << 10;
 /// Bytes of a record beside its key and result, at most.
-const RECORD_HEAD: usize = 48;
+const RECORD_OVERHEAD_BYTES: usize = 48;
 
 /// An idempotency key: unique within its class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
 
 impl KeyRecord {
     /// The same record, with a result that is too large to be sent left out.
-    pub(crate) fn sendable(mut self, result_most: usize) -> KeyRecord {
-        if self.result_bytes() > result_most.min(RESULT_MOST) {
+    pub(crate) fn sendable(mut self, max_result_bytes: usize) -> KeyRecord {
+        if self.result_bytes() > max_result_bytes.min(MAX_RESULT_BYTES) {
             self.state = KeyState::Failed;
         }
         self
@@ -68,7 +68,7 @@
     }
 
     fn size(&self) -> usize {
-        RECORD_HEAD + self.key.class.len() + self.key.token.len() + self.result_bytes()
+        RECORD_OVERHEAD_BYTES + self.key.class.len() + self.key.token.len() + self.result_bytes()
     }
 }
 
@@ -132,7 +132,7 @@
     let (mut batch, mut bytes) = (Vec::new(), 0);
     for record in records {
         let size = record.size();
-        if bytes + size > BATCH_BYTES && !batch.is_empty() {
+        if bytes + size > MAX_BATCH_BYTES && !batch.is_empty() {
             messages.push(Message::Keys(std::mem::take(&mut batch)));
             bytes = 0;
         }
--- a/crates/pinepoint-handover/src/ownership.rs
+++ b/crates/pinepoint-handover/src/ownership.rs
@@ -80,7 +80,7 @@
 
 reason_codes! {
     /// Why a peer is dropped by a decision.
-    Drop {
+    DropReason {
         /// It sent a message that has no place in this phase.
         Protocol = "peer-out-of-turn",
         /// Its snapshot did not end in time.
@@ -104,9 +104,9 @@
         /// It closed the connection before its hello.
         Closed = "closed-before-hello",
         /// It said nothing in time.
-        Silent = "no-hello-in-time",
+        TimedOut = "no-hello-in-time",
         /// What it said is no handover.
-        Stranger = "not-a-handover",
+        ProtocolMismatch = "not-a-handover",
         /// It speaks another version.
         OtherVersion = "other-version",
         /// It runs as another user.
@@ -125,7 +125,7 @@
     }
 
     /// Whether another attempt may end differently.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, NoPredecessor::Closed | NoPredecessor::System)
     }
 }
--- a/crates/pinepoint-handover/src/predecessor.rs
+++ b/crates/pinepoint-handover/src/predecessor.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 use crate::message::{Claim, Hello, Key, KeyRecord, KeyState, Message, key_messages};
-use crate::ownership::{Denial, Drop, Fault, Rules, UnknownKey};
+use crate::ownership::{Denial, DropReason, Fault, Rules, UnknownKey};
 
 /// How far the handover to a successor is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// Drop the link that has just connected: there is another.
     RefusePeer,
     /// Drop the link, and forget it.
-    DropPeer(Drop),
+    DropPeer(DropReason),
     /// Accept no connections, and keep the listening sockets.
     StopAccepting,
     /// Accept connections again.
@@ -94,7 +94,7 @@
 pub struct Predecessor {
     rules: Rules,
     phase: Phase,
-    leaving: bool,
+    is_leaving: bool,
     listeners: Vec<String>,
     digest_key: [u8; 16],
     drained: bool,
@@ -111,7 +111,7 @@
             listeners: _,
             digest_key: _,
             phase,
-            leaving,
+            is_leaving,
             drained,
             connections,
             keys_unknown_until_ms,
@@ -119,7 +119,7 @@
         } = self;
         f.debug_struct("Predecessor")
             .field("phase", phase)
-            .field("leaving", leaving)
+            .field("leaving", is_leaving)
             .field("drained", drained)
             .field("connections", connections)
             .field("keys_unknown_until_ms", keys_unknown_until_ms)
@@ -134,7 +134,7 @@
         Predecessor {
             rules,
             phase: Phase::NoSuccessor,
-            leaving: false,
+            is_leaving: false,
             listeners,
             digest_key,
             drained: false,
@@ -180,7 +180,7 @@
             Event::Snapshot(records) => self.snapshot(records, actions),
             Event::KeyChanged(record) => self.key_changed(record, actions),
             Event::ClaimWanted(claim) => self.claim_wanted(now_ms, claim, actions),
-            Event::KeysUnknownUntil(until_ms) => self.not_all_known_until(until_ms),
+            Event::KeysUnknownUntil(until_ms) => self.extend_unknown_window(until_ms),
             Event::DrainChanged(drained) => self.drain_changed(drained, actions),
             Event::Connections(open) => self.connections_changed(open, actions),
             Event::Terminate => self.terminate(actions),
@@ -192,7 +192,7 @@
         matches!(self.phase, Phase::Streaming | Phase::Yielded)
     }
 
-    fn not_all_known_until(&mut self, until_ms: f64) {
+    fn extend_unknown_window(&mut self, until_ms: f64) {
         self.keys_unknown_until_ms = self.keys_unknown_until_ms.max(until_ms);
     }
 
@@ -230,8 +230,8 @@
         actions.push(Action::Send(Message::SnapshotEnd));
         actions.push(Action::Send(Message::Connections(self.connections)));
         self.phase = Phase::Streaming;
-        if self.leaving {
-            self.yield_keys(actions);
+        if self.is_leaving {
+            self.yield_ownership(actions);
         }
     }
 
@@ -241,10 +241,10 @@
             (Phase::NoSuccessor, _) => {}
             (Phase::Streaming, Message::TakeOver) => {
                 actions.push(Action::StopAccepting);
-                self.yield_keys(actions);
+                self.yield_ownership(actions);
             }
             // It crossed a yield that was not asked for: the successor serves from now on.
-            (Phase::Yielded, Message::TakeOver) if self.leaving => {
+            (Phase::Yielded, Message::TakeOver) if self.is_leaving => {
                 actions.push(Action::Leave { handed_over: true });
             }
             (Phase::Yielded, Message::ClaimAnswer { id, granted }) => {
@@ -252,13 +252,13 @@
             }
             (_, Message::Drained(drained)) => self.set_drained(drained, actions),
             _ => {
-                actions.push(Action::DropPeer(Drop::Protocol));
+                actions.push(Action::DropPeer(DropReason::Protocol));
                 self.peer_lost(now_ms, actions);
             }
         }
     }
 
-    fn yield_keys(&mut self, actions: &mut Vec<Action>) {
+    fn yield_ownership(&mut self, actions: &mut Vec<Action>) {
         self.phase = Phase::Yielded;
         actions.push(Action::Send(Message::Yielded));
     }
@@ -272,15 +272,15 @@
             }
         }
         if had_yielded {
-            self.take_back(now_ms, actions);
+            self.resume_key_ownership(now_ms, actions);
         }
     }
 
     /// The successor may have run any key, and may still run some until it is ended.
-    fn take_back(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        self.not_all_known_until(now_ms + self.rules.longest_window_ms + self.rules.peer_exit_ms);
+    fn resume_key_ownership(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        self.extend_unknown_window(now_ms + self.rules.longest_window_ms + self.rules.peer_exit_ms);
         actions.push(Action::KeysUnknownUntil(self.keys_unknown_until_ms));
-        if self.leaving {
+        if self.is_leaving {
             actions.push(Action::Leave { handed_over: false });
         } else {
             actions.extend([Action::ResumeAccepting, Action::BindAcceptor]);
@@ -288,14 +288,14 @@
     }
 
     fn terminate(&mut self, actions: &mut Vec<Action>) {
-        if self.leaving {
+        if self.is_leaving {
             return;
         }
-        self.leaving = true;
+        self.is_leaving = true;
         actions.push(Action::Leave { handed_over: self.phase == Phase::Yielded });
         if self.phase == Phase::Streaming {
             actions.push(Action::StopAccepting);
-            self.yield_keys(actions);
+            self.yield_ownership(actions);
         }
     }
 
--- a/crates/pinepoint-handover/src/successor.rs
+++ b/crates/pinepoint-handover/src/successor.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use crate::message::{Claim, Hello, KeyRecord, Message};
-use crate::ownership::{Drop, NoPredecessor, Rules, UnknownKey};
+use crate::ownership::{DropReason, NoPredecessor, Rules, UnknownKey};
 
 /// How long to wait before another attempt to connect, ms.
 pub const RECONNECT_MS: f64 = 50.0;
@@ -64,7 +64,7 @@
     /// Look for the predecessor again, after [`RECONNECT_MS`]: it may not have noticed yet that the link is over.
     Reconnect,
     /// Drop the link, and forget it.
-    DropPeer(Drop),
+    DropPeer(DropReason),
     /// Accept connections, on the passed listening sockets if there are any. Comes once.
     BeginServing,
     /// Enter this record as the predecessor's. A record that is this process's own stays as it is.
@@ -193,7 +193,7 @@
 
     fn peer_connected(&mut self, now_ms: f64, hello: Hello, actions: &mut Vec<Action>) {
         if self.phase != Phase::Connecting {
-            actions.push(Action::DropPeer(Drop::Protocol));
+            actions.push(Action::DropPeer(DropReason::Protocol));
             return;
         }
         if self.met_predecessor {
@@ -203,7 +203,7 @@
         self.attempts += 1;
         self.phase = Phase::Importing(now_ms + self.rules.snapshot_ms);
         if hello.keys_unknown_until_ms > now_ms {
-            self.not_all_known_until(hello.keys_unknown_until_ms, actions);
+            self.extend_unknown_window(hello.keys_unknown_until_ms, actions);
         }
         match self.drained {
             Some(drained) if drained != hello.drained => {
@@ -223,11 +223,11 @@
             // A predecessor that was there is dead now, and may have run what it could not tell.
             let unknown_for = self.met_predecessor.then_some(self.rules.longest_window_ms);
             self.serve_alone(now_ms, unknown_for, actions);
-        } else if why.is_passing() && self.attempts < self.rules.attempts {
+        } else if why.is_transient() && self.attempts < self.rules.attempts {
             self.met_predecessor = true;
             actions.push(Action::Reconnect);
         } else {
-            self.serve_beside_unknown(now_ms, actions);
+            self.serve_beside_unreachable(now_ms, actions);
         }
     }
 
@@ -248,21 +248,21 @@
             self.phase = Phase::Connecting;
             actions.push(Action::Reconnect);
         } else {
-            self.serve_beside_unknown(now_ms, actions);
+            self.serve_beside_unreachable(now_ms, actions);
         }
     }
 
-    fn drop_peer(&mut self, now_ms: f64, why: Drop, actions: &mut Vec<Action>) {
+    fn drop_peer(&mut self, now_ms: f64, why: DropReason, actions: &mut Vec<Action>) {
         actions.push(Action::DropPeer(why));
         if self.phase == Phase::Owning {
             self.serve_alone(now_ms, None, actions);
         } else {
-            self.serve_beside_unknown(now_ms, actions);
+            self.serve_beside_unreachable(now_ms, actions);
         }
     }
 
     /// A predecessor that may live, and cannot be asked.
-    fn serve_beside_unknown(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    fn serve_beside_unreachable(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let unknown_for = self.rules.longest_window_ms + self.rules.peer_exit_ms;
         self.serve_alone(now_ms, Some(unknown_for), actions);
     }
@@ -273,12 +273,12 @@
             actions.extend([Action::FailPeerKeys, Action::PeerConnections(0)]);
         }
         if let Some(unknown_for_ms) = unknown_for_ms {
-            self.not_all_known_until(now_ms + unknown_for_ms, actions);
+            self.extend_unknown_window(now_ms + unknown_for_ms, actions);
         }
         self.begin_if_ready(actions);
     }
 
-    fn not_all_known_until(&mut self, until_ms: f64, actions: &mut Vec<Action>) {
+    fn extend_unknown_window(&mut self, until_ms: f64, actions: &mut Vec<Action>) {
         if until_ms > self.keys_unknown_until_ms {
             self.keys_unknown_until_ms = until_ms;
             actions.push(Action::KeysUnknownUntil(until_ms));
@@ -306,7 +306,7 @@
                 actions.push(Action::Send(Message::Drained(drained)));
             }
             (_, Message::Connections(open)) => actions.push(Action::PeerConnections(open)),
-            _ => self.drop_peer(now_ms, Drop::Protocol, actions),
+            _ => self.drop_peer(now_ms, DropReason::Protocol, actions),
         }
     }
 
@@ -344,10 +344,10 @@
     fn tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Importing(due_ms) if now_ms >= due_ms => {
-                self.drop_peer(now_ms, Drop::SnapshotLate, actions);
+                self.drop_peer(now_ms, DropReason::SnapshotLate, actions);
             }
             Phase::TakingOver(due_ms) if now_ms >= due_ms => {
-                self.drop_peer(now_ms, Drop::YieldLate, actions);
+                self.drop_peer(now_ms, DropReason::YieldLate, actions);
             }
             _ => {}
         }
@@ -358,7 +358,7 @@
             return;
         }
         if self.is_linked() {
-            actions.push(Action::DropPeer(Drop::Leaving));
+            actions.push(Action::DropPeer(DropReason::Leaving));
         }
         self.phase = Phase::Left;
         actions.push(Action::Leave);
--- a/crates/pinepoint-handover/src/wire.rs
+++ b/crates/pinepoint-handover/src/wire.rs
@@ -11,7 +11,7 @@
 /// Length of a preamble.
 pub const PREAMBLE_LENGTH: usize = 6;
 /// Bytes of a frame's message at most.
-pub const FRAME_MOST: usize = 64 << 10;
+pub const MAX_FRAME_BYTES: usize = 64 << 10;
 const LENGTH_BYTES: usize = 4;
 
 reason_codes! {
@@ -24,7 +24,7 @@
         /// A frame is longer than any may be.
         TooLong = "frame-too-long",
         /// A frame holds no message, or one with a time that is none.
-        Form = "frame-malformed",
+        Malformed = "frame-malformed",
     }
 }
 
@@ -50,9 +50,9 @@
 
 /// A message as a frame.
 pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
-    let frame = postcard::to_extend(message, vec![0; LENGTH_BYTES]).map_err(|_| WireError::Form)?;
+    let frame = postcard::to_extend(message, vec![0; LENGTH_BYTES]).map_err(|_| WireError::Malformed)?;
     let length = frame.len() - LENGTH_BYTES;
-    if length > FRAME_MOST {
+    if length > MAX_FRAME_BYTES {
         return Err(WireError::TooLong);
     }
     let mut frame = frame;
@@ -80,7 +80,7 @@
         let rest = &self.bytes[self.start..];
         let Some((length, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > FRAME_MOST {
+        if length > MAX_FRAME_BYTES {
             return Err(WireError::TooLong);
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
@@ -91,8 +91,8 @@
 }
 
 fn decode(body: &[u8]) -> Result<Message, WireError> {
-    let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| WireError::Form)?;
-    if rest.is_empty() && times_are_finite(&message) { Ok(message) } else { Err(WireError::Form) }
+    let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| WireError::Malformed)?;
+    if rest.is_empty() && times_are_finite(&message) { Ok(message) } else { Err(WireError::Malformed) }
 }
 
 fn times_are_finite(message: &Message) -> bool {
--- a/crates/pinepoint-handover/tests/io.rs
+++ b/crates/pinepoint-handover/tests/io.rs
@@ -13,7 +13,7 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use futures_lite::{AsyncReadExt, future};
-use pinepoint_handover::io::{self, Accepted, Acceptor, Connected, Link, LinkEnd, LinkTask};
+use pinepoint_handover::io::{self, Accepted, Acceptor, Connected, Link, LinkCloseReason, LinkTask};
 use pinepoint_handover::message::{Hello, Key, KeyRecord, KeyState, Message};
 use pinepoint_handover::ownership::NoPredecessor;
 use pinepoint_handover::wire;
@@ -61,7 +61,7 @@
 struct End {
     link: Link,
     messages: Receiver<Message>,
-    task: Task<LinkEnd>,
+    task: Task<LinkCloseReason>,
 }
 
 impl World {
@@ -137,7 +137,10 @@
             old.link.send(&Message::Connections(open));
         }
         old.link.finish();
-        assert_eq!((old.task.await, new.task.await), (LinkEnd::Closed, LinkEnd::PeerClosed));
+        assert_eq!(
+            (old.task.await, new.task.await),
+            (LinkCloseReason::ClosedLocally, LinkCloseReason::PeerClosed)
+        );
         for open in 0..500 {
             assert_eq!(new.messages.recv().await, Ok(Message::Connections(open)));
         }
@@ -156,7 +159,7 @@
         for _ in 0..400 {
             old.link.send(&Message::Keys(vec![record.clone()]));
         }
-        assert_eq!(old.task.await, LinkEnd::QueueFull);
+        assert_eq!(old.task.await, LinkCloseReason::QueueFull);
         drop(connected);
     });
 }
@@ -166,12 +169,18 @@
     let world = World::new(&listener());
     world.block_on(async {
         let (old, new, _) = world.linked().await;
-        let hello = hello(&[&"n".repeat(wire::FRAME_MOST)]);
+        let hello = hello(&[&"n".repeat(wire::MAX_FRAME_BYTES)]);
         old.link.send(&Message::Hello(hello));
-        assert_eq!((old.task.await, new.task.await), (LinkEnd::MessageTooLong, LinkEnd::PeerClosed));
+        assert_eq!(
+            (old.task.await, new.task.await),
+            (LinkCloseReason::MessageTooLong, LinkCloseReason::PeerClosed)
+        );
         let (old, new, _) = world.linked().await;
         new.link.close();
-        assert_eq!((old.task.await, new.task.await), (LinkEnd::PeerClosed, LinkEnd::Closed));
+        assert_eq!(
+            (old.task.await, new.task.await),
+            (LinkCloseReason::PeerClosed, LinkCloseReason::ClosedLocally)
+        );
     });
 }
 
@@ -194,7 +203,7 @@
     let left = std::fs::read_dir(&directory.0).expect("it is there").count();
     assert_eq!(left, 1, "only the socket is there");
     // Nobody runs the acceptor: it is silent.
-    assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::Silent));
+    assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::TimedOut));
 }
 
 #[test]
@@ -203,7 +212,7 @@
     let old = Acceptor::bind(&directory.socket(), &[]).expect("it can be used");
     let _new = Acceptor::bind(&directory.socket(), &[]).expect("it replaces the other");
     drop(old);
-    assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::Silent));
+    assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::TimedOut));
 }
 
 #[test]
@@ -243,7 +252,7 @@
 #[test]
 fn more_listening_sockets_than_can_be_passed_are_an_error() {
     let directory = Directory::new();
-    let sockets: Vec<_> = (0..=io::LISTENERS_MOST).map(|_| listener()).collect();
+    let sockets: Vec<_> = (0..=io::MAX_LISTENERS).map(|_| listener()).collect();
     assert!(Acceptor::bind(&directory.socket(), &sockets.iter().collect::<Vec<_>>()).is_err());
 }
 
@@ -277,14 +286,14 @@
     let with_hello = |message: Message| [&own[..], &wire::encode(&message).expect("fits")].concat();
     let no_sockets = with_hello(Message::Hello(hello(&["rpc"])));
     let cases: [(&[u8], bool, NoPredecessor); 9] = [
-        (b"HTTP/1.1 400 Bad Request", false, NoPredecessor::Stranger),
+        (b"HTTP/1.1 400 Bad Request", false, NoPredecessor::ProtocolMismatch),
         (&older, false, NoPredecessor::OtherVersion),
-        (b"", false, NoPredecessor::Silent),
-        (&own, false, NoPredecessor::Silent),
+        (b"", false, NoPredecessor::TimedOut),
+        (&own, false, NoPredecessor::TimedOut),
         (b"", true, NoPredecessor::Closed),
         (&own, true, NoPredecessor::Closed),
-        (&[&own[..], &[0xff; 8]].concat(), false, NoPredecessor::Stranger),
-        (&with_hello(Message::Yielded), false, NoPredecessor::Stranger),
+        (&[&own[..], &[0xff; 8]].concat(), false, NoPredecessor::ProtocolMismatch),
+        (&with_hello(Message::Yielded), false, NoPredecessor::ProtocolMismatch),
         (&no_sockets, false, NoPredecessor::BadListeners),
     ];
     for (answer, closes, expected) in cases {
@@ -328,6 +337,6 @@
         futures_lite::AsyncWriteExt::write_all(&mut peer, &wire::preamble()).await.expect("it is connected");
         let old = world.accept(hello(&["rpc"])).await;
         futures_lite::AsyncWriteExt::write_all(&mut peer, &[0xff; 64]).await.expect("it is connected");
-        assert_eq!(old.task.await, LinkEnd::Malformed);
+        assert_eq!(old.task.await, LinkCloseReason::Malformed);
     });
 }
--- a/crates/pinepoint-handover/tests/transitions.rs
+++ b/crates/pinepoint-handover/tests/transitions.rs
@@ -1,8 +1,8 @@
 //! Each hard case of a handover by its name: who is killed or told to go at which step, which key is tried where, and what the two
 //! machines do about it. Both are run against each other; messages are handed over one by one.
 
-use pinepoint_handover::message::{Claim, Hello, Key, KeyRecord, KeyState, Message, RESULT_MOST};
-use pinepoint_handover::ownership::{Denial, Drop, NoPredecessor, Rules, UnknownKey};
+use pinepoint_handover::message::{Claim, Hello, Key, KeyRecord, KeyState, MAX_RESULT_BYTES, Message};
+use pinepoint_handover::ownership::{Denial, DropReason, NoPredecessor, Rules, UnknownKey};
 use pinepoint_handover::predecessor::{self, Action as Old, Predecessor};
 use pinepoint_handover::successor::{self, Action as New, Successor};
 
@@ -262,10 +262,10 @@
 
 #[test]
 fn results_beyond_the_bounds_are_sent_as_failed() {
-    let count = rules().snapshot_result_bytes / RESULT_MOST + 3;
+    let count = rules().snapshot_result_bytes / MAX_RESULT_BYTES + 3;
     let mut records: Vec<_> =
-        (0..count).map(|n| record(&n.to_string(), KeyState::Done(vec![1; RESULT_MOST]))).collect();
-    records.insert(0, record("long", KeyState::Done(vec![1; RESULT_MOST + 1])));
+        (0..count).map(|n| record(&n.to_string(), KeyState::Done(vec![1; MAX_RESULT_BYTES]))).collect();
+    records.insert(0, record("long", KeyState::Done(vec![1; MAX_RESULT_BYTES + 1])));
     let pair = Pair::imported(&records);
     let imported = pair.new_said.iter().filter_map(|action| match action {
         New::Import(record) => Some(&record.state),
@@ -326,10 +326,10 @@
     pair.tell_new(successor::Event::EngineUp);
     pair.tell_old(predecessor::Event::PeerConnected);
     pair.deliver_to_new();
-    let in_snapshot = (pair, Drop::SnapshotLate, rules().snapshot_ms);
+    let in_snapshot = (pair, DropReason::SnapshotLate, rules().snapshot_ms);
     let mut pair = Pair::imported(&[]);
     pair.tell_new(successor::Event::EngineUp);
-    let in_yield = (pair, Drop::YieldLate, rules().yield_ms);
+    let in_yield = (pair, DropReason::YieldLate, rules().yield_ms);
     for (mut pair, why, wait_ms) in [in_snapshot, in_yield] {
         assert_eq!(pair.new.next_due(), Some(NOW + wait_ms));
         pair.now = NOW + wait_ms;
@@ -440,7 +440,7 @@
     let mut pair = Pair::imported(&[]);
     pair.new_said.clear();
     pair.tell_new(successor::Event::Terminate);
-    assert_eq!(pair.new_said, [New::DropPeer(Drop::Leaving), New::Leave]);
+    assert_eq!(pair.new_said, [New::DropPeer(DropReason::Leaving), New::Leave]);
     pair.tell_new(successor::Event::EngineUp);
     assert!(!pair.new.is_serving());
 }
@@ -515,8 +515,8 @@
 fn an_older_a_newer_or_a_silent_one_and_a_stranger_make_unknown_keys_fail() {
     let reasons = [
         NoPredecessor::OtherVersion,
-        NoPredecessor::Silent,
-        NoPredecessor::Stranger,
+        NoPredecessor::TimedOut,
+        NoPredecessor::ProtocolMismatch,
         NoPredecessor::OtherUser,
         NoPredecessor::BadListeners,
     ];
@@ -533,11 +533,11 @@
 fn messages_out_of_turn_drop_the_peer_and_late_ones_do_nothing() {
     let mut pair = Pair::imported(&[]);
     pair.tell_old(predecessor::Event::Message(Message::ClaimAnswer { id: 1, granted: true }));
-    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(Drop::Protocol)));
+    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(DropReason::Protocol)));
     pair.tell_old(predecessor::Event::Message(Message::TakeOver));
-    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(Drop::Protocol)));
+    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(DropReason::Protocol)));
     pair.tell_new(successor::Event::Message(Message::TakeOver));
-    assert!(pair.new_said.contains(&New::DropPeer(Drop::Protocol)));
+    assert!(pair.new_said.contains(&New::DropPeer(DropReason::Protocol)));
     let said = pair.new_said.len();
     pair.tell_new(successor::Event::Message(Message::Yielded));
     assert_eq!(pair.new_said.len(), said);
--- a/crates/pinepoint-handover/tests/wire.rs
+++ b/crates/pinepoint-handover/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Bytes that are cut, changed, too long or of others: no message comes of them, and nothing is read beyond the bounds.
 
 use pinepoint_handover::message::{Claim, Hello, Key, KeyRecord, KeyState, Message};
-use pinepoint_handover::wire::{self, Decoder, FRAME_MOST, PREAMBLE_LENGTH, WireError};
+use pinepoint_handover::wire::{self, Decoder, MAX_FRAME_BYTES, PREAMBLE_LENGTH, WireError};
 use proptest::prelude::*;
 
 fn key() -> Key {
@@ -72,10 +72,10 @@
 
 #[test]
 fn a_frame_beyond_the_bound_is_neither_sent_nor_awaited() {
-    let large = Message::Keys(vec![record(KeyState::Done(vec![0; FRAME_MOST]), 1.0)]);
+    let large = Message::Keys(vec![record(KeyState::Done(vec![0; MAX_FRAME_BYTES]), 1.0)]);
     assert_eq!(wire::encode(&large), Err(WireError::TooLong));
     let mut decoder = Decoder::default();
-    decoder.push(&(FRAME_MOST as u32 + 1).to_be_bytes());
+    decoder.push(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes());
     assert_eq!(decoder.next_message(), Err(WireError::TooLong));
 }
 
@@ -90,7 +90,7 @@
     for bytes in no_times.chain([longer, vec![0; 4]]) {
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
-        assert_eq!(decoder.next_message(), Err(WireError::Form), "{bytes:?}");
+        assert_eq!(decoder.next_message(), Err(WireError::Malformed), "{bytes:?}");
     }
 }
 
