--- a/crates/pinepoint-lab/src/cluster/steps.rs
+++ b/crates/pinepoint-lab/src/cluster/steps.rs
@@ -7,7 +7,7 @@
 
 use super::view::{has_verdict, member_state};
 use super::{Cluster, ScriptError};
-use crate::fault_proxy::{Endpoint, Faults};
+use crate::fault_proxy::{Direction, Endpoint, Faults};
 use crate::script::{Step, steps};
 
 impl Cluster {
@@ -63,9 +63,9 @@
         match verb {
             "down" => {
                 let members = (0..self.members.len()).map(Endpoint::Member);
-                faults.blocked.extend(members.map(|member| (member, Endpoint::List)));
+                faults.blocked.extend(members.map(|member| Direction::new(member, Endpoint::List)));
             }
-            "up" => faults.blocked.retain(|(_, to)| *to != Endpoint::List),
+            "up" => faults.blocked.retain(|direction| direction.to != Endpoint::List),
             _ => return Err(ScriptError::UnknownStep),
         }
         Ok(())
@@ -250,7 +250,7 @@
                 self.proxy.faults().receive_loss.insert(endpoint, share);
             }
             ("cut", [from, to]) => {
-                let direction = (self.endpoint(from)?, self.endpoint(to)?);
+                let direction = Direction::new(self.endpoint(from)?, self.endpoint(to)?);
                 self.proxy.faults().blocked.insert(direction);
             }
             ("part", ["zone", zone]) => self.add_partition(&self.members_in_zone(zone)),
--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use pinepoint_lab::fault_proxy::{Endpoint, FaultProxy};
+use pinepoint_lab::fault_proxy::{Direction, Endpoint, FaultProxy};
 use pinepoint_lab::load::RequestClass;
 use pinepoint_lab::machine::EngineControl;
 use pinepoint_lab::routers::{Routers, Workload};
@@ -120,7 +120,7 @@
     served.set_read_timeout(Some(Duration::from_millis(500))).expect("set");
     let mut first = [0];
     served.read_exact(&mut first).expect("it comes");
-    proxy.faults().blocked.insert((one, other));
+    proxy.faults().blocked.insert(Direction::new(one, other));
     near.write_all(b"bcd").expect("sent");
     let mut got = [0; 3];
     assert!(served.read(&mut got).is_err(), "nothing goes over a way that is cut");
