--- a/crates/pinepoint-membership/benches/measure.rs
+++ b/crates/pinepoint-membership/benches/measure.rs
@@ -10,7 +10,7 @@
 
 use clap::{Parser, ValueEnum};
 use pinepoint_membership::diagnosis::VerdictKind;
-use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase, key};
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase, member_key};
 use pinepoint_membership::membership::{
     Action, Event, FailureDetector, Membership, MembershipSettings, Notification,
 };
@@ -141,8 +141,8 @@
                     {
                         suspected += usize::from(record.liveness == Liveness::Suspected);
                         lost += usize::from(record.liveness == Liveness::Lost);
-                        let by = key(own) as u32 | 1;
-                        first_hand += usize::from(record.liveness == Liveness::Lost && record.by == by);
+                        let by = member_key(own) as u32 | 1;
+                        first_hand += usize::from(record.liveness == Liveness::Lost && record.accuser == by);
                     }
                 }
                 world.clear();
@@ -189,7 +189,7 @@
         world.net = Net { delay: 5.0, ..Net::default() };
         let stopped: Vec<usize> = (0..size).filter(|at| world.nodes[*at].stopped).collect();
         stopped.into_iter().for_each(|at| world.go_on(at));
-        let gone: Vec<usize> = (0..size).filter(|at| world.nodes[*at].fleet.is_none()).collect();
+        let gone: Vec<usize> = (0..size).filter(|at| world.nodes[*at].membership.is_none()).collect();
         gone.into_iter().filter(|at| at % 2 == 0).for_each(|at| world.start(at));
         let took = world.await_truth(60.0);
         if took.is_none() {
@@ -235,11 +235,11 @@
 /// One member among peers that answer it at once and hold the same, so that what is timed is its own decisions and nothing
 /// of a simulation.
 struct Alone {
-    fleet: Membership,
+    membership: Membership,
     peers: Vec<MemberRecord>,
     random: Pcg64Mcg,
     now: f64,
-    seq: u32,
+    sequence: u32,
     spent: f64,
 }
 
@@ -252,36 +252,44 @@
             let liveness = if at <= lost { Liveness::Lost } else { Liveness::Alive };
             MemberRecord {
                 identity: identity.into(),
-                start: now as u64 - 9_000_000,
+                generation: now as u64 - 9_000_000,
                 incarnation: 0,
                 phase: Phase::Serving,
                 liveness,
-                by: 0,
+                accuser: 0,
             }
         };
         let own = (*peer(0).identity).clone();
         let peers: Vec<MemberRecord> = (1..size).map(peer).collect();
         let seeds = (1..4).map(address).collect();
-        let mut fleet = Membership::new(MembershipSettings::default(), now, own, seeds, 7);
-        fleet.preload(now, peers.iter());
-        Alone { fleet, peers, random: Pcg64Mcg::seed_from_u64(size as u64), now, seq: 0, spent: 0.0 }
+        let mut membership = Membership::new(MembershipSettings::default(), now, own, seeds, 7);
+        membership.preload(now, peers.iter());
+        Alone {
+            membership,
+            peers,
+            random: Pcg64Mcg::seed_from_u64(size as u64),
+            now,
+            sequence: 0,
+            spent: 0.0,
+        }
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::with_capacity(16);
         let began = Instant::now();
-        self.fleet.handle(self.now, event, &mut out);
+        self.membership.handle(self.now, event, &mut out);
         self.spent += began.elapsed().as_secs_f64();
         out
     }
 
-    fn says(&self, at: usize, body: PacketBody, news: Vec<MemberRecord>) -> Event {
+    fn says(&self, at: usize, body: PacketBody, updates: Vec<MemberRecord>) -> Event {
         let load = Load { up_s: 9000, healthy: true, ..Load::default() };
-        let (record, digest, known) = (self.peers[at].clone(), self.fleet.digest(), self.peers.len() as u32);
+        let (record, digest, known_members) =
+            (self.peers[at].clone(), self.membership.digest(), self.peers.len() as u32);
         Event::PacketReceived(Packet {
-            from: SenderState { record, load, digest, known, now_ms: self.now },
+            sender: SenderState { record, load, digest, known_members, now_ms: self.now },
             body,
-            news,
+            updates,
         })
     }
 
@@ -292,28 +300,28 @@
             let until = self.now + PERIOD;
             let at = self.random.next_u64() as usize % self.peers.len();
             if self.peers[at].liveness == Liveness::Alive {
-                let news = if changes {
+                let updates = if changes {
                     let of = self.peers.len() - 1 - self.random.next_u64() as usize % (self.peers.len() / 2);
                     self.peers[of].incarnation += 1;
                     vec![self.peers[of].clone()]
                 } else {
                     Vec::new()
                 };
-                self.seq += 1;
-                let asked = self.says(at, PacketBody::Ping { seq: self.seq }, news);
+                self.sequence += 1;
+                let asked = self.says(at, PacketBody::Ping { sequence: self.sequence }, updates);
                 self.handle(asked);
             }
-            while self.fleet.next_due() < until {
-                self.now = self.fleet.next_due();
+            while self.membership.next_due() < until {
+                self.now = self.membership.next_due();
                 let mut queue = self.handle(Event::Tick);
                 while let Some(action) = queue.pop() {
-                    let Action::Send(to, Packet { body: PacketBody::Ping { seq }, .. }) = action else {
+                    let Action::Send(to, Packet { body: PacketBody::Ping { sequence }, .. }) = action else {
                         continue;
                     };
                     let peer = self.peers.iter().position(|peer| peer.identity.address == to);
                     let peer = peer.filter(|at| self.peers[*at].liveness == Liveness::Alive);
                     if let Some(peer) = peer {
-                        let answer = self.says(peer, PacketBody::Ack { seq }, Vec::new());
+                        let answer = self.says(peer, PacketBody::Ack { sequence }, Vec::new());
                         queue.extend(self.handle(answer));
                     }
                 }
@@ -354,7 +362,7 @@
     let told = world.nodes.iter().flat_map(|node| &node.told);
     let verdicts = told.filter_map(|(at, told)| match told {
         Notification::VerdictChanged(change) if change.holds => {
-            Some((*at, change.verdict.kind, change.verdict.of.clone()))
+            Some((*at, change.verdict.kind, change.verdict.subject.clone()))
         }
         _ => None,
     });
@@ -381,7 +389,7 @@
             }
             for zone in 0..3 {
                 let mut runs =
-                    world.nodes.iter().filter(|n| n.zone == zone && n.fleet.is_some() && !n.stopped);
+                    world.nodes.iter().filter(|n| n.zone == zone && n.membership.is_some() && !n.stopped);
                 emptied.extend(runs.next().is_none().then(|| format!("z{zone}")));
             }
             world.run(4.0);
--- a/crates/pinepoint-membership/src/config.rs
+++ b/crates/pinepoint-membership/src/config.rs
@@ -1,7 +1,8 @@
-//! What operators choose of the fleet: the section `[fleet]` of the edge file. It owns the keys, their defaults and their
-//! bounds; it must never act on them.
+//! The `[fleet]` section of the edge file: its keys, defaults, bounds and the errors for values outside of them. It does
+//! not act on any of them.
 
 use std::net::{IpAddr, SocketAddr};
+use std::ops::RangeInclusive;
 
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -9,37 +10,60 @@
 use crate::member::MAX_NAME_BYTES;
 use crate::membership::MembershipSettings;
 
-/// Bounds of the period, ms: below, a busy machine looks dead; above, nobody hears of anything in time.
-const PERIOD_MS: std::ops::RangeInclusive<f64> = 50.0..=60_000.0;
+/// Bounds of the protocol period, ms. Below, a busy machine looks dead; above, nobody hears of a change in time.
+const PERIOD_MS: RangeInclusive<f64> = 50.0..=60_000.0;
 /// Bounds of the number of members.
-const MEMBERS: std::ops::RangeInclusive<usize> = 2..=8192;
+const MEMBERS: RangeInclusive<usize> = 2..=8192;
 const MAX_SEEDS: usize = 16;
 
-/// The section.
+/// The validated section.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(try_from = "Raw")]
+#[serde(try_from = "RawConfig")]
 pub struct Config {
-    /// Where datagrams of the fleet come in.
+    /// UDP address on which this member listens.
     pub listen: SocketAddr,
-    /// Where others reach it, if elsewhere.
+    /// Address at which other members reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Fleets of other names are not heard.
+    /// Name of the fleet, 1 to 64 bytes. Messages of fleets of other names are not understood.
     pub name: String,
-    /// The zone of this member; empty where there are none.
+    /// Zone of this member, 0 to 64 bytes; empty where there are no zones.
     pub zone: String,
-    /// Members to ask at the start.
+    /// Addresses of members to contact first, 16 at most.
     pub seeds: Vec<SocketAddr>,
-    /// Between two questions of one member, ms.
+    /// Protocol period, ms: 50 to 60,000.
     pub period_ms: f64,
-    /// Members that are known at most.
+    /// Most members to keep track of, this one included: 2 to 8,192.
     pub members: usize,
-    /// Who may ask for the view, beside loopback.
+    /// Networks that may query the view, beside loopback.
     pub view_from: Vec<IpNet>,
 }
 
+/// Why the section is not valid.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum ConfigError {
+    /// The fleet's name is empty or too long.
+    #[error("name has to have 1 to {MAX_NAME_BYTES} bytes")]
+    NameLength,
+    /// The zone's name is too long.
+    #[error("zone has to have at most {MAX_NAME_BYTES} bytes")]
+    ZoneLength,
+    /// The period is out of its bounds, ms.
+    #[error("period_ms is {0} and has to be {min} to {max}", min = PERIOD_MS.start(), max = PERIOD_MS.end())]
+    PeriodOutOfRange(f64),
+    /// The most members is out of its bounds.
+    #[error("members is {0} and has to be {min} to {max}", min = MEMBERS.start(), max = MEMBERS.end())]
+    MembersOutOfRange(usize),
+    /// There are more seeds than allowed.
+    #[error("seeds are {0} and may be {MAX_SEEDS} at most")]
+    TooManySeeds(usize),
+    /// Other members would be told an unspecified address such as `0.0.0.0`.
+    #[error("nobody reaches {0}: advertise has to name an address of this machine")]
+    UnspecifiedAddress(SocketAddr),
+}
+
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct RawConfig {
     listen: SocketAddr,
     advertise: Option<SocketAddr>,
     #[serde(default = "name")]
@@ -48,99 +72,70 @@
     zone: String,
     #[serde(default)]
     seeds: Vec<SocketAddr>,
-    #[serde(default = "period_ms")]
+    #[serde(default = "default_period_ms")]
     period_ms: f64,
-    #[serde(default = "members")]
+    #[serde(default = "default_members")]
     members: usize,
     #[serde(default)]
     view_from: Vec<IpNet>,
 }
 
-/// The name of a fleet that has no other.
+/// The default name of a fleet.
 pub fn name() -> String {
     "pinepoint".into()
 }
 
-fn period_ms() -> f64 {
+fn default_period_ms() -> f64 {
     MembershipSettings::default().period_ms
 }
 
-fn members() -> usize {
-    MembershipSettings::default().members
+fn default_members() -> usize {
+    MembershipSettings::default().max_members
 }
 
-impl TryFrom<Raw> for Config {
-    type Error = String;
+impl TryFrom<RawConfig> for Config {
+    type Error = ConfigError;
 
-    fn try_from(raw: Raw) -> Result<Self, String> {
+    fn try_from(raw: RawConfig) -> Result<Self, ConfigError> {
         if raw.name.is_empty() || raw.name.len() > MAX_NAME_BYTES {
-            return Err(format!("name has to have 1 to {MAX_NAME_BYTES} bytes"));
+            return Err(ConfigError::NameLength);
         }
         if raw.zone.len() > MAX_NAME_BYTES {
-            return Err(format!("zone has to have at most {MAX_NAME_BYTES} bytes"));
+            return Err(ConfigError::ZoneLength);
         }
         if !PERIOD_MS.contains(&raw.period_ms) {
-            let (least, most) = (PERIOD_MS.start(), PERIOD_MS.end());
-            return Err(format!("period_ms is {} and has to be {least} to {most}", raw.period_ms));
+            return Err(ConfigError::PeriodOutOfRange(raw.period_ms));
         }
         if !MEMBERS.contains(&raw.members) {
-            let (least, most) = (MEMBERS.start(), MEMBERS.end());
-            return Err(format!("members is {} and has to be {least} to {most}", raw.members));
+            return Err(ConfigError::MembersOutOfRange(raw.members));
         }
         if raw.seeds.len() > MAX_SEEDS {
-            return Err(format!("seeds are {} and may be {MAX_SEEDS} at most", raw.seeds.len()));
+            return Err(ConfigError::TooManySeeds(raw.seeds.len()));
         }
-        let reached = raw.advertise.unwrap_or(raw.listen);
-        if reached.ip().is_unspecified() {
-            return Err(format!(
-                "nobody reaches {reached}: advertise has to name an address of this machine"
-            ));
+        let advertised = raw.advertise.unwrap_or(raw.listen);
+        if advertised.ip().is_unspecified() {
+            return Err(ConfigError::UnspecifiedAddress(advertised));
         }
-        let Raw { listen, advertise, name, zone, seeds, period_ms, members, view_from } = raw;
+        let RawConfig { listen, advertise, name, zone, seeds, period_ms, members, view_from } = raw;
         Ok(Config { listen, advertise, name, zone, seeds, period_ms, members, view_from })
     }
 }
 
 impl Config {
-    /// The rules that follow.
-    pub fn rules(&self) -> MembershipSettings {
+    /// The settings of the membership protocol that follow from this section.
+    pub fn membership_settings(&self) -> MembershipSettings {
         MembershipSettings {
             period_ms: self.period_ms,
-            members: self.members,
+            max_members: self.members,
             ..MembershipSettings::default()
         }
     }
 
-    /// Whether this address may ask for the view.
-    pub fn may_ask(&self, from: IpAddr) -> bool {
-        from.is_loopback() || self.view_from.iter().any(|net| net.contains(&from))
+    /// Whether this address may query the view.
+    pub fn may_query_view(&self, from: IpAddr) -> bool {
+        from.is_loopback() || self.view_from.iter().any(|network| network.contains(&from))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(text: &str) -> Result<Config, String> {
-        toml::from_str(text).map_err(|error| error.message().to_owned())
-    }
-
-    #[test]
-    fn what_can_not_be_is_refused_with_what_would_be_right() {
-        let good = read("listen = \"10.0.0.1:7400\"\nview_from = [\"10.1.0.0/16\"]").expect("taken");
-        assert_eq!((good.name.as_str(), good.period_ms, good.seeds.len()), ("pinepoint", 1000.0, 0));
-        let asks = |ip: &str| good.may_ask(ip.parse().expect("an address"));
-        assert!(asks("127.0.0.1") && asks("10.1.2.3") && !asks("10.2.0.1"));
-        let cases = [
-            ("listen = \"0.0.0.0:7400\"", "nobody reaches 0.0.0.0:7400: advertise has to name"),
-            ("listen = \"10.0.0.1:1\"\nperiod_ms = 5", "period_ms is 5 and has to be 50 to 60000"),
-            ("listen = \"10.0.0.1:1\"\nmembers = 1", "members is 1 and has to be 2 to 8192"),
-            ("listen = \"10.0.0.1:1\"\nname = \"\"", "name has to have 1 to 64 bytes"),
-            ("listen = \"10.0.0.1:1\"\nseed = []", "unknown field `seed`"),
-        ];
-        for (text, wanted) in cases {
-            let error = read(text).expect_err(text);
-            assert!(error.starts_with(wanted), "{error}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/pinepoint-membership/src/diagnosis/zones.rs
@@ -0,0 +1,236 @@
+//! Outages of zones, and the isolation of this member, which looks like an outage of all others.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::hold_down::Finding;
+use super::{DiagnosisEngine, LocalObservation, MIN_MISSED_PROBES, VerdictChange, VerdictKind};
+use crate::table::{MemberState, MemberTable, Recovery};
+
+/// Kinds of verdicts about a zone.
+const ZONE_KINDS: [VerdictKind; 3] =
+    [VerdictKind::ZoneUnreachable, VerdictKind::ZoneLost, VerdictKind::ZoneCutOff];
+
+/// The members of one zone, counted. Those that were lost long before the outage are not part of it.
+struct ZoneTally<'a> {
+    members: &'a BTreeSet<u64>,
+    /// Members that answer, or did until the outage.
+    total: usize,
+    /// Of these, not answering since the outage began.
+    out: usize,
+    /// Of those that are out, with nobody listening at their address.
+    refused: usize,
+    /// Of those that are out, heard since they stopped answering.
+    heard_since: usize,
+    first_out_ms: f64,
+}
+
+impl<'a> ZoneTally<'a> {
+    fn new(members: &'a BTreeSet<u64>) -> Self {
+        let total = members.len();
+        ZoneTally { members, total, out: 0, refused: 0, heard_since: 0, first_out_ms: f64::INFINITY }
+    }
+
+    fn count_out(&mut self, member: &MemberState, out_since_ms: f64) {
+        self.out += 1;
+        self.first_out_ms = self.first_out_ms.min(out_since_ms);
+        self.refused += usize::from(member.connection_refused);
+        // It was heard after it was held lost: it runs, and hears nothing from here.
+        self.heard_since += usize::from(member.last_heard_ms > member.state_since_ms);
+    }
+
+    /// Members that came back restarted since the outage began.
+    fn restarted_since(&self, outage_ms: f64, table: &MemberTable) -> usize {
+        let members = self.members.iter().filter_map(|key| table.get(*key));
+        let restarted = members
+            .filter(|member| member.recovery == Recovery::NewGeneration && member.recovered_ms >= outage_ms);
+        restarted.count()
+    }
+}
+
+/// All zones together.
+struct FleetTally {
+    total: usize,
+    out: usize,
+    refused: usize,
+    first_out_ms: f64,
+}
+
+impl FleetTally {
+    fn of(zones: &BTreeMap<&str, ZoneTally<'_>>) -> Self {
+        let mut fleet = FleetTally { total: 0, out: 0, refused: 0, first_out_ms: f64::INFINITY };
+        for zone in zones.values() {
+            fleet.total += zone.total;
+            fleet.out += zone.out;
+            fleet.refused += zone.refused;
+            fleet.first_out_ms = fleet.first_out_ms.min(zone.first_out_ms);
+        }
+        fleet
+    }
+}
+
+fn fraction(part: usize, whole: usize) -> f64 {
+    part as f64 / whole.max(1) as f64
+}
+
+impl DiagnosisEngine {
+    /// Looks for zones that are out, unless it is this member that is isolated.
+    pub(super) fn diagnose_outages(
+        &mut self,
+        now: f64,
+        local: LocalObservation<'_>,
+        table: &MemberTable,
+        changes: &mut Vec<VerdictChange>,
+    ) {
+        let window_ms = self.settings.outage_window * self.period_ms * local.health_multiplier;
+        let zones = self.tally_zones(now, window_ms, table);
+        let fleet = FleetTally::of(&zones);
+        let isolation = self.find_isolation(now, window_ms, &fleet, local, table);
+        self.zone_outages.retain(|name, _| zones.contains_key(name.as_str()));
+        if let Some(finding) = isolation {
+            self.isolated_since_ms.get_or_insert(fleet.first_out_ms.min(now));
+            self.verdicts.confirm(now, finding, changes);
+            self.withdraw_zone_verdicts(now, &zones, changes);
+            return;
+        }
+        self.isolated_since_ms = None;
+        let some_answer = fleet.total > fleet.out;
+        for (name, zone) in &zones {
+            let may_be_out = some_answer && *name != local.zone && !name.is_empty();
+            if may_be_out && self.is_zone_out(name, zone) {
+                self.diagnose_zone(now, name, zone, table, changes);
+            } else {
+                self.zone_outages.remove(*name);
+            }
+        }
+    }
+
+    fn tally_zones<'a>(
+        &self,
+        now: f64,
+        window_ms: f64,
+        table: &'a MemberTable,
+    ) -> BTreeMap<&'a str, ZoneTally<'a>> {
+        let mut zones: BTreeMap<&str, ZoneTally<'_>> =
+            table.zones().map(|(name, members)| (name, ZoneTally::new(members))).collect();
+        // Only those that do not answer are looked at one by one.
+        for member in table.unresponsive().iter().filter_map(|key| table.get(*key)) {
+            let name = member.record.identity.zone.as_str();
+            let Some(zone) = zones.get_mut(name) else { continue };
+            let out_since_ms = self.out_since_ms(member);
+            if out_since_ms > now {
+                continue;
+            }
+            let outage_ms = self.isolated_since_ms.or_else(|| self.zone_outages.get(name).copied());
+            if out_since_ms < outage_ms.unwrap_or(now) - window_ms {
+                zone.total -= 1;
+            } else {
+                zone.count_out(member, out_since_ms);
+            }
+        }
+        zones
+    }
+
+    /// Since when a member that does not answer counts as out, ms. A loss that came by gossip alone may be the belief of a
+    /// member that was isolated itself, until those concerned refute it: it counts only after it has stood for a while.
+    fn out_since_ms(&self, member: &MemberState) -> f64 {
+        let delay = if member.lost_by_gossip { self.settings.outage_window * self.period_ms } else { 0.0 };
+        member.state_since_ms + delay
+    }
+
+    /// Whether it is this member that is isolated: it hears nobody at all, or it lost most of the fleet at once without a
+    /// sign that the fleet is down.
+    fn find_isolation(
+        &self,
+        now: f64,
+        window_ms: f64,
+        fleet: &FleetTally,
+        local: LocalObservation<'_>,
+        table: &MemberTable,
+    ) -> Option<Finding> {
+        let FleetTally { total, out, refused, .. } = *fleet;
+        if total <= self.settings.min_members {
+            return None;
+        }
+        let silence_ms = now - table.last_heard_ms();
+        let unanswered = local.unanswered_probes;
+        let hears_nobody = silence_ms.is_finite()
+            && silence_ms >= self.settings.isolation_silence * self.period_ms
+            && unanswered >= MIN_MISSED_PROBES;
+        let lost_most = 2 * out > total + 1 && 2 * refused < out;
+        let (confidence, evidence) = if hears_nobody {
+            let evidence = format!(
+                "nobody of {total} members heard for {silence_ms:.0} ms, {unanswered} questions unanswered"
+            );
+            (1.0, evidence)
+        } else if lost_most {
+            let evidence = format!("{out} of {total} members stopped answering within {window_ms:.0} ms");
+            (fraction(out, total), evidence)
+        } else {
+            return None;
+        };
+        Some(Finding { kind: VerdictKind::SelfCutOff, subject: String::new(), confidence, evidence })
+    }
+
+    /// What was believed of zones while this member was isolated is void.
+    fn withdraw_zone_verdicts(
+        &mut self,
+        now: f64,
+        zones: &BTreeMap<&str, ZoneTally<'_>>,
+        changes: &mut Vec<VerdictChange>,
+    ) {
+        for name in zones.keys() {
+            self.zone_outages.remove(*name);
+            for kind in ZONE_KINDS {
+                self.verdicts.withdraw(now, kind, name, changes);
+            }
+        }
+    }
+
+    fn is_zone_out(&self, name: &str, zone: &ZoneTally<'_>) -> bool {
+        let is_ongoing = self.zone_outages.contains_key(name);
+        let threshold =
+            if is_ongoing { self.settings.ongoing_outage_fraction } else { self.settings.outage_fraction };
+        zone.total >= self.settings.min_members && fraction(zone.out, zone.total) >= threshold
+    }
+
+    fn diagnose_zone(
+        &mut self,
+        now: f64,
+        name: &str,
+        zone: &ZoneTally<'_>,
+        table: &MemberTable,
+        changes: &mut Vec<VerdictChange>,
+    ) {
+        let outage_ms = *self.zone_outages.entry(name.to_owned()).or_insert(zone.first_out_ms);
+        let restarted = zone.restarted_since(outage_ms, table);
+        let ZoneTally { total, out, refused, heard_since, .. } = *zone;
+        let found = if heard_since > 0 {
+            VerdictKind::ZoneCutOff
+        } else if 2 * refused >= out || restarted > 0 {
+            VerdictKind::ZoneLost
+        } else {
+            VerdictKind::ZoneUnreachable
+        };
+        let evidence = format!(
+            "{out} of {total} stopped answering; of these {refused} have nobody listening, {heard_since} were heard \
+             since, {restarted} came back with a new start"
+        );
+        let finding = Finding {
+            kind: self.best_founded(found, name),
+            subject: name.to_owned(),
+            confidence: fraction(out, total),
+            evidence,
+        };
+        self.verdicts.confirm(now, finding, changes);
+    }
+
+    /// A better founded verdict about a zone replaces a poorer one, and not the other way round.
+    fn best_founded(&self, found: VerdictKind, zone: &str) -> VerdictKind {
+        if found != VerdictKind::ZoneUnreachable {
+            return found;
+        }
+        let better = [VerdictKind::ZoneLost, VerdictKind::ZoneCutOff];
+        let held = better.into_iter().find(|kind| self.verdicts.holds_of(*kind, zone));
+        held.unwrap_or(found)
+    }
+}
--- /dev/null
+++ b/crates/pinepoint-membership/src/io/view_client.rs
@@ -0,0 +1,96 @@
+//! Queries a member for its view, as the command-line tool does. Blocking.
+
+use std::collections::hash_map::RandomState;
+use std::hash::BuildHasher;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::time::Duration;
+
+use crate::wire::{Codec, MAX_DATAGRAM_BYTES, Message};
+
+/// What a request takes beside its padding, bytes, at most.
+const REQUEST_FRAME_BYTES: usize = 40;
+
+/// Why there is no view.
+#[derive(Debug, thiserror::Error)]
+pub enum QueryError {
+    /// The system does not give a socket, or does not send.
+    #[error("{0}")]
+    System(#[from] io::Error),
+    /// Nobody answered: no member runs there, its fleet has another name, or it may not be queried from here.
+    #[error(
+        "no answer: no member listens there, its fleet has another name (--fleet), or it may not be asked from here \
+         (view_from)"
+    )]
+    NoAnswer,
+    /// The answer is not JSON.
+    #[error("what came is no view: {0}")]
+    NotAView(serde_json::Error),
+}
+
+/// One page of a snapshot.
+struct Page {
+    json: Vec<u8>,
+    page_count: u16,
+}
+
+/// Queries the member at this address for its view, as JSON. Each page is requested up to `tries` times, and waited for
+/// for `wait` each time.
+pub fn query_view(
+    fleet: &str,
+    at: SocketAddr,
+    tries: u32,
+    wait: Duration,
+) -> Result<serde_json::Value, QueryError> {
+    let codec = Codec::new(fleet);
+    let socket = super::connected_socket(at)?;
+    socket.set_read_timeout(Some(wait))?;
+    let snapshot_id = RandomState::new().hash_one((std::process::id(), socket.local_addr()?));
+    let mut json = Vec::new();
+    let mut page = 0;
+    loop {
+        let Page { json: part, page_count } = query_page(&codec, &socket, snapshot_id, page, tries)?;
+        json.extend(part);
+        page += 1;
+        if page >= page_count {
+            return serde_json::from_slice(&json).map_err(QueryError::NotAView);
+        }
+    }
+}
+
+fn query_page(
+    codec: &Codec,
+    socket: &UdpSocket,
+    snapshot_id: u64,
+    page: u16,
+    attempts: u32,
+) -> Result<Page, QueryError> {
+    let padding = vec![0; MAX_DATAGRAM_BYTES - REQUEST_FRAME_BYTES];
+    let request = Message::ViewRequest { snapshot_id, page, padding };
+    let bytes = codec.encode(&request).map_err(|_| QueryError::NoAnswer)?;
+    for _ in 0..attempts.max(1) {
+        // A closed port is reported by the next call: nobody listens there, or not yet.
+        if socket.send(&bytes).is_err() {
+            continue;
+        }
+        if let Some(answer) = receive_page(codec, socket, snapshot_id, page) {
+            return Ok(answer);
+        }
+    }
+    Err(QueryError::NoAnswer)
+}
+
+/// Waits for a page, until nothing comes for the socket's timeout.
+fn receive_page(codec: &Codec, socket: &UdpSocket, snapshot_id: u64, page: u16) -> Option<Page> {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+    while let Ok(length) = socket.recv(&mut buffer) {
+        if let Ok(Message::ViewPage { snapshot_id: answered_id, page: answered_page, page_count, json }) =
+            codec.decode(&buffer[..length])
+            && answered_id == snapshot_id
+            && answered_page == page
+        {
+            return Some(Page { json, page_count });
+        }
+    }
+    None
+}
--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -1,17 +1,20 @@
-//! A view of the fleet that its members keep by themselves: who is there, who is going, who is new, and which part of the
-//! fleet one is cut off from. No centre, no election, no promise about any other matter than this view.
+//! SWIM/Lifeguard gossip membership: each member keeps a view of the fleet by itself. It says who is there, who is shutting
+//! down, who is new, and which part of the fleet this member is cut off from. There is no central service, no election, and
+//! no guarantee about anything but this view.
 //!
-//! What holds:
-//! - A member that is gone is held lost by all in a time that grows as the logarithm of the fleet; one that lives refutes.
-//! - Draining and left are told by the member itself, never guessed.
-//! - A restart is told apart from a return: starts only grow, and an earlier start never touches a later one.
-//! - After the last fault all that can reach each other come to hold the same.
+//! Guarantees:
+//! - A member that is gone is declared lost by all, in a time that grows with the logarithm of the fleet; one that runs
+//!   refutes.
+//! - Draining and left are announced by the member itself, never guessed.
+//! - A restart is told from a return: generations only grow, and a record of an earlier one never overrides a later one.
+//! - After the last fault, all members that reach each other converge to the same view.
 //!
-//! What is not promised: that two views are the same at any instant; that a lost member does not run; that a verdict is
-//! more than what its evidence says.
+//! Not guaranteed: that two views are equal at any instant; that a lost member does not run; that a verdict is more than its
+//! evidence says.
 //!
-//! [`fleet`] decides, on [`table`] and [`member`]; [`judge`] judges over the single member; [`wire`] is the form of
-//! messages; [`io`] carries out; [`config`] is what operators choose. Decisions do no I/O and read no clock.
+//! [`membership`] is the protocol, a state machine over [`table`] and [`member`]; [`diagnosis`] finds faults that concern
+//! more than one member; [`wire`] is the format of messages; [`io`] runs a member on a socket; [`config`] is the section of
+//! the edge file. Only [`io`] does I/O and reads a clock.
 //!
 //! ```
 //! use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings};
@@ -43,10 +46,9 @@
 //! assert_eq!((a.table().len(), b.table().len()), (1, 1));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod config;
-
 pub mod diagnosis;
 pub mod io;
 pub mod member;
--- a/crates/pinepoint-membership/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -1,5 +1,4 @@
-//! What is said of one member, and which of two sayings is the later. It owns that order and nothing else; it must never
-//! know a time, a wire or a peer.
+//! What is known of one member, and which of two records about it takes precedence. It knows no time, wire format or peer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,34 +7,34 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest name of a member or zone, bytes.
+/// Longest name of a member, zone or fleet, bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// Who a process is, for the whole of its life.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The comparer's name, the same after a restart.
+    /// Name of the member, the same after a restart: 1 to 64 bytes.
     pub name: String,
-    /// Its zone; empty where there are none.
+    /// Its zone; empty where there are no zones.
     pub zone: String,
-    /// Where others reach it.
+    /// Address at which others reach it.
     pub address: SocketAddr,
     /// Cores of its engine.
     pub cores: u16,
-    /// Drawn at random by each process: tells two of one name apart.
+    /// Drawn at random by each process, to tell two processes of one name apart.
     pub instance: u32,
 }
 
 impl Identity {
-    /// A short form of the name, by which members are kept.
+    /// The key of this member in tables and digests.
     pub fn key(&self) -> u64 {
-        key(&self.name)
+        member_key(&self.name)
     }
 }
 
 #[cfg(test)]
 impl Identity {
-    /// One that takes as many bytes as any can.
+    /// An identity that takes as many bytes as any can.
     pub(crate) fn largest() -> Self {
         Identity {
             name: "n".repeat(MAX_NAME_BYTES),
@@ -47,22 +46,22 @@
     }
 }
 
-/// A short form of a name.
-pub fn key(name: &str) -> u64 {
+/// The key of the member of this name in tables and digests: XXH3 of the name.
+pub fn member_key(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 reason_codes! {
-    /// What a member tells of itself. Never guessed by another.
+    /// The phase of its life that a member announces for itself. Others never guess it.
     #[derive(Serialize, Deserialize)]
     Phase {
         /// It has started and learns who is there.
         Joining = "joining",
-        /// Its engine is up and cold, or not up yet.
+        /// Its engine is up and warming up, or not up yet.
         Cold = "cold",
         /// It takes work.
         Serving = "serving",
-        /// It was told to leave.
+        /// It was told to shut down gracefully.
         Draining = "draining",
         /// It has left in order.
         Left = "left",
@@ -70,140 +69,128 @@
 }
 
 reason_codes! {
-    /// What others believe of its life, in the order in which one overrides the other.
+    /// What others believe of a member's life (SWIM's alive, suspect and faulty), in ascending order of precedence.
     #[derive(Serialize, Deserialize)]
     Liveness {
         /// It answers.
         Alive = "alive",
-        /// It did not answer somebody, and may still refute that.
+        /// It failed somebody's probe and may still refute the suspicion.
         Suspected = "suspected",
-        /// It did not refute the suspicion.
+        /// It did not refute the suspicion in time.
         Lost = "lost",
     }
 }
 
-/// One saying about one member.
+/// One update about one member, as it is gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who.
+    /// Who it is about.
     pub identity: Rc<Identity>,
-    /// Which of its lives: only grows.
-    pub start: u64,
-    /// Counts what it said anew in this life: a change of phase, or that it is alive after all.
+    /// Generation of the process: Unix ms of its start, raised above every earlier generation of its name.
+    pub generation: u64,
+    /// SWIM's incarnation number: the member raises it to announce a phase or to refute a suspicion.
     pub incarnation: u32,
-    /// What it tells of itself.
+    /// What the member announces of itself.
     pub phase: Phase,
-    /// What is believed of it.
+    /// What others believe of it.
     pub liveness: Liveness,
-    /// Who accused it, in short, while it is suspected.
-    pub by: u32,
+    /// Short key of the member that accused it while it is suspected; 0 for none.
+    pub accuser: u32,
 }
 
-/// The order of sayings about one member: the larger is the later.
-pub type Precedence = (u64, u32, bool, u32, Liveness);
+/// Precedence of a record over others about the same member: the larger overrides. Compared field by field.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Precedence {
+    generation: u64,
+    instance: u32,
+    has_left: bool,
+    incarnation: u32,
+    liveness: Liveness,
+}
+
+/// Identifies one process of a member: restarts have another generation, namesakes another instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessId {
+    generation: u64,
+    instance: u32,
+}
 
 impl MemberRecord {
-    /// A later start overrides an earlier one; of two processes that chose one start, one overrides the other the same way
-    /// everywhere. In one life, having left is the last word; else a later incarnation overrides, and in one incarnation
-    /// the graver standing.
+    /// A later generation overrides an earlier one; of two processes of one generation, one overrides the other the same
+    /// way everywhere. Within one process, having left is final; otherwise a later incarnation overrides, and within one
+    /// incarnation the graver liveness.
     pub fn precedence(&self) -> Precedence {
-        let left = self.phase == Phase::Left;
-        (self.start, self.identity.instance, left, self.incarnation, self.liveness)
+        Precedence {
+            generation: self.generation,
+            instance: self.identity.instance,
+            has_left: self.phase == Phase::Left,
+            incarnation: self.incarnation,
+            liveness: self.liveness,
+        }
     }
 
-    /// Which process it speaks of: a start, and the instance that tells two of one start apart.
-    pub fn life(&self) -> (u64, u32) {
-        (self.start, self.identity.instance)
+    /// Which process of the member this record is about.
+    pub fn process_id(&self) -> ProcessId {
+        ProcessId { generation: self.generation, instance: self.identity.instance }
     }
 
-    /// The word for its state: what it tells of itself while it answers, else what is believed.
-    pub fn state(&self) -> &'static str {
+    /// The state shown to operators: its phase while it is believed alive, otherwise its liveness.
+    pub fn state_code(&self) -> &'static str {
         match self.liveness {
             Liveness::Alive => self.phase.code(),
             liveness => liveness.code(),
         }
     }
 
-    /// Whether it is there, as far as is believed: not left and not lost.
+    /// Whether it is believed to be there: neither left nor lost.
     pub fn is_up(&self) -> bool {
         self.phase != Phase::Left && self.liveness != Liveness::Lost
     }
 
-    /// Its part of a digest.
-    pub fn hash(&self) -> u64 {
+    /// Hash of the record; digests of tables are the XOR of these. The accuser is not part of it.
+    pub fn digest(&self) -> u64 {
         let mut bytes = Vec::with_capacity(64);
         bytes.extend_from_slice(&self.identity.key().to_le_bytes());
-        bytes.extend_from_slice(&self.start.to_le_bytes());
+        bytes.extend_from_slice(&self.generation.to_le_bytes());
         bytes.extend_from_slice(&self.identity.instance.to_le_bytes());
         bytes.extend_from_slice(&self.incarnation.to_le_bytes());
         bytes.extend_from_slice(&[self.phase as u8, self.liveness as u8]);
         xxh3_64(&bytes)
     }
 
-    /// About how many bytes it takes in a message, never less than it does.
-    pub fn size(&self) -> usize {
+    /// Upper bound of its encoded size, bytes.
+    pub fn max_encoded_bytes(&self) -> usize {
+        // Varints take up to 3, 5 and 10 bytes for 16, 32 and 64 bits; enum variants take 1.
+        const CORES: usize = 3;
+        const INSTANCE: usize = 5;
+        const GENERATION: usize = 10;
+        const INCARNATION: usize = 5;
+        const PHASE_AND_LIVENESS: usize = 2;
+        const ACCUSER: usize = 5;
+        const TEXT_LENGTHS: usize = 2;
         let identity = &self.identity;
-        identity.name.len()
-            + identity.zone.len()
-            + 2
-            + if identity.address.is_ipv4() { 8 } else { 20 }
-            + 3
-            + 5
-            + 10
-            + 5
-            + 2
-            + 5
+        let address = if identity.address.is_ipv4() { 8 } else { 20 };
+        let texts = identity.name.len() + identity.zone.len() + TEXT_LENGTHS;
+        texts + address + CORES + INSTANCE + GENERATION + INCARNATION + PHASE_AND_LIVENESS + ACCUSER
     }
 }
 
-/// How a member is loaded, as it tells itself. Parts are of 255.
+/// The load that a member reports of itself. Fractions are in 255ths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Part of arrivals refused at read.
+    /// Fraction of arrivals that are rejected when they are read.
     pub refusal: u8,
-    /// Filtered busy share.
+    /// Fraction of time that its cores are busy, filtered.
     pub busy: u8,
-    /// Wait in the hold, ms.
+    /// Wait in the queue, ms.
     pub hold_ms: u16,
-    /// Part of the room for keys that is free.
+    /// Fraction of the capacity for idempotency keys that is free.
     pub keys_room: u8,
     /// It takes work, as its health checks are answered.
     pub healthy: bool,
-    /// Seconds since its start.
+    /// Uptime, seconds.
     pub up_s: u32,
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn record(start: u64, incarnation: u32, phase: Phase, liveness: Liveness) -> MemberRecord {
-        let address = ([10, 0, 0, 1], 7000).into();
-        let identity = Identity { name: "n1".into(), zone: "a".into(), address, cores: 4, instance: 9 };
-        MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 0 }
-    }
-
-    #[test]
-    fn later_lives_leaving_incarnations_and_graver_standings_override_in_that_order() {
-        use Liveness::{Alive, Lost, Suspected};
-        use Phase::{Left, Serving};
-        let order = [
-            record(1, 0, Serving, Alive),
-            record(1, 0, Serving, Suspected),
-            record(1, 0, Serving, Lost),
-            record(1, 1, Serving, Alive),
-            record(1, 0, Left, Alive),
-            record(2, 0, Serving, Alive),
-        ];
-        assert!(order.is_sorted_by(|a, b| a.precedence() < b.precedence()));
-    }
-
-    #[test]
-    fn a_record_never_takes_more_than_it_says() {
-        let mut largest = record(u64::MAX, u32::MAX, Phase::Left, Liveness::Lost);
-        largest.identity = Rc::new(Identity::largest());
-        largest.by = u32::MAX;
-        let bytes = postcard::to_allocvec(&largest).expect("encoded");
-        assert!(bytes.len() <= largest.size(), "{} over {}", bytes.len(), largest.size());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/pinepoint-membership/src/membership/discovery.rs
@@ -0,0 +1,51 @@
+//! How members that do not know each other meet: through the seeds, and by pinging lost members again.
+
+use super::dissemination::Recipient;
+use super::{Action, Membership};
+
+/// Seeds pinged in a period while no member is up.
+const SEEDS_PER_PERIOD: usize = 3;
+/// Otherwise one seed is pinged in so many periods on average.
+const SEED_INTERVAL: usize = 10;
+/// Where fewer members are lost than half of those that are up, one is pinged in so many periods on average.
+const LOST_INTERVAL: usize = 2;
+
+impl Membership {
+    pub(super) fn discover(&mut self, now: f64, actions: &mut Vec<Action>) {
+        self.ping_seeds(now, actions);
+        self.ping_lost_member(now, actions);
+    }
+
+    /// Pings seeds while nobody is known, and now and then one at whose address no member is: fleets that were never one, or
+    /// parted for longer than lost members are remembered, meet through these.
+    fn ping_seeds(&mut self, now: f64, actions: &mut Vec<Action>) {
+        let is_alone = self.table.up_count() == 0;
+        let count =
+            if is_alone { SEEDS_PER_PERIOD } else { usize::from(self.random_index(SEED_INTERVAL) == 0) };
+        let first = self.random_index(self.seeds.len());
+        for offset in 0..count.min(self.seeds.len()) {
+            let seed = self.seeds[(first + offset) % self.seeds.len()];
+            let is_known = self.table.members_at(seed).any(|key| self.table.up().contains(&key));
+            if seed != self.local.record.identity.address && !is_known {
+                self.ping(now, Recipient::unknown(seed), actions);
+            }
+        }
+    }
+
+    /// Pings a lost member with what is believed of it, so that it can refute that: halves of a fleet meet again this way.
+    fn ping_lost_member(&mut self, now: f64, actions: &mut Vec<Action>) {
+        let lost = self.table.lost().len();
+        if lost == 0 {
+            return;
+        }
+        // All members that are up share the work: where they are few, each does it every period.
+        let few_are_up = self.table.up_count() < 2 * lost;
+        if !few_are_up && self.random_index(LOST_INTERVAL) != 0 {
+            return;
+        }
+        let position = self.random_index(lost);
+        let Some(key) = self.table.lost().iter().nth(position) else { return };
+        let Some(identity) = self.table.identity(*key).cloned() else { return };
+        self.ping(now, Recipient::member(&identity), actions);
+    }
+}
--- a/crates/pinepoint-membership/src/table.rs
+++ b/crates/pinepoint-membership/src/table.rs
@@ -1,8 +1,10 @@
-//! The table of members: who is known, which saying about each is the latest, and the digests of all that. It owns the
-//! bound on members, the horizon of starts, and the sets by which nobody has to walk over all members; it must never do
-//! I/O, read a clock or decide whom to ask.
+//! The table of other members: the latest record about each, and the digests that anti-entropy compares. It owns the bound
+//! on members and rejects generations too far in the future; it does no I/O, reads no clock and does not decide whom to
+//! contact.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod indexes;
+
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -11,115 +13,160 @@
 
 use crate::member::{Identity, Liveness, Load, MemberRecord, Phase};
 use crate::wire::BUCKET_COUNT;
+use indexes::Indexes;
 
-/// A start further ahead of the clock than this is forged or of a broken clock, ms.
+/// A generation further ahead of all clocks heard than this is forged or of a broken clock, ms.
 pub const MAX_GENERATION_AHEAD_MS: f64 = 86_400_000.0;
 
 /// A member as it is known here.
 #[derive(Clone, Debug)]
 pub struct MemberState {
-    /// The latest saying.
+    /// The record of highest precedence.
     pub record: MemberRecord,
-    /// When its standing or phase changed here, ms.
-    pub since_ms: f64,
-    /// When a message came from itself, ms; minus infinity if none did.
-    pub heard_ms: f64,
-    /// Its load as it told it itself then.
+    /// When its liveness, phase or process changed here, ms.
+    pub state_since_ms: f64,
+    /// When a message of this process last came, ms; minus infinity if none did.
+    pub last_heard_ms: f64,
+    /// Its load, as reported then.
     pub load: Load,
-    /// Direct questions of ours in a row that it did not answer.
-    pub unanswered: u32,
-    /// Its system said that nobody listens there.
-    pub refused: bool,
-    /// It came to be held lost by news alone: nobody was seen to suspect it first.
+    /// Consecutive direct probes of ours that it did not answer.
+    pub missed_probes: u32,
+    /// The system reported that nobody listens at its address.
+    pub connection_refused: bool,
+    /// It became lost by gossip alone: it was not seen suspected first.
     pub lost_by_gossip: bool,
-    /// Where it stood in its life before this one, if that was known: a new start came after a loss.
+    /// How it last came back after it was lost.
     pub recovery: Recovery,
-    /// When it returned, ms.
+    /// When it came back, ms; minus infinity if it never did.
     pub recovered_ms: f64,
 }
 
+impl MemberState {
+    fn new(now: f64, record: MemberRecord) -> Self {
+        let lost_by_gossip = record.liveness == Liveness::Lost;
+        MemberState {
+            record,
+            state_since_ms: now,
+            last_heard_ms: f64::NEG_INFINITY,
+            load: Load::default(),
+            missed_probes: 0,
+            connection_refused: false,
+            lost_by_gossip,
+            recovery: Recovery::None,
+            recovered_ms: f64::NEG_INFINITY,
+        }
+    }
+
+    /// Whether a message of this process has come.
+    fn is_heard(&self) -> bool {
+        self.last_heard_ms.is_finite()
+    }
+
+    /// Takes over a record of higher precedence and returns the previous one.
+    fn replace_record(&mut self, now: f64, record: &MemberRecord) -> MemberRecord {
+        let previous = &self.record;
+        let is_new_process = previous.process_id() != record.process_id();
+        if previous.liveness == Liveness::Lost && record.is_up() {
+            self.recovery = if is_new_process { Recovery::NewGeneration } else { Recovery::SameGeneration };
+            self.recovered_ms = now;
+        }
+        if is_new_process {
+            self.last_heard_ms = f64::NEG_INFINITY;
+            self.load = Load::default();
+            self.connection_refused = false;
+        }
+        let liveness_changed = record.liveness != previous.liveness;
+        if liveness_changed {
+            self.lost_by_gossip =
+                record.liveness == Liveness::Lost && previous.liveness != Liveness::Suspected;
+        }
+        if is_new_process || liveness_changed || previous.phase != record.phase {
+            self.state_since_ms = now;
+            self.missed_probes = 0;
+        }
+        // One identity is shared by all records of a process.
+        let is_same_identity = previous.identity == record.identity;
+        let identity = if is_same_identity { previous.identity.clone() } else { record.identity.clone() };
+        std::mem::replace(&mut self.record, MemberRecord { identity, ..record.clone() })
+    }
+}
+
 /// How a member came back after it was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Recovery {
     /// It was not lost.
     #[default]
     None,
-    /// It was there all the while: the same start.
+    /// The same process came back.
     SameGeneration,
-    /// It was started anew.
+    /// It was restarted.
     NewGeneration,
 }
 
-/// What became of a saying.
+/// What became of a record that was merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is news.
+    /// It changed the table.
     Applied,
-    /// It is what is known.
+    /// It has the precedence of what is known.
     Duplicate,
-    /// It is older than what is known.
+    /// What is known overrides it.
     Stale,
-    /// Its start lies in the future.
+    /// Its generation is too far in the future.
     ForgedGeneration,
-    /// There is no room for another member.
+    /// The table is full.
     TableFull,
 }
 
-/// The table, without this member itself. Beside the members it keeps, as sayings come, whatever is asked of them each
-/// period, so that neither a fleet in which nothing happens nor one in which something does costs more the larger it is.
+/// The processes that were heard since the table is kept.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HeardSummary {
+    /// Members of whose current process a message came.
+    pub members: usize,
+    /// Earliest start of a process that was ever heard, by its own uptime, Unix ms; infinity if none was.
+    pub earliest_start_ms: f64,
+}
+
+/// The table of all members but the local one. Indexes are kept beside the members as records come, so that the work of a
+/// period depends neither on the size of the fleet nor on how much of it is lost.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     members: FxHashMap<u64, MemberState>,
-    /// Of all of them: a bucket is a range of these.
+    /// Sorted keys: a bucket is a range of these.
     keys: BTreeSet<u64>,
-    most: usize,
-    buckets: [u64; BUCKET_COUNT],
-    /// Of all buckets.
+    capacity: usize,
+    /// XOR of the digests of the records in each bucket.
+    bucket_digests: [u64; BUCKET_COUNT],
+    /// XOR of the digests of all records.
     digest: u64,
-    /// Who is there, as far as is believed, in an order in which one can be drawn at random.
-    ups: IndexSet<u64, FxBuildHasher>,
-    /// Who is not: left or lost.
-    gone: BTreeSet<u64>,
-    /// Who is suspected or lost, and did not leave.
-    down: BTreeSet<u64>,
-    lost: BTreeSet<u64>,
-    /// Who did not leave, by zone.
-    zones: BTreeMap<String, BTreeSet<u64>>,
-    /// Who says that it is reached there.
-    addresses: BTreeSet<(SocketAddr, u64)>,
-    /// When anybody was last heard, and the earliest beginning of a process of which one was, ms.
-    heard_ms: f64,
-    first_began_ms: f64,
-    /// Members of which a message of this life came.
-    heard: usize,
-    /// Somebody has left in order since this table is kept.
-    seen_leave: bool,
+    indexes: Indexes,
+    /// When a message of any member last came, ms.
+    last_heard_ms: f64,
+    heard: HeardSummary,
+    has_seen_leave: bool,
 }
 
-/// The bucket of a key.
-pub fn bucket(key: u64) -> usize {
-    (key >> 57) as usize
+/// Bits of a key below those that name its bucket.
+const BUCKET_SHIFT: u32 = u64::BITS - BUCKET_COUNT.ilog2();
+
+/// The bucket of a member's key.
+pub fn bucket_of(key: u64) -> usize {
+    (key >> BUCKET_SHIFT) as usize
 }
 
 impl MemberTable {
-    /// An empty table for at most so many members.
-    pub fn new(most: usize) -> Self {
+    /// An empty table for at most `capacity` members.
+    pub fn new(capacity: usize) -> Self {
         MemberTable {
             members: FxHashMap::default(),
             keys: BTreeSet::new(),
-            most,
-            buckets: [0; BUCKET_COUNT],
+            capacity,
+            bucket_digests: [0; BUCKET_COUNT],
             digest: 0,
-            ups: IndexSet::default(),
-            gone: BTreeSet::new(),
-            down: BTreeSet::new(),
-            lost: BTreeSet::new(),
-            zones: BTreeMap::new(),
-            addresses: BTreeSet::new(),
-            heard_ms: f64::NEG_INFINITY,
-            first_began_ms: f64::INFINITY,
-            heard: 0,
-            seen_leave: false,
+            indexes: Indexes::default(),
+            last_heard_ms: f64::NEG_INFINITY,
+            heard: HeardSummary { members: 0, earliest_start_ms: f64::INFINITY },
+            has_seen_leave: false,
         }
     }
 
@@ -128,309 +175,194 @@
         self.members.get(&key)
     }
 
-    /// The same; its record is changed by [`MemberTable::take`] only.
+    /// The member of this key. Its record is changed by [`MemberTable::merge`] only.
     pub fn get_mut(&mut self, key: u64) -> Option<&mut MemberState> {
         self.members.get_mut(&key)
     }
 
-    /// All of them, by key.
+    /// Who a member is.
+    pub fn identity(&self, key: u64) -> Option<&Rc<Identity>> {
+        self.members.get(&key).map(|member| &member.record.identity)
+    }
+
+    /// All members, by key.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &MemberState)> {
         self.keys.iter().filter_map(|key| Some((*key, self.members.get(key)?)))
     }
 
-    /// All in one bucket.
+    /// The members of one bucket, by key.
     pub fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = (u64, &MemberState)> {
-        let first = (bucket as u64) << 57;
-        let keys = self.keys.range(first..=first | (u64::MAX >> 7));
-        keys.filter_map(|key| Some((*key, self.members.get(key)?)))
+        let first = (bucket as u64) << BUCKET_SHIFT;
+        let last = first | ((1 << BUCKET_SHIFT) - 1);
+        self.keys.range(first..=last).filter_map(|key| Some((*key, self.members.get(key)?)))
     }
 
-    /// How many there are.
+    /// The members that give this address as theirs: more than one where a member took the place of another.
+    pub fn members_at(&self, address: SocketAddr) -> impl Iterator<Item = u64> {
+        self.indexes.members_at(address)
+    }
+
+    /// How many members are known, whatever their state.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// How many are there, as far as is believed.
-    pub fn up(&self) -> usize {
-        self.ups.len()
+    /// Whether no member is known.
+    pub fn is_empty(&self) -> bool {
+        self.members.is_empty()
     }
 
-    /// Those that are there, in an order that means nothing: each can be had by its place.
-    pub fn ups(&self) -> &IndexSet<u64, FxBuildHasher> {
-        &self.ups
+    /// How many members are neither left nor lost.
+    pub fn up_count(&self) -> usize {
+        self.indexes.up.len()
     }
 
-    /// Those that are suspected or lost, and did not leave.
-    pub fn down(&self) -> &BTreeSet<u64> {
-        &self.down
+    /// Keys of the members that are neither left nor lost, in no meaningful order: each can be reached by its position.
+    pub fn up(&self) -> &IndexSet<u64, FxBuildHasher> {
+        &self.indexes.up
     }
 
-    /// Those that did not leave, by zone.
-    pub fn zones(&self) -> impl Iterator<Item = (&str, &BTreeSet<u64>)> {
-        self.zones.iter().map(|(zone, members)| (zone.as_str(), members))
+    /// Keys of the members that are suspected or lost and did not leave.
+    pub fn unresponsive(&self) -> &BTreeSet<u64> {
+        &self.indexes.unresponsive
     }
 
-    /// When anybody was last heard, ms; minus infinity if nobody was.
-    pub fn heard_ms(&self) -> f64 {
-        self.heard_ms
+    /// Keys of the members that are lost and did not leave.
+    pub fn lost(&self) -> &BTreeSet<u64> {
+        &self.indexes.lost
     }
 
-    /// Members of which a message of this life came, and the earliest beginning of a process that was heard, ms.
-    pub fn heard(&self) -> (usize, f64) {
-        (self.heard, self.first_began_ms)
+    /// Keys of the members that did not leave, by zone.
+    pub fn zones(&self) -> impl Iterator<Item = (&str, &BTreeSet<u64>)> {
+        self.indexes.zones.iter().map(|(zone, members)| (zone.as_str(), members))
     }
 
-    /// Whether somebody has left in order since this table is kept.
-    pub fn seen_leave(&self) -> bool {
-        self.seen_leave
+    /// When a message of any member last came, ms; minus infinity if none did.
+    pub fn last_heard_ms(&self) -> f64 {
+        self.last_heard_ms
     }
 
-    /// Notes that a message came from a member itself, in the life that is known of it.
-    pub fn hear(&mut self, now: f64, key: u64, load: Load) {
-        let Some(member) = self.members.get_mut(&key) else { return };
-        self.heard += usize::from(member.heard_ms == f64::NEG_INFINITY);
-        (member.heard_ms, member.load, member.refused) = (now, load, false);
-        self.heard_ms = self.heard_ms.max(now);
-        self.first_began_ms = self.first_began_ms.min(now - f64::from(load.up_s) * 1000.0);
+    /// The processes that were heard.
+    pub fn heard(&self) -> HeardSummary {
+        self.heard
     }
 
-    /// Those that are lost and did not leave.
-    pub fn lost(&self) -> &BTreeSet<u64> {
-        &self.lost
+    /// Whether a member has left in order since this table is kept.
+    pub fn has_seen_leave(&self) -> bool {
+        self.has_seen_leave
     }
 
-    /// Whether nobody is known.
-    pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+    /// Digests of the buckets, with the local member's own record.
+    pub fn bucket_digests(&self, local: &MemberRecord) -> [u64; BUCKET_COUNT] {
+        let mut digests = self.bucket_digests;
+        digests[bucket_of(local.identity.key())] ^= local.digest();
+        digests
     }
 
-    /// Digests of the buckets with this member's own saying about itself in them.
-    pub fn digests(&self, own: &MemberRecord) -> [u64; BUCKET_COUNT] {
-        let mut buckets = self.buckets;
-        buckets[bucket(own.identity.key())] ^= own.hash();
-        buckets
+    /// Digest of the whole table, with the local member's own record.
+    pub fn digest(&self, local: &MemberRecord) -> u64 {
+        self.digest ^ local.digest()
     }
 
-    /// Digest of all, with this member's own saying about itself in it.
-    pub fn digest(&self, own: &MemberRecord) -> u64 {
-        self.digest ^ own.hash()
+    /// Notes that a message came from a member itself, of the process that is known of it.
+    pub fn record_heard(&mut self, now: f64, key: u64, load: Load) {
+        let Some(member) = self.members.get_mut(&key) else { return };
+        self.heard.members += usize::from(!member.is_heard());
+        member.last_heard_ms = now;
+        member.load = load;
+        member.connection_refused = false;
+        self.last_heard_ms = self.last_heard_ms.max(now);
+        let start_ms = now - f64::from(load.up_s) * 1000.0;
+        self.heard.earliest_start_ms = self.heard.earliest_start_ms.min(start_ms);
     }
 
-    /// Keeps the digests where the saying about a member changes by this.
-    fn mix(&mut self, key: u64, change: u64) {
-        self.buckets[bucket(key)] ^= change;
-        self.digest ^= change;
+    /// Notes that the system reported that nobody listens at this address.
+    pub fn record_connection_refused(&mut self, address: SocketAddr) {
+        for key in self.indexes.members_at(address) {
+            if let Some(member) = self.members.get_mut(&key) {
+                member.connection_refused = true;
+            }
+        }
     }
 
-    /// Takes a saying, if it is later than what is known.
-    pub fn take(&mut self, now: f64, horizon_ms: f64, record: &MemberRecord) -> MergeOutcome {
-        if record.start as f64 > horizon_ms + MAX_GENERATION_AHEAD_MS {
+    /// Merges a record: it is applied if it overrides what is known. `clock_horizon_ms` is the latest of all clocks heard.
+    pub fn merge(&mut self, now: f64, clock_horizon_ms: f64, record: &MemberRecord) -> MergeOutcome {
+        if record.generation as f64 > clock_horizon_ms + MAX_GENERATION_AHEAD_MS {
             return MergeOutcome::ForgedGeneration;
         }
         let key = record.identity.key();
-        if let Some(member) = self.members.get_mut(&key) {
-            if record.precedence() <= member.record.precedence() {
-                return if record.precedence() == member.record.precedence() {
-                    MergeOutcome::Duplicate
-                } else {
-                    MergeOutcome::Stale
-                };
-            }
-            let was = &member.record;
-            let new_life = was.life() != record.life();
-            if was.liveness == Liveness::Lost && record.is_up() {
-                member.recovery = if new_life { Recovery::NewGeneration } else { Recovery::SameGeneration };
-                member.recovered_ms = now;
-            }
-            if new_life {
-                self.heard -= usize::from(member.heard_ms.is_finite());
-                (member.heard_ms, member.load, member.refused) = (f64::NEG_INFINITY, Load::default(), false);
-            }
-            if record.liveness != was.liveness {
-                member.lost_by_gossip =
-                    record.liveness == Liveness::Lost && was.liveness != Liveness::Suspected;
-            }
-            if new_life || was.liveness != record.liveness || was.phase != record.phase {
-                (member.since_ms, member.unanswered) = (now, 0);
-            }
-            let change = was.hash() ^ record.hash();
-            let identity =
-                if was.identity == record.identity { was.identity.clone() } else { record.identity.clone() };
-            let was = std::mem::replace(&mut member.record, MemberRecord { identity, ..record.clone() });
-            self.mix(key, change);
-            self.sort(key, Some(&was), Some(record));
-            return MergeOutcome::Applied;
+        if !self.members.contains_key(&key) {
+            return self.insert(now, key, record);
         }
-        if self.members.len() >= self.most && !self.make_room() {
+        self.update(now, key, record)
+    }
+
+    fn insert(&mut self, now: f64, key: u64, record: &MemberRecord) -> MergeOutcome {
+        if self.members.len() >= self.capacity && !self.evict_longest_gone() {
             return MergeOutcome::TableFull;
         }
-        self.mix(key, record.hash());
-        let member = MemberState {
-            record: record.clone(),
-            since_ms: now,
-            heard_ms: f64::NEG_INFINITY,
-            load: Load::default(),
-            unanswered: 0,
-            refused: false,
-            lost_by_gossip: record.liveness == Liveness::Lost,
-            recovery: Recovery::None,
-            recovered_ms: f64::NEG_INFINITY,
-        };
-        self.members.insert(key, member);
+        self.update_digests(key, record.digest());
+        self.members.insert(key, MemberState::new(now, record.clone()));
         self.keys.insert(key);
-        self.sort(key, None, Some(record));
+        self.reindex(key, None, Some(record));
         MergeOutcome::Applied
     }
 
-    /// Keeps the sets, where what was said of a member is now this, or forgotten.
-    fn sort(&mut self, key: u64, was: Option<&MemberRecord>, now: Option<&MemberRecord>) {
-        let here = |record: Option<&MemberRecord>, is: fn(&MemberRecord) -> bool| record.is_some_and(is);
-        fn keep(set: &mut BTreeSet<u64>, key: u64, within: bool) {
-            if within {
-                set.insert(key);
-            } else {
-                set.remove(&key);
-            }
-        }
-        if here(now, MemberRecord::is_up) {
-            self.ups.insert(key);
-        } else {
-            self.ups.swap_remove(&key);
-        }
-        keep(&mut self.gone, key, here(now, |r| !r.is_up()));
-        keep(&mut self.down, key, here(now, |r| r.phase != Phase::Left && r.liveness != Liveness::Alive));
-        keep(&mut self.lost, key, here(now, |r| r.phase != Phase::Left && r.liveness == Liveness::Lost));
-        self.seen_leave |= here(now, |r| r.phase == Phase::Left);
-        let address = |record: &MemberRecord| record.identity.address;
-        if was.map(address) != now.map(address) {
-            was.map(|was| self.addresses.remove(&(address(was), key)));
-            now.map(|now| self.addresses.insert((address(now), key)));
-        }
-        let zone = |record: Option<&MemberRecord>| {
-            record.filter(|r| r.phase != Phase::Left).map(|r| r.identity.zone.clone())
-        };
-        // Names are compared only where they may differ: nearly always it is one and the same.
-        let same = matches!((was, now), (Some(was), Some(now))
-            if Rc::ptr_eq(&was.identity, &now.identity) && (was.phase == Phase::Left) == (now.phase == Phase::Left));
-        if !same && zone(was) != zone(now) {
-            if let Some(zone) = zone(was)
-                && let Some(members) = self.zones.get_mut(&zone)
-            {
-                members.remove(&key);
-                if members.is_empty() {
-                    self.zones.remove(&zone);
-                }
-            }
-            if let Some(zone) = zone(now) {
-                self.zones.entry(zone).or_default().insert(key);
-            }
+    fn update(&mut self, now: f64, key: u64, record: &MemberRecord) -> MergeOutcome {
+        let Some(member) = self.members.get_mut(&key) else { return MergeOutcome::Stale };
+        match record.precedence().cmp(&member.record.precedence()) {
+            std::cmp::Ordering::Less => return MergeOutcome::Stale,
+            std::cmp::Ordering::Equal => return MergeOutcome::Duplicate,
+            std::cmp::Ordering::Greater => {}
         }
+        let was_heard = member.is_heard();
+        let previous = member.replace_record(now, record);
+        self.heard.members -= usize::from(was_heard && !member.is_heard());
+        self.update_digests(key, previous.digest() ^ record.digest());
+        self.reindex(key, Some(&previous), Some(record));
+        MergeOutcome::Applied
+    }
+
+    /// Applies the change of one record's digest to the digests that contain it.
+    fn update_digests(&mut self, key: u64, change: u64) {
+        self.bucket_digests[bucket_of(key)] ^= change;
+        self.digest ^= change;
+    }
+
+    fn reindex(&mut self, key: u64, previous: Option<&MemberRecord>, current: Option<&MemberRecord>) {
+        self.has_seen_leave |= current.is_some_and(|record| record.phase == Phase::Left);
+        self.indexes.update(key, previous, current);
     }
 
-    /// Gives up the member that is gone for longest; tells whether there was one.
-    fn make_room(&mut self) -> bool {
-        let gone = self.gone.iter().filter_map(|key| Some((*key, self.members.get(key)?.since_ms)));
-        let oldest = gone.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(key, _)| key);
+    /// Removes the member that is left or lost for longest; returns whether there was one.
+    fn evict_longest_gone(&mut self) -> bool {
+        let gone = self.indexes.gone.iter();
+        let since = gone.filter_map(|key| Some((*key, self.members.get(key)?.state_since_ms)));
+        let oldest = since.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(key, _)| key);
         oldest.is_some_and(|key| self.remove(key))
     }
 
     fn remove(&mut self, key: u64) -> bool {
         let Some(member) = self.members.remove(&key) else { return false };
         self.keys.remove(&key);
-        self.heard -= usize::from(member.heard_ms.is_finite());
-        self.mix(key, member.record.hash());
-        self.sort(key, Some(&member.record), None);
+        self.heard.members -= usize::from(member.is_heard());
+        self.update_digests(key, member.record.digest());
+        self.reindex(key, Some(&member.record), None);
         true
     }
 
-    /// Forgets who left or was lost before these times, ms.
-    pub fn forget(&mut self, left_before: f64, lost_before: f64) -> usize {
-        let over = |member: &MemberState| match member.record.phase {
-            Phase::Left => member.since_ms < left_before,
-            _ => member.since_ms < lost_before,
+    /// Removes the members that left or were lost before these times, ms; returns how many.
+    pub fn expire(&mut self, left_before_ms: f64, lost_before_ms: f64) -> usize {
+        let is_expired = |member: &MemberState| match member.record.phase {
+            Phase::Left => member.state_since_ms < left_before_ms,
+            _ => member.state_since_ms < lost_before_ms,
         };
-        let gone = self.gone.iter().filter(|key| self.members.get(key).is_some_and(over));
-        let keys: Vec<u64> = gone.copied().collect();
+        let gone = self.indexes.gone.iter();
+        let expired = gone.filter(|key| self.members.get(key).is_some_and(is_expired));
+        let keys: Vec<u64> = expired.copied().collect();
         keys.iter().filter(|key| self.remove(**key)).count()
     }
-
-    /// Who says that it is reached at this address: more than one where a member took the place of another.
-    pub fn at(&self, address: SocketAddr) -> impl Iterator<Item = u64> {
-        self.addresses.range((address, 0)..=(address, u64::MAX)).map(|(_, key)| *key)
-    }
-
-    /// Who a member is.
-    pub fn identity(&self, key: u64) -> Option<&Rc<Identity>> {
-        self.members.get(&key).map(|member| &member.record.identity)
-    }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    /// What the sets have to be, from the members alone.
-    fn check(table: &MemberTable) {
-        let keys = |is: fn(&MemberState) -> bool| -> BTreeSet<u64> {
-            table.iter().filter(|(_, member)| is(member)).map(|(key, _)| key).collect()
-        };
-        let here = |m: &MemberState| m.record.phase != Phase::Left;
-        assert_eq!(table.ups.iter().copied().collect::<BTreeSet<_>>(), keys(|m| m.record.is_up()));
-        assert_eq!(table.gone, keys(|m| !m.record.is_up()));
-        let down = |m: &MemberState| m.record.phase != Phase::Left && m.record.liveness != Liveness::Alive;
-        assert_eq!(table.down, keys(down));
-        assert_eq!(
-            table.lost,
-            keys(|m| m.record.phase != Phase::Left && m.record.liveness == Liveness::Lost)
-        );
-        assert_eq!(table.heard, keys(|m| m.heard_ms.is_finite()).len());
-        let mut zones: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
-        for (key, member) in table.iter().filter(|(_, m)| here(m)) {
-            zones.entry(member.record.identity.zone.clone()).or_default().insert(key);
-        }
-        assert_eq!(table.zones, zones);
-        let addresses = table.iter().map(|(key, member)| (member.record.identity.address, key));
-        assert_eq!(table.addresses, addresses.collect());
-        let digest = table.iter().fold(0, |sum, (_, member)| sum ^ member.record.hash());
-        assert_eq!(table.digest, digest);
-        assert!(table.len() <= table.most);
-    }
-
-    fn record() -> impl Strategy<Value = MemberRecord> {
-        let phase = prop_oneof![Just(Phase::Serving), Just(Phase::Draining), Just(Phase::Left)];
-        let liveness = prop_oneof![Just(Liveness::Alive), Just(Liveness::Suspected), Just(Liveness::Lost)];
-        (0..9_u8, 0..3_u8, 0..4_u8, 1..4_u64, 0..3_u32, phase, liveness).prop_map(
-            |(name, zone, address, start, incarnation, phase, liveness)| {
-                let identity = Identity {
-                    name: format!("n{name}"),
-                    zone: format!("z{zone}"),
-                    address: ([10, 0, 0, address], 7000).into(),
-                    cores: 4,
-                    instance: u32::from(name) + start as u32,
-                };
-                MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 0 }
-            },
-        )
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
-
-        #[test]
-        fn its_sets_are_what_its_members_say(sayings in proptest::collection::vec((record(), any::<bool>()), 1..120)) {
-            let mut table = MemberTable::new(6);
-            for (at, (record, heard)) in sayings.into_iter().enumerate() {
-                let now = at as f64;
-                table.take(now, 1e6, &record);
-                if heard {
-                    table.hear(now, record.identity.key(), Load::default());
-                }
-                if at % 7 == 6 {
-                    table.forget(now - 5.0, now - 20.0);
-                }
-                check(&table);
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/pinepoint-membership/tests/courses.rs
+++ b/crates/pinepoint-membership/tests/courses.rs
@@ -56,7 +56,7 @@
             |(_, told)| matches!(told, Notification::MemberChanged { record, .. } if record.liveness != Liveness::Alive),
         );
         assert_eq!(accused.count(), 0, "FLEET_SEED={seed}: it accused others");
-        assert!(world.nodes[7].told.iter().any(|(_, told)| matches!(told, Notification::Stalled(_))));
+        assert!(world.nodes[7].told.iter().any(|(_, told)| matches!(told, Notification::Stalled { .. })));
     }
 }
 
@@ -141,7 +141,10 @@
         let mut world = World::new(20, 2, MembershipSettings::default(), seed);
         (3..20).for_each(|at| world.start(at));
         world.run(30.0);
-        assert!(world.running().all(|(_, fleet)| fleet.table().is_empty()), "there was nobody to ask");
+        assert!(
+            world.running().all(|(_, membership)| membership.table().is_empty()),
+            "there was nobody to ask"
+        );
         world.start(1);
         let took = world.await_truth(20.0);
         assert!(took.is_some(), "FLEET_SEED={seed}: {}", world.untrue());
@@ -172,7 +175,7 @@
             let at = world.below(n);
             match world.below(8) {
                 0 => world.kill(at),
-                1 if world.nodes[at].fleet.is_some() => world.leave(at),
+                1 if world.nodes[at].membership.is_some() => world.leave(at),
                 2 => world.stop(at),
                 3 => world.net.parts = (0..n).map(|other| usize::from(other < at)).collect(),
                 4 => world.net.loss = 0.2,
@@ -181,7 +184,7 @@
                     let to = world.below(n);
                     world.net.cut.push((at, to));
                 }
-                _ if world.nodes[at].fleet.is_none() => world.start(at),
+                _ if world.nodes[at].membership.is_none() => world.start(at),
                 _ => {}
             }
             let periods = world.below(12) as f64;
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -71,7 +71,7 @@
 
 /// The first course that ends wrongly, and how many were run.
 fn search(fault: Option<InjectedFault>) -> (Option<(Course, String)>, usize) {
-    let rules = MembershipSettings { fault, ..MembershipSettings::default() };
+    let rules = MembershipSettings { injected_fault: fault, ..MembershipSettings::default() };
     let mut ran = 0;
     let wrong = courses().into_iter().find_map(|course| {
         ran += 1;
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -20,7 +20,7 @@
         if let Notification::VerdictChanged(change) = told
             && change.holds
         {
-            let verdict = (change.verdict.kind, change.verdict.of.clone());
+            let verdict = (change.verdict.kind, change.verdict.subject.clone());
             // All worlds here start at once, and their members say so.
             if !all.contains(&verdict) && verdict.0 != VerdictKind::FleetStart {
                 all.push(verdict);
@@ -130,8 +130,8 @@
     let mut world = World::settled(30, 3, rules(FailureDetector::Lifeguard), 7);
     world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
     world.run(25.0);
-    for (at, fleet) in world.running() {
-        let kinds: Vec<VerdictKind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
+    for (at, membership) in world.running() {
+        let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
         let kinds: Vec<VerdictKind> =
             kinds.into_iter().filter(|kind| *kind != VerdictKind::FleetStart).collect();
         let wanted = if at % 3 == 1 { VerdictKind::SelfCutOff } else { VerdictKind::ZoneUnreachable };
@@ -154,11 +154,13 @@
         let mut world = World::settled(20, 3, rules(FailureDetector::Lifeguard), seed);
         world.net.parts = (0..20).map(|at| usize::from(at == 7)).collect();
         world.run(40.0);
-        let own = world.nodes[7].fleet.as_ref().expect("it runs");
+        let own = world.nodes[7].membership.as_ref().expect("it runs");
         assert!(own.verdicts().any(|verdict| verdict.kind == VerdictKind::SelfCutOff), "seed {seed}");
         let others = world.running().filter(|(at, _)| *at != 7);
         assert!(
-            others.flat_map(|(_, fleet)| fleet.verdicts()).all(|v| v.kind != VerdictKind::SelfCutOff),
+            others
+                .flat_map(|(_, membership)| membership.verdicts())
+                .all(|v| v.kind != VerdictKind::SelfCutOff),
             "seed {seed}"
         );
     }
@@ -208,7 +210,7 @@
             world.net.parts.clear();
             world.run(14.0);
         }
-        let of_zone = |told: &Notification| matches!(told, Notification::VerdictChanged(change) if change.verdict.of == "z1");
+        let of_zone = |told: &Notification| matches!(told, Notification::VerdictChanged(change) if change.verdict.subject == "z1");
         for at in (0..30).filter(|at| at % 3 != 1) {
             let told: Vec<f64> =
                 world.nodes[at].told.iter().filter(|(_, t)| of_zone(t)).map(|(when, _)| *when).collect();
@@ -222,7 +224,10 @@
         }
         // And it is over in the end.
         world.run(100.0);
-        let holds = world.running().filter(|(_, fleet)| fleet.verdicts().any(|v| v.of == "z1")).count();
+        let holds = world
+            .running()
+            .filter(|(_, membership)| membership.verdicts().any(|v| v.subject == "z1"))
+            .count();
         assert_eq!(holds, 0, "seed {seed}");
     }
 }
@@ -240,10 +245,10 @@
         for (_, told) in &node.told {
             if let Notification::VerdictChanged(change) = told
                 && change.holds
-                && change.verdict.of != "z1"
+                && change.verdict.subject != "z1"
                 && !matches!(change.verdict.kind, VerdictKind::OneWay | VerdictKind::FleetStart)
             {
-                wrong.push((change.verdict.kind, change.verdict.of.clone()));
+                wrong.push((change.verdict.kind, change.verdict.subject.clone()));
             }
         }
     }
@@ -273,8 +278,8 @@
     world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
     world.run(25.0);
     let outside = world.running().filter(|(at, _)| at % 3 != 1);
-    for (at, fleet) in outside {
-        let kinds: Vec<VerdictKind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
+    for (at, membership) in outside {
+        let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
         assert_eq!(kinds, [VerdictKind::ZoneUnreachable], "n{at}");
     }
 }
@@ -312,12 +317,12 @@
     world.start(8);
     world.run(20.0);
     for at in [3, 8] {
-        let fleet = world.nodes[at].fleet.as_ref().expect("it runs");
-        assert!(fleet.verdicts().any(|v| v.kind == VerdictKind::NameClash), "n{at} says nothing");
+        let membership = world.nodes[at].membership.as_ref().expect("it runs");
+        assert!(membership.verdicts().any(|v| v.kind == VerdictKind::NameClash), "n{at} says nothing");
     }
 }
 
-fn forged(of: usize, start: u64, liveness: Liveness, incarnation: u32) -> MemberRecord {
+fn forged(of: usize, generation: u64, liveness: Liveness, incarnation: u32) -> MemberRecord {
     let identity = Identity {
         name: format!("n{of}"),
         zone: "z0".into(),
@@ -325,25 +330,33 @@
         cores: 4,
         instance: 77,
     };
-    MemberRecord { identity: identity.into(), start, incarnation, phase: Phase::Serving, liveness, by: 0 }
+    MemberRecord {
+        identity: identity.into(),
+        generation,
+        incarnation,
+        phase: Phase::Serving,
+        liveness,
+        accuser: 0,
+    }
 }
 
 #[test]
 fn forged_starts_and_incarnations_do_bounded_harm_and_are_told() {
     let mut world = World::settled(10, 2, rules(FailureDetector::Lifeguard), 4);
     let now = world.now as u64;
-    let from = |record| SenderState { record, load: Load::default(), digest: 0, known: 1, now_ms: 0.0 };
+    let sender =
+        |record| SenderState { record, load: Load::default(), digest: 0, known_members: 1, now_ms: 0.0 };
     let mut stranger = forged(0, now, Liveness::Alive, 0);
     stranger.identity = Identity { name: "stranger".into(), ..(*stranger.identity).clone() }.into();
-    let own = world.nodes[6].fleet.as_ref().expect("it runs").own().clone();
-    let news = vec![
+    let own = world.nodes[6].membership.as_ref().expect("it runs").local_record().clone();
+    let updates = vec![
         forged(3, u64::MAX, Liveness::Alive, 0),
         forged(4, now + 5000, Liveness::Lost, 0),
         MemberRecord { liveness: Liveness::Lost, incarnation: u32::MAX, ..own },
     ];
-    world.forge(1, Packet { from: from(stranger), body: PacketBody::Gossip, news });
+    world.forge(1, Packet { sender: sender(stranger), body: PacketBody::Gossip, updates });
     world.run(1.0);
-    let told = |told: &Notification| matches!(told, Notification::RecordRejected(..));
+    let told = |told: &Notification| matches!(told, Notification::RecordRejected { .. });
     assert!(world.nodes[1].told.iter().any(|(_, t)| told(t)), "nothing is told of the forged start");
     // The stranger never answers and is lost in the end; those it spoke of are themselves again.
     let took = world.await_truth(40.0);
@@ -352,11 +365,12 @@
 
 #[test]
 fn at_the_bound_of_members_the_gone_give_way_and_no_one_else_is_taken() {
-    let mut world = World::new(20, 2, MembershipSettings { members: 12, ..MembershipSettings::default() }, 1);
+    let mut world =
+        World::new(20, 2, MembershipSettings { max_members: 12, ..MembershipSettings::default() }, 1);
     (0..20).for_each(|at| world.start(at));
     world.run(40.0);
-    assert!(world.running().all(|(_, fleet)| fleet.table().len() <= 11));
-    assert!(world.running().any(|(_, fleet)| fleet.table().len() == 11));
-    let full = |told: &Notification| matches!(told, Notification::RecordRejected(why, _) if pinepoint_events::ReasonCode::code(*why) == "full");
+    assert!(world.running().all(|(_, membership)| membership.table().len() <= 11));
+    assert!(world.running().any(|(_, membership)| membership.table().len() == 11));
+    let full = |told: &Notification| matches!(told, Notification::RecordRejected { reason: why, .. } if pinepoint_events::ReasonCode::code(*why) == "full");
     assert!(world.nodes.iter().flat_map(|node| &node.told).any(|(_, t)| full(t)), "nothing is told of it");
 }
--- a/crates/pinepoint-membership/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use pinepoint_membership::member::{Identity, Liveness, Phase, key};
+use pinepoint_membership::member::{Identity, Liveness, Phase, member_key};
 use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings, Notification};
 use pinepoint_membership::wire::{Codec, Message, Packet};
 use rand_core::{Rng, SeedableRng};
@@ -17,7 +17,7 @@
 const EPOCH: f64 = 1_700_000_000_000.0;
 
 pub struct Node {
-    pub fleet: Option<Membership>,
+    pub membership: Option<Membership>,
     pub name: String,
     pub zone: usize,
     /// Stopped as by a signal: it gets nothing done, and what comes waits.
@@ -97,7 +97,7 @@
     /// Members in so many zones, none of them started.
     pub fn new(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
         let node = |at: usize| Node {
-            fleet: None,
+            membership: None,
             name: format!("n{at}"),
             zone: at % zones.max(1),
             stopped: false,
@@ -141,11 +141,12 @@
     pub fn preloaded(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
         let mut world = World::new(members, zones, rules, seed);
         (0..members).for_each(|at| world.start(at));
-        let records: Vec<_> = world.running().map(|(_, fleet)| fleet.own().clone()).collect();
+        let records: Vec<_> =
+            world.running().map(|(_, membership)| membership.local_record().clone()).collect();
         let now = world.now;
         for node in &mut world.nodes {
-            if let Some(fleet) = &mut node.fleet {
-                fleet.preload(now, records.iter());
+            if let Some(membership) = &mut node.membership {
+                membership.preload(now, records.iter());
             }
         }
         world.run(6.0);
@@ -189,18 +190,18 @@
         let (lives, off, ticking) = (node.lives, node.clock_off, node.ticking);
         let seed = self.random.next_u64() ^ u64::from(lives);
         let seeds = (0..3.min(self.nodes.len())).map(address).collect();
-        let mut fleet = Membership::new(self.rules, self.now + off, identity, seeds, seed);
+        let mut membership = Membership::new(self.rules, self.now + off, identity, seeds, seed);
         let mut out = Vec::new();
-        fleet.handle(self.now + off, Event::PhaseChanged(Phase::Serving), &mut out);
-        let due = fleet.next_due() - off;
-        self.nodes[at].fleet = Some(fleet);
+        membership.handle(self.now + off, Event::PhaseChanged(Phase::Serving), &mut out);
+        let due = membership.next_due() - off;
+        self.nodes[at].membership = Some(membership);
         self.push(due, Thing::Tick(at, ticking));
         self.carry_out(at, out);
     }
 
     pub fn kill(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        (node.fleet, node.stopped) = (None, false);
+        (node.membership, node.stopped) = (None, false);
         node.ticking += 1;
     }
 
@@ -227,9 +228,9 @@
 
     pub fn tell(&mut self, at: usize, event: Event) {
         let now = self.now + self.nodes[at].clock_off;
-        let Some(fleet) = &mut self.nodes[at].fleet else { return };
+        let Some(membership) = &mut self.nodes[at].membership else { return };
         let mut out = Vec::new();
-        fleet.handle(now, event, &mut out);
+        membership.handle(now, event, &mut out);
         self.carry_out(at, out);
     }
 
@@ -293,12 +294,12 @@
         match thing {
             Thing::Tick(at, ticking) => {
                 let node = &self.nodes[at];
-                if node.stopped || node.ticking != ticking || node.fleet.is_none() {
+                if node.stopped || node.ticking != ticking || node.membership.is_none() {
                     return true;
                 }
                 self.tell(at, Event::Tick);
                 let off = self.nodes[at].clock_off;
-                let due = self.nodes[at].fleet.as_ref().map(|fleet| fleet.next_due() - off);
+                let due = self.nodes[at].membership.as_ref().map(|membership| membership.next_due() - off);
                 // Only one timer for each: that of a stop that ended makes a second one of the same number.
                 self.nodes[at].ticking += 1;
                 let ticking = self.nodes[at].ticking;
@@ -337,12 +338,12 @@
     }
 
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
-        self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.fleet.as_ref()?)))
+        self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.membership.as_ref()?)))
     }
 
     /// Whether all that run hold the same, and it is true.
     pub fn is_true(&self) -> bool {
-        let mut digests = self.running().map(|(_, fleet)| fleet.digest());
+        let mut digests = self.running().map(|(_, membership)| membership.digest());
         let first = digests.next();
         digests.all(|digest| Some(digest) == first) && self.untrue().is_empty()
     }
@@ -350,12 +351,12 @@
     /// What is held wrongly somewhere, the first few.
     pub fn untrue(&self) -> String {
         let mut wrong = Vec::new();
-        for (at, fleet) in self.running() {
+        for (at, membership) in self.running() {
             for (other, node) in self.nodes.iter().enumerate().filter(|(other, _)| *other != at) {
-                let seen = fleet.table().get(key(&node.name)).map(|member| &member.record);
-                let right = match (&node.fleet, seen) {
+                let seen = membership.table().get(member_key(&node.name)).map(|member| &member.record);
+                let right = match (&node.membership, seen) {
                     (Some(runs), Some(seen)) => {
-                        seen.start == runs.own().start && seen.liveness == Liveness::Alive
+                        seen.generation == runs.local_record().generation && seen.liveness == Liveness::Alive
                     }
                     (Some(_), None) => false,
                     (None, Some(seen)) => !seen.is_up(),
@@ -394,7 +395,7 @@
     pub fn wrongly(&self, liveness: Liveness) -> usize {
         let of = |told: &Notification| match told {
             Notification::MemberChanged { record, .. } if record.liveness == liveness => {
-                self.nodes.iter().any(|node| node.fleet.is_some() && node.name == record.identity.name)
+                self.nodes.iter().any(|node| node.membership.is_some() && node.name == record.identity.name)
             }
             _ => false,
         };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -451,14 +451,22 @@
     );
 }
 
-/// What one that goes by this name and start would send.
-fn message(name: &str, start: u64, liveness: Liveness, from: &UdpSocket, news: Vec<MemberRecord>) -> Message {
+/// What one that goes by this name and generation would send.
+fn message(
+    name: &str,
+    generation: u64,
+    liveness: Liveness,
+    from: &UdpSocket,
+    updates: Vec<MemberRecord>,
+) -> Message {
     let address = from.local_addr().expect("bound");
     let identity = Identity { name: name.to_owned(), zone: "z1".into(), address, cores: 2, instance: 77 };
     let phase = Phase::Serving;
-    let record = MemberRecord { identity: Rc::new(identity), start, incarnation: 0, phase, liveness, by: 0 };
-    let from = SenderState { record, load: Load::default(), digest: 0, known: 9, now_ms: start as f64 };
-    Message::Peer(Packet { from, body: PacketBody::Ping { seq: 7 }, news })
+    let record =
+        MemberRecord { identity: Rc::new(identity), generation, incarnation: 0, phase, liveness, accuser: 0 };
+    let sender =
+        SenderState { record, load: Load::default(), digest: 0, known_members: 9, now_ms: generation as f64 };
+    Message::Peer(Packet { sender, body: PacketBody::Ping { sequence: 7 }, updates })
 }
 
 #[test]
@@ -488,17 +496,17 @@
     };
     let n3 = member(3);
     let address = n3["address"].as_str().and_then(|text| text.parse().ok()).expect("an address");
-    let of = |name: &str, start, liveness, incarnation| {
+    let of = |name: &str, generation, liveness, incarnation| {
         let zone = "z1".into();
         let identity = Identity { name: name.to_owned(), zone, address, cores: 2, instance: 9 };
         let phase = Phase::Serving;
-        MemberRecord { identity: Rc::new(identity), start, incarnation, phase, liveness, by: 1 }
+        MemberRecord { identity: Rc::new(identity), generation, incarnation, phase, liveness, accuser: 1 }
     };
-    let news = vec![
+    let updates = vec![
         of("n2", u64::MAX, Liveness::Alive, 0),
         of("n3", n3["start"].as_u64().expect("a start") + 1, Liveness::Lost, 3),
     ];
-    let forged = message("stranger", now, Liveness::Alive, &socket, news);
+    let forged = message("stranger", now, Liveness::Alive, &socket, updates);
     socket.send_to(&own.encode(&forged).expect("encoded"), to).expect("sent");
     course.run(
         "n1 wait log fleet-disbelieved *reason=forged-start*
