--- a/crates/pinepoint-membership/src/wire/tests.rs
+++ b/crates/pinepoint-membership/src/wire/tests.rs
@@ -1,3 +1,5 @@
+use xxhash_rust::xxh3::xxh3_64;
+
 use super::*;
 use crate::member::{Liveness, Phase};
 
@@ -60,3 +62,34 @@
     let bytes = Codec::new("f").encode(&Message::Peer(largest)).expect("within the bound");
     assert!(bytes.len() <= 2 * FRAME_BYTES, "{}", bytes.len());
 }
+
+#[test]
+fn the_bytes_of_each_kind_of_message_are_those_of_version_1() {
+    let target = packet().sender.record.identity;
+    let bodies = [
+        PacketBody::Ping { sequence: 3 },
+        PacketBody::PingReq { sequence: 3, target },
+        PacketBody::Ack { sequence: 3 },
+        PacketBody::Nack { sequence: 3 },
+        PacketBody::Gossip,
+        PacketBody::SyncDigests { bucket_digests: vec![3; BUCKET_COUNT] },
+        PacketBody::SyncPull { buckets: 3 },
+    ];
+    let mut messages = bodies.map(|body| Message::Peer(Packet { body, ..packet() })).to_vec();
+    messages.push(Message::ViewRequest { snapshot_id: 3, page: 1, padding: vec![0; 4] });
+    messages.push(Message::ViewPage { snapshot_id: 3, page: 1, page_count: 2, json: b"{}".to_vec() });
+    let codec = Codec::new("f");
+    let hashes = messages.iter().map(|message| xxh3_64(&codec.encode(message).expect("within the bound")));
+    let version_1 = [
+        0x056655d35208f553,
+        0xc0987ae21fc35247,
+        0xd2d9e1dba5d9b834,
+        0xa9bb531d77a52362,
+        0xcfe95bf299a1606b,
+        0x031a8a9cd0a07eb4,
+        0xd8a9bf963ce44c34,
+        0xf1e248e4af6deac3,
+        0x5916919a7b7fc685,
+    ];
+    assert_eq!(hashes.collect::<Vec<u64>>(), version_1);
+}
