--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -13,7 +13,7 @@
 use pinepoint::server::control::reload::Reloader;
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::CoreInput;
-use pinepoint::server::core::{Core, HandoverParts, Parts};
+use pinepoint::server::core::{Core, CoreDependencies, HandoverDependencies};
 use pinepoint::server::frontend::context::FrontendContext;
 use pinepoint::server::frontend::limiter::ConnectionLimiter;
 use pinepoint::server::frontend::listener::{self, Listener};
@@ -283,7 +283,7 @@
         &self,
         upgrade: Upgrade,
         limiter: &Rc<ConnectionLimiter>,
-    ) -> (Rc<handover::HandoverLinks>, HandoverParts) {
+    ) -> (Rc<handover::HandoverLinks>, HandoverDependencies) {
         upgrade.link(&self.site, |path, inbox| handover::HandoverContext {
             path,
             executor: self.executor.clone(),
@@ -299,9 +299,9 @@
         config: &Config,
         front: &FrontendContext,
         service_links: &ServiceLinks,
-        handover: Option<HandoverParts>,
+        handover: Option<HandoverDependencies>,
     ) -> Core {
-        Core::new(Parts {
+        Core::new(CoreDependencies {
             site: self.site.clone(),
             seed: self.seed,
             stop_ms: config.stop_ms,
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -9,7 +9,7 @@
 use pinepoint::config::site::Site;
 use pinepoint::server::control::handover::{HandoverContext, HandoverLinks};
 use pinepoint::server::core::api::{PeerEvent, PeerInbox};
-use pinepoint::server::core::{HandoverParts, longest_window_ms};
+use pinepoint::server::core::{HandoverDependencies, longest_dedup_window_ms};
 use pinepoint::server::frontend::listener::bind_shared;
 use pinepoint_clock::Clock;
 use pinepoint_handover::io::{Connected, connect, socket_path};
@@ -74,7 +74,7 @@
         self,
         site: &Site,
         host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
-    ) -> (Rc<HandoverLinks>, HandoverParts) {
+    ) -> (Rc<HandoverLinks>, HandoverDependencies) {
         let inbox = Rc::new(PeerInbox::default());
         let (names, listeners) = self.opened.into_iter().unzip();
         let link = match self.found {
@@ -88,7 +88,12 @@
             }
         };
         let links = HandoverLinks::new(host(self.path, inbox.clone()), listeners, link);
-        let parts = HandoverParts { port: links.clone(), inbox, rules: rules(site), listeners: names };
+        let parts = HandoverDependencies {
+            transport: links.clone(),
+            inbox,
+            rules: rules(site),
+            listener_names: names,
+        };
         (links, parts)
     }
 }
@@ -99,7 +104,7 @@
 }
 
 fn rules(site: &Site) -> Rules {
-    Rules { longest_window_ms: longest_window_ms(site), ..Rules::default() }
+    Rules { longest_window_ms: longest_dedup_window_ms(site), ..Rules::default() }
 }
 
 /// The listening socket of this name, in a process that may be part of an upgrade or not.
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -22,21 +22,21 @@
 const WINDOW_MARGIN_MS: f64 = 1000.0;
 
 /// The longest time for which a key of these classes may be kept, with a margin, ms.
-pub fn longest_window_ms(site: &Site) -> f64 {
+pub fn longest_dedup_window_ms(site: &Site) -> f64 {
     let windows = site.settings.classes.iter().map(|class| class.dedup_window_ms.max(class.timeout_ms));
     windows.fold(0.0, f64::max) + WINDOW_MARGIN_MS
 }
 
 /// What a handover takes.
-pub struct HandoverParts {
+pub struct HandoverDependencies {
     /// The way to the other process.
-    pub port: Rc<dyn HandoverTransport>,
+    pub transport: Rc<dyn HandoverTransport>,
     /// What the other process tells.
     pub inbox: Rc<PeerInbox>,
     /// Bounds and waits.
     pub rules: Rules,
     /// Names of the listening sockets, in the order in which they are passed.
-    pub listeners: Vec<String>,
+    pub listener_names: Vec<String>,
 }
 
 /// Requests of one key that wait until the other process says whether it may run.
@@ -56,7 +56,7 @@
 
 /// The state of the handover.
 pub(super) struct Handover {
-    parts: HandoverParts,
+    parts: HandoverDependencies,
     successor: Successor,
     /// From the moment on at which this process serves.
     predecessor: Option<Predecessor>,
@@ -70,7 +70,7 @@
 }
 
 impl Handover {
-    pub(super) fn new(parts: HandoverParts) -> Self {
+    pub(super) fn new(parts: HandoverDependencies) -> Self {
         Handover {
             successor: Successor::new(parts.rules.clone()),
             parts,
@@ -111,7 +111,7 @@
     // ---- events in ----
 
     /// Takes what the other process has told.
-    pub fn take_peer_inputs(&mut self, now: f64) {
+    pub fn handle_peer_events(&mut self, now: f64) {
         self.now_ms = now;
         while let Some(input) = self.handover.as_ref().and_then(|handover| handover.parts.inbox.pop()) {
             match input {
@@ -195,7 +195,7 @@
 
     /// Other settings are in force: no window may be longer than is counted with.
     pub(super) fn reconfigure_handover(&mut self) {
-        let longest_ms = longest_window_ms(&self.parts.site);
+        let longest_ms = longest_dedup_window_ms(&self.parts.site);
         let Some(handover) = &mut self.handover else { return };
         // Keys that ran under a longer window keep it.
         handover.parts.rules.longest_window_ms = handover.parts.rules.longest_window_ms.max(longest_ms);
@@ -244,7 +244,7 @@
     fn carry_out_as_successor(&mut self, now: f64, action: successor::Action) {
         use successor::Action;
         let Some(handover) = &mut self.handover else { return };
-        let port = handover.parts.port.clone();
+        let port = handover.parts.transport.clone();
         match action {
             Action::Send(message) => port.send_to_predecessor(&message),
             Action::Reconnect => port.find_predecessor(),
@@ -273,7 +273,7 @@
     fn carry_out_as_predecessor(&mut self, now: f64, action: predecessor::Action) {
         use predecessor::Action;
         let Some(handover) = &self.handover else { return };
-        let port = handover.parts.port.clone();
+        let port = handover.parts.transport.clone();
         match action {
             Action::Send(message) => port.send_to_successor(&message),
             Action::SendSnapshot => {
@@ -313,10 +313,10 @@
         let drained = self.life.phase() == LifecyclePhase::StartingLameDuck;
         let digest_key = self.keys.digest_key();
         let Some(handover) = &mut self.handover else { return };
-        let listeners = handover.parts.listeners.clone();
+        let listeners = handover.parts.listener_names.clone();
         handover.predecessor = Some(Predecessor::new(handover.parts.rules.clone(), listeners, digest_key));
         let (start, unknown_until_ms) = (handover.engine, handover.keys_unknown_until_ms);
-        let port = handover.parts.port.clone();
+        let port = handover.parts.transport.clone();
         self.predecessor_event(now, predecessor::Event::KeysUnknownUntil(unknown_until_ms));
         self.predecessor_event(now, predecessor::Event::DrainChanged(drained));
         if let Some(start) = start {
@@ -346,7 +346,7 @@
     /// The doors shut: nothing keeps their sockets open for a successor.
     pub(super) fn release_listeners(&self) {
         if let Some(handover) = &self.handover {
-            handover.parts.port.release_listeners();
+            handover.parts.transport.release_listeners();
         }
     }
 
@@ -556,7 +556,7 @@
 
     fn may_grant(&mut self, now: f64, key: &Key) -> bool {
         if self.instant_keys.contains(key) {
-            self.settle(now);
+            self.process_batch(now);
         }
         // The claim does not say when its request reached the machine: it may have lain unread for so long.
         let unread_most_ms =
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -21,7 +21,7 @@
 pub mod requests;
 
 use self::handover::Handover;
-pub use self::handover::{HandoverParts, HandoverState, longest_window_ms};
+pub use self::handover::{HandoverDependencies, HandoverState, longest_dedup_window_ms};
 use crate::admission::{
     Action, AdmissionController, Event, FailureReason, Idempotency, Outcome, Preemption, RejectReason,
     Request,
@@ -73,7 +73,7 @@
 }
 
 /// Everything the core needs from the rest of the node.
-pub struct Parts {
+pub struct CoreDependencies {
     /// Settings and names.
     pub site: Rc<Site>,
     /// Seed of the module's random numbers.
@@ -97,12 +97,12 @@
     /// The doors, and who has come in by them.
     pub open_sockets: Rc<dyn OpenSockets>,
     /// What a handover between two processes of this server takes; without it there is none.
-    pub handover: Option<HandoverParts>,
+    pub handover: Option<HandoverDependencies>,
 }
 
 /// The core. [`Core::run`] is its task; the rest is for that task alone.
 pub struct Core {
-    parts: Parts,
+    parts: CoreDependencies,
     life: Lifecycle,
     controller: Option<AdmissionController>,
     callers: BTreeMap<u64, Rc<dyn Caller>>,
@@ -130,7 +130,7 @@
 
 impl Core {
     /// A core without a decision module: that is made when the engine says how the machine started.
-    pub fn new(mut parts: Parts) -> Self {
+    pub fn new(mut parts: CoreDependencies) -> Self {
         let keys = KeyTable::new(results_most(parts.memory_mb));
         let times = times(&parts.site, parts.stop_ms);
         let handover = parts.handover.take().map(Handover::new);
@@ -180,17 +180,17 @@
             let first = future::or(async { queue.recv().await.ok() }, future::or(notice, timer)).await;
             let now = clock.now();
             if let Some(at_ms) = status.notice_ms.take() {
-                self.leave(now, at_ms);
+                self.start_drain(now, at_ms);
             }
             if let Some(drained) = status.drain.take() {
                 self.set_drained(now, drained);
             }
-            self.take_peer_inputs(now);
-            first.into_iter().for_each(|input| self.take(now, input));
+            self.handle_peer_events(now);
+            first.into_iter().for_each(|input| self.handle(now, input));
             while let Ok(input) = queue.try_recv() {
-                self.take(now, input);
+                self.handle(now, input);
             }
-            self.settle(now);
+            self.process_batch(now);
             if self.life.phase() == LifecyclePhase::Terminated {
                 self.parts.observer.core_state(now, &self.state());
                 self.emit_process_event(ProcessEvent::Stopped);
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Takes one input. What the module wants done is carried out by the next [`Core::settle`].
-    pub fn take(&mut self, now: f64, input: CoreInput) {
+    /// Takes one input. What the module wants done is carried out by the next [`Core::process_batch`].
+    pub fn handle(&mut self, now: f64, input: CoreInput) {
         self.now_ms = now;
         match input {
             CoreInput::ConnectionOpened(caller) => {
@@ -412,7 +412,7 @@
         if let Some(key) = &key {
             // Two tries of one key in one instant: the first is settled, so that the second can name it.
             if self.instant_keys.contains(key) {
-                self.settle(now);
+                self.process_batch(now);
             }
             self.instant_keys.push(key.clone());
         }
@@ -716,7 +716,7 @@
     }
 
     /// The notice to leave, which came at this time.
-    pub fn leave(&mut self, now: f64, at_ms: f64) {
+    pub fn start_drain(&mut self, now: f64, at_ms: f64) {
         self.now_ms = now;
         if self.handover.is_some() {
             self.notice_in_handover(now, at_ms);
@@ -885,7 +885,7 @@
     // ---- actions out ----
 
     /// Ends an instant: due timers, one settlement, and everything the module wants done.
-    pub fn settle(&mut self, now: f64) {
+    pub fn process_batch(&mut self, now: f64) {
         self.now_ms = now;
         self.live(now);
         self.run_timers(now);
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -11,7 +11,7 @@
 use pinepoint::server::core::api::{
     Arrival, Caller, CoreInput, Engine, OpenSockets, Reconfiguration, Reply, RunResult, Store,
 };
-use pinepoint::server::core::{Core, Parts};
+use pinepoint::server::core::{Core, CoreDependencies};
 use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::{CoreState, Observer, ProcessEvent, Protocol, RequestEvent, RequestEventKind};
@@ -161,7 +161,7 @@
     pub fn with_site(site: Site, memory_mb: f64, stop_ms: f64) -> Self {
         let seen = Rc::new(Seen::default());
         let classes = site.settings.classes.len();
-        let parts = Parts {
+        let parts = CoreDependencies {
             site: Rc::new(site),
             seed: 5,
             stop_ms,
@@ -179,8 +179,8 @@
     }
 
     pub fn tell(&mut self, input: CoreInput) {
-        self.core.take(self.now, input);
-        self.core.settle(self.now);
+        self.core.handle(self.now, input);
+        self.core.process_batch(self.now);
     }
 
     pub fn arrive(&mut self, class: usize, key: u8, body: u8, age_ms: f64) {
@@ -223,12 +223,12 @@
             turns += 1;
             assert!(f64::from(turns) < 1000.0 + ms, "{turns} turns in {ms} ms: it does not wait");
             self.now = self.now.max(due);
-            self.core.settle(self.now);
+            self.core.process_batch(self.now);
             let tag = self.seen.asked.get();
             self.tell(CoreInput::Gauges { tag, values: vec![busy, busy * 2.0] });
         }
         self.now = until;
-        self.core.settle(until);
+        self.core.process_batch(until);
     }
 
     pub fn run(&mut self, step: &Step) {
@@ -269,8 +269,8 @@
                 self.tell(CoreInput::ConnectionClosed { caller: u64::from(caller % 3) })
             }
             Step::Leave => {
-                self.core.leave(self.now, self.now);
-                self.core.settle(self.now);
+                self.core.start_drain(self.now, self.now);
+                self.core.process_batch(self.now);
             }
         }
     }
--- a/tests/facts.rs
+++ b/tests/facts.rs
@@ -87,13 +87,15 @@
     bench.tell(CoreInput::CallNeeded { attempt_id: attempt_id.clone(), notice: 1, body: vec![1] });
     let first = bench.seen.calls.borrow()[0];
     let now = bench.now;
-    bench.core.take(now, CoreInput::CallNeeded { attempt_id, notice: 2, body: vec![2] });
+    bench.core.handle(now, CoreInput::CallNeeded { attempt_id, notice: 2, body: vec![2] });
     // What `Core::run` does between two tries of one key in one instant.
-    bench.core.settle(now);
+    bench.core.process_batch(now);
     let second = bench.seen.calls.borrow()[0];
     assert_ne!(first, second);
-    bench.core.take(now, CoreInput::CallEnded { call: first, outcome: Outcome::Done, reply: Some(vec![9]) });
-    bench.core.settle(now);
+    bench
+        .core
+        .handle(now, CoreInput::CallEnded { call: first, outcome: Outcome::Done, reply: Some(vec![9]) });
+    bench.core.process_batch(now);
     assert_eq!(
         *bench.seen.feeds.borrow(),
         Vec::<Vec<u8>>::new(),
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -13,7 +13,7 @@
 use pinepoint::server::core::api::{
     Arrival, CoreInput, HandoverTransport, PeerEvent, PeerInbox, Reconfiguration, Reply, RunResult,
 };
-use pinepoint::server::core::{Core, HandoverParts, HandoverState, Parts};
+use pinepoint::server::core::{Core, CoreDependencies, HandoverDependencies, HandoverState};
 use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::Protocol;
@@ -234,13 +234,13 @@
         let clock = Clock::fixed(self.now);
         let rules = Rules { longest_window_ms: WINDOW_MS + 1000.0, ..Rules::default() };
         status.accepting.set(false);
-        let handover = HandoverParts {
-            port: port.clone(),
+        let handover = HandoverDependencies {
+            transport: port.clone(),
             inbox: inbox.clone(),
             rules,
-            listeners: vec!["rpc".to_owned()],
+            listener_names: vec!["rpc".to_owned()],
         };
-        let core = Core::new(Parts {
+        let core = Core::new(CoreDependencies {
             site: site.clone(),
             seed: 5,
             stop_ms: STOP_MS,
@@ -279,7 +279,7 @@
     }
 
     pub fn engine_up(&mut self, index: usize) {
-        self.turn(index, |core, now| core.take(now, CoreInput::EngineAttached { cold: false, ms: 9000.0 }));
+        self.turn(index, |core, now| core.handle(now, CoreInput::EngineAttached { cold: false, ms: 9000.0 }));
     }
 
     pub fn life(&self, index: usize) -> Life {
@@ -336,7 +336,7 @@
             caller,
         };
         self.processes[index].reads.push(read);
-        self.turn(index, |core, now| core.take(now, CoreInput::RequestReceived(Box::new(arrival))));
+        self.turn(index, |core, now| core.handle(now, CoreInput::RequestReceived(Box::new(arrival))));
         Some(attempt_id)
     }
 
@@ -348,14 +348,14 @@
         };
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.correlation_id == correlation_id).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, CoreInput::CallerGone { caller, correlation_id }));
+        self.turn(index, |core, now| core.handle(now, CoreInput::CallerGone { caller, correlation_id }));
     }
 
     /// A connection to this process is closed by its caller.
     pub fn close(&mut self, index: usize, caller: u64) {
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.caller == caller).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, CoreInput::ConnectionClosed { caller }));
+        self.turn(index, |core, now| core.handle(now, CoreInput::ConnectionClosed { caller }));
     }
 
     /// Caller and ticket of each request without an answer.
@@ -385,7 +385,7 @@
         let run = &mut self.runs[at];
         (run.over, run.never_ran) = (true, end == RunResult::Unknown);
         let (index, attempt_id) = (run.process, run.attempt_id.clone());
-        self.turn(index, |core, now| core.take(now, CoreInput::RunEnded { attempt_id, result: end }));
+        self.turn(index, |core, now| core.handle(now, CoreInput::RunEnded { attempt_id, result: end }));
     }
 
     pub fn set_drained(&mut self, index: usize, drained: bool) {
@@ -403,7 +403,7 @@
             process.notice_ms = Some(now);
             process.had_successor_at_notice = has_successor;
             process.kill_ms = Some(now + KILL_AFTER_MS);
-            self.turn(index, |core, now| core.leave(now, now));
+            self.turn(index, |core, now| core.start_drain(now, now));
         }
     }
 
@@ -413,7 +413,7 @@
         let site = Rc::new(merged.expect("there is room for a few classes"));
         self.processes[index].site = site.clone();
         let settings = Reconfiguration { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
-        self.turn(index, |core, now| core.take(now, CoreInput::Reconfigure(settings)));
+        self.turn(index, |core, now| core.handle(now, CoreInput::Reconfigure(settings)));
     }
 
     /// SIGKILL. Of what it has sent, so many messages still arrive.
@@ -499,7 +499,7 @@
             let tag = self.processes[index].seen.asked.replace(0);
             if tag > 0 && self.processes[index].alive {
                 self.turn(index, |core, now| {
-                    core.take(now, CoreInput::Gauges { tag, values: vec![0.1, 0.2] })
+                    core.handle(now, CoreInput::Gauges { tag, values: vec![0.1, 0.2] })
                 });
             }
         }
@@ -514,9 +514,9 @@
         let now = self.now;
         let process = &mut self.processes[index];
         process.clock.set(now);
-        process.core.take_peer_inputs(now);
+        process.core.handle_peer_events(now);
         input(&mut process.core, now);
-        process.core.settle(now);
+        process.core.process_batch(now);
         self.carry_out(index);
         self.note_runs(index);
         self.check(index);
