--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -11,11 +11,10 @@
 use pinepoint_handover::predecessor::{self, Predecessor};
 use pinepoint_handover::successor::{self, Successor};
 
-use super::{Core, EngineStart, Key, LifecyclePhase, MAX_READ_DELAY_FACTOR, READ_DELAY_MARGIN_MS};
-use crate::admission::Outcome;
+use super::{Core, EngineStart, IdempotencyKey, LifecyclePhase, MAX_READ_DELAY_FACTOR, READ_DELAY_MARGIN_MS};
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, HandoverTransport, PeerEvent, PeerInbox, Reply};
-use crate::server::core::keys::{ANY_KEYED_CLASS, AttemptResult, Record};
+use crate::server::core::keys::{Attempt, AttemptEnd, AttemptRecord, AttemptResult};
 use crate::server::observability::counters::count;
 
 /// Added to the longest window in which keys may be unknown, ms.
@@ -41,7 +40,7 @@
 
 /// Requests of one key that wait until the other process says whether it may run.
 struct WaitingClaim {
-    key: Key,
+    key: IdempotencyKey,
     arrivals: Vec<Arrival>,
 }
 
@@ -56,7 +55,7 @@
 
 /// The state of the handover.
 pub(super) struct Handover {
-    parts: HandoverDependencies,
+    dependencies: HandoverDependencies,
     successor: Successor,
     /// From the moment on at which this process serves.
     predecessor: Option<Predecessor>,
@@ -66,21 +65,21 @@
     claims: BTreeMap<u64, WaitingClaim>,
     last_claim: u64,
     /// Keys that have changed in the instant in hand.
-    touched: Vec<Key>,
+    changed_keys: Vec<IdempotencyKey>,
 }
 
 impl Handover {
-    pub(super) fn new(parts: HandoverDependencies) -> Self {
+    pub(super) fn new(dependencies: HandoverDependencies) -> Self {
         Handover {
-            successor: Successor::new(parts.rules.clone()),
-            parts,
+            successor: Successor::new(dependencies.rules.clone()),
+            dependencies,
             predecessor: None,
             keys_unknown_until_ms: 0.0,
             engine: None,
             notice_ms: 0.0,
             claims: BTreeMap::new(),
             last_claim: 0,
-            touched: Vec::new(),
+            changed_keys: Vec::new(),
         }
     }
 
@@ -93,7 +92,7 @@
     /// What the handover holds now.
     pub fn handover_state(&self, now: f64) -> HandoverState {
         let mut state = HandoverState {
-            waiting: vec![0; self.parts.site.settings.classes.len()],
+            waiting: vec![0; self.dependencies.site.settings.classes.len()],
             remote_attempts: self
                 .keys
                 .remote_attempts()
@@ -113,7 +112,8 @@
     /// Takes what the other process has told.
     pub fn handle_peer_events(&mut self, now: f64) {
         self.now_ms = now;
-        while let Some(input) = self.handover.as_ref().and_then(|handover| handover.parts.inbox.pop()) {
+        while let Some(input) = self.handover.as_ref().and_then(|handover| handover.dependencies.inbox.pop())
+        {
             match input {
                 PeerEvent::PredecessorFound(hello) => {
                     tracing::info!(drained = hello.drained, "predecessor-found");
@@ -138,14 +138,14 @@
     }
 
     /// The engine of a process that may have to take over first.
-    pub(super) fn engine_up_for_handover(&mut self, now: f64, start: EngineStart) {
+    pub(super) fn handle_engine_attached_in_handover(&mut self, now: f64, start: EngineStart) {
         let Some(handover) = &mut self.handover else { return };
         handover.engine = Some(start);
         self.successor_event(now, successor::Event::EngineUp);
     }
 
     /// The notice to leave, in a process that another one may follow.
-    pub(super) fn notice_in_handover(&mut self, now: f64, at_ms: f64) {
+    pub(super) fn start_drain_in_handover(&mut self, now: f64, at_ms: f64) {
         let Some(handover) = &mut self.handover else { return };
         handover.notice_ms = at_ms;
         if handover.predecessor.is_some() {
@@ -156,15 +156,15 @@
     }
 
     /// An operator drained this process or took it back.
-    pub(super) fn tell_peers_of_drain(&mut self, now: f64, drained: bool) {
+    pub(super) fn send_drained_to_peers(&mut self, now: f64, drained: bool) {
         self.successor_event(now, successor::Event::DrainChanged(drained));
         self.predecessor_event(now, predecessor::Event::DrainChanged(drained));
     }
 
     /// How many connections this process holds, which count against the limit of both.
-    pub(super) fn tell_connections(&mut self, now: f64) {
+    pub(super) fn send_connection_count(&mut self, now: f64) {
         if self.handover.as_ref().is_some_and(Handover::has_successor) {
-            let open = u32::try_from(self.parts.open_sockets.connections()).unwrap_or(u32::MAX);
+            let open = u32::try_from(self.dependencies.open_sockets.connections()).unwrap_or(u32::MAX);
             self.predecessor_event(now, predecessor::Event::Connections(open));
         }
     }
@@ -180,7 +180,7 @@
 
     /// When a request that waits for a claim is answered in any case, ms.
     fn overdue_ms(&self, arrival: &Arrival) -> f64 {
-        let class = &self.parts.site.settings.classes[arrival.class];
+        let class = &self.dependencies.site.settings.classes[arrival.class];
         arrival.arrived_ms + class.timeout_ms + self.overdue_slack_ms()
     }
 
@@ -195,10 +195,11 @@
 
     /// Other settings are in force: no window may be longer than is counted with.
     pub(super) fn reconfigure_handover(&mut self) {
-        let longest_ms = longest_dedup_window_ms(&self.parts.site);
+        let longest_ms = longest_dedup_window_ms(&self.dependencies.site);
         let Some(handover) = &mut self.handover else { return };
         // Keys that ran under a longer window keep it.
-        handover.parts.rules.longest_window_ms = handover.parts.rules.longest_window_ms.max(longest_ms);
+        handover.dependencies.rules.longest_window_ms =
+            handover.dependencies.rules.longest_window_ms.max(longest_ms);
         handover.successor.set_longest_window(longest_ms);
         if let Some(machine) = &mut handover.predecessor {
             machine.set_longest_window(longest_ms);
@@ -222,7 +223,7 @@
         if std::mem::discriminant(&before) != std::mem::discriminant(&phase) {
             tracing::info!(?phase, "taking-over");
         }
-        actions.into_iter().for_each(|action| self.carry_out_as_successor(now, action));
+        actions.into_iter().for_each(|action| self.execute_as_successor(now, action));
     }
 
     fn predecessor_event(&mut self, now: f64, event: predecessor::Event) {
@@ -236,15 +237,15 @@
         if before != phase {
             tracing::info!(?phase, "handing-over");
         }
-        actions.into_iter().for_each(|action| self.carry_out_as_predecessor(now, action));
+        actions.into_iter().for_each(|action| self.execute_as_predecessor(now, action));
     }
 
     // ---- actions out ----
 
-    fn carry_out_as_successor(&mut self, now: f64, action: successor::Action) {
+    fn execute_as_successor(&mut self, now: f64, action: successor::Action) {
         use successor::Action;
         let Some(handover) = &mut self.handover else { return };
-        let port = handover.parts.transport.clone();
+        let port = handover.dependencies.transport.clone();
         match action {
             Action::Send(message) => port.send_to_predecessor(&message),
             Action::Reconnect => port.find_predecessor(),
@@ -253,9 +254,9 @@
                 port.drop_predecessor();
             }
             Action::BeginServing => self.begin_serving(now),
-            Action::Import(record) => self.import(now, record),
-            Action::DiscardImports => self.end_remote_tries(Outcome::NotStarted),
-            Action::FailPeerKeys => self.end_remote_tries(Outcome::Failed),
+            Action::Import(record) => self.import_record(now, record),
+            Action::DiscardImports => self.finish_remote_attempts(&AttemptEnd::NeverRan),
+            Action::FailPeerKeys => self.finish_remote_attempts(&AttemptEnd::Ran(AttemptResult::Failed)),
             Action::KeysUnknownUntil(until_ms) => self.keys_unknown_until(now, until_ms),
             Action::DecideClaim(claim) => self.decide_claim(now, claim),
             Action::SetDrained(drained) => {
@@ -265,15 +266,15 @@
             Action::PeerConnections(open) => port.set_peer_connections(open as usize),
             Action::Leave => {
                 let at_ms = handover.notice_ms;
-                self.leave_service(now, at_ms);
+                self.drain_without_successor(now, at_ms);
             }
         }
     }
 
-    fn carry_out_as_predecessor(&mut self, now: f64, action: predecessor::Action) {
+    fn execute_as_predecessor(&mut self, now: f64, action: predecessor::Action) {
         use predecessor::Action;
         let Some(handover) = &self.handover else { return };
-        let port = handover.parts.transport.clone();
+        let port = handover.dependencies.transport.clone();
         match action {
             Action::Send(message) => port.send_to_successor(&message),
             Action::SendSnapshot => {
@@ -285,8 +286,8 @@
                 tracing::warn!(reason = %why, "successor-dropped");
                 port.drop_successor();
             }
-            Action::StopAccepting => self.parts.status.accepting.set(false),
-            Action::ResumeAccepting => self.parts.status.accepting.set(true),
+            Action::StopAccepting => self.dependencies.status.accepting.set(false),
+            Action::ResumeAccepting => self.dependencies.status.accepting.set(true),
             Action::BindAcceptor => port.listen_for_successor(),
             Action::Grant(id) => self.claim_granted(now, id),
             Action::Deny(id, why) => self.claim_denied(now, id, why),
@@ -300,9 +301,9 @@
             Action::Leave { handed_over } => {
                 let at_ms = handover.notice_ms;
                 if handed_over {
-                    self.leave_handed_over(now, at_ms);
+                    self.drain_after_handover(now, at_ms);
                 } else {
-                    self.leave_service(now, at_ms);
+                    self.drain_without_successor(now, at_ms);
                 }
             }
         }
@@ -310,27 +311,28 @@
 
     /// This process owns the keys and can serve: from here on it may be taken over from itself.
     fn begin_serving(&mut self, now: f64) {
-        let drained = self.life.phase() == LifecyclePhase::StartingLameDuck;
+        let drained = self.lifecycle.phase() == LifecyclePhase::StartingLameDuck;
         let digest_key = self.keys.digest_key();
         let Some(handover) = &mut self.handover else { return };
-        let listeners = handover.parts.listener_names.clone();
-        handover.predecessor = Some(Predecessor::new(handover.parts.rules.clone(), listeners, digest_key));
+        let listeners = handover.dependencies.listener_names.clone();
+        handover.predecessor =
+            Some(Predecessor::new(handover.dependencies.rules.clone(), listeners, digest_key));
         let (start, unknown_until_ms) = (handover.engine, handover.keys_unknown_until_ms);
-        let port = handover.parts.transport.clone();
+        let port = handover.dependencies.transport.clone();
         self.predecessor_event(now, predecessor::Event::KeysUnknownUntil(unknown_until_ms));
         self.predecessor_event(now, predecessor::Event::DrainChanged(drained));
         if let Some(start) = start {
-            self.begin(start);
+            self.start_controller(start);
         }
-        if self.life.phase() < LifecyclePhase::Draining {
+        if self.lifecycle.phase() < LifecyclePhase::Draining {
             port.listen_for_successor();
-            self.parts.status.accepting.set(true);
+            self.dependencies.status.accepting.set(true);
         }
     }
 
     /// Leaves a server that the other process serves on. Callers are told at once: that process is there for them.
-    fn leave_handed_over(&mut self, now: f64, at_ms: f64) {
-        if !self.life.hand_over(at_ms) {
+    fn drain_after_handover(&mut self, now: f64, at_ms: f64) {
+        if !self.lifecycle.hand_over(at_ms) {
             return;
         }
         let late_ms = (now - at_ms).round();
@@ -338,44 +340,44 @@
         tracing::info!(open, connections, late_ms, "leaving-handed-over");
         self.publish();
         self.emit_process_event(ProcessEvent::Draining {
-            kill_ms: self.life.kill_ms().unwrap_or(f64::INFINITY),
+            kill_ms: self.lifecycle.kill_ms().unwrap_or(f64::INFINITY),
         });
-        self.close_doors();
+        self.close_listeners();
     }
 
     /// The doors shut: nothing keeps their sockets open for a successor.
     pub(super) fn release_listeners(&self) {
         if let Some(handover) = &self.handover {
-            handover.parts.transport.release_listeners();
+            handover.dependencies.transport.release_listeners();
         }
     }
 
     // ---- keys that the other process is told of ----
 
     /// Notes that a key has changed, for the other process.
-    pub(super) fn touch(&mut self, key: &Key) {
+    pub(super) fn mark_key_changed(&mut self, key: &IdempotencyKey) {
         if let Some(handover) = self.handover.as_mut().filter(|handover| handover.has_successor()) {
-            handover.touched.push(key.clone());
+            handover.changed_keys.push(key.clone());
         }
     }
 
     /// The same for the key of a request. Nothing is copied where there is nobody to tell.
-    pub(super) fn touch_key_of(&mut self, id: u32) {
+    pub(super) fn mark_request_key_changed(&mut self, id: u32) {
         if self.handover.as_ref().is_some_and(Handover::has_successor)
-            && let Some((key, _)) = self.key_of(id)
+            && let Some((key, _)) = self.key_and_digest(id)
         {
-            self.touch(&key);
+            self.mark_key_changed(&key);
         }
     }
 
     /// Tells the successor of all keys that have changed in the instant in hand.
-    pub(super) fn tell_successor_of_keys(&mut self, now: f64) {
+    pub(super) fn send_changed_keys(&mut self, now: f64) {
         let Some(handover) = &mut self.handover else { return };
-        let mut touched = std::mem::take(&mut handover.touched);
-        touched.sort_unstable();
-        touched.dedup();
-        for key in touched {
-            if !is_keyed(&key) {
+        let mut changed_keys = std::mem::take(&mut handover.changed_keys);
+        changed_keys.sort_unstable();
+        changed_keys.dedup();
+        for key in changed_keys {
+            if !key.protects_effect() {
                 continue;
             }
             let record = self.key_record(&key);
@@ -385,67 +387,70 @@
 
     /// All keys of this process.
     fn key_records(&self) -> Vec<KeyRecord> {
-        let keys = self.keys.all().filter(|key| is_keyed(key));
+        let keys = self.keys.keys().filter(|key| key.protects_effect());
         keys.map(|key| self.key_record(key)).collect()
     }
 
-    fn key_record(&self, key: &Key) -> KeyRecord {
+    fn key_record(&self, key: &IdempotencyKey) -> KeyRecord {
         let key_name = shared_key(key);
-        let Some(Record { id, digest, until, ran, result }) = self.keys.record(key) else {
+        let Some(AttemptRecord { attempt, started, result }) = self.keys.record(key) else {
             return KeyRecord { key: key_name, digest: 0, until_ms: 0.0, state: KeyState::Released };
         };
         let state = match result {
-            _ if !ran => KeyState::Held,
+            _ if !started => KeyState::Held,
             AttemptResult::Pending => KeyState::Ran,
             AttemptResult::Done(bytes) => KeyState::Done(bytes.to_vec()),
             AttemptResult::Failed => KeyState::Failed,
         };
         // A request that is held beyond the window of its key must not be overtaken by a run of the other process.
-        let deadline_ms = self.requests.get(id).map_or(0.0, |open| open.deadline_ms);
-        KeyRecord { key: key_name, digest, until_ms: until.max(deadline_ms), state }
+        let deadline_ms = self.requests.get(attempt.id).map_or(0.0, |open| open.deadline_ms);
+        let until_ms = attempt.window_end_ms.max(deadline_ms);
+        KeyRecord { key: key_name, digest: attempt.digest, until_ms, state }
     }
 
     // ---- keys that the other process tells of ----
 
     /// Enters what the other process tells of a key. What this process knows itself stays as it is.
-    fn import(&mut self, now: f64, record: KeyRecord) {
+    fn import_record(&mut self, now: f64, record: KeyRecord) {
         let key = local_key(record.key);
         let known = self.keys.remote_attempt(&key);
         if known.is_none() && (record.state == KeyState::Released || self.keys.is_known(&key, now)) {
             return;
         }
-        let id = known.unwrap_or_else(|| self.requests.number());
+        let id = known.unwrap_or_else(|| self.requests.allocate_id());
         if record.state != KeyState::Released {
-            self.keys.enter_remote(&key, id, record.digest, record.until_ms);
+            let attempt = Attempt { id, digest: record.digest, window_end_ms: record.until_ms };
+            self.keys.insert_remote(&key, attempt);
         }
         match record.state {
-            KeyState::Held | KeyState::Ran => self.touch(&key),
+            KeyState::Held | KeyState::Ran => self.mark_key_changed(&key),
             KeyState::Done(bytes) => {
-                self.key_ended(&key, id, Outcome::Done, AttemptResult::Done(bytes.into()));
+                let result = AttemptResult::Done(bytes.into());
+                self.finish_attempt(&key, id, AttemptEnd::Ran(result));
             }
-            KeyState::Failed => self.key_ended(&key, id, Outcome::Failed, AttemptResult::Failed),
-            KeyState::Released => self.key_ended(&key, id, Outcome::NotStarted, AttemptResult::Failed),
+            KeyState::Failed => self.finish_attempt(&key, id, AttemptEnd::Ran(AttemptResult::Failed)),
+            KeyState::Released => self.finish_attempt(&key, id, AttemptEnd::NeverRan),
         }
     }
 
     /// Ends all tries that were under way in the other process.
-    fn end_remote_tries(&mut self, outcome: Outcome) {
+    fn finish_remote_attempts(&mut self, end: &AttemptEnd) {
         for (key, id) in self.keys.remote_attempts() {
-            self.key_ended(&key, id, outcome, AttemptResult::Failed);
+            self.finish_attempt(&key, id, end.clone());
         }
     }
 
     // ---- claims ----
 
     /// What may be done with a request of a key that this process does not know.
-    pub(super) fn unknown_key(&self, now: f64) -> UnknownKey {
+    pub(super) fn unknown_key_policy(&self, now: f64) -> UnknownKey {
         let machine = self.handover.as_ref().and_then(|handover| handover.predecessor.as_ref());
         machine.map_or(UnknownKey::Run, |machine| machine.unknown_key(now))
     }
 
     /// Asks the other process whether this key may run here; the request waits for that.
-    pub(super) fn claim(&mut self, now: f64, key: Key, digest: u64, arrival: Arrival) {
-        let class = &self.parts.site.settings.classes[arrival.class];
+    pub(super) fn claim(&mut self, now: f64, key: IdempotencyKey, digest: u64, arrival: Arrival) {
+        let class = &self.dependencies.site.settings.classes[arrival.class];
         let until_ms = arrival.arrived_ms + class.dedup_window_ms.max(class.timeout_ms) + 1.0;
         let shared = shared_key(&key);
         let Some(handover) = &mut self.handover else { return };
@@ -484,54 +489,54 @@
     }
 
     /// The callers of these requests, if they wait for a claim, are gone: none of them is run.
-    pub(super) fn claimants_gone(&mut self, now: f64, caller: u64, correlation_id: Option<u64>) {
+    pub(super) fn remove_claimants(&mut self, now: f64, caller: u64, correlation_id: Option<u64>) {
         let is_meant = |_: &Core, arrival: &Arrival| {
             arrival.caller.id() == caller
                 && correlation_id.is_none_or(|correlation_id| arrival.correlation_id == correlation_id)
         };
         for arrival in self.take_claimants(is_meant) {
-            self.emit(0, arrival.class, super::read_kind(now, &arrival));
+            self.emit(0, arrival.class, super::received_event(now, &arrival));
             self.emit(0, arrival.class, RequestEventKind::CallerGone { took_ms: now - arrival.arrived_ms });
-            self.parts.counters.count_class(arrival.class, |class| &class.gone);
+            self.dependencies.counters.count_class(arrival.class, |class| &class.gone);
         }
     }
 
     /// What came on a connection is no message of its wire: what waits for a claim on it fails.
-    pub(super) fn claimants_spoilt(&mut self, now: f64, caller: u64) {
+    pub(super) fn fail_claimants(&mut self, now: f64, caller: u64) {
         let reply = Reply::Failed { late: false, reason: FailureReason::ProtocolError };
         for arrival in self.take_claimants(|_, arrival| arrival.caller.id() == caller) {
-            self.turn_back(now, &arrival, &reply);
+            self.reject_unadmitted(now, &arrival, &reply);
         }
     }
 
     fn fail_overdue_claimants(&mut self, now: f64) {
         let reply = Reply::Failed { late: true, reason: FailureReason::Overdue };
         for arrival in self.take_claimants(|core, arrival| now >= core.overdue_ms(arrival)) {
-            count(&self.parts.counters.overdue);
-            self.turn_back(now, &arrival, &reply);
+            count(&self.dependencies.counters.overdue);
+            self.reject_unadmitted(now, &arrival, &reply);
         }
     }
 
-    fn take_claim(&mut self, id: u64) -> Option<WaitingClaim> {
+    fn remove_claim(&mut self, id: u64) -> Option<WaitingClaim> {
         self.handover.as_mut()?.claims.remove(&id)
     }
 
     /// The first request of the claim is admitted as one of a new key, those behind it as its repeats.
     fn claim_granted(&mut self, now: f64, id: u64) {
-        let Some(WaitingClaim { key, arrivals }) = self.take_claim(id) else { return };
+        let Some(WaitingClaim { key, arrivals }) = self.remove_claim(id) else { return };
         // Refused without having been kept, the key is to be given back.
-        self.touch(&key);
+        self.mark_key_changed(&key);
         for (place, arrival) in arrivals.into_iter().enumerate() {
             self.admit(now, arrival, place == 0);
         }
     }
 
     fn claim_denied(&mut self, now: f64, id: u64, why: Denial) {
-        let Some(WaitingClaim { arrivals, .. }) = self.take_claim(id) else { return };
+        let Some(WaitingClaim { arrivals, .. }) = self.remove_claim(id) else { return };
         tracing::info!(reason = %why, requests = arrivals.len(), "claim-denied");
         for arrival in arrivals {
             let reply = Reply::Failed { late: false, reason: FailureReason::ClaimDenied };
-            self.turn_back(now, &arrival, &reply);
+            self.reject_unadmitted(now, &arrival, &reply);
         }
     }
 
@@ -547,34 +552,33 @@
         let key = local_key(claim.key);
         let granted = self.may_grant(now, &key);
         if granted {
-            let id = self.requests.number();
-            self.keys.enter_remote(&key, id, claim.digest, claim.until_ms);
-            self.touch(&key);
+            let id = self.requests.allocate_id();
+            let attempt = Attempt { id, digest: claim.digest, window_end_ms: claim.until_ms };
+            self.keys.insert_remote(&key, attempt);
+            self.mark_key_changed(&key);
         }
         self.successor_event(now, successor::Event::ClaimDecided { id: claim.id, granted });
     }
 
-    fn may_grant(&mut self, now: f64, key: &Key) -> bool {
-        if self.instant_keys.contains(key) {
+    fn may_grant(&mut self, now: f64, key: &IdempotencyKey) -> bool {
+        if self.batch_keys.contains(key) {
             self.process_batch(now);
         }
         // The claim does not say when its request reached the machine: it may have lain unread for so long.
-        let unread_most_ms =
-            self.parts.site.settings.longest_timeout_ms() * MAX_READ_DELAY_FACTOR + READ_DELAY_MARGIN_MS;
+        let unread_most_ms = self.dependencies.site.settings.longest_timeout_ms() * MAX_READ_DELAY_FACTOR
+            + READ_DELAY_MARGIN_MS;
         let waits = self.handover.iter().flat_map(|h| h.claims.values()).any(|claim| claim.key == *key);
-        !waits && !self.keys.is_known(key, now - unread_most_ms) && self.unknown_key(now) == UnknownKey::Run
+        !waits
+            && !self.keys.is_known(key, now - unread_most_ms)
+            && self.unknown_key_policy(now) == UnknownKey::Run
     }
 }
 
-fn is_keyed(key: &Key) -> bool {
-    key.0 == ANY_KEYED_CLASS
-}
-
 /// The key as the other process knows it. Tokens count in all keyed classes, so none is named.
-fn shared_key(key: &Key) -> SharedKey {
-    SharedKey { class: String::new(), token: key.1.clone() }
+fn shared_key(key: &IdempotencyKey) -> SharedKey {
+    SharedKey { class: String::new(), token: key.value.clone() }
 }
 
-fn local_key(key: SharedKey) -> Key {
-    (ANY_KEYED_CLASS, key.token)
+fn local_key(key: SharedKey) -> IdempotencyKey {
+    IdempotencyKey::of_keyed_classes(key.token)
 }
--- a/src/server/core/keys.rs
+++ b/src/server/core/keys.rs
@@ -1,6 +1,8 @@
-//! The table of keys: which try of a key is kept, which one ran and until when no other may, its result, and the
-//! repeats that wait for it. It owns the rule that no key runs twice within its window; it must never do I/O,
-//! read a clock, or decide what the decision module decides.
+//! The table of idempotency keys: which attempt of a key is retained, which one was started and until when no other may
+//! be, its result, and the duplicates that wait for that result.
+//!
+//! It owns the rule that no key runs twice within its deduplication window. It does no I/O, reads no clock, and takes no
+//! decision of the admission controller. All times are Unix ms.
 
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -9,139 +11,205 @@
 
 use siphasher::sip::SipHasher13;
 
-/// Entries outlive their time by this much, ms, for tries that came in time and were read late: longer than any
-/// caller waits.
-const AFTERLIFE_MS: f64 = 15_000.0;
+/// How long an entry is kept after its window, ms, for attempts that arrived within the window and were read late: longer
+/// than any caller waits.
+const RETENTION_MARGIN_MS: f64 = 15_000.0;
+
+/// The table shrinks when its capacity is more than this many times its length plus [`MIN_CAPACITY`].
+const MAX_CAPACITY_RATIO: usize = 4;
+/// Capacity that is never given back.
+const MIN_CAPACITY: usize = 64;
+
+/// The classes within which a key identifies a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum KeyScope {
+    /// One class, by index: the subject of a read, by which reads share a result.
+    Class(usize),
+    /// All keyed classes: an idempotency key. Attempts of one request may come under different classes, as a reload that
+    /// adds a class moves callers to it between two attempts.
+    KeyedClasses,
+}
+
+/// What identifies a request over all its attempts.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct IdempotencyKey {
+    /// Where the value counts.
+    pub scope: KeyScope,
+    /// The idempotency key of the caller, or the subject of a read.
+    pub value: String,
+}
 
-/// The table may be so many times larger than what it holds, and a few entries more, before it gives room back.
-const SPARE_MOST: usize = 4;
-const ROOM_LEAST: usize = 64;
+impl IdempotencyKey {
+    /// The idempotency key of a request of a keyed class.
+    pub fn of_keyed_classes(value: String) -> Self {
+        IdempotencyKey { scope: KeyScope::KeyedClasses, value }
+    }
 
-/// A name by which requests are known, and the class in which it counts: the subject of a read counts in its class, the token of
-/// a keyed request in all keyed classes, which stand under [`ANY_KEYED_CLASS`].
-pub type Key = (usize, String);
+    /// The subject of a read of this class.
+    pub fn of_class(class: usize, subject: String) -> Self {
+        IdempotencyKey { scope: KeyScope::Class(class), value: subject }
+    }
 
-/// Stands for all keyed classes. Tries of one request may come under different ones: a reload that adds a class moves callers to
-/// it between two tries.
-pub const ANY_KEYED_CLASS: usize = usize::MAX;
+    /// Whether the key protects an effect, rather than letting reads share a result.
+    pub fn protects_effect(&self) -> bool {
+        self.scope == KeyScope::KeyedClasses
+    }
+}
 
-/// What is known of the try of a key that ran.
+/// The result of the attempt that was started.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptResult {
-    /// Nothing yet.
+    /// It is still in flight.
     Pending,
-    /// It went well, with this result.
+    /// It succeeded with this result.
     Done(Rc<[u8]>),
-    /// It failed, or its result is no longer kept.
+    /// It failed, or its result is no longer retained.
     Failed,
 }
 
-/// A try that others of its key are held against.
-#[derive(Clone, Copy, Debug)]
-struct Attempt {
-    id: u32,
-    /// Digest of its body: all tries of one request carry the same.
-    digest: u64,
-    /// Those that reached the machine before this time are its repeats.
-    until: f64,
+/// How an attempt ended.
+#[derive(Clone, Debug, PartialEq)]
+pub enum AttemptEnd {
+    /// It ran, or may have run.
+    Ran(AttemptResult),
+    /// It is proved not to have run: the next attempt is a first one.
+    NeverRan,
+}
+
+/// An attempt that stands for its key.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Attempt {
+    /// The request.
+    pub id: u32,
+    /// Digest of its body: all attempts of one request carry the same.
+    pub digest: u64,
+    /// Requests of the key that arrived before this time are its duplicates; Unix ms.
+    pub window_end_ms: f64,
 }
 
-/// What is kept of one key.
+/// What is retained of one key.
 #[derive(Debug)]
 struct Entry {
-    /// The try that the decision module wants kept.
-    holder: Option<Attempt>,
-    /// The try that was started, in keyed classes; no other may be before its window ends.
-    ran: Option<Attempt>,
-    /// The one that had run before, past its window: tries that came within it may still be read, and count again if the
-    /// later one proves not to have run.
-    ran_before: Option<Attempt>,
-    /// The try whose result is kept here, and that result.
-    of: u32,
+    /// The attempt that the admission controller wants retained.
+    retained: Option<Attempt>,
+    /// The attempt that was started, in keyed classes; no other may be before its window ends.
+    started: Option<Attempt>,
+    /// The one that was started before that, past its window. Requests that arrived within that window may still be read,
+    /// and it counts again if the later attempt proves not to have run.
+    started_before: Option<Attempt>,
+    /// The attempt that `result` belongs to.
+    result_of: u32,
     result: AttemptResult,
-    /// Repeats that wait, each with the try whose result it waits for.
-    waiters: Vec<(u32, u32)>,
-    /// The try that is under way in another process of this server: it counts as one that ran.
+    waiters: Vec<Waiter>,
+    /// The attempt that is in flight in another process of this server: it counts as one that was started.
     remote: Option<u32>,
 }
 
+/// A duplicate that waits for the result of an attempt in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Waiter {
+    /// The duplicate.
+    pub id: u32,
+    /// The attempt whose result it waits for.
+    pub original: u32,
+}
+
 impl Entry {
-    fn new(of: u32) -> Self {
-        let result = AttemptResult::Pending;
-        Entry { holder: None, ran: None, ran_before: None, of, result, waiters: Vec::new(), remote: None }
+    fn new(id: u32) -> Self {
+        Entry {
+            retained: None,
+            started: None,
+            started_before: None,
+            result_of: id,
+            result: AttemptResult::Pending,
+            waiters: Vec::new(),
+            remote: None,
+        }
+    }
+
+    /// The attempt that a request which arrived at this time duplicates.
+    fn covering(&self, arrived_ms: f64) -> Option<Attempt> {
+        let covers = |attempt: &Attempt| arrived_ms < attempt.window_end_ms;
+        self.started.filter(covers).or(self.retained.filter(covers))
     }
 
-    /// The try that one which came at this time repeats.
-    fn known(&self, arrived_ms: f64) -> Option<Attempt> {
-        let covers = |known: &Attempt| arrived_ms < known.until;
-        self.ran.filter(covers).or(self.holder.filter(covers))
+    fn release(&mut self, id: u32) {
+        self.retained = self.retained.filter(|retained| retained.id != id);
     }
 
-    /// Nothing is known of the key any more, and nobody waits.
+    /// Whether nothing is known of the key any more and no duplicate waits.
     fn is_empty(&self) -> bool {
-        self.holder.is_none() && self.ran.is_none() && self.waiters.is_empty()
+        self.retained.is_none() && self.started.is_none() && self.waiters.is_empty()
     }
 
-    fn bytes(&self) -> usize {
-        if let AttemptResult::Done(bytes) = &self.result { bytes.len() } else { 0 }
+    /// Whether a request that arrived in time may still name the entry.
+    fn is_alive(&self, now_ms: f64) -> bool {
+        let alive = |attempt: Option<Attempt>| {
+            attempt.is_some_and(|attempt| attempt.window_end_ms + RETENTION_MARGIN_MS > now_ms)
+        };
+        alive(self.started) || alive(self.retained) || !self.waiters.is_empty()
     }
-}
 
-/// A try that is to be started.
-#[derive(Clone, Copy, Debug)]
-pub struct Start {
-    /// The try.
-    pub id: u32,
-    /// Digest of its body.
-    pub digest: u64,
-    /// When it reached the machine, ms.
-    pub arrived_ms: f64,
-    /// No other try may be started until this time, ms.
-    pub until: f64,
+    fn result_bytes(&self) -> usize {
+        if let AttemptResult::Done(bytes) = &self.result { bytes.len() } else { 0 }
+    }
 }
 
-/// Another try of the key has run within its window.
+/// Another attempt of the key was started, and its window has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AlreadyRan;
 
-/// What becomes of a repeat.
+/// Whether the attempt that a duplicate names is still in flight, here or in another process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OriginalState {
+    /// It is.
+    InFlight,
+    /// It is not.
+    Ended,
+}
+
+/// What becomes of a duplicate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JoinOutcome {
-    /// It waits for the try that is under way.
+    /// It waits for the attempt in flight.
     Waits,
-    /// That try is over, with this result.
+    /// That attempt has ended with this result.
     Over(AttemptResult),
 }
 
-/// The table. Its kept results are bounded in bytes; its entries by the decision module, which books memory for
-/// each.
+/// What follows from the end of an attempt.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct FinishedAttempt {
+    /// The duplicates that waited for it, in the order in which they joined.
+    pub waiters: Vec<u32>,
+    /// Its result was dropped because the table may take no more bytes. The entry stays, so that no duplicate runs.
+    pub result_dropped: bool,
+}
+
+/// The table. Its results are bounded in bytes, its entries by the admission controller, which reserves memory for each.
 #[derive(Debug)]
 pub struct KeyTable {
-    entries: HashMap<Key, Entry>,
-    /// Bytes of all results; what takes one out of an entry, or the entry out of the table, takes its bytes off.
-    results: usize,
-    results_most: f64,
-    /// Drawn anew by each server, so that nobody can make two bodies alike; its processes share it.
+    entries: HashMap<IdempotencyKey, Entry>,
+    /// Bytes of all results. What takes a result out of an entry, or an entry out of the table, subtracts them.
+    result_bytes: usize,
+    max_result_bytes: f64,
+    /// Drawn anew by each server, so that nobody can construct two bodies with one digest; its processes share it.
     digest_key: [u8; 16],
 }
 
 /// What another process of this server is told of a key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
-    /// The try that is known.
-    pub id: u32,
-    /// Digest of its body.
-    pub digest: u64,
-    /// Those that reached the machine before this time are its repeats.
-    pub until: f64,
-    /// Whether the try was started. One that was not may yet be refused.
-    pub ran: bool,
+pub struct AttemptRecord {
+    /// The attempt that stands for the key.
+    pub attempt: Attempt,
+    /// Whether it was started. One that was not may still be rejected.
+    pub started: bool,
     /// Its result.
     pub result: AttemptResult,
 }
 
-/// A key for digests that nobody can guess.
-fn random_key() -> [u8; 16] {
+/// An unpredictable key for digests.
+fn random_digest_key() -> [u8; 16] {
     let mut key = [0; 16];
     let random = RandomState::new();
     for (half, bytes) in key.chunks_mut(8).enumerate() {
@@ -151,209 +219,235 @@
 }
 
 impl KeyTable {
-    /// An empty table that keeps results up to so many bytes.
-    pub fn new(results_most: f64) -> Self {
-        KeyTable { entries: HashMap::new(), results: 0, results_most, digest_key: random_key() }
+    /// An empty table that retains up to so many bytes of results.
+    pub fn new(max_result_bytes: f64) -> Self {
+        KeyTable {
+            entries: HashMap::new(),
+            result_bytes: 0,
+            max_result_bytes,
+            digest_key: random_digest_key(),
+        }
     }
 
-    /// Keeps results up to so many bytes from now on; those that are kept stay for their time.
-    pub fn set_results_most(&mut self, bytes: f64) {
-        self.results_most = bytes;
+    /// Changes the bound on the bytes of results. Results that are retained already stay for their time.
+    pub fn set_max_result_bytes(&mut self, max_result_bytes: f64) {
+        self.max_result_bytes = max_result_bytes;
     }
 
     /// Number of entries, and bytes of results.
     pub fn size(&self) -> (usize, usize) {
-        (self.entries.len(), self.results)
+        (self.entries.len(), self.result_bytes)
     }
 
-    /// A digest by which the bodies of two tries are compared.
+    /// A digest by which the bodies of two attempts are compared.
     pub fn digest(&self, body: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_key(&self.digest_key);
         hasher.write(body);
         hasher.finish()
     }
 
-    /// The key of digests.
+    /// The key of the digests.
     pub fn digest_key(&self) -> [u8; 16] {
         self.digest_key
     }
 
-    /// Takes over the key of digests of another process of this server. Digests that were made before mean nothing then.
+    /// Takes over the key of the digests of another process of this server. Digests made before no longer match any.
     pub fn set_digest_key(&mut self, digest_key: [u8; 16]) {
         self.digest_key = digest_key;
     }
 
-    /// All keys.
-    pub fn all(&self) -> impl Iterator<Item = &Key> {
+    /// All keys, in no particular order.
+    pub fn keys(&self) -> impl Iterator<Item = &IdempotencyKey> {
         self.entries.keys()
     }
 
     /// What another process has to know of this key; nothing if nothing is known of it.
-    pub fn record(&self, key: &Key) -> Option<Record> {
+    pub fn record(&self, key: &IdempotencyKey) -> Option<AttemptRecord> {
         let entry = self.entries.get(key)?;
-        let Attempt { id, digest, until } = entry.ran.or(entry.holder)?;
-        let result = if entry.of == id { entry.result.clone() } else { AttemptResult::Failed };
-        Some(Record { id, digest, until, ran: entry.ran.is_some(), result })
+        let attempt = entry.started.or(entry.retained)?;
+        let result = if entry.result_of == attempt.id { entry.result.clone() } else { AttemptResult::Failed };
+        Some(AttemptRecord { attempt, started: entry.started.is_some(), result })
+    }
+
+    /// Whether a request of the key that arrives at this time is a duplicate.
+    pub fn is_known(&self, key: &IdempotencyKey, arrived_ms: f64) -> bool {
+        self.covering(key, arrived_ms).is_some()
     }
 
-    /// Whether anything known of the key covers tries that reach the machine at this time.
-    pub fn is_known(&self, key: &Key, arrived_ms: f64) -> bool {
-        self.entries.get(key).is_some_and(|entry| entry.known(arrived_ms).is_some())
+    /// The attempt that a request of this key duplicates, if it arrived within the window.
+    pub fn original_of(&self, key: &IdempotencyKey, arrived_ms: f64) -> Option<u32> {
+        Some(self.covering(key, arrived_ms)?.id)
     }
 
-    /// The try of this key that is under way in another process.
-    pub fn remote_attempt(&self, key: &Key) -> Option<u32> {
+    /// Whether the key is known and stands for a request with another body than this one.
+    pub fn has_other_body(&self, key: &IdempotencyKey, arrived_ms: f64, digest: u64) -> bool {
+        self.covering(key, arrived_ms).is_some_and(|known| known.digest != digest)
+    }
+
+    fn covering(&self, key: &IdempotencyKey, arrived_ms: f64) -> Option<Attempt> {
+        self.entries.get(key)?.covering(arrived_ms)
+    }
+
+    /// The attempt of this key that is in flight in another process.
+    pub fn remote_attempt(&self, key: &IdempotencyKey) -> Option<u32> {
         self.entries.get(key)?.remote
     }
 
-    /// All keys with a try that is under way in another process.
-    pub fn remote_attempts(&self) -> Vec<(Key, u32)> {
+    /// All keys with an attempt in flight in another process, each with that attempt.
+    pub fn remote_attempts(&self) -> Vec<(IdempotencyKey, u32)> {
         self.entries.iter().filter_map(|(key, entry)| Some((key.clone(), entry.remote?))).collect()
     }
 
-    /// Enters a try that is under way in another process, or what is told anew of it. None of this process may start
-    /// until then.
-    pub fn enter_remote(&mut self, key: &Key, id: u32, digest: u64, until: f64) {
-        let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(id));
-        if entry.remote == Some(id) {
-            // Told anew. Past its window a try of this process may have taken the entry: that is left alone.
-            if let Some(ran) = entry.ran.as_mut().filter(|ran| ran.id == id) {
-                ran.until = ran.until.max(until);
+    /// Enters an attempt that is in flight in another process, or extends its window. No attempt of this process may be
+    /// started before the window ends.
+    pub fn insert_remote(&mut self, key: &IdempotencyKey, attempt: Attempt) {
+        let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(attempt.id));
+        if entry.remote == Some(attempt.id) {
+            // Past that window an attempt of this process may have taken the entry: it is left alone.
+            if let Some(started) = entry.started.as_mut().filter(|started| started.id == attempt.id) {
+                started.window_end_ms = started.window_end_ms.max(attempt.window_end_ms);
             }
             return;
         }
-        if entry.of != id {
-            self.results -= entry.bytes();
-            (entry.of, entry.result) = (id, AttemptResult::Pending);
+        if entry.result_of != attempt.id {
+            self.result_bytes -= entry.result_bytes();
+            (entry.result_of, entry.result) = (attempt.id, AttemptResult::Pending);
         }
-        entry.holder = None;
-        entry.ran_before = entry.ran.replace(Attempt { id, digest, until });
-        entry.remote = Some(id);
-    }
-
-    /// The try that a request with this key repeats, if it reached the machine while the entry lived.
-    pub fn retained_attempt(&self, key: &Key, arrived_ms: f64) -> Option<u32> {
-        Some(self.entries.get(key)?.known(arrived_ms)?.id)
+        entry.retained = None;
+        entry.started_before = entry.started.replace(attempt);
+        entry.remote = Some(attempt.id);
     }
 
-    /// Whether the key is known and stands for another request than one with this body.
-    pub fn has_other_body(&self, key: &Key, arrived_ms: f64, digest: u64) -> bool {
-        self.entries
-            .get(key)
-            .and_then(|entry| entry.known(arrived_ms))
-            .is_some_and(|known| known.digest != digest)
-    }
-
-    /// Enters a try that is about to be started. Guards the rule on duplicates against every cause, a decision
-    /// module that forgot included.
-    pub fn start(&mut self, key: &Key, start: Start) -> Result<(), AlreadyRan> {
-        let Start { id, digest, arrived_ms, until } = start;
-        let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(id));
-        if entry.ran.is_some_and(|ran| arrived_ms < ran.until) {
+    /// Enters an attempt that is about to be started and reached the machine at `arrived_ms`.
+    ///
+    /// This enforces the rule on duplicates against every cause, including an admission controller that forgot the key.
+    ///
+    /// # Errors
+    ///
+    /// [`AlreadyRan`] if another attempt was started and its window covers `arrived_ms`; nothing changes then.
+    pub fn start(
+        &mut self,
+        key: &IdempotencyKey,
+        attempt: Attempt,
+        arrived_ms: f64,
+    ) -> Result<(), AlreadyRan> {
+        let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(attempt.id));
+        if entry.started.is_some_and(|started| arrived_ms < started.window_end_ms) {
             return Err(AlreadyRan);
         }
-        entry.ran_before = entry.ran.replace(Attempt { id, digest, until });
-        self.results -= entry.bytes();
-        (entry.of, entry.result) = (id, AttemptResult::Pending);
+        entry.started_before = entry.started.replace(attempt);
+        self.result_bytes -= entry.result_bytes();
+        (entry.result_of, entry.result) = (attempt.id, AttemptResult::Pending);
         Ok(())
     }
 
-    /// Keeps this try as the one that repeats of its key name, until that time. A result of an earlier holder is not
-    /// its own: kept on, it would be told to repeats long after its time.
-    pub fn remember(&mut self, key: Key, id: u32, digest: u64, until: f64) {
-        let entry = self.entries.entry(key).or_insert_with(|| Entry::new(id));
-        entry.holder = Some(Attempt { id, digest, until });
-        if entry.ran.is_none() && entry.of != id {
-            self.results -= entry.bytes();
-            (entry.of, entry.result) = (id, AttemptResult::Pending);
+    /// Retains this attempt as the one that stands for its key. The result of an attempt retained earlier is dropped:
+    /// otherwise duplicates would get it long after its time.
+    pub fn retain(&mut self, key: IdempotencyKey, attempt: Attempt) {
+        let entry = self.entries.entry(key).or_insert_with(|| Entry::new(attempt.id));
+        entry.retained = Some(attempt);
+        if entry.started.is_none() && entry.result_of != attempt.id {
+            self.result_bytes -= entry.result_bytes();
+            (entry.result_of, entry.result) = (attempt.id, AttemptResult::Pending);
         }
     }
 
-    /// Forgets that this try holds the entry. That one ran outlives every wish: it is what keeps the effect single.
-    pub fn forget(&mut self, key: &Key, id: u32) {
+    /// Retains this attempt no longer. That one was started stays known until its window ends, whatever is released: that
+    /// is what makes the effect happen once.
+    pub fn release(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        entry.holder = entry.holder.filter(|holder| holder.id != id);
-        self.drop_if_empty(key);
+        entry.release(id);
+        self.remove_if_empty(key);
     }
 
-    /// Lets a repeat wait for the try it names, if that is under way, or tells how it ended.
-    pub fn join(&mut self, key: Option<&Key>, id: u32, first: Option<u32>, under_way: bool) -> JoinOutcome {
-        let entry = key.and_then(|key| self.entries.get_mut(key));
-        let (Some(entry), Some(first)) = (entry, first) else {
+    /// Lets a duplicate wait for the attempt that it names, if that is in flight, or returns how that ended.
+    pub fn join(&mut self, key: &IdempotencyKey, waiter: Waiter, original: OriginalState) -> JoinOutcome {
+        let Some(entry) = self.entries.get_mut(key) else {
             return JoinOutcome::Over(AttemptResult::Failed);
         };
-        if entry.of == first && entry.result != AttemptResult::Pending {
+        if entry.result_of == waiter.original && entry.result != AttemptResult::Pending {
             return JoinOutcome::Over(entry.result.clone());
         }
-        if under_way {
-            entry.waiters.push((id, first));
-            return JoinOutcome::Waits;
+        match original {
+            OriginalState::InFlight => {
+                entry.waiters.push(waiter);
+                JoinOutcome::Waits
+            }
+            OriginalState::Ended => JoinOutcome::Over(AttemptResult::Failed),
         }
-        JoinOutcome::Over(AttemptResult::Failed)
     }
 
-    /// A try of the key is over. Returns the repeats that wait for it, and whether its result was dropped for want of
-    /// room: the entry stays then, so that no repeat runs. `never_ran` if that is proved: the next try is a first one.
-    pub fn ended(&mut self, key: &Key, id: u32, result: AttemptResult, never_ran: bool) -> (Vec<u32>, bool) {
-        let Some(entry) = self.entries.get_mut(key) else { return (Vec::new(), false) };
+    /// An attempt of the key has ended.
+    pub fn finish(&mut self, key: &IdempotencyKey, id: u32, end: AttemptEnd) -> FinishedAttempt {
+        let Some(entry) = self.entries.get_mut(key) else { return FinishedAttempt::default() };
         entry.remote = entry.remote.filter(|remote| *remote != id);
-        let (waited, others) = entry.waiters.drain(..).partition(|(_, first)| *first == id);
+        let (waiters, others): (Vec<Waiter>, _) =
+            entry.waiters.drain(..).partition(|waiter| waiter.original == id);
         entry.waiters = others;
-        let waited: Vec<(u32, u32)> = waited;
-        let mut dropped = false;
-        if never_ran {
-            if entry.ran.is_some_and(|ran| ran.id == id) {
-                entry.ran = entry.ran_before.take();
+        let mut result_dropped = false;
+        match end {
+            AttemptEnd::NeverRan => {
+                if entry.started.is_some_and(|started| started.id == id) {
+                    entry.started = entry.started_before.take();
+                }
+                entry.release(id);
             }
-            entry.holder = entry.holder.filter(|holder| holder.id != id);
-        } else if entry.of == id {
-            let held = self.results - entry.bytes();
-            entry.result = result;
-            if (held + entry.bytes()) as f64 > self.results_most {
-                dropped = entry.bytes() > 0;
-                entry.result = AttemptResult::Failed;
+            AttemptEnd::Ran(result) if entry.result_of == id => {
+                let others_bytes = self.result_bytes - entry.result_bytes();
+                entry.result = result;
+                if (others_bytes + entry.result_bytes()) as f64 > self.max_result_bytes {
+                    result_dropped = entry.result_bytes() > 0;
+                    entry.result = AttemptResult::Failed;
+                }
+                self.result_bytes = others_bytes + entry.result_bytes();
             }
-            self.results = held + entry.bytes();
+            AttemptEnd::Ran(_) => {}
         }
-        self.drop_if_empty(key);
-        (waited.into_iter().map(|(waiter, _)| waiter).collect(), dropped)
+        self.remove_if_empty(key);
+        FinishedAttempt { waiters: waiters.into_iter().map(|waiter| waiter.id).collect(), result_dropped }
+    }
+
+    /// A request of this key is over: it waits for no result any more.
+    pub fn remove_waiter(&mut self, key: &IdempotencyKey, id: u32) {
+        let Some(entry) = self.entries.get_mut(key) else { return };
+        entry.waiters.retain(|waiter| waiter.id != id);
+        self.remove_if_empty(key);
     }
 
-    /// A request with this key is over and no longer waits; `held` if it never left the hold: a try that ends so
-    /// leaves nothing to repeat.
-    pub fn left(&mut self, key: &Key, id: u32, held: bool) {
+    /// A request of this key is over and was queued to the end: such an attempt leaves nothing to duplicate.
+    pub fn remove_queued(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        entry.waiters.retain(|(waiter, _)| *waiter != id);
-        entry.holder = entry.holder.filter(|holder| !held || holder.id != id);
-        self.drop_if_empty(key);
+        entry.waiters.retain(|waiter| waiter.id != id);
+        entry.release(id);
+        self.remove_if_empty(key);
     }
 
-    fn drop_if_empty(&mut self, key: &Key) {
+    fn remove_if_empty(&mut self, key: &IdempotencyKey) {
         if self.entries.get(key).is_some_and(Entry::is_empty)
             && let Some(entry) = self.entries.remove(key)
         {
-            self.results -= entry.bytes();
+            self.result_bytes -= entry.result_bytes();
         }
     }
 
-    /// Drops what no try that comes in time can name any more.
-    pub fn sweep(&mut self, now: f64) {
-        let mut freed = 0;
+    /// Removes the entries that no request which arrived in time can name any more.
+    pub fn remove_expired(&mut self, now_ms: f64) {
+        let mut freed_bytes = 0;
         self.entries.retain(|_, entry| {
-            let lives = |known: Option<Attempt>| known.is_some_and(|known| known.until + AFTERLIFE_MS > now);
-            let live = lives(entry.ran) || lives(entry.holder) || !entry.waiters.is_empty();
-            freed += if live { 0 } else { entry.bytes() };
-            live
+            let alive = entry.is_alive(now_ms);
+            freed_bytes += if alive { 0 } else { entry.result_bytes() };
+            alive
         });
-        self.results -= freed;
-        self.give_back_room();
+        self.result_bytes -= freed_bytes;
+        self.shrink();
     }
 
-    /// Gives back what a peak has left: a table that keeps its largest size is memory for as long as the process lives.
-    fn give_back_room(&mut self) {
-        let used = self.entries.len();
-        if self.entries.capacity() > SPARE_MOST * used + ROOM_LEAST {
-            self.entries.shrink_to(2 * used);
+    /// Gives back the capacity that a peak has left: the table would otherwise keep its largest size for as long as the
+    /// process lives.
+    fn shrink(&mut self) {
+        let length = self.entries.len();
+        if self.entries.capacity() > MAX_CAPACITY_RATIO * length + MIN_CAPACITY {
+            self.entries.shrink_to(2 * length);
         }
     }
 }
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use crate::server::core::api::Caller;
-use crate::server::core::keys::Key;
+use crate::server::core::keys::IdempotencyKey;
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// When it was read, ms.
     pub read_ms: f64,
     /// When its run was begun, ms.
-    pub began_ms: f64,
+    pub run_started_ms: f64,
     /// Work hint, ms.
     pub work_hint_ms: Option<f64>,
     /// Its run went on without a call.
@@ -56,7 +56,7 @@
     /// When its caller stops waiting, ms.
     pub deadline_ms: f64,
     /// Its key, or the subject that reads share.
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     /// The work.
     pub body: Vec<u8>,
     /// Digest of the body, for tries of one key.
@@ -68,17 +68,17 @@
     /// The notice that asked for the call, and what the call is to carry.
     pub need: (u64, Vec<u8>),
     /// What the run goes on with after its last call, until a later notice shows that the engine has it.
-    pub feed: Option<CallResult>,
+    pub resume_with: Option<CallResult>,
     /// How many times gauges had been asked for when that was written; nothing there if it was not.
-    pub fed: Option<u64>,
+    pub resume_tag: Option<u64>,
     /// The number of its last call.
-    pub call: u64,
+    pub call_id: u64,
     /// When that was made, ms.
-    pub called_ms: f64,
+    pub call_started_ms: f64,
     /// How many times gauges had been asked for when the last command about it was written.
-    pub commanded: u64,
+    pub command_tag: u64,
     /// The engine was told to stop it.
-    pub halted: bool,
+    pub cancelled: bool,
 }
 
 /// The table.
@@ -94,7 +94,7 @@
 
 impl RequestTable {
     /// Enters a request under a number never used before.
-    pub fn enter(&mut self, open: OpenRequest) -> u32 {
+    pub fn insert(&mut self, open: OpenRequest) -> u32 {
         self.last += 1;
         self.by_attempt_id.insert(open.attempt_id.clone(), self.last);
         self.by_correlation_id.insert((open.caller_id, open.correlation_id), self.last);
@@ -103,7 +103,7 @@
     }
 
     /// A number never used before, for a request that is not in the table: it is in another process.
-    pub fn number(&mut self) -> u32 {
+    pub fn allocate_id(&mut self) -> u32 {
         self.last += 1;
         self.last
     }
@@ -119,7 +119,7 @@
     }
 
     /// The same, if it stands there.
-    pub fn in_state(&mut self, id: u32, state: RequestState) -> Option<&mut OpenRequest> {
+    pub fn get_in_state(&mut self, id: u32, state: RequestState) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id).filter(|open| open.state == state)
     }
 
@@ -134,26 +134,26 @@
     }
 
     /// Notes that a call is made for a request, under a number never used before.
-    pub fn called(&mut self, id: u32, now: f64) -> Option<u64> {
+    pub fn start_call(&mut self, id: u32, now: f64) -> Option<u64> {
         let open = self.open.get_mut(&id)?;
         self.calls += 1;
-        (open.call, open.called_ms, open.state) = (self.calls, now, RequestState::InCall);
+        (open.call_id, open.call_started_ms, open.state) = (self.calls, now, RequestState::InCall);
         self.by_call.insert(self.calls, id);
         Some(self.calls)
     }
 
     /// The request whose call of this number is over or given up; nothing if that is known already.
-    pub fn call_over(&mut self, call: u64) -> Option<u32> {
+    pub fn end_call(&mut self, call: u64) -> Option<u32> {
         self.by_call.remove(&call)
     }
 
     /// The requests for which an answer is owed to this caller.
-    pub fn owed_to(&self, caller: u64) -> Vec<u32> {
+    pub fn unanswered_of(&self, caller: u64) -> Vec<u32> {
         self.by_correlation_id.range((caller, 0)..=(caller, u64::MAX)).map(|(_, id)| *id).collect()
     }
 
     /// Whether no answer is owed to anyone.
-    pub fn nothing_owed(&self) -> bool {
+    pub fn all_answered(&self) -> bool {
         self.by_correlation_id.is_empty()
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes the caller to whom an answer is owed; from here on none is.
-    pub fn release(&mut self, id: u32) -> Option<Rc<dyn Caller>> {
+    pub fn take_caller(&mut self, id: u32) -> Option<Rc<dyn Caller>> {
         let open = self.open.get_mut(&id)?;
         let caller = open.caller.take()?;
         self.by_correlation_id.remove(&(open.caller_id, open.correlation_id));
@@ -189,7 +189,7 @@
     pub fn remove(&mut self, id: u32) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.by_attempt_id.remove(&open.attempt_id);
-        self.by_call.remove(&open.call);
+        self.by_call.remove(&open.call_id);
         self.by_correlation_id.remove(&(open.caller_id, open.correlation_id));
         Some(open)
     }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,44 +1,60 @@
 //! The table of keys by itself: what runs once, what is told to repeats, and what it takes.
 
-use pinepoint::server::core::keys::{AlreadyRan, AttemptResult, JoinOutcome, Key, KeyTable, Start};
+use pinepoint::server::core::keys::{
+    AlreadyRan, Attempt, AttemptEnd, AttemptResult, FinishedAttempt, IdempotencyKey, JoinOutcome, KeyTable,
+    OriginalState, Waiter,
+};
 
 /// What no try that comes in time can name any more is gone this much after its window, ms.
 const LONG_AFTER: f64 = 20_000.0;
 
-fn key() -> Key {
-    (0, "k".into())
+fn key() -> IdempotencyKey {
+    IdempotencyKey::of_class(0, "k".into())
 }
 
-fn start(id: u32, arrived_ms: f64) -> Start {
-    Start { id, digest: 7, arrived_ms, until: arrived_ms + 100.0 }
+fn attempt(id: u32, digest: u64, window_end_ms: f64) -> Attempt {
+    Attempt { id, digest, window_end_ms }
+}
+
+/// Starts an attempt whose window ends 100 ms after its arrival.
+fn start(keys: &mut KeyTable, key: &IdempotencyKey, id: u32, arrived_ms: f64) -> Result<(), AlreadyRan> {
+    keys.start(key, attempt(id, 7, arrived_ms + 100.0), arrived_ms)
+}
+
+fn join(keys: &mut KeyTable, id: u32, original: u32, state: OriginalState) -> JoinOutcome {
+    keys.join(&key(), Waiter { id, original }, state)
 }
 
 fn done(bytes: usize) -> AttemptResult {
     AttemptResult::Done(vec![0; bytes].as_slice().into())
 }
 
+fn finished(waiters: &[u32], result_dropped: bool) -> FinishedAttempt {
+    FinishedAttempt { waiters: waiters.to_vec(), result_dropped }
+}
+
 #[test]
 fn a_key_that_ran_is_not_started_again_in_its_window_whatever_is_forgotten() {
     let mut keys = KeyTable::new(1000.0);
-    keys.remember(key(), 1, 7, 100.0);
-    assert_eq!(keys.start(&key(), start(1, 0.0)), Ok(()));
-    keys.forget(&key(), 1);
-    keys.left(&key(), 1, false);
-    assert_eq!(keys.start(&key(), start(2, 99.0)), Err(AlreadyRan));
-    assert_eq!(keys.start(&key(), start(2, 100.0)), Ok(()), "the window counts from t0 of the try that ran");
+    keys.retain(key(), attempt(1, 7, 100.0));
+    assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
+    keys.release(&key(), 1);
+    keys.remove_waiter(&key(), 1);
+    assert_eq!(start(&mut keys, &key(), 2, 99.0), Err(AlreadyRan));
+    assert_eq!(start(&mut keys, &key(), 2, 100.0), Ok(()), "the window counts from t0 of the try that ran");
 }
 
 #[test]
 fn results_are_bounded_and_their_entries_stay() {
     let mut keys = KeyTable::new(10.0);
     for (n, dropped) in [(1, false), (2, true)] {
-        let key = (0, n.to_string());
-        assert_eq!(keys.start(&key, start(n, 0.0)), Ok(()));
-        assert_eq!(keys.ended(&key, n, done(6), false), (vec![], dropped));
-        assert_eq!(keys.start(&key, start(9, 50.0)), Err(AlreadyRan));
+        let key = IdempotencyKey::of_class(0, n.to_string());
+        assert_eq!(start(&mut keys, &key, n, 0.0), Ok(()));
+        assert_eq!(keys.finish(&key, n, AttemptEnd::Ran(done(6))), finished(&[], dropped));
+        assert_eq!(start(&mut keys, &key, 9, 50.0), Err(AlreadyRan));
     }
     assert_eq!(keys.size(), (2, 6));
-    keys.sweep(100.0 + LONG_AFTER);
+    keys.remove_expired(100.0 + LONG_AFTER);
     assert_eq!(keys.size(), (0, 0));
 }
 
@@ -48,13 +64,13 @@
     let mut keys = KeyTable::new(10.0);
     for id in 1..=20 {
         let since = f64::from(id) * 50.0;
-        assert_eq!(keys.retained_attempt(&key(), since), None, "the one before is no longer fresh");
-        keys.remember(key(), id, 7, since + 40.0);
-        assert_eq!(keys.join(Some(&key()), 100 + id, Some(id), true), JoinOutcome::Waits);
-        assert_eq!(keys.ended(&key(), id, done(6), false), (vec![100 + id], false));
+        assert_eq!(keys.original_of(&key(), since), None, "the one before is no longer fresh");
+        keys.retain(key(), attempt(id, 7, since + 40.0));
+        assert_eq!(join(&mut keys, 100 + id, id, OriginalState::InFlight), JoinOutcome::Waits);
+        assert_eq!(keys.finish(&key(), id, AttemptEnd::Ran(done(6))), finished(&[100 + id], false));
         assert_eq!(keys.size(), (1, 6));
     }
-    keys.forget(&key(), 20);
+    keys.release(&key(), 20);
     assert_eq!(keys.size(), (0, 0), "with the entry goes its result");
 }
 
@@ -62,16 +78,20 @@
 #[test]
 fn repeats_get_the_result_of_the_try_that_they_wait_for() {
     let mut keys = KeyTable::new(1000.0);
-    keys.remember(key(), 1, 7, 100.0);
-    assert_eq!(keys.start(&key(), start(1, 0.0)), Ok(()));
-    assert_eq!(keys.join(Some(&key()), 2, Some(1), true), JoinOutcome::Waits);
-    keys.remember(key(), 3, 8, 250.0);
-    assert_eq!(keys.start(&key(), start(3, 150.0)), Ok(()));
-    assert_eq!(keys.join(Some(&key()), 4, Some(3), true), JoinOutcome::Waits);
-    assert_eq!(keys.ended(&key(), 1, done(5), false), (vec![2], false), "not those of the third");
-    assert_eq!(keys.join(Some(&key()), 5, Some(1), false), JoinOutcome::Over(AttemptResult::Failed));
-    assert_eq!(keys.ended(&key(), 3, done(6), false), (vec![4], false));
-    assert_eq!(keys.join(Some(&key()), 6, Some(3), false), JoinOutcome::Over(done(6)));
+    keys.retain(key(), attempt(1, 7, 100.0));
+    assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
+    assert_eq!(join(&mut keys, 2, 1, OriginalState::InFlight), JoinOutcome::Waits);
+    keys.retain(key(), attempt(3, 8, 250.0));
+    assert_eq!(start(&mut keys, &key(), 3, 150.0), Ok(()));
+    assert_eq!(join(&mut keys, 4, 3, OriginalState::InFlight), JoinOutcome::Waits);
+    assert_eq!(
+        keys.finish(&key(), 1, AttemptEnd::Ran(done(5))),
+        finished(&[2], false),
+        "not those of the third"
+    );
+    assert_eq!(join(&mut keys, 5, 1, OriginalState::Ended), JoinOutcome::Over(AttemptResult::Failed));
+    assert_eq!(keys.finish(&key(), 3, AttemptEnd::Ran(done(6))), finished(&[4], false));
+    assert_eq!(join(&mut keys, 6, 3, OriginalState::Ended), JoinOutcome::Over(done(6)));
     assert_eq!(keys.size(), (1, 6));
 }
 
@@ -79,20 +99,20 @@
 #[test]
 fn one_that_left_the_hold_unrun_leaves_nothing_to_repeat() {
     let mut keys = KeyTable::new(1000.0);
-    assert_eq!(keys.start(&key(), start(1, 0.0)), Ok(()));
-    keys.remember(key(), 2, 7, 250.0);
-    assert_eq!(keys.retained_attempt(&key(), 150.0), Some(2));
-    keys.left(&key(), 2, true);
-    assert_eq!(keys.retained_attempt(&key(), 150.0), None);
-    assert_eq!(keys.retained_attempt(&key(), 99.0), Some(1), "and the window of the one that ran goes on");
+    assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
+    keys.retain(key(), attempt(2, 7, 250.0));
+    assert_eq!(keys.original_of(&key(), 150.0), Some(2));
+    keys.remove_queued(&key(), 2);
+    assert_eq!(keys.original_of(&key(), 150.0), None);
+    assert_eq!(keys.original_of(&key(), 99.0), Some(1), "and the window of the one that ran goes on");
 }
 
 #[test]
 fn what_is_proved_not_to_have_run_may_run() {
     let mut keys = KeyTable::new(1000.0);
-    keys.remember(key(), 1, 7, 100.0);
-    assert_eq!(keys.start(&key(), start(1, 0.0)), Ok(()));
-    assert_eq!(keys.join(Some(&key()), 2, Some(1), true), JoinOutcome::Waits);
-    assert_eq!(keys.ended(&key(), 1, AttemptResult::Failed, true), (vec![2], false));
-    assert_eq!(keys.start(&key(), start(3, 50.0)), Ok(()));
+    keys.retain(key(), attempt(1, 7, 100.0));
+    assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
+    assert_eq!(join(&mut keys, 2, 1, OriginalState::InFlight), JoinOutcome::Waits);
+    assert_eq!(keys.finish(&key(), 1, AttemptEnd::NeverRan), finished(&[2], false));
+    assert_eq!(start(&mut keys, &key(), 3, 50.0), Ok(()));
 }
