--- a/src/bin/pinepoint/main.rs
+++ b/src/bin/pinepoint/main.rs
@@ -68,7 +68,7 @@
     /// Ask a running comparer what it knows of its fleet
     Fleet {
         #[command(subcommand)]
-        ask: view::Ask,
+        command: view::FleetCommand,
     },
 }
 
@@ -76,7 +76,7 @@
     match Cli::parse() {
         Cli { command: Some(Command::Check { edge, config, json }), .. } => check::run(edge, config, json),
         Cli { command: Some(Command::Ask { call, at }), .. } => ask::run(call, at),
-        Cli { command: Some(Command::Fleet { ask }), .. } => view::run(&ask),
+        Cli { command: Some(Command::Fleet { command }), .. } => view::run(&command),
         Cli { command: Some(Command::Serve { edge }), .. } | Cli { command: None, edge } => serve(edge),
     }
 }
--- a/src/bin/pinepoint/view.rs
+++ b/src/bin/pinepoint/view.rs
@@ -1,27 +1,33 @@
-//! `pinepoint fleet`: asks a running comparer for its view of the fleet and prints it. It owns the form of that; it must
-//! never take part in the fleet.
+//! `pinepoint fleet`: asks a running process for its view of the fleet and prints it. It never takes part in the fleet.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Subcommand;
+use pinepoint_membership::config;
 use pinepoint_membership::io::{QueryError, query_view};
 use serde_json::Value;
 
-/// Tries for each page of a view, and the wait of each.
-const TRIES: u32 = 5;
-const WAIT: Duration = Duration::from_millis(400);
+/// Attempts for each page of a view.
+const ATTEMPTS: u32 = 5;
+/// Timeout of each attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Exit status for a view that is not settled.
+const NOT_SETTLED: u8 = 3;
+/// Minimum width of the column of names.
+const MIN_NAME_WIDTH: usize = "MEMBER".len();
 
+/// What to ask. Names and texts are the command line.
 #[derive(Subcommand)]
-pub enum Ask {
+pub enum FleetCommand {
     /// Print the view once: exit status 0 if it is settled, 3 if not, 1 if nobody answers
-    AdmissionSnapshot {
+    View {
         /// The fleet address of any member
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
         /// The name of its fleet
-        #[arg(long, value_name = "NAME", default_value_t = pinepoint_membership::config::name())]
+        #[arg(long, value_name = "NAME", default_value_t = config::name())]
         fleet: String,
         /// Print it as JSON
         #[arg(long)]
@@ -33,7 +39,7 @@
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
         /// The name of its fleet
-        #[arg(long, value_name = "NAME", default_value_t = pinepoint_membership::config::name())]
+        #[arg(long, value_name = "NAME", default_value_t = config::name())]
         fleet: String,
         /// Between two looks, ms
         #[arg(long, value_name = "MS", default_value_t = 500)]
@@ -41,103 +47,118 @@
     },
 }
 
-/// The view is not settled.
-const UNSETTLED: u8 = 3;
+/// Runs the command and gives the exit status.
+pub fn run(command: &FleetCommand) -> ExitCode {
+    match command {
+        FleetCommand::View { at, fleet, json } => print_once(*at, fleet, *json),
+        FleetCommand::Watch { at, fleet, every } => watch(*at, fleet, Duration::from_millis(*every)),
+    }
+}
 
-pub fn run(question: &Ask) -> ExitCode {
-    match question {
-        Ask::AdmissionSnapshot { at, fleet, json } => match query_view(fleet, *at, TRIES, WAIT) {
+fn print_once(at: SocketAddr, fleet: &str, json: bool) -> ExitCode {
+    match query_view(fleet, at, ATTEMPTS, ATTEMPT_TIMEOUT) {
+        Ok(view) => {
+            println!("{}", if json { view.to_string() } else { table(&view) });
+            if is_settled(&view) { ExitCode::SUCCESS } else { ExitCode::from(NOT_SETTLED) }
+        }
+        Err(error) => query_failed(at, &error),
+    }
+}
+
+/// Prints differences between successive views until the process is ended. Only a failure of the first query ends it.
+fn watch(at: SocketAddr, fleet: &str, interval: Duration) -> ExitCode {
+    let mut previous: Option<Vec<String>> = None;
+    loop {
+        match query_view(fleet, at, ATTEMPTS, ATTEMPT_TIMEOUT) {
             Ok(view) => {
-                println!("{}", if *json { view.to_string() } else { table(&view) });
-                if view["settled"] == true { ExitCode::SUCCESS } else { ExitCode::from(UNSETTLED) }
+                let current = facts(&view);
+                print_changes(&previous.unwrap_or_default(), &current);
+                previous = Some(current);
             }
-            Err(error) => failed(*at, &error),
-        },
-        Ask::Watch { at, fleet, every } => watch(*at, fleet, Duration::from_millis(*every)),
+            Err(error) if previous.is_none() => return query_failed(at, &error),
+            Err(error) => println!("? {error}"),
+        }
+        std::thread::sleep(interval);
     }
 }
 
-fn failed(at: SocketAddr, error: &QueryError) -> ExitCode {
+fn query_failed(at: SocketAddr, error: &QueryError) -> ExitCode {
     eprintln!("pinepoint: {at}: {error}");
     ExitCode::FAILURE
 }
 
-fn text(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
-}
-
-fn rows(list: &Value) -> impl Iterator<Item = &Value> {
-    list.as_array().into_iter().flatten()
+fn print_changes(previous: &[String], current: &[String]) {
+    for appeared in current.iter().filter(|fact| !previous.contains(fact)) {
+        println!("+ {appeared}");
+    }
+    for vanished in previous.iter().filter(|fact| !current.contains(fact)) {
+        println!("- {vanished}");
+    }
 }
 
-fn verdict(row: &Value) -> String {
-    let of = text(&row["of"]);
-    let of = if of.is_empty() { String::new() } else { format!(" {of}") };
-    let held = if row["held"] == true { " (held)" } else { "" };
-    format!(
-        "{}{of} ({:.2}){held}: {}",
-        text(&row["kind"]),
-        row["confidence"].as_f64().unwrap_or(0.0),
-        text(&row["evidence"])
-    )
+/// What `watch` compares: a line for each fact that can change.
+fn facts(view: &Value) -> Vec<String> {
+    let settled = format!("settled {}", view["settled"]);
+    let verdicts =
+        rows(&view["verdicts"]).map(|row| format!("verdict {} {}", text(&row["kind"]), text(&row["of"])));
+    let members = rows(&view["members"])
+        .map(|row| format!("member {} {} start {}", text(&row["name"]), text(&row["state"]), row["start"]));
+    std::iter::once(settled).chain(verdicts).chain(members).collect()
 }
 
-/// A line for the whole, one for each verdict, one for each member.
+/// The view as text: a line for the whole, one for each verdict, one for each member.
 fn table(view: &Value) -> String {
-    let settled = if view["settled"] == true { "settled" } else { "not settled" };
     let members: Vec<&Value> = rows(&view["members"]).collect();
-    let mut lines = vec![format!(
-        "view of {}: {settled}, digest {}, {} members",
-        text(&view["self"]),
-        text(&view["digest"]),
-        members.len()
-    )];
-    lines.extend(rows(&view["verdicts"]).map(|row| format!("! {}", verdict(row))));
-    let widest = members.iter().map(|row| text(&row["name"]).len()).max().unwrap_or(0).max(6);
+    let mut lines = vec![summary_line(view, members.len())];
+    lines.extend(rows(&view["verdicts"]).map(|row| format!("! {}", verdict_text(row))));
+    let name_widths = members.iter().map(|row| text(&row["name"]).len());
+    let width = name_widths.max().unwrap_or(0).max(MIN_NAME_WIDTH);
     lines.push(format!(
-        "{:widest$} {:12} {:10} {:>8} {:>6} {:>6}  START",
+        "{:width$} {:12} {:10} {:>8} {:>6} {:>6}  START",
         "MEMBER", "ZONE", "STATE", "FOR s", "BUSY", "HOLD"
     ));
-    for row in members {
-        let load = &row["load"][0];
-        let busy = load["busy"].as_f64().map_or("-".into(), |busy| format!("{:.2}", busy / 255.0));
-        let hold = load["hold_ms"].as_u64().map_or("-".into(), |ms| ms.to_string());
-        lines.push(format!(
-            "{:widest$} {:12} {:10} {:>8.1} {busy:>6} {hold:>6}  {}",
-            text(&row["name"]),
-            text(&row["zone"]),
-            text(&row["state"]),
-            row["age_ms"].as_f64().unwrap_or(0.0) / 1000.0,
-            row["start"]
-        ));
-    }
+    lines.extend(members.iter().map(|row| member_line(row, width)));
     lines.join("\n")
 }
 
-/// What is compared from look to look: a line for each thing that can change.
-fn things(view: &Value) -> Vec<String> {
-    let settled = format!("settled {}", view["settled"]);
-    let verdicts =
-        rows(&view["verdicts"]).map(|row| format!("verdict {} {}", text(&row["kind"]), text(&row["of"])));
-    let members = rows(&view["members"])
-        .map(|row| format!("member {} {} start {}", text(&row["name"]), text(&row["state"]), row["start"]));
-    std::iter::once(settled).chain(verdicts).chain(members).collect()
+fn summary_line(view: &Value, members: usize) -> String {
+    let settled = if is_settled(view) { "settled" } else { "not settled" };
+    let (member, digest) = (text(&view["self"]), text(&view["digest"]));
+    format!("view of {member}: {settled}, digest {digest}, {members} members")
 }
 
-fn watch(at: SocketAddr, fleet: &str, every: Duration) -> ExitCode {
-    let mut before: Option<Vec<String>> = None;
-    loop {
-        match query_view(fleet, at, TRIES, WAIT) {
-            Ok(view) => {
-                let now = things(&view);
-                let known = before.unwrap_or_default();
-                now.iter().filter(|thing| !known.contains(thing)).for_each(|thing| println!("+ {thing}"));
-                known.iter().filter(|thing| !now.contains(thing)).for_each(|thing| println!("- {thing}"));
-                before = Some(now);
-            }
-            Err(error) if before.is_none() => return failed(at, &error),
-            Err(error) => println!("? {error}"),
-        }
-        std::thread::sleep(every);
-    }
+fn verdict_text(row: &Value) -> String {
+    let subject = text(&row["of"]);
+    let subject = if subject.is_empty() { String::new() } else { format!(" {subject}") };
+    let held = if row["held"] == true { " (held)" } else { "" };
+    let (kind, evidence) = (text(&row["kind"]), text(&row["evidence"]));
+    let confidence = row["confidence"].as_f64().unwrap_or(0.0);
+    format!("{kind}{subject} ({confidence:.2}){held}: {evidence}")
+}
+
+fn member_line(row: &Value, width: usize) -> String {
+    let load = &row["load"][0];
+    let busy = load["busy"].as_f64().map_or("-".into(), |busy| format!("{:.2}", busy / 255.0));
+    let hold = load["hold_ms"].as_u64().map_or("-".into(), |ms| ms.to_string());
+    format!(
+        "{:width$} {:12} {:10} {:>8.1} {busy:>6} {hold:>6}  {}",
+        text(&row["name"]),
+        text(&row["zone"]),
+        text(&row["state"]),
+        row["age_ms"].as_f64().unwrap_or(0.0) / 1000.0,
+        row["start"]
+    )
+}
+
+fn is_settled(view: &Value) -> bool {
+    view["settled"] == true
+}
+
+/// A JSON string without its quotes, or any other value as JSON.
+fn text(value: &Value) -> String {
+    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+}
+
+fn rows(list: &Value) -> impl Iterator<Item = &Value> {
+    list.as_array().into_iter().flatten()
 }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -53,6 +53,28 @@
     assert_eq!(pinepoint(&["--verbose"], None).status.code(), Some(2));
 }
 
+#[test]
+fn the_words_of_the_command_line_are_these() {
+    let words: [(&[&str], &[&str]); 3] = [
+        (&["--help"], &["serve", "check", "ask", "fleet", "help"]),
+        (&["fleet", "--help"], &["view", "watch", "help"]),
+        (&["ask", "--help"], &[]),
+    ];
+    for (arguments, wanted) in words {
+        let told = text(&pinepoint(arguments, None).stdout);
+        let commands = told.lines().skip_while(|line| *line != "Commands:").skip(1);
+        let names = commands.take_while(|line| !line.is_empty());
+        // A wrapped help text goes on further to the right.
+        let names = names.filter_map(|line| line.strip_prefix("  ")).filter(|line| !line.starts_with(' '));
+        let names: Vec<&str> = names.filter_map(|line| line.split(' ').next()).collect();
+        assert_eq!(names, wanted, "{told}");
+    }
+    let told = text(&pinepoint(&["ask", "--help"], None).stdout);
+    for call in ["PING", "INFO", "LAMEDUCK", "REJOIN"] {
+        assert!(told.contains(call), "{call} is missing in {told}");
+    }
+}
+
 #[test]
 fn without_a_configuration_it_says_what_is_missing() {
     for arguments in [&[][..], &["serve"]] {
