--- a/src/bin/pinepoint/signals.rs
+++ b/src/bin/pinepoint/signals.rs
@@ -79,7 +79,7 @@
                 Signal::Usr1 => self.counters.print(),
                 Signal::Hup => {
                     self.reload.run().await;
-                    self.status.report.wake();
+                    self.status.registry_wakeup.wake();
                 }
                 _ => self.publish_notice(),
             }
@@ -88,8 +88,8 @@
 
     /// The grace and the kill count from now, whatever the core has in hand.
     fn publish_notice(&self) {
-        let first = self.status.notice_ms.take();
-        self.status.notice_ms.set(first.or(Some(self.clock.now())));
-        self.status.notice.wake();
+        let first = self.status.termination_notice_ms.take();
+        self.status.termination_notice_ms.set(first.or(Some(self.clock.now())));
+        self.status.core_wakeup.wake();
     }
 }
--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -130,7 +130,7 @@
 
     fn tell(&self, input: PeerEvent) {
         self.host.inbox.push(input);
-        self.host.status.notice.wake();
+        self.host.status.core_wakeup.wake();
     }
 
     fn number(&self) -> u64 {
--- a/src/server/control/lifecycle.rs
+++ b/src/server/control/lifecycle.rs
@@ -1,50 +1,52 @@
-//! The life of the process from its start to its end, as one type with its legal transitions: when it serves, when its
-//! callers are told to go, when its doors shut, and when it may end. It owns what is published of that; it must never
-//! do I/O, read a clock, or decide about a request.
+//! The phases of the process from start to end, with their legal transitions: when it serves, when it asks clients to
+//! disconnect, when its listeners close, and when it may end. It owns the published health and registration. It does no
+//! I/O, reads no clock, and decides nothing about requests.
 
-/// Part of the grace, and of the time to the kill at most, in which one that leaves goes on taking work. Callers hear of
-/// the next comparer seconds late: sent away at once, they would crowd the others while this one stands idle.
-const WORK_PART: f64 = 0.8;
-const WORK_STOP_PART: f64 = 0.6;
-/// Part of the time to the kill after which the doors shut, however long the grace.
-const CLOSE_STOP_PART: f64 = 0.8;
-/// Before the kill, ms: all that is left is answered, and the process ends. Between the two answers are written, and what
-/// callers still send is read and thrown away, so that no reset takes an answer along.
-const LAST_ANSWERS_MS: f64 = 200.0;
-const EXIT_MS: f64 = 60.0;
-/// Least time between the two, ms: a process that stood still until the kill was near, or past it, still writes what it
-/// has answered. It lives on only until the kill comes.
-const WRITE_LEAST_MS: f64 = 100.0;
+/// Part of the drain grace period after which clients are asked to disconnect. Clients learn of a draining server
+/// seconds late: disconnected at once, they would overload the others while this one is idle.
+const GO_AWAY_GRACE_FRACTION: f64 = 0.8;
+/// Clients are asked to disconnect after this part of the time to the kill at the latest.
+const GO_AWAY_STOP_FRACTION: f64 = 0.6;
+/// The listeners close after this part of the time to the kill at the latest, however long the grace period is.
+const CLOSING_STOP_FRACTION: f64 = 0.8;
+/// How long before the kill all outstanding requests are answered, ms.
+const FINAL_ANSWERS_BEFORE_KILL_MS: f64 = 200.0;
+/// How long before the kill the process ends, ms. Between the final answers and the end, answers are written and
+/// whatever clients still send is read and discarded: a reset would destroy answers that are on their way.
+const EXIT_BEFORE_KILL_MS: f64 = 60.0;
+/// Minimum time between the final answers and the end, ms: a process that was stopped until the kill was near, or past
+/// it, still writes its answers. It lives only until the kill comes.
+const MIN_FINAL_WRITE_MS: f64 = 100.0;
 
-/// Where the process stands. The order is that of its life; none comes back, but for a drain that operators end.
+/// The phases in the order of the process's life. None comes back, except that operators may end lame duck mode.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The engine is not up yet: nothing runs, and nobody is told that it would.
+    /// The engine is not up yet: nothing runs, and the process is not registered.
     #[default]
     Starting,
-    /// The same, and an operator asked for a drain.
+    /// As [`Phase::Starting`], in lame duck mode.
     StartingLameDuck,
-    /// Work is taken.
+    /// Requests are served.
     Serving,
-    /// An operator asked for a drain: health checks fail, and what still comes is served.
+    /// An operator asked for lame duck mode: health checks fail, and arriving requests are still served.
     LameDuck,
-    /// The notice to leave has come. What still comes is served.
+    /// The termination notice has arrived. Arriving requests are still served.
     Draining,
-    /// Callers are told to go.
+    /// Clients were asked to disconnect.
     GoAwaySent,
-    /// Another process of this server has taken over, and the notice has come: callers are told to go, what still comes
-    /// is served, and the list is that process's business.
+    /// Another process of this server has taken over and the termination notice has arrived: clients are asked to
+    /// disconnect, arriving requests are served, and the registration is the other process's business.
     HandedOver,
-    /// The doors shut behind those who stand before them. What comes now is turned away.
+    /// The listeners close once their backlog is accepted. Arriving requests are rejected.
     Closing,
-    /// All that is left was answered, as the kill is near: nothing more is taken in.
+    /// The kill is near: all outstanding requests were answered, and nothing more is read.
     Finishing,
     /// The process may end.
     Terminated,
 }
 
 impl Phase {
-    /// Whether the one may follow on the other.
+    /// Whether `next` may follow directly on this phase.
     pub fn may_become(self, next: Phase) -> bool {
         use Phase::{
             Closing, Draining, Finishing, GoAwaySent, HandedOver, LameDuck, Serving, Starting,
@@ -65,92 +67,93 @@
     }
 }
 
-/// What the settings and the platform say of a drain, ms.
+/// Durations of a drain, ms, from the settings and the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainTimes {
-    /// What reached the machine later than this after the notice is not run.
+    /// Grace period: requests that arrive later than this after the termination notice are rejected.
     pub grace_ms: f64,
-    /// From the notice to the kill.
+    /// From the termination notice to the kill.
     pub stop_ms: f64,
-    /// The same where another process has taken over.
+    /// From the termination notice to the kill where another process has taken over.
     pub handover_stop_ms: f64,
 }
 
-/// What is left of the work of a process that leaves.
+/// What a draining process still has to finish.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Listening sockets that are open, or that someone stands before.
+    /// Listening sockets that are open or have a backlog.
     pub listeners: usize,
-    /// Connections of callers that are not closed, whether the core has heard of them or not.
+    /// Client connections that are not closed, including those that the core has not heard of.
     pub connections: usize,
-    /// Answers that are owed.
-    pub owed: bool,
+    /// Requests are unanswered.
+    pub answers_pending: bool,
 }
 
-/// What is told outside of the process.
+/// What the phase publishes outside of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Published {
     /// The answer to health checks.
     pub healthy: bool,
-    /// The report to the membership service: none, or whether work is taken.
-    pub listed: Option<bool>,
+    /// The report to the service registry: none, or whether requests are accepted.
+    pub registered: Option<bool>,
 }
 
-/// The life of one process.
+/// The state machine of one process's life.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     phase: Phase,
     times: DrainTimes,
-    /// The list of comparers follows the health answer.
+    /// The registration follows the health answer.
     registry_follows_health: bool,
-    /// What the decision module says of its health.
+    /// The health that the admission controller reports.
     healthy: bool,
-    /// It was drained when it was handed over.
-    drained: bool,
+    /// It was in lame duck mode when it was handed over.
+    handed_over_as_lame_duck: bool,
     handed_over: bool,
-    notice_ms: Option<f64>,
-    /// When the last answers were given, ms.
+    termination_notice_ms: Option<f64>,
+    /// When the final answers were given, Unix ms.
     finishing_ms: f64,
 }
 
 impl Lifecycle {
-    /// A process that has just started.
+    /// The life of a process that has just started.
     pub fn new(times: DrainTimes, registry_follows_health: bool) -> Self {
         Lifecycle {
             phase: Phase::Starting,
             times,
             registry_follows_health,
             healthy: false,
-            drained: false,
+            handed_over_as_lame_duck: false,
             handed_over: false,
-            notice_ms: None,
+            termination_notice_ms: None,
             finishing_ms: 0.0,
         }
     }
 
-    /// Takes other times, and whether the list follows the health answer. A drain that has begun keeps its own.
+    /// Replaces the settings. A drain that has begun keeps those it began with.
     pub fn reconfigure(&mut self, times: DrainTimes, registry_follows_health: bool) {
-        if self.notice_ms.is_none() {
+        if self.termination_notice_ms.is_none() {
             self.times = times;
             self.registry_follows_health = registry_follows_health;
         }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
+    /// Moves to `next` if that is legal; returns whether it was.
     fn transition_to(&mut self, next: Phase) -> bool {
-        let may = self.phase.may_become(next);
-        if may {
+        let legal = self.phase.may_become(next);
+        if legal {
             self.phase = next;
         }
-        may
+        legal
     }
 
-    /// The engine is up. Tells whether the process begins to serve by that: not if it serves already, nor if it was told
-    /// to leave before, as all that it would take would have to go in a moment.
+    /// The engine is up. Returns whether the process begins to serve by that: not if it serves already, nor if the
+    /// termination notice came first, as everything it accepted would have to leave in a moment.
     pub fn engine_up(&mut self) -> bool {
         match self.phase {
             Phase::Starting => self.transition_to(Phase::Serving),
@@ -159,10 +162,10 @@
         }
     }
 
-    /// An operator's wish for a drain, or for its end. Tells whether the process is in that state now: a wish for the
-    /// state that it is in changes nothing, and one that leaves can't be taken into service again.
-    pub fn set_drained(&mut self, drained: bool) -> bool {
-        match (self.phase, drained) {
+    /// Enters or leaves lame duck mode at an operator's request. Returns whether the request is fulfilled: one for the
+    /// current state changes nothing, and a draining process cannot return to service.
+    pub fn set_lame_duck(&mut self, enabled: bool) -> bool {
+        match (self.phase, enabled) {
             (Phase::Starting, true) => self.transition_to(Phase::StartingLameDuck),
             (Phase::Serving, true) => self.transition_to(Phase::LameDuck),
             (Phase::StartingLameDuck, false) => self.transition_to(Phase::Starting),
@@ -172,73 +175,83 @@
         }
     }
 
-    /// The notice to leave, with the time at which it came: the grace and the kill count from there, however late it is
-    /// taken. Tells whether it is the first. One that never served has nobody to wait for.
-    pub fn notice(&mut self, at_ms: f64) -> bool {
+    /// Begins the drain at a termination notice that arrived at `notice_ms` (Unix ms): the grace period and the kill
+    /// count from then, however late it is handled. Returns whether it is the first notice. A process that never served
+    /// goes straight to closing, as it has no clients.
+    pub fn begin_drain(&mut self, notice_ms: f64) -> bool {
         let first = match self.phase {
             Phase::Starting | Phase::StartingLameDuck => self.transition_to(Phase::Closing),
             Phase::Serving | Phase::LameDuck => self.transition_to(Phase::Draining),
             _ => false,
         };
         if first {
-            self.notice_ms = Some(at_ms);
+            self.termination_notice_ms = Some(notice_ms);
         }
         first
     }
 
-    /// The notice to leave, which came at this time, where another process has taken over: also when that turns out after
-    /// the notice. Tells whether anything follows from it.
-    pub fn hand_over(&mut self, at_ms: f64) -> bool {
-        let drained = self.phase == Phase::LameDuck;
-        let first = self.transition_to(Phase::HandedOver);
-        if first {
-            self.notice_ms = self.notice_ms.or(Some(at_ms));
-            (self.drained, self.handed_over) = (drained, true);
+    /// Another process has taken over and the termination notice has arrived, at `notice_ms` (Unix ms). Also legal after
+    /// [`Lifecycle::begin_drain`], whose notice then counts. Returns whether the phase changed.
+    pub fn mark_handed_over(&mut self, notice_ms: f64) -> bool {
+        let was_lame_duck = self.phase == Phase::LameDuck;
+        let changed = self.transition_to(Phase::HandedOver);
+        if changed {
+            self.termination_notice_ms = self.termination_notice_ms.or(Some(notice_ms));
+            self.handed_over_as_lame_duck = was_lame_duck;
+            self.handed_over = true;
         }
-        first
+        changed
     }
 
-    /// What the decision module says of its health.
-    pub fn set_healthy(&mut self, good: bool) {
-        self.healthy = good;
+    /// Takes the health that the admission controller reports.
+    pub fn set_healthy(&mut self, healthy: bool) {
+        self.healthy = healthy;
     }
 
-    /// What follows from where the process stands; no event sets it past that.
+    /// What to publish. It follows from the phase alone, so that no event can publish past it.
     pub fn published(&self) -> Published {
         match self.phase {
-            Phase::Starting | Phase::StartingLameDuck => Published { healthy: false, listed: None },
+            Phase::Starting | Phase::StartingLameDuck => Published { healthy: false, registered: None },
             Phase::Serving => Published {
                 healthy: self.healthy,
-                listed: Some(self.healthy || !self.registry_follows_health),
+                registered: Some(self.healthy || !self.registry_follows_health),
             },
-            Phase::HandedOver => Published { healthy: self.healthy && !self.drained, listed: None },
+            Phase::HandedOver => {
+                Published { healthy: self.healthy && !self.handed_over_as_lame_duck, registered: None }
+            }
             Phase::Finishing | Phase::Terminated if self.handed_over => {
-                Published { healthy: false, listed: None }
+                Published { healthy: false, registered: None }
             }
-            _ => Published { healthy: false, listed: Some(false) },
+            _ => Published { healthy: false, registered: Some(false) },
         }
     }
 
-    /// When the kill comes, if the notice has; ms.
+    /// When the platform kills the process, Unix ms; `None` before the termination notice.
     pub fn kill_ms(&self) -> Option<f64> {
-        self.notice_ms.map(|since| since + self.stop_ms())
+        self.termination_notice_ms.map(|notice_ms| notice_ms + self.stop_ms())
     }
 
     fn stop_ms(&self) -> f64 {
         if self.handed_over { self.times.handover_stop_ms } else { self.times.stop_ms }
     }
 
-    /// When the phase ends by time alone, ms.
-    pub fn next_due(&self) -> Option<f64> {
-        let since = self.notice_ms?;
+    /// When the current phase ends by time alone, Unix ms; `None` if it has no time limit.
+    pub fn next_deadline_ms(&self) -> Option<f64> {
+        let notice_ms = self.termination_notice_ms?;
         let (grace_ms, stop_ms) = (self.times.grace_ms, self.stop_ms());
         match self.phase {
-            Phase::Draining => Some(since + (grace_ms * WORK_PART).min(stop_ms * WORK_STOP_PART)),
-            Phase::GoAwaySent => Some(since + grace_ms.min(stop_ms * CLOSE_STOP_PART)),
+            Phase::Draining => {
+                Some(notice_ms + (grace_ms * GO_AWAY_GRACE_FRACTION).min(stop_ms * GO_AWAY_STOP_FRACTION))
+            }
+            Phase::GoAwaySent => Some(notice_ms + grace_ms.min(stop_ms * CLOSING_STOP_FRACTION)),
             Phase::Closing | Phase::HandedOver => {
-                Some(since + (stop_ms - LAST_ANSWERS_MS).max(stop_ms * CLOSE_STOP_PART))
+                let final_answers_ms = stop_ms - FINAL_ANSWERS_BEFORE_KILL_MS;
+                Some(notice_ms + final_answers_ms.max(stop_ms * CLOSING_STOP_FRACTION))
+            }
+            Phase::Finishing => {
+                let exit_ms = notice_ms + stop_ms - EXIT_BEFORE_KILL_MS;
+                Some(exit_ms.max(self.finishing_ms + MIN_FINAL_WRITE_MS))
             }
-            Phase::Finishing => Some((since + stop_ms - EXIT_MS).max(self.finishing_ms + WRITE_LEAST_MS)),
             Phase::Starting
             | Phase::StartingLameDuck
             | Phase::Serving
@@ -247,10 +260,10 @@
         }
     }
 
-    /// Moves on by one phase, if the time has come for it or nothing is left; tells the new one.
-    pub fn advance(&mut self, now_ms: f64, left: Outstanding) -> Option<Phase> {
-        let due = self.next_due().is_some_and(|at| now_ms >= at);
-        let done = left == Outstanding::default();
+    /// Advances by one phase if its deadline has passed or nothing is outstanding; returns the new phase, if any.
+    pub fn advance(&mut self, now_ms: f64, outstanding: Outstanding) -> Option<Phase> {
+        let due = self.next_deadline_ms().is_some_and(|deadline_ms| now_ms >= deadline_ms);
+        let done = outstanding == Outstanding::default();
         let next = match self.phase {
             Phase::Draining if due => Phase::GoAwaySent,
             Phase::GoAwaySent if due => Phase::Closing,
--- a/src/server/control/management.rs
+++ b/src/server/control/management.rs
@@ -121,7 +121,7 @@
     /// Where the process stands, a notice to leave that the core has not looked at yet included.
     fn phase(&self) -> Phase {
         let phase = self.status.phase.get();
-        if self.status.notice_ms.get().is_some() { phase.max(Phase::Draining) } else { phase }
+        if self.status.termination_notice_ms.get().is_some() { phase.max(Phase::Draining) } else { phase }
     }
 
     /// Carries out a call, and gives its whole answer.
@@ -148,12 +148,12 @@
     }
 
     fn ask_drain(&self, drained: bool) -> String {
-        self.status.drain.set(Some(drained));
+        self.status.lame_duck_request.set(Some(drained));
         if drained {
             // In force with the answer: a health check may be read before the core has its turn.
             self.status.healthy.set(false);
         }
-        self.status.notice.wake();
+        self.status.core_wakeup.wake();
         "+OK\n".to_owned()
     }
 
--- a/src/server/control/status.rs
+++ b/src/server/control/status.rs
@@ -1,34 +1,35 @@
-//! What the core publishes for fronts and links to read. It owns these cells only.
+//! The state that the core publishes and the other tasks read, and the requests that reach the core beside its queue:
+//! the termination notice and the operators' lame duck mode. It owns these cells and decides nothing.
 
 use std::cell::Cell;
 
 use crate::server::control::lifecycle::Phase;
 use crate::server::sync::{Flag, Latch, Notify};
 
-/// What the core publishes for the fronts and the membership report to read.
+/// Published state and out-of-band requests of one process.
 #[derive(Debug)]
 pub struct Status {
-    /// Health checks are answered with this.
+    /// The answer to health checks.
     pub healthy: Cell<bool>,
-    /// The free value that goes with every answer.
-    pub hint: Cell<Option<f64>>,
-    /// When the notice to leave came, Unix ms. It does not stand in line behind what else reaches the core.
-    pub notice_ms: Cell<Option<f64>>,
-    /// What an operator asked for last, and the core has not looked at: a drain, or its end.
-    pub drain: Cell<Option<bool>>,
-    /// Wakes the core to look at either.
-    pub notice: Notify,
-    /// Where the process stands in its life.
+    /// The load report that goes with each answer; `None` before the first.
+    pub load_report: Cell<Option<f64>>,
+    /// When the termination notice arrived, Unix ms; the core takes it out. It does not queue behind the core's inputs.
+    pub termination_notice_ms: Cell<Option<f64>>,
+    /// The latest request of an operator to enter (`true`) or leave lame duck mode; the core takes it out.
+    pub lame_duck_request: Cell<Option<bool>>,
+    /// Wakes the core to look at the two requests above, and at the messages of the other process.
+    pub core_wakeup: Notify,
+    /// The current phase of the process.
     pub phase: Cell<Phase>,
-    /// What the membership service is told: nothing before the engine is up, then whether work is taken.
-    pub listed: Cell<Option<bool>>,
-    /// Wakes the membership report.
-    pub report: Notify,
-    /// Connections are accepted. Off while another process accepts on the sockets that both hold.
+    /// What is reported to the service registry: nothing, or whether requests are accepted.
+    pub registered: Cell<Option<bool>>,
+    /// Wakes the task that reports to the service registry.
+    pub registry_wakeup: Notify,
+    /// Connections are accepted. Off while another process accepts on the shared listening sockets.
     pub accepting: Flag,
-    /// The doors shut from now on, behind those who stand before them.
-    pub shut: Latch,
-    /// All that was read is answered, and nothing more is taken in: the process is about to end.
+    /// Opens when the listeners have to close, once their backlog is accepted.
+    pub stop_accepting: Latch,
+    /// Opens when everything that was read is answered and nothing more is read: the process is about to end.
     pub finishing: Latch,
 }
 
@@ -36,15 +37,15 @@
     fn default() -> Self {
         Status {
             healthy: Cell::default(),
-            hint: Cell::default(),
-            notice_ms: Cell::default(),
-            drain: Cell::default(),
-            notice: Notify::default(),
+            load_report: Cell::default(),
+            termination_notice_ms: Cell::default(),
+            lame_duck_request: Cell::default(),
+            core_wakeup: Notify::default(),
             phase: Cell::default(),
-            listed: Cell::default(),
-            report: Notify::default(),
+            registered: Cell::default(),
+            registry_wakeup: Notify::default(),
             accepting: Flag::new(true),
-            shut: Latch::default(),
+            stop_accepting: Latch::default(),
             finishing: Latch::default(),
         }
     }
--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -330,7 +330,7 @@
 
     /// Leaves a server that the other process serves on. Callers are told at once: that process is there for them.
     fn leave_handed_over(&mut self, now: f64, at_ms: f64) {
-        if !self.life.hand_over(at_ms) {
+        if !self.life.mark_handed_over(at_ms) {
             return;
         }
         let late_ms = (now - at_ms).round();
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -174,15 +174,15 @@
                 None
             };
             let notice = async {
-                status.notice.wait().await;
+                status.core_wakeup.wait().await;
                 None
             };
             let first = future::or(async { queue.recv().await.ok() }, future::or(notice, timer)).await;
             let now = clock.now();
-            if let Some(at_ms) = status.notice_ms.take() {
+            if let Some(at_ms) = status.termination_notice_ms.take() {
                 self.leave(now, at_ms);
             }
-            if let Some(drained) = status.drain.take() {
+            if let Some(drained) = status.lame_duck_request.take() {
                 self.set_drained(now, drained);
             }
             self.take_peer_inputs(now);
@@ -347,7 +347,7 @@
         let (old, settings) = (&self.parts.site.settings, &site.settings);
         // What the module said before meant something else; it says it anew.
         if old.load_report != settings.load_report {
-            self.parts.status.hint.set(None);
+            self.parts.status.load_report.set(None);
         }
         if old.caller_idle_timeout_ms != settings.caller_idle_timeout_ms {
             self.caller_idle_timeout_ms = None;
@@ -727,7 +727,7 @@
 
     /// Begins the drain of a process that nobody follows.
     fn leave_service(&mut self, now: f64, at_ms: f64) {
-        if !self.life.notice(at_ms) {
+        if !self.life.begin_drain(at_ms) {
             return;
         }
         let late_ms = (now - at_ms).round();
@@ -750,7 +750,7 @@
     }
 
     fn apply_drained(&mut self, drained: bool) {
-        let done = self.life.set_drained(drained);
+        let done = self.life.set_lame_duck(drained);
         tracing::info!(drained, done, phase = ?self.life.phase(), "drain");
         self.publish();
     }
@@ -760,15 +760,15 @@
         let (published, status) = (self.life.published(), &self.parts.status);
         status.phase.set(self.life.phase());
         status.healthy.set(published.healthy);
-        if status.listed.replace(published.listed) != published.listed {
-            status.report.wake();
+        if status.registered.replace(published.registered) != published.registered {
+            status.registry_wakeup.wake();
         }
     }
 
     fn close_doors(&self) {
         self.callers.values().for_each(|caller| caller.go_away());
         self.release_listeners();
-        self.parts.status.shut.open();
+        self.parts.status.stop_accepting.open();
     }
 
     /// Goes on through the life of the process as far as time and what is left allow.
@@ -777,7 +777,9 @@
             let open_sockets = &self.parts.open_sockets;
             let (listeners, connections) = (open_sockets.listeners(), open_sockets.connections());
             let owed = !self.requests.nothing_owed() || self.has_claims();
-            let Some(phase) = self.life.advance(now, Outstanding { listeners, connections, owed }) else {
+            let Some(phase) =
+                self.life.advance(now, Outstanding { listeners, connections, answers_pending: owed })
+            else {
                 return;
             };
             match phase {
@@ -815,7 +817,7 @@
         timers
             .chain(asked)
             .chain(watch)
-            .chain(self.life.next_due())
+            .chain(self.life.next_deadline_ms())
             .chain(self.handover_due())
             .min_by(f64::total_cmp)
     }
@@ -967,7 +969,7 @@
                 self.life.set_healthy(good);
                 self.publish();
             }
-            Action::ReportLoad { value } => self.parts.status.hint.set(Some(value)),
+            Action::ReportLoad { value } => self.parts.status.load_report.set(Some(value)),
             Action::CloseIdleConnections { after_ms } => self.caller_idle_timeout_ms = Some(after_ms),
             Action::SetTimer { after_ms, token } => self.timers.push((now + after_ms, token)),
             Action::Log { text } => tracing::info!(text, "module"),
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -376,7 +376,7 @@
 
 impl Connection {
     fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: bool) {
-        headers.extend(self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
+        headers.extend(self.front.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))));
         self.state.used_ms.set(self.front.clock.now());
         self.writer.push(|out| response(out, status, &headers, body, reuse));
     }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -75,7 +75,7 @@
     }
     loop {
         let shut = async {
-            front.status.shut.passed().await;
+            front.status.stop_accepting.passed().await;
             Next::Shut
         };
         if !front.status.accepting.is_on() {
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -365,7 +365,7 @@
 impl Connection {
     /// The fields that go with every answer.
     fn hint(&self) -> Vec<(&'static str, String)> {
-        self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
+        self.front.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
     }
 
     /// Takes a request off those that are open; tells whether it was.
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -575,13 +575,13 @@
 ) -> io::Result<()> {
     let socket = datagrams_to(peers.members.get())?;
     loop {
-        if let Some(up) = status.listed.get() {
+        if let Some(up) = status.registered.get() {
             let report = format!("HB {name} {}", if up { "UP" } else { "OUT" });
             // The service may be down, which a later report finds mended.
             if socket.send_to(report.as_bytes(), peers.members.get()).await.is_ok() {
                 count(&counters.reports);
             }
         }
-        future::or(status.report.wait(), clock.pause(REPORT_MS)).await;
+        future::or(status.registry_wakeup.wait(), clock.pause(REPORT_MS)).await;
     }
 }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -702,9 +702,9 @@
         if !handed_over || !self.serves(1) {
             return;
         }
-        assert_eq!(old.status.listed.get(), None, "the old process says nothing any more");
+        assert_eq!(old.status.registered.get(), None, "the old process says nothing any more");
         let drained = self.life(1) == Life::LameDuck;
-        assert_eq!(new.status.listed.get(), Some(!drained));
+        assert_eq!(new.status.registered.get(), Some(!drained));
     }
 
     fn check_drains(&self) {
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -22,7 +22,7 @@
     Terminated,
 ];
 const TIMES: DrainTimes = DrainTimes { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING: Outstanding = Outstanding { listeners: 0, connections: 0, owed: false };
+const NOTHING: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
 const DOOR: Outstanding = Outstanding { listeners: 1, ..NOTHING };
 
 fn serving() -> Lifecycle {
@@ -77,7 +77,7 @@
 #[test]
 fn a_drain_goes_through_its_phases_by_the_time_of_the_notice() {
     let mut life = serving();
-    assert!(life.notice(5000.0), "taken late, it counts from when it came");
+    assert!(life.begin_drain(5000.0), "taken late, it counts from when it came");
     assert_eq!(advance(&mut life, 5799.0, DOOR), Draining);
     assert_eq!(advance(&mut life, 5800.0, DOOR), GoAwaySent);
     assert_eq!(advance(&mut life, 5999.0, NOTHING), GoAwaySent, "others still hear of it late");
@@ -87,16 +87,17 @@
     assert_eq!(advance(&mut life, 6939.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 6940.0, DOOR), Terminated, "the kill is near");
     assert_eq!(life.kill_ms(), Some(7000.0));
-    assert!(!life.notice(6950.0), "a second notice moves nothing");
+    assert!(!life.begin_drain(6950.0), "a second notice moves nothing");
     assert_eq!(life.kill_ms(), Some(7000.0));
 }
 
 #[test]
 fn it_ends_when_nothing_is_left_and_not_before() {
-    let somebody = [DOOR, Outstanding { connections: 1, ..NOTHING }, Outstanding { owed: true, ..NOTHING }];
+    let somebody =
+        [DOOR, Outstanding { connections: 1, ..NOTHING }, Outstanding { answers_pending: true, ..NOTHING }];
     for left in somebody {
         let mut life = serving();
-        life.notice(0.0);
+        life.begin_drain(0.0);
         assert_eq!(advance(&mut life, 1000.0, left), Closing, "{left:?}");
         assert_eq!(advance(&mut life, 1001.0, NOTHING), Terminated);
     }
@@ -105,40 +106,40 @@
 #[test]
 fn the_notice_before_the_engine_is_up_is_not_undone_by_the_engine() {
     let mut life = Lifecycle::new(TIMES, true);
-    assert_eq!(life.published(), Published { healthy: false, listed: None });
-    assert!(life.notice(0.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: None });
+    assert!(life.begin_drain(0.0));
     assert_eq!(life.phase(), Closing);
     assert!(!life.engine_up(), "nothing may begin to serve");
     life.set_healthy(true);
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
     assert_eq!(advance(&mut life, 1.0, NOTHING), Terminated, "nobody was ever told of it");
 }
 
 #[test]
 fn the_list_follows_health_only_where_the_site_says_so() {
-    for (by_health, listed) in [(true, false), (false, true)] {
+    for (by_health, registered) in [(true, false), (false, true)] {
         let mut life = Lifecycle::new(TIMES, by_health);
         life.engine_up();
         life.set_healthy(false);
-        assert_eq!(life.published(), Published { healthy: false, listed: Some(listed) });
+        assert_eq!(life.published(), Published { healthy: false, registered: Some(registered) });
     }
 }
 
 #[test]
 fn a_drain_by_operators_ends_and_begins_in_any_phase_that_serves() {
     let mut life = Lifecycle::new(TIMES, true);
-    assert!(life.set_drained(true));
-    assert_eq!(life.published(), Published { healthy: false, listed: None }, "the engine is not up");
+    assert!(life.set_lame_duck(true));
+    assert_eq!(life.published(), Published { healthy: false, registered: None }, "the engine is not up");
     assert!(life.engine_up());
     life.set_healthy(true);
     assert_eq!(life.phase(), LameDuck);
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert!(life.set_drained(true), "asked twice, it stays");
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
+    assert!(life.set_lame_duck(true), "asked twice, it stays");
     assert!(!life.engine_up(), "an engine that comes back ends no drain");
     assert_eq!(life.phase(), LameDuck);
-    assert!(life.set_drained(false));
-    assert!(life.set_drained(false), "nothing to end");
-    assert_eq!(life.published(), Published { healthy: true, listed: Some(true) });
+    assert!(life.set_lame_duck(false));
+    assert!(life.set_lame_duck(false), "nothing to end");
+    assert_eq!(life.published(), Published { healthy: true, registered: Some(true) });
 }
 
 #[test]
@@ -146,51 +147,51 @@
     for drained_first in [true, false] {
         let mut life = serving();
         if drained_first {
-            assert!(life.set_drained(true));
+            assert!(life.set_lame_duck(true));
         }
-        assert!(life.notice(0.0));
-        assert!(life.set_drained(true), "it takes no new work anyhow");
-        assert!(!life.set_drained(false), "there is no way back");
+        assert!(life.begin_drain(0.0));
+        assert!(life.set_lame_duck(true), "it takes no new work anyhow");
+        assert!(!life.set_lame_duck(false), "there is no way back");
         assert_eq!(life.phase(), Draining);
-        assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
+        assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
     }
     let mut life = Lifecycle::new(TIMES, true);
-    assert!(life.set_drained(true));
-    assert!(life.notice(0.0));
+    assert!(life.set_lame_duck(true));
+    assert!(life.begin_drain(0.0));
     assert_eq!(life.phase(), Closing, "one that never served has nobody to wait for");
 }
 
 #[test]
 fn one_that_is_handed_over_stays_healthy_and_is_no_business_of_the_list() {
     let mut life = serving();
-    assert!(life.hand_over(5000.0));
-    assert_eq!(life.published(), Published { healthy: true, listed: None });
+    assert!(life.mark_handed_over(5000.0));
+    assert_eq!(life.published(), Published { healthy: true, registered: None });
     assert_eq!(advance(&mut life, 5001.0, DOOR), HandedOver);
     assert_eq!(life.kill_ms(), Some(6500.0));
     assert_eq!(advance(&mut life, 6300.0, DOOR), Finishing);
-    assert_eq!(life.published(), Published { healthy: false, listed: None });
+    assert_eq!(life.published(), Published { healthy: false, registered: None });
     assert_eq!(advance(&mut life, 6440.0, DOOR), Terminated);
 
     let mut life = serving();
-    life.set_drained(true);
-    assert!(life.hand_over(5000.0));
-    assert_eq!(life.published(), Published { healthy: false, listed: None }, "drained, it stays so");
+    life.set_lame_duck(true);
+    assert!(life.mark_handed_over(5000.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: None }, "drained, it stays so");
     assert_eq!(advance(&mut life, 5001.0, NOTHING), Terminated, "nothing keeps it");
 }
 
 #[test]
 fn a_take_over_that_comes_behind_the_notice_ends_the_reports() {
     let mut life = serving();
-    assert!(life.notice(5000.0));
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert!(life.hand_over(5400.0));
-    assert_eq!(life.published().listed, None);
+    assert!(life.begin_drain(5000.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
+    assert!(life.mark_handed_over(5400.0));
+    assert_eq!(life.published().registered, None);
     assert_eq!(life.kill_ms(), Some(6500.0), "the kill counts from the notice");
-    assert!(!life.hand_over(5500.0));
+    assert!(!life.mark_handed_over(5500.0));
     let mut late = serving();
-    late.notice(0.0);
+    late.begin_drain(0.0);
     advance(&mut late, 1000.0, DOOR);
-    assert!(!late.hand_over(1001.0), "its doors are shut");
+    assert!(!late.mark_handed_over(1001.0), "its doors are shut");
 }
 
 #[derive(Clone, Debug)]
@@ -231,16 +232,16 @@
                     prop_assert_eq!(life.engine_up(), matches!(before, Starting | StartingLameDuck));
                 }
                 Step::Notice => {
-                    prop_assert_eq!(life.notice(now), told.is_none());
+                    prop_assert_eq!(life.begin_drain(now), told.is_none());
                     told = told.or(Some(now));
                 }
                 Step::Health(good) => life.set_healthy(*good),
                 Step::Drain(drained) => {
-                    prop_assert_eq!(life.set_drained(*drained), before < Draining || *drained && before != Terminated);
+                    prop_assert_eq!(life.set_lame_duck(*drained), before < Draining || *drained && before != Terminated);
                 }
                 Step::HandOver => {
                     let may = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
-                    prop_assert_eq!(life.hand_over(now), may);
+                    prop_assert_eq!(life.mark_handed_over(now), may);
                     handed_over |= may;
                     told = told.or(may.then_some(now));
                 }
@@ -253,16 +254,16 @@
             prop_assert!(life.phase() >= before || back && matches!(step, Step::Drain(false)));
             let published = life.published();
             if handed_over {
-                prop_assert_eq!(published.listed, None);
+                prop_assert_eq!(published.registered, None);
             } else if told.is_some() {
-                prop_assert_eq!(published, Published { healthy: false, listed: Some(false) });
+                prop_assert_eq!(published, Published { healthy: false, registered: Some(false) });
             }
             if matches!(life.phase(), StartingLameDuck | LameDuck) {
-                prop_assert!(!published.healthy && published.listed != Some(true));
+                prop_assert!(!published.healthy && published.registered != Some(true));
             }
             if let Some(since) = told {
                 let kill = (since + stop_ms).max(now + 100.0);
-                prop_assert!(life.phase() == Terminated || life.next_due().is_some_and(|due| due <= kill));
+                prop_assert!(life.phase() == Terminated || life.next_deadline_ms().is_some_and(|due| due <= kill));
             }
         }
         if let Some(since) = told {
@@ -277,7 +278,7 @@
 #[test]
 fn the_last_answers_are_written_however_late_they_are_given() {
     let mut life = serving();
-    life.notice(5000.0);
+    life.begin_drain(5000.0);
     assert_eq!(advance(&mut life, 7100.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 7199.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 7200.0, DOOR), Terminated);
