--- a/tests/node.rs
+++ b/tests/node.rs
@@ -339,7 +339,7 @@
     engine expect RUN 00000000000000a1 look|paper
     engine send NEED 1 00000000000000a1|which
     store expect CALL 00000000000000a1 *|which
-    node wait link-ended link=store reason=no-reply rid=00000000000000a1 *
+    node wait link-ended link=store reason=no-reply attempt_id=00000000000000a1 *
     store wait CALL 00000000000000a1 *|which
     store send 00000000000000a1 OK|that
     engine expect FEED 00000000000000a1|that"
