--- a/src/server/core/handover.rs
+++ b/src/server/core/handover.rs
@@ -332,7 +332,7 @@
 
     /// Leaves a server that the other process serves on. Callers are told at once: that process is there for them.
     fn drain_after_handover(&mut self, now: f64, at_ms: f64) {
-        if !self.lifecycle.hand_over(at_ms) {
+        if !self.lifecycle.mark_handed_over(at_ms) {
             return;
         }
         let late_ms = (now - at_ms).round();
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -176,15 +176,15 @@
                 None
             };
             let notice = async {
-                status.notice.wait().await;
+                status.core_wakeup.wait().await;
                 None
             };
             let first = future::or(async { queue.recv().await.ok() }, future::or(notice, timer)).await;
             let now = clock.now();
-            if let Some(at_ms) = status.notice_ms.take() {
+            if let Some(at_ms) = status.termination_notice_ms.take() {
                 self.start_drain(now, at_ms);
             }
-            if let Some(drained) = status.drain.take() {
+            if let Some(drained) = status.lame_duck_request.take() {
                 self.set_drained(now, drained);
             }
             self.handle_peer_events(now);
@@ -353,7 +353,7 @@
         let (old, settings) = (&self.dependencies.site.settings, &site.settings);
         // What the module said before meant something else; it says it anew.
         if old.load_report != settings.load_report {
-            self.dependencies.status.hint.set(None);
+            self.dependencies.status.load_report.set(None);
         }
         if old.caller_idle_timeout_ms != settings.caller_idle_timeout_ms {
             self.caller_idle_timeout_ms = None;
@@ -751,7 +751,7 @@
 
     /// Begins the drain of a process that nobody follows.
     fn drain_without_successor(&mut self, now: f64, at_ms: f64) {
-        if !self.lifecycle.notice(at_ms) {
+        if !self.lifecycle.begin_drain(at_ms) {
             return;
         }
         let late_ms = (now - at_ms).round();
@@ -774,7 +774,7 @@
     }
 
     fn apply_drained(&mut self, drained: bool) {
-        let done = self.lifecycle.set_drained(drained);
+        let done = self.lifecycle.set_lame_duck(drained);
         tracing::info!(drained, done, phase = ?self.lifecycle.phase(), "drain");
         self.publish();
     }
@@ -784,15 +784,15 @@
         let (published, status) = (self.lifecycle.published(), &self.dependencies.status);
         status.phase.set(self.lifecycle.phase());
         status.healthy.set(published.healthy);
-        if status.listed.replace(published.listed) != published.listed {
-            status.report.wake();
+        if status.registered.replace(published.registered) != published.registered {
+            status.registry_wakeup.wake();
         }
     }
 
     fn close_listeners(&self) {
         self.callers.values().for_each(|caller| caller.go_away());
         self.release_listeners();
-        self.dependencies.status.shut.open();
+        self.dependencies.status.stop_accepting.open();
     }
 
     /// Goes on through the life of the process as far as time and what is left allow.
@@ -801,7 +801,8 @@
             let open_sockets = &self.dependencies.open_sockets;
             let (listeners, connections) = (open_sockets.listeners(), open_sockets.connections());
             let owed = !self.requests.all_answered() || self.has_claims();
-            let Some(phase) = self.lifecycle.advance(now, Outstanding { listeners, connections, owed })
+            let Some(phase) =
+                self.lifecycle.advance(now, Outstanding { listeners, connections, answers_pending: owed })
             else {
                 return;
             };
@@ -844,7 +845,7 @@
         timers
             .chain(asked)
             .chain(watch)
-            .chain(self.lifecycle.next_due())
+            .chain(self.lifecycle.next_deadline_ms())
             .chain(self.handover_due())
             .min_by(f64::total_cmp)
     }
@@ -997,7 +998,7 @@
                 self.lifecycle.set_healthy(good);
                 self.publish();
             }
-            Action::ReportLoad { value } => self.dependencies.status.hint.set(Some(value)),
+            Action::ReportLoad { value } => self.dependencies.status.load_report.set(Some(value)),
             Action::CloseIdleConnections { after_ms } => self.caller_idle_timeout_ms = Some(after_ms),
             Action::SetTimer { after_ms, token } => self.timers.push((now + after_ms, token)),
             Action::Log { text } => tracing::info!(text, "module"),
