--- a/crates/pinepoint-handover/src/lib.rs
+++ b/crates/pinepoint-handover/src/lib.rs
@@ -1,35 +1,36 @@
-//! An upgrade without a gap: two processes of one server, of which the old one (the predecessor) hands its listening sockets
-//! and its idempotency keys to the new one (the successor).
+//! Hot restart: two processes of one server, of which the old one (the predecessor) hands its listening sockets and the
+//! ownership of its idempotency keys to the new one (the successor).
 //!
-//! What holds:
-//! - A key runs at most once in its window, whichever process its tries reach, also if one of the processes is killed at any
+//! Guarantees:
+//! - A key runs at most once in its window, whichever process receives its attempts, also if either process is killed at any
 //!   step.
-//! - The listening sockets stay open throughout and no connection in their backlogs is lost; one of the processes accepts, except
-//!   for the moment between the predecessor's yield and its arrival.
-//! - Nothing waits for the peer without a bound.
+//! - The listening sockets stay open throughout, and no connection in their backlogs is lost. One of the processes accepts
+//!   connections, except for the moment between the predecessor's `Yielded` and its arrival.
+//! - Every wait for the peer is bounded.
 //!
-//! What is not promised: that a repeat which reaches the other process gets the result; it may be told that it failed.
+//! Not guaranteed: a result for a retry that reaches the other process; it may fail instead.
 //!
-//! [`predecessor`] and [`successor`] decide, on [`ownership`]; [`message`] and [`wire`] are the form of messages; [`io`] carries
-//! out. Decisions do no I/O and read no clock. `docs/design/handover.md` tells why.
+//! [`predecessor`] and [`successor`] are state machines without I/O or a clock, on the rules of [`ownership`]; [`message`] and
+//! [`wire`] define the protocol; [`io`] does the I/O. `docs/design/handover.md` gives the reasons.
 //!
-//! # What a core must do
+//! # What the embedding server has to do
 //!
-//! - At the start: [`io::connect`], and [`successor::Event::PeerConnected`] or [`successor::Event::NoPredecessor`] from what comes
-//!   back; on [`successor::Action::Reconnect`] the same again. Listen on the passed sockets, or on its own if there are none.
-//! - On [`successor::Action::BeginServing`]: accept, make the predecessor machine, tell it the latest
+//! - At the start: call [`io::connect`] and pass its outcome on as [`successor::Event::PeerConnected`] or
+//!   [`successor::Event::NoPredecessor`]; on [`successor::Action::Reconnect`] do so again. Listen on the passed sockets, or on its
+//!   own if there are none.
+//! - On [`successor::Action::BeginServing`]: accept connections, create the predecessor machine, tell it the latest
 //!   [`successor::Action::KeysUnknownUntil`] (and each later one), bind an [`io::Acceptor`] and run it.
-//! - Tell the predecessor machine each [`io::Accepted`] and each change of a key, also of one that was imported or failed by
+//! - Tell the predecessor machine each [`io::Accepted`] and each change of a key, also of keys that were imported or failed by
 //!   [`successor::Action::FailPeerKeys`].
-//! - Hand messages and ends of links to the machine that owns the link, by [`io::Link::number`], and drop those of earlier links.
-//! - Before it runs a key that it does not know, or knows as over: [`predecessor::Predecessor::unknown_key`]. While a claim waits,
-//!   further tries of its key wait for the same claim. A granted claim is entered as held, and is told as a change.
-//! - `until_ms` of a key is the end of its window, but not earlier than its request is due: a request that were held beyond would
-//!   be told that it never ran while the other process runs a later one.
-//! - An import never replaces a record of its own. A claim is granted only if the key is unknown or over, and this process may
-//!   run unknown keys; the record is then the predecessor's.
-//! - Events that are due come from `next_due` of both machines.
-//! - At its exit: [`io::Link::finish`], and awaits the link's task for a bounded time.
+//! - Pass messages and the ends of links to the machine that owns the link, by [`io::Link::number`]; drop those of earlier links.
+//! - Before running a key that is unknown, or whose window is over: ask [`predecessor::Predecessor::unknown_key`]. While a claim is
+//!   pending, further attempts of its key wait for the same claim. A granted claim is entered as held, and reported as a change.
+//! - Set `until_ms` of a key to the end of its window, but not before the deadline of its request: a request that were queued for
+//!   longer would be reported as never run while the other process runs a later attempt.
+//! - Never replace a record of its own by an imported one. Grant a claim only if the key is unknown or its window is over, and
+//!   this process may run unknown keys; the record then belongs to the predecessor.
+//! - Send `Tick` events at the times that `next_due` of both machines return.
+//! - At its exit: call [`io::Link::finish`], and wait for the link's task for a bounded time.
 //!
 //! ```
 //! use pinepoint_handover::ownership::Rules;
@@ -62,7 +63,7 @@
 //! }
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod io;
 pub mod message;
--- a/crates/pinepoint-handover/src/message.rs
+++ b/crates/pinepoint-handover/src/message.rs
@@ -1,40 +1,40 @@
-//! The messages that the two processes of a server exchange.
+//! The messages of the handover protocol. The order of variants and fields is part of the encoding.
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a result in one message at most; a longer one is sent as [`KeyState::Failed`].
+/// Maximum size of a result in a message, bytes; a key with a longer one is sent as [`KeyState::Failed`].
 pub const MAX_RESULT_BYTES: usize = 32 << 10;
-/// Bytes of records in one message beyond which the next record goes into the next message.
+/// Size of the records in one message, bytes; a message exceeds it only with a single record.
 const MAX_BATCH_BYTES: usize = 24 << 10;
-/// Bytes of a record beside its key and result, at most.
+/// Upper bound of a record's size beside its key and result, bytes.
 const RECORD_OVERHEAD_BYTES: usize = 48;
 
-/// An idempotency key: unique within its class.
+/// An idempotency key; tokens are unique within their class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Name of the class.
+    /// Name of the request class.
     pub class: String,
-    /// What the client sent.
+    /// The token that the client sent.
     pub token: String,
 }
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum KeyState {
-    /// Admitted; it may still be refused without having run.
+    /// The request is admitted and queued; it may still be rejected without having run.
     Held,
-    /// Started; there is no result yet.
+    /// The request runs; there is no result yet.
     Ran,
-    /// It ran, with this result.
+    /// The request ran, with this result.
     Done(Vec<u8>),
-    /// It ran or may have run, and no result is kept. It is not run again in its window.
+    /// The request ran or may have run, and no result is retained. It is not run again in its window.
     Failed,
-    /// It is proved that it never ran. The key is forgotten.
+    /// The request certainly never ran; the key is forgotten.
     Released,
 }
 
 impl KeyState {
-    /// Whether only the process that admitted the key can still change its state.
+    /// Whether the request is not finished: only the process that admitted it can change the state.
     pub fn is_open(&self) -> bool {
         matches!(self, KeyState::Held | KeyState::Ran)
     }
@@ -47,14 +47,14 @@
     pub key: Key,
     /// Digest of the request's body, under the digest key of [`Hello`].
     pub digest: u64,
-    /// No other try that arrived before this may run, Unix ms. Not earlier than the request is due: it is not held beyond.
+    /// Until when no other attempt of the key may run, Unix ms. Not before the request's deadline, beyond which it is not queued.
     pub until_ms: f64,
-    /// Its state.
+    /// The state of the request.
     pub state: KeyState,
 }
 
 impl KeyRecord {
-    /// The same record, with a result that is too large to be sent left out.
+    /// The record as it can be sent: one with a larger result than this, or than a message may hold, becomes failed.
     pub(crate) fn sendable(mut self, max_result_bytes: usize) -> KeyRecord {
         if self.result_bytes() > max_result_bytes.min(MAX_RESULT_BYTES) {
             self.state = KeyState::Failed;
@@ -62,7 +62,7 @@
         self
     }
 
-    /// Bytes of its result.
+    /// Size of its result, bytes.
     pub(crate) fn result_bytes(&self) -> usize {
         if let KeyState::Done(result) = &self.state { result.len() } else { 0 }
     }
@@ -72,61 +72,61 @@
     }
 }
 
-/// What the predecessor tells first.
+/// The first message of the predecessor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Names of the listening sockets, in the order in which they were passed.
+    /// Names of the listening sockets, in the order in which they are passed.
     pub listeners: Vec<String>,
-    /// Key of the digests of bodies.
+    /// Secret key of the body digests.
     pub digest_key: [u8; 16],
     /// Whether an operator has drained the server.
     pub drained: bool,
-    /// Until when the predecessor itself does not know all keys, Unix ms; 0: it knows all.
+    /// Until when the predecessor does not know all keys itself, Unix ms; 0 if it does.
     pub keys_unknown_until_ms: f64,
 }
 
-/// A request to run a key that the predecessor does not know.
+/// The predecessor's request for permission to run a key that it does not know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Names the claim in its answer.
+    /// Identifies the claim in its answer.
     pub id: u64,
     /// The key.
     pub key: Key,
     /// Digest of the request's body.
     pub digest: u64,
-    /// Until when no other try may run, Unix ms.
+    /// Until when no other attempt of the key may run, Unix ms.
     pub until_ms: f64,
 }
 
-/// A message. Each has one direction, except [`Message::Drained`].
+/// A message. Each is sent in one direction only, except [`Message::Drained`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Predecessor: the first message.
     Hello(Hello),
-    /// Predecessor: a part of the snapshot, or changes since.
+    /// Predecessor: a part of the snapshot, or changes after it.
     Keys(Vec<KeyRecord>),
-    /// Predecessor: the snapshot is whole.
+    /// Predecessor: the snapshot is complete.
     SnapshotEnd,
-    /// Successor: it can serve and wants to.
+    /// Successor: it is ready to serve, and asks for ownership.
     TakeOver,
-    /// Predecessor: it accepts no connections any more, and the successor owns all keys.
+    /// Predecessor: it has stopped accepting connections, and the successor owns all keys.
     Yielded,
-    /// Predecessor: may it run this key?
+    /// Predecessor: asks to run a key.
     Claim(Claim),
     /// Successor: the answer to a claim.
     ClaimAnswer {
-        /// Of the claim.
+        /// Identifies the claim.
         id: u64,
         /// Whether the predecessor may run it.
         granted: bool,
     },
-    /// Both: an operator drained the server, or took it back into service.
+    /// Both: an operator drained the server, or ended the drain.
     Drained(bool),
-    /// Predecessor: its open client connections.
+    /// Predecessor: the number of its open client connections.
     Connections(u32),
 }
 
-/// Packs records into messages that fit into a frame.
+/// Distributes records over messages, each of which fits into a frame.
 pub(crate) fn key_messages(records: impl IntoIterator<Item = KeyRecord>) -> Vec<Message> {
     let mut messages = Vec::new();
     let (mut batch, mut bytes) = (Vec::new(), 0);
--- a/crates/pinepoint-handover/src/ownership.rs
+++ b/crates/pinepoint-handover/src/ownership.rs
@@ -1,25 +1,25 @@
-//! What both machines share: bounds, reasons, and what may be done with a key that a process does not know.
+//! What both state machines share: limits and timeouts, reasons, and the rule for keys that a process does not know.
 
 use pinepoint_events::reason_codes;
 
-/// Bounds and waits of a handover.
+/// Limits and timeouts of a handover.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// The longest deduplication window of all classes, ms.
     pub longest_window_ms: f64,
-    /// How long a peer that cannot be talked to may go on running requests, ms.
+    /// How long an unreachable peer may go on running requests, ms.
     pub peer_exit_ms: f64,
-    /// How long a claim waits for its answer, ms.
+    /// How long a claim may take to be answered, ms.
     pub claim_ms: f64,
-    /// Claims without an answer at most.
+    /// Maximum number of pending claims.
     pub claims: usize,
-    /// Bytes of results in a snapshot at most.
+    /// Maximum size of all results in a snapshot, bytes.
     pub snapshot_result_bytes: usize,
-    /// How long a snapshot may take, ms.
+    /// How long the transfer of a snapshot may take, ms.
     pub snapshot_ms: f64,
-    /// How long the answer to a take-over may take, ms.
+    /// How long the predecessor may take to answer `TakeOver`, ms.
     pub yield_ms: f64,
-    /// Attempts to connect to a predecessor that is there.
+    /// Maximum number of attempts to connect to a predecessor that exists.
     pub attempts: u32,
     #[doc(hidden)]
     pub fault: Option<Fault>,
@@ -41,24 +41,24 @@
     }
 }
 
-/// A fault that is built in for tests that have to find it.
+/// A fault that tests inject and have to find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The predecessor runs keys that it does not know also after it has yielded.
+    /// The predecessor runs unknown keys without a claim, although it has yielded.
     RunUnclaimed,
-    /// The predecessor stops accepting when a successor appears.
+    /// The predecessor stops accepting connections at its `Hello`.
     StopAtHello,
 }
 
-/// What may be done with a request whose key this process does not know.
+/// How to handle a request whose key this process does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownKey {
-    /// The key is new: run it.
+    /// The key is certainly new: run it.
     Run,
-    /// The successor has to be asked first.
+    /// The successor owns the keys: claim it first.
     Claim,
-    /// It may have run in a process that cannot be asked: fail it.
+    /// It may have run in a process that is unreachable: fail it.
     Fail,
 }
 
@@ -67,64 +67,64 @@
     Denial {
         /// The successor knows the key.
         Known = "claim-denied",
-        /// No answer came in time.
+        /// The successor did not answer within [`Rules::claim_ms`].
         NoAnswer = "claim-no-answer",
-        /// Too many claims wait for an answer.
+        /// [`Rules::claims`] are pending already.
         TooMany = "claims-full",
-        /// The successor was lost while the claim waited.
+        /// The link to the successor was lost while the claim was pending.
         PeerLost = "claim-peer-lost",
-        /// Not all keys are known to this process for a while.
+        /// This process cannot know all keys yet.
         UnknownWindow = "unknown-window",
     }
 }
 
 reason_codes! {
-    /// Why a peer is dropped by a decision.
+    /// Why a state machine drops its peer.
     DropReason {
-        /// It sent a message that has no place in this phase.
+        /// The peer sent a message that the protocol does not allow in this phase.
         Protocol = "peer-out-of-turn",
-        /// Its snapshot did not end in time.
+        /// The snapshot was not complete within [`Rules::snapshot_ms`].
         SnapshotLate = "snapshot-late",
-        /// It did not answer a take-over in time.
+        /// The predecessor did not answer `TakeOver` within [`Rules::yield_ms`].
         YieldLate = "yield-late",
-        /// This process leaves.
+        /// This process exits.
         Leaving = "self-leaving",
     }
 }
 
 reason_codes! {
-    /// Why there is no predecessor to talk to.
+    /// Why no predecessor is connected.
     NoPredecessor {
-        /// There is no socket.
+        /// The socket does not exist.
         NoSocket = "no-socket",
-        /// Nobody listens on the socket.
+        /// No process listens on the socket.
         Refused = "socket-refused",
-        /// The path cannot be used: too long, not allowed, no directory.
+        /// The path cannot be used: too long, no permission, or not a directory.
         BadPath = "socket-path-unusable",
-        /// It closed the connection before its hello.
+        /// It closed the connection before its `Hello`.
         Closed = "closed-before-hello",
-        /// It said nothing in time.
+        /// It did not send its `Hello` in time.
         TimedOut = "no-hello-in-time",
-        /// What it said is no handover.
+        /// What it sent is not the handover protocol.
         ProtocolMismatch = "not-a-handover",
         /// It speaks another version.
         OtherVersion = "other-version",
         /// It runs as another user.
         OtherUser = "other-user",
-        /// It passed other sockets than it named.
+        /// The passed sockets do not match the names in the `Hello`.
         BadListeners = "bad-listeners",
-        /// The system failed.
+        /// An error of the system.
         System = "handover-system-error",
     }
 }
 
 impl NoPredecessor {
-    /// Whether it proves that no predecessor lives.
+    /// Whether it proves that no predecessor is alive.
     pub fn is_absent(self) -> bool {
         matches!(self, NoPredecessor::NoSocket | NoPredecessor::Refused | NoPredecessor::BadPath)
     }
 
-    /// Whether another attempt may end differently.
+    /// Whether another attempt to connect may succeed.
     pub fn is_transient(self) -> bool {
         matches!(self, NoPredecessor::Closed | NoPredecessor::System)
     }
--- a/crates/pinepoint-handover/src/wire.rs
+++ b/crates/pinepoint-handover/src/wire.rs
@@ -1,29 +1,30 @@
-//! Bytes to messages and back: a fixed preamble, then frames of a length and a message. No I/O.
+//! The encoding of the protocol: a preamble (magic and u16 version), then frames of a u32 length and a postcard message. All
+//! integers outside messages are big endian. No I/O.
 
 use pinepoint_events::reason_codes;
 
 use crate::message::Message;
 
-/// The version of the messages. Processes of different versions hand nothing over.
+/// Version of the protocol. Processes of different versions hand over nothing.
 pub const VERSION: u16 = 1;
-/// The first bytes of each direction.
+/// The first bytes that each side sends.
 const MAGIC: [u8; 4] = *b"PPHO";
-/// Length of a preamble.
+/// Length of a preamble, bytes.
 pub const PREAMBLE_LENGTH: usize = 6;
-/// Bytes of a frame's message at most.
+/// Maximum length of an encoded message, bytes.
 pub const MAX_FRAME_BYTES: usize = 64 << 10;
 const LENGTH_BYTES: usize = 4;
 
 reason_codes! {
-    /// Why bytes are no message.
+    /// Why bytes cannot be decoded, or a message not be encoded.
     WireError {
-        /// The other side speaks something else.
+        /// The peer speaks another protocol.
         Magic = "wrong-magic",
-        /// It speaks another version.
+        /// The peer speaks another version.
         Version = "wrong-version",
-        /// A frame is longer than any may be.
+        /// A frame exceeds [`MAX_FRAME_BYTES`].
         TooLong = "frame-too-long",
-        /// A frame holds no message, or one with a time that is none.
+        /// A frame does not hold a message, or one with a time that is not finite.
         Malformed = "frame-malformed",
     }
 }
@@ -37,7 +38,7 @@
     [m0, m1, m2, m3, v0, v1]
 }
 
-/// Whether this is the preamble of this version.
+/// Checks that this is the preamble of this version.
 pub fn check_preamble(bytes: &[u8; PREAMBLE_LENGTH]) -> Result<(), WireError> {
     if bytes[..MAGIC.len()] != MAGIC {
         return Err(WireError::Magic);
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// A message as a frame.
+/// Encodes a message as a frame.
 pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
     let frame = postcard::to_extend(message, vec![0; LENGTH_BYTES]).map_err(|_| WireError::Malformed)?;
     let length = frame.len() - LENGTH_BYTES;
@@ -60,7 +61,7 @@
     Ok(frame)
 }
 
-/// Takes bytes as they come, and gives messages as they become whole. It holds one frame and one read at most.
+/// Decodes frames from a stream of bytes. It buffers at most one frame and one read.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
@@ -68,14 +69,14 @@
 }
 
 impl Decoder {
-    /// Takes what came.
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
         self.start = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next message, if it is whole. After an error nothing more can be read.
+    /// The next message, if all of it was received. After an error the stream cannot be decoded any further.
     pub fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         let rest = &self.bytes[self.start..];
         let Some((length, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
