--- a/crates/pinepoint-handover/src/predecessor.rs
+++ b/crates/pinepoint-handover/src/predecessor.rs
@@ -1,5 +1,7 @@
-//! The process that serves: it hands its listening sockets and keys to a successor, and afterwards asks it before it runs a
-//! key that it does not know. No I/O, no clock: events and the time go in, actions come out.
+//! The state machine of the process that serves. It hands the ownership of its keys to a successor, and from then on claims each
+//! key that it does not know before running it. If the successor is lost, it owns the keys again.
+//!
+//! Events and the time go in, actions come out; no I/O, no clock.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,74 +9,74 @@
 use crate::message::{Claim, Hello, Key, KeyRecord, KeyState, Message, key_messages};
 use crate::ownership::{Denial, DropReason, Fault, Rules, UnknownKey};
 
-/// How far the handover to a successor is.
+/// The progress of the handover to a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// There is no successor.
+    /// No successor is connected.
     NoSuccessor,
-    /// One was greeted; the core's snapshot is awaited.
+    /// A successor was sent the `Hello`; the server's [`Event::Snapshot`] is pending.
     Greeted,
-    /// It has the snapshot, and is sent each change.
+    /// The successor was sent the snapshot, and is sent each change of a key.
     Streaming,
-    /// It owns all keys, and this process accepts no connections.
+    /// The successor owns all keys, and this process does not accept connections.
     Yielded,
 }
 
-/// What reaches the predecessor.
+/// An input of the predecessor.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A successor has connected. Its link is to be used for [`Action::Send`] unless [`Action::RefusePeer`] comes back.
     PeerConnected,
-    /// Its message.
+    /// The successor sent a message.
     Message(Message),
-    /// Its link is over. Not to be sent after [`Action::DropPeer`].
+    /// The link to the successor is closed. Not to be sent after [`Action::DropPeer`].
     PeerLost,
-    /// All keys of this process: the answer to [`Action::SendSnapshot`], in the same instant.
+    /// All keys of this process: the answer to [`Action::SendSnapshot`], without any event in between.
     Snapshot(Vec<KeyRecord>),
-    /// A key of this process has changed, or one that was imported has.
+    /// A key of this process, or an imported one, has changed.
     KeyChanged(KeyRecord),
-    /// A keyed request came whose key this process does not know, or knows as over. One claim at a time for each key.
+    /// A request arrived whose key is unknown, or whose window is over. One claim at a time for each key.
     ClaimWanted(Claim),
-    /// Not all keys are known to this process until then, Unix ms, as its successor machine said.
+    /// Until when this process does not know all keys, Unix ms: from [`crate::successor::Action::KeysUnknownUntil`].
     KeysUnknownUntil(f64),
-    /// An operator drained this process, or took it back.
+    /// An operator drained this process, or ended the drain.
     DrainChanged(bool),
-    /// Open client connections of this process.
+    /// The number of open client connections of this process.
     Connections(u32),
-    /// SIGTERM.
+    /// SIGTERM was received.
     Terminate,
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An output of the predecessor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this to the successor.
+    /// Send a message to the successor.
     Send(Message),
-    /// Answer at once with [`Event::Snapshot`].
+    /// Answer immediately with [`Event::Snapshot`].
     SendSnapshot,
-    /// Drop the link that has just connected: there is another.
+    /// Close the link of the last [`Event::PeerConnected`]: a successor is connected already.
     RefusePeer,
-    /// Drop the link, and forget it.
+    /// Close the link to the successor, and forget it.
     DropPeer(DropReason),
-    /// Accept no connections, and keep the listening sockets.
+    /// Stop accepting connections, but keep the listening sockets open.
     StopAccepting,
     /// Accept connections again.
     ResumeAccepting,
-    /// Listen for a successor again: the one that is lost has replaced the socket by its own.
+    /// Bind the handover socket again: the lost successor has replaced it by its own.
     BindAcceptor,
-    /// The key of this claim is this process's: run it.
+    /// The claim is granted: run its request.
     Grant(u64),
-    /// The request of this claim fails.
+    /// The claim is denied: fail its request.
     Deny(u64, Denial),
-    /// An operator drained the server in the other process, or took it back.
+    /// An operator drained the server through the other process, or ended the drain.
     SetDrained(bool),
-    /// Unknown keys are failed until then, Unix ms. For the log: [`Predecessor::unknown_key`] knows it.
+    /// Unknown keys fail until then, Unix ms. Only for the log: [`Predecessor::unknown_key`] takes it into account.
     KeysUnknownUntil(f64),
-    /// Leave. Where it is handed over, the list service is told nothing. It may come a second time, handed over.
+    /// Exit gracefully. After a handover the list service is not notified. May be repeated with `handed_over` set.
     Leave {
-        /// Whether a successor serves.
+        /// Whether a successor serves the clients from now on.
         handed_over: bool,
     },
 }
@@ -85,11 +87,11 @@
     digest: u64,
     until_ms: f64,
     due_ms: f64,
-    /// Denied already: if it is granted now, it is given back.
+    /// Denied after a timeout; if the successor grants it later, it is released.
     denied: bool,
 }
 
-/// The machine.
+/// The predecessor.
 #[derive(Clone)]
 pub struct Predecessor {
     rules: Rules,
@@ -103,7 +105,7 @@
     claims: BTreeMap<u64, PendingClaim>,
 }
 
-/// What changes: not the rules, and not the key of the digests, which is a secret.
+/// Only what changes: the digest key is a secret, and the rest is constant.
 impl fmt::Debug for Predecessor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Predecessor {
@@ -129,7 +131,7 @@
 }
 
 impl Predecessor {
-    /// Of a process that begins to serve, with the names of its listening sockets and the key of its digests.
+    /// For a process that starts to serve, with the names of its listening sockets and the secret key of its body digests.
     pub fn new(rules: Rules, listeners: Vec<String>, digest_key: [u8; 16]) -> Predecessor {
         Predecessor {
             rules,
@@ -144,18 +146,17 @@
         }
     }
 
-    /// How far the handover is.
+    /// The progress of the handover.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The longest deduplication window of all classes is so long now, ms. It does not become shorter: keys that were kept
-    /// before stay for their windows.
+    /// Raises the longest deduplication window of all classes to this, ms. It is never lowered: earlier keys keep their windows.
     pub fn set_longest_window(&mut self, window_ms: f64) {
         self.rules.longest_window_ms = self.rules.longest_window_ms.max(window_ms);
     }
 
-    /// What may be done with a key that this process does not know.
+    /// How to handle a request whose key is unknown, or whose window is over.
     pub fn unknown_key(&self, now_ms: f64) -> UnknownKey {
         if self.phase == Phase::Yielded && self.rules.fault != Some(Fault::RunUnclaimed) {
             UnknownKey::Claim
@@ -166,23 +167,23 @@
         }
     }
 
-    /// When [`Event::Tick`] is due.
+    /// When the next [`Event::Tick`] is due, Unix ms.
     pub fn next_due(&self) -> Option<f64> {
         self.claims.values().filter(|claim| !claim.denied).map(|claim| claim.due_ms).min_by(f64::total_cmp)
     }
 
-    /// Takes one event.
+    /// Handles one event at this time, Unix ms, and appends the actions that follow from it.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::PeerConnected => self.peer_connected(actions),
-            Event::Message(message) => self.message(now_ms, message, actions),
+            Event::Message(message) => self.handle_message(now_ms, message, actions),
             Event::PeerLost => self.peer_lost(now_ms, actions),
-            Event::Snapshot(records) => self.snapshot(records, actions),
-            Event::KeyChanged(record) => self.key_changed(record, actions),
-            Event::ClaimWanted(claim) => self.claim_wanted(now_ms, claim, actions),
+            Event::Snapshot(records) => self.send_snapshot(records, actions),
+            Event::KeyChanged(record) => self.replicate_key(record, actions),
+            Event::ClaimWanted(claim) => self.request_claim(now_ms, claim, actions),
             Event::KeysUnknownUntil(until_ms) => self.extend_unknown_window(until_ms),
             Event::DrainChanged(drained) => self.drain_changed(drained, actions),
-            Event::Connections(open) => self.connections_changed(open, actions),
+            Event::Connections(open) => self.report_connections(open, actions),
             Event::Terminate => self.terminate(actions),
             Event::Tick => self.deny_late_claims(now_ms, actions),
         }
@@ -216,14 +217,14 @@
         actions.push(Action::SendSnapshot);
     }
 
-    fn snapshot(&mut self, records: Vec<KeyRecord>, actions: &mut Vec<Action>) {
+    fn send_snapshot(&mut self, records: Vec<KeyRecord>, actions: &mut Vec<Action>) {
         if self.phase != Phase::Greeted {
             return;
         }
-        let mut room = self.rules.snapshot_result_bytes;
+        let mut available_bytes = self.rules.snapshot_result_bytes;
         let records = records.into_iter().map(|record| {
-            let record = record.sendable(room);
-            room -= record.result_bytes();
+            let record = record.sendable(available_bytes);
+            available_bytes -= record.result_bytes();
             record
         });
         actions.extend(key_messages(records).into_iter().map(Action::Send));
@@ -235,15 +236,15 @@
         }
     }
 
-    fn message(&mut self, now_ms: f64, message: Message, actions: &mut Vec<Action>) {
+    fn handle_message(&mut self, now_ms: f64, message: Message, actions: &mut Vec<Action>) {
         match (self.phase, message) {
-            // It comes late, from a successor that was dropped.
+            // From a successor that was dropped.
             (Phase::NoSuccessor, _) => {}
             (Phase::Streaming, Message::TakeOver) => {
                 actions.push(Action::StopAccepting);
                 self.yield_ownership(actions);
             }
-            // It crossed a yield that was not asked for: the successor serves from now on.
+            // It crossed the unrequested `Yielded` of a terminating process: the successor serves from now on.
             (Phase::Yielded, Message::TakeOver) if self.is_leaving => {
                 actions.push(Action::Leave { handed_over: true });
             }
@@ -276,7 +277,7 @@
         }
     }
 
-    /// The successor may have run any key, and may still run some until it is ended.
+    /// The lost successor may have run any key, and may go on to do so until it is killed.
     fn resume_key_ownership(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         self.extend_unknown_window(now_ms + self.rules.longest_window_ms + self.rules.peer_exit_ms);
         actions.push(Action::KeysUnknownUntil(self.keys_unknown_until_ms));
@@ -301,13 +302,13 @@
 
     // ---- keys ----
 
-    fn key_changed(&mut self, record: KeyRecord, actions: &mut Vec<Action>) {
+    fn replicate_key(&mut self, record: KeyRecord, actions: &mut Vec<Action>) {
         if self.is_linked() {
             actions.push(Action::Send(Message::Keys(vec![record.sendable(usize::MAX)])));
         }
     }
 
-    fn claim_wanted(&mut self, now_ms: f64, claim: Claim, actions: &mut Vec<Action>) {
+    fn request_claim(&mut self, now_ms: f64, claim: Claim, actions: &mut Vec<Action>) {
         let id = claim.id;
         match self.unknown_key(now_ms) {
             UnknownKey::Run => actions.push(Action::Grant(id)),
@@ -371,7 +372,7 @@
         }
     }
 
-    fn connections_changed(&mut self, open: u32, actions: &mut Vec<Action>) {
+    fn report_connections(&mut self, open: u32, actions: &mut Vec<Action>) {
         if open != self.connections && self.is_linked() {
             actions.push(Action::Send(Message::Connections(open)));
         }
--- a/crates/pinepoint-handover/src/successor.rs
+++ b/crates/pinepoint-handover/src/successor.rs
@@ -1,125 +1,127 @@
-//! The process that starts beside another: it takes listening sockets and keys over, and from then on says which keys the
-//! predecessor may still run. No I/O, no clock: events and the time go in, actions come out.
+//! The state machine of the process that starts beside another one. It imports the predecessor's keys, takes over their
+//! ownership, and from then on decides the predecessor's claims.
+//!
+//! Events and the time go in, actions come out; no I/O, no clock.
 
 use std::fmt;
 
 use crate::message::{Claim, Hello, KeyRecord, Message};
 use crate::ownership::{DropReason, NoPredecessor, Rules, UnknownKey};
 
-/// How long to wait before another attempt to connect, ms.
+/// Delay before another attempt to connect, ms.
 pub const RECONNECT_MS: f64 = 50.0;
 
-/// How far the take-over is.
+/// The progress of the take-over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// A predecessor is being looked for.
+    /// Connecting to a predecessor.
     Connecting,
-    /// It was found, and sends its keys; they have to be whole by then, Unix ms.
+    /// The predecessor sends its snapshot, which has to be complete by then, Unix ms.
     Importing(f64),
-    /// All its keys are known; this process cannot serve yet.
+    /// The snapshot is complete; this process is not ready to serve yet.
     Imported,
-    /// It was asked to yield, and has to have answered by then, Unix ms.
+    /// `TakeOver` was sent, and has to be answered by then, Unix ms.
     TakingOver(f64),
-    /// It has yielded: all keys are this process's, and it still serves its own connections.
+    /// The predecessor has yielded: this process owns all keys, while the predecessor serves its remaining connections.
     Owning,
-    /// There is no predecessor any more, or there was none.
+    /// There is no predecessor, or none any more.
     Alone,
-    /// This process was told to leave before it served.
+    /// This process was terminated before it served.
     Left,
 }
 
-/// What reaches the successor.
+/// An input of the successor.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The predecessor was found, and said this.
+    /// A predecessor is connected, and sent this `Hello`.
     PeerConnected(Hello),
-    /// None was found.
+    /// No predecessor could be connected.
     NoPredecessor(NoPredecessor),
-    /// Its message.
+    /// The predecessor sent a message.
     Message(Message),
-    /// Its link is over. Not to be sent after [`Action::DropPeer`].
+    /// The link to the predecessor is closed. Not to be sent after [`Action::DropPeer`].
     PeerLost,
-    /// This process can serve.
+    /// This process is ready to serve.
     EngineUp,
-    /// The core's answer to [`Action::DecideClaim`].
+    /// The server's answer to [`Action::DecideClaim`].
     ClaimDecided {
-        /// Of the claim.
+        /// Identifies the claim.
         id: u64,
         /// Whether the predecessor may run it.
         granted: bool,
     },
-    /// An operator drained this process, or took it back.
+    /// An operator drained this process, or ended the drain.
     DrainChanged(bool),
-    /// SIGTERM.
+    /// SIGTERM was received.
     Terminate,
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An output of the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this to the predecessor.
+    /// Send a message to the predecessor.
     Send(Message),
-    /// Look for the predecessor again, after [`RECONNECT_MS`]: it may not have noticed yet that the link is over.
+    /// Connect again after [`RECONNECT_MS`]: the predecessor may not have noticed yet that the link is closed.
     Reconnect,
-    /// Drop the link, and forget it.
+    /// Close the link to the predecessor, and forget it.
     DropPeer(DropReason),
-    /// Accept connections, on the passed listening sockets if there are any. Comes once.
+    /// Accept connections, on the passed listening sockets if there are any. Occurs once.
     BeginServing,
-    /// Enter this record as the predecessor's. A record that is this process's own stays as it is.
+    /// Enter this record as the predecessor's, unless this process has a record of its own for the key.
     Import(KeyRecord),
-    /// Forget all records that were imported: they are sent anew.
+    /// Forget all imported records: they are sent again.
     DiscardImports,
-    /// All records of the predecessor that are held or ran become failed.
+    /// Set all records of the predecessor that are held or ran to failed.
     FailPeerKeys,
-    /// Unknown keys are failed until then, Unix ms. To be passed to the predecessor machine of this process.
+    /// Unknown keys fail until then, Unix ms. To be passed on to this process's own [`crate::predecessor::Predecessor`].
     KeysUnknownUntil(f64),
-    /// May the predecessor run this key? If it is unknown, enter it as the predecessor's, held, and grant it.
+    /// Decide whether the predecessor may run a key: if it is unknown, enter it as held by the predecessor, and grant the claim.
     DecideClaim(Claim),
-    /// An operator drained the server in the other process, or took it back.
+    /// An operator drained the server through the other process, or ended the drain.
     SetDrained(bool),
-    /// Open client connections of the predecessor.
+    /// The number of open client connections of the predecessor.
     PeerConnections(u32),
-    /// Leave without having served.
+    /// Exit without having served.
     Leave,
 }
 
-/// The machine.
+/// The successor.
 #[derive(Clone)]
 pub struct Successor {
     rules: Rules,
     phase: Phase,
-    is_engine_up: bool,
+    is_ready_to_serve: bool,
     is_serving: bool,
-    /// Connections that were made or tried.
+    /// Attempts to connect so far.
     attempts: u32,
-    /// A predecessor was there at some time.
-    met_predecessor: bool,
-    /// What an operator said here, if anything was said.
+    /// A predecessor was seen at some time.
+    has_seen_predecessor: bool,
+    /// Whether the server is drained, once an operator or the predecessor has said so.
     drained: Option<bool>,
     keys_unknown_until_ms: f64,
 }
 
-/// What changes: not the rules.
+/// Only what changes: the rules are constant.
 impl fmt::Debug for Successor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Successor {
             rules: _,
             phase,
-            is_engine_up,
+            is_ready_to_serve,
             is_serving,
             attempts,
-            met_predecessor,
+            has_seen_predecessor,
             drained,
             keys_unknown_until_ms,
         } = self;
         f.debug_struct("Successor")
             .field("phase", phase)
-            .field("is_engine_up", is_engine_up)
+            .field("is_engine_up", is_ready_to_serve)
             .field("is_serving", is_serving)
             .field("attempts", attempts)
-            .field("met_predecessor", met_predecessor)
+            .field("met_predecessor", has_seen_predecessor)
             .field("drained", drained)
             .field("keys_unknown_until_ms", keys_unknown_until_ms)
             .finish_non_exhaustive()
@@ -127,42 +129,41 @@
 }
 
 impl Successor {
-    /// Of a process that starts, and looks for a predecessor.
+    /// For a process that starts and connects to a predecessor.
     pub fn new(rules: Rules) -> Successor {
         Successor {
             rules,
             phase: Phase::Connecting,
-            is_engine_up: false,
+            is_ready_to_serve: false,
             is_serving: false,
             attempts: 0,
-            met_predecessor: false,
+            has_seen_predecessor: false,
             drained: None,
             keys_unknown_until_ms: 0.0,
         }
     }
 
-    /// How far the take-over is.
+    /// The progress of the take-over.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether [`Action::BeginServing`] came.
+    /// Whether [`Action::BeginServing`] has occurred.
     pub fn is_serving(&self) -> bool {
         self.is_serving
     }
 
-    /// The longest deduplication window of all classes is so long now, ms. It does not become shorter: keys that were kept
-    /// before stay for their windows.
+    /// Raises the longest deduplication window of all classes to this, ms. It is never lowered: earlier keys keep their windows.
     pub fn set_longest_window(&mut self, window_ms: f64) {
         self.rules.longest_window_ms = self.rules.longest_window_ms.max(window_ms);
     }
 
-    /// What may be done with a key that this process does not know.
+    /// How to handle a request whose key is unknown, or whose window is over.
     pub fn unknown_key(&self, now_ms: f64) -> UnknownKey {
         if now_ms < self.keys_unknown_until_ms { UnknownKey::Fail } else { UnknownKey::Run }
     }
 
-    /// When [`Event::Tick`] is due.
+    /// When the next [`Event::Tick`] is due, Unix ms.
     pub fn next_due(&self) -> Option<f64> {
         match self.phase {
             Phase::Importing(due_ms) | Phase::TakingOver(due_ms) => Some(due_ms),
@@ -170,18 +171,18 @@
         }
     }
 
-    /// Takes one event.
+    /// Handles one event at this time, Unix ms, and appends the actions that follow from it.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::PeerConnected(hello) => self.peer_connected(now_ms, hello, actions),
-            Event::NoPredecessor(why) => self.no_predecessor(now_ms, why, actions),
-            Event::Message(message) => self.message(now_ms, message, actions),
+            Event::NoPredecessor(why) => self.connect_failed(now_ms, why, actions),
+            Event::Message(message) => self.handle_message(now_ms, message, actions),
             Event::PeerLost => self.peer_lost(now_ms, actions),
-            Event::EngineUp => self.engine_up(now_ms, actions),
+            Event::EngineUp => self.ready_to_serve(now_ms, actions),
             Event::ClaimDecided { id, granted } => self.claim_decided(id, granted, actions),
             Event::DrainChanged(drained) => self.drain_changed(drained, actions),
             Event::Terminate => self.terminate(actions),
-            Event::Tick => self.tick(now_ms, actions),
+            Event::Tick => self.drop_late_peer(now_ms, actions),
         }
     }
 
@@ -196,10 +197,10 @@
             actions.push(Action::DropPeer(DropReason::Protocol));
             return;
         }
-        if self.met_predecessor {
+        if self.has_seen_predecessor {
             actions.push(Action::DiscardImports);
         }
-        self.met_predecessor = true;
+        self.has_seen_predecessor = true;
         self.attempts += 1;
         self.phase = Phase::Importing(now_ms + self.rules.snapshot_ms);
         if hello.keys_unknown_until_ms > now_ms {
@@ -214,17 +215,17 @@
         }
     }
 
-    fn no_predecessor(&mut self, now_ms: f64, why: NoPredecessor, actions: &mut Vec<Action>) {
+    fn connect_failed(&mut self, now_ms: f64, why: NoPredecessor, actions: &mut Vec<Action>) {
         if self.phase != Phase::Connecting {
             return;
         }
         self.attempts += 1;
         if why.is_absent() {
-            // A predecessor that was there is dead now, and may have run what it could not tell.
-            let unknown_for = self.met_predecessor.then_some(self.rules.longest_window_ms);
+            // A predecessor that was seen before is dead now, and may have run keys without having sent them.
+            let unknown_for = self.has_seen_predecessor.then_some(self.rules.longest_window_ms);
             self.serve_alone(now_ms, unknown_for, actions);
         } else if why.is_transient() && self.attempts < self.rules.attempts {
-            self.met_predecessor = true;
+            self.has_seen_predecessor = true;
             actions.push(Action::Reconnect);
         } else {
             self.serve_beside_unreachable(now_ms, actions);
@@ -233,7 +234,7 @@
 
     fn peer_lost(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         match self.phase {
-            // It had told all that it may still run.
+            // It runs only keys that it has sent or claimed.
             Phase::Owning => self.serve_alone(now_ms, None, actions),
             Phase::Importing(_) | Phase::Imported | Phase::TakingOver(_) => {
                 self.reconnect(now_ms, actions);
@@ -242,7 +243,7 @@
         }
     }
 
-    /// It is dead, or lives and serves on: only a new connection tells.
+    /// Whether the predecessor is dead or serves on, only a new connection shows.
     fn reconnect(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         if self.attempts < self.rules.attempts {
             self.phase = Phase::Connecting;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// A predecessor that may live, and cannot be asked.
+    /// Serves although a predecessor may be alive that cannot be reached.
     fn serve_beside_unreachable(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let unknown_for = self.rules.longest_window_ms + self.rules.peer_exit_ms;
         self.serve_alone(now_ms, Some(unknown_for), actions);
@@ -269,7 +270,7 @@
 
     fn serve_alone(&mut self, now_ms: f64, unknown_for_ms: Option<f64>, actions: &mut Vec<Action>) {
         self.phase = Phase::Alone;
-        if self.met_predecessor {
+        if self.has_seen_predecessor {
             actions.extend([Action::FailPeerKeys, Action::PeerConnections(0)]);
         }
         if let Some(unknown_for_ms) = unknown_for_ms {
@@ -287,7 +288,7 @@
 
     // ---- the take-over ----
 
-    fn message(&mut self, now_ms: f64, message: Message, actions: &mut Vec<Action>) {
+    fn handle_message(&mut self, now_ms: f64, message: Message, actions: &mut Vec<Action>) {
         match (self.phase, message) {
             (Phase::Connecting | Phase::Alone | Phase::Left, _) => {}
             (_, Message::Keys(records)) => actions.extend(records.into_iter().map(Action::Import)),
@@ -302,7 +303,7 @@
             (Phase::Owning, Message::Claim(claim)) => actions.push(Action::DecideClaim(claim)),
             (_, Message::Drained(drained)) => {
                 self.set_drained(drained, actions);
-                // The last word is this process's: both may have been told something else in the same instant.
+                // Echoed, so that both processes agree if operators told them different things at the same time.
                 actions.push(Action::Send(Message::Drained(drained)));
             }
             (_, Message::Connections(open)) => actions.push(Action::PeerConnections(open)),
@@ -310,10 +311,10 @@
         }
     }
 
-    fn engine_up(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        self.is_engine_up = true;
+    fn ready_to_serve(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        self.is_ready_to_serve = true;
         if self.phase == Phase::Owning && !self.is_serving {
-            // The predecessor yielded unasked, as it leaves: it learns that it is followed after all.
+            // The predecessor yielded unrequested, as it was terminating: it learns that there is a successor after all.
             actions.push(Action::Send(Message::TakeOver));
         }
         self.take_over_if_ready(now_ms, actions);
@@ -321,7 +322,7 @@
     }
 
     fn take_over_if_ready(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        if self.phase == Phase::Imported && self.is_engine_up {
+        if self.phase == Phase::Imported && self.is_ready_to_serve {
             self.phase = Phase::TakingOver(now_ms + self.rules.yield_ms);
             actions.push(Action::Send(Message::TakeOver));
         }
@@ -329,7 +330,7 @@
 
     fn begin_if_ready(&mut self, actions: &mut Vec<Action>) {
         let owns_keys = matches!(self.phase, Phase::Owning | Phase::Alone);
-        if owns_keys && self.is_engine_up && !self.is_serving {
+        if owns_keys && self.is_ready_to_serve && !self.is_serving {
             self.is_serving = true;
             actions.push(Action::BeginServing);
         }
@@ -341,7 +342,7 @@
         }
     }
 
-    fn tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    fn drop_late_peer(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Importing(due_ms) if now_ms >= due_ms => {
                 self.drop_peer(now_ms, DropReason::SnapshotLate, actions);
