--- a/crates/pinepoint-lab/src/cluster.rs
+++ b/crates/pinepoint-lab/src/cluster.rs
@@ -53,10 +53,11 @@
 
 use crate::fault_proxy::{Endpoint, FaultProxy};
 use crate::listen::bind_unique_address;
-use crate::machine::{EngineControl, ServiceAddresses};
 use crate::routers::{Routers, Workload};
+use crate::simulated_engine::EngineControl;
+use crate::standard_load::request_classes;
 use crate::store::Store;
-use crate::telemetry::request_classes;
+use crate::stub_services::ServiceAddresses;
 
 /// Cores of each engine.
 const ENGINE_CORES: f64 = 2.0;
@@ -194,7 +195,7 @@
 
 /// What the routers send: nothing until a script sets a rate.
 fn idle_workload(seed: u64) -> Workload {
-    Workload { classes: request_classes(1.0).0, rate: 0.0, routers: ROUTER_COUNT, retry_keyed: false, seed }
+    Workload { classes: request_classes(), rate: 0.0, routers: ROUTER_COUNT, retry_keyed: false, seed }
 }
 
 /// A port of loopback that nothing listens on now, at an address of its own.
--- a/crates/pinepoint-lab/src/cluster/member.rs
+++ b/crates/pinepoint-lab/src/cluster/member.rs
@@ -12,9 +12,10 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 use super::{ENGINE_CORES, Options, ScriptError};
-use crate::machine::{EngineControl, ServiceAddresses};
 use crate::process::PlatformConfig;
 use crate::script::matches;
+use crate::simulated_engine::EngineControl;
+use crate::stub_services::ServiceAddresses;
 
 /// Length of one period of a throttled process, in which it first stands and then runs.
 const THROTTLE_PERIOD: Duration = Duration::from_millis(40);
--- a/crates/pinepoint-lab/src/cluster/services.rs
+++ b/crates/pinepoint-lab/src/cluster/services.rs
@@ -2,18 +2,18 @@
 //! thread, which ends with the process.
 
 use std::io;
-use std::net::{SocketAddr, UdpSocket};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::mpsc;
 use std::time::Duration;
 
 use async_executor::LocalExecutor;
-use async_io::Async;
 use futures_lite::future;
 
 use super::ENGINE_CORES;
-use crate::machine::{EngineControl, start_engine};
+use crate::simulated_engine::{EngineControl, start_engine};
 use crate::store::{Store, StoreState};
+use crate::stub_services::start_list_service;
 
 /// Calls that the store makes at once, unless a script says otherwise.
 const STORE_SLOTS: usize = 64;
@@ -60,15 +60,3 @@
     let address = start_engine(ENGINE_CORES, &control, executor)?;
     Ok(MemberEngine { address, control })
 }
-
-/// Starts a list service that reads load reports and discards them.
-fn start_list_service(executor: &Rc<LocalExecutor<'static>>) -> io::Result<SocketAddr> {
-    let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
-    let address = socket.get_ref().local_addr()?;
-    let discard_reports = async move {
-        let mut report = [0; 256];
-        while socket.recv(&mut report).await.is_ok() {}
-    };
-    executor.spawn(discard_reports).detach();
-    Ok(address)
-}
--- a/crates/pinepoint-lab/src/fleet.rs
+++ b/crates/pinepoint-lab/src/fleet.rs
@@ -1,6 +1,6 @@
-//! What the view of the fleet costs a comparer that works: two processes of the program side by side, one with the view
-//! off, one with it on among peers that are real processes. They are loaded in short turns with the same requests, so that
-//! what the machine does meanwhile, and what a queue does by chance, falls on both alike.
+//! The experiment on the membership view: what it costs a process that serves requests. Two processes of the program run
+//! side by side, one with the view off, one with it on among peers that are real processes. They are loaded in short rounds
+//! with the same requests, so that what the machine does meanwhile, and what a queue does by chance, affects both alike.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -16,70 +16,107 @@
 
 use crate::cluster::{self, Cluster};
 use crate::load::{self, Workload};
-use crate::machine::Machine;
-use crate::process::{LaunchOptions, Process, TempDir};
-use crate::telemetry::{ENGINE_CORES, request_classes};
+use crate::process::{LaunchOptions, Process, TICKS_PER_S, TempDir};
+use crate::standard_load::{ENGINE_CORES, rate_at, request_classes};
+use crate::statistics::{interval_95, median};
+use crate::stub_services::StubServices;
 
-/// Drawings with replacement of all turns, by which an interval is told.
+/// Bootstrap resamples of the rounds, from which an interval is computed.
 const RESAMPLES: usize = 400;
+/// Time of a call to the store.
+const STORE_CALL: Duration = Duration::from_millis(3);
+/// Pause before the first round, in which the members find each other.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// Pause after a trial, in which the engine works off what is left, so that no trial pays for the one before it.
+const SETTLE: Duration = Duration::from_millis(300);
+/// Zones that the peers are in.
+const ZONES: usize = 3;
+/// Period of the membership protocol, ms.
+const PERIOD_MS: u64 = 1000;
+/// Connections of MessagePack-RPC, and the most of AJP.
+const CONNECTIONS: (usize, usize) = (12, 0);
+/// Standard deviation of the logarithm of the work of requests.
+const WORK_SIGMA: f64 = 0.5;
 
 /// How it is measured.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program.
     pub program: PathBuf,
-    /// Length of the load of each run.
+    /// Duration of the load of each trial.
     pub duration: Duration,
-    /// Turns.
+    /// Rounds, each with one trial of each side; a further one before them is not counted.
     pub rounds: u64,
     /// Peers in the fleet.
     pub peers: usize,
-    /// Requests a second as a part of what the engine can do.
+    /// Requests a second as a share of what the engine can do.
     pub load_factor: f64,
     /// The core that the program has for itself.
     pub cpu: Option<usize>,
 }
 
-/// One turn of one side: times of what was served, time on a core, s, requests, and time that the machine under this one took
-/// for others, s.
+/// One trial of one side, or several merged.
 #[derive(Clone, Debug)]
 struct Trial {
+    /// Latency of what was served, us.
     latency: Histogram<u64>,
+    /// CPU time of the process, s.
     cpu_s: f64,
+    /// Requests.
     sent: u64,
+    /// Time that the hypervisor took from this machine's cores, s.
     steal_s: f64,
 }
 
-/// Time that this machine's cores were not given, s since it runs ("steal" in proc(5)).
-fn steal_s() -> f64 {
-    let stat = std::fs::read_to_string("/proc/stat").unwrap_or_default();
-    let ticks = stat.lines().next().and_then(|line| line.split_whitespace().nth(8)?.parse::<f64>().ok());
-    ticks.unwrap_or(0.0) / 100.0
+impl Trial {
+    fn merge(&mut self, other: &Trial) {
+        let _ = self.latency.add(&other.latency);
+        self.cpu_s += other.cpu_s;
+        self.sent += other.sent;
+        self.steal_s += other.steal_s;
+    }
+
+    /// Several trials as one; there must be at least one.
+    fn merged<'a>(mut trials: impl Iterator<Item = &'a Trial>) -> Trial {
+        let mut merged = trials.next().expect("at least one round").clone();
+        trials.for_each(|trial| merged.merge(trial));
+        merged
+    }
+
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.latency.value_at_quantile(quantile) as f64 / 1000.0
+    }
+
+    fn cpu_ms_per_request(&self) -> f64 {
+        self.cpu_s * 1000.0 / self.sent.max(1) as f64
+    }
 }
 
-/// Several turns as one.
-fn merge<'a>(rounds: impl Iterator<Item = &'a Trial>) -> Trial {
-    let mut all: Option<Trial> = None;
-    for trial in rounds {
-        match &mut all {
-            None => all = Some(trial.clone()),
-            Some(all) => {
-                let _ = all.latency.add(&trial.latency);
-                all.cpu_s += trial.cpu_s;
-                all.sent += trial.sent;
-                all.steal_s += trial.steal_s;
-            }
+/// The trials of one round: with the view off, and on.
+#[derive(Clone, Debug)]
+struct Round {
+    off: Trial,
+    on: Trial,
+}
+
+impl Round {
+    fn merged<'a>(rounds: impl Iterator<Item = &'a Round> + Clone) -> Round {
+        Round {
+            off: Trial::merged(rounds.clone().map(|round| &round.off)),
+            on: Trial::merged(rounds.map(|round| &round.on)),
         }
     }
-    all.expect("at least one turn")
-}
 
-fn ms(trial: &Trial, quantile: f64) -> f64 {
-    trial.latency.value_at_quantile(quantile) as f64 / 1000.0
+    fn ratio(&self, figure: &dyn Fn(&Trial) -> f64) -> f64 {
+        figure(&self.on) / figure(&self.off)
+    }
 }
 
-fn cpu_ms(trial: &Trial) -> f64 {
-    trial.cpu_s * 1000.0 / trial.sent.max(1) as f64
+/// Time that this machine's cores were not given, s since it runs ("steal" in proc(5)).
+fn steal_s() -> f64 {
+    let stat = std::fs::read_to_string("/proc/stat").unwrap_or_default();
+    let ticks = stat.lines().next().and_then(|line| line.split_whitespace().nth(8)?.parse::<f64>().ok());
+    ticks.unwrap_or(0.0) / TICKS_PER_S
 }
 
 fn start_process(
@@ -88,12 +125,11 @@
     edge: Option<String>,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<Process> {
-    let machine = Machine { cores: ENGINE_CORES, call: Duration::from_millis(3) };
-    let (addresses, _) = machine.start(executor)?;
+    let services = StubServices { cores: ENGINE_CORES, call: STORE_CALL };
     Process::start(&LaunchOptions {
         program: &options.program,
         folder: &folder.0,
-        addresses,
+        addresses: services.start(executor)?,
         cores: ENGINE_CORES,
         edge,
         cpu: options.cpu,
@@ -106,102 +142,129 @@
     seed: u64,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<Trial> {
-    let (before, steal_before) = (process.usage(), steal_s());
-    let (request_classes, rate) = request_classes(options.load_factor);
+    let (cpu_before, steal_before) = (process.usage().cpu_s, steal_s());
     let workload = Workload {
-        classes: request_classes,
-        rate,
+        classes: request_classes(),
+        rate: rate_at(options.load_factor),
         ajp: 0.0,
         duration: options.duration,
-        connections: (12, 0),
-        work_sigma: 0.5,
+        connections: CONNECTIONS,
+        work_sigma: WORK_SIGMA,
         seed,
     };
     let summary = load::run(&workload, process.rpc, None, executor).await?;
-    // What is left in the engine is worked off, so that no turn pays for the one before it.
-    Timer::after(Duration::from_millis(300)).await;
-    let cpu_s = process.usage().cpu_s - before.cpu_s;
-    Ok(Trial { sent: summary.all().sent, latency: summary.latency, cpu_s, steal_s: steal_s() - steal_before })
+    Timer::after(SETTLE).await;
+    Ok(Trial {
+        sent: summary.all().sent,
+        latency: summary.latency,
+        cpu_s: process.usage().cpu_s - cpu_before,
+        steal_s: steal_s() - steal_before,
+    })
 }
 
-/// Runs all turns, off and on in each; tells progress on standard error. Ratios are on to off; the interval holds 95 of 100
-/// drawings of the turns.
+/// The two processes that are compared.
+struct Sides {
+    off: Process,
+    on: Process,
+}
+
+impl Sides {
+    /// Runs a round; which side comes first alternates, so that what grows with time favours neither.
+    async fn run_round(
+        &self,
+        options: &Options,
+        number: u64,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> io::Result<Round> {
+        let seed = number + 1;
+        if number.is_multiple_of(2) {
+            let off = run_trial(options, &self.off, seed, executor).await?;
+            let on = run_trial(options, &self.on, seed, executor).await?;
+            Ok(Round { off, on })
+        } else {
+            let on = run_trial(options, &self.on, seed, executor).await?;
+            let off = run_trial(options, &self.off, seed, executor).await?;
+            Ok(Round { off, on })
+        }
+    }
+}
+
+/// Runs all rounds; writes progress to standard error, and returns the report. Ratios are on to off; the interval holds 95
+/// of 100 resamples of the rounds.
+///
+/// # Errors
+/// If the program does not start, or a stub cannot bind its address.
 pub fn measure(options: &Options) -> io::Result<Value> {
     let folder = TempDir::new("peers")?;
-    let peers = cluster::Options {
+    let cluster = Cluster::start(cluster::Options {
         program: options.program.clone(),
         folder: folder.0.clone(),
         members: options.peers,
-        zones: 3,
-        period_ms: 1000,
+        zones: ZONES,
+        period_ms: PERIOD_MS,
         seed: 1,
         ..cluster::Options::default()
-    };
-    let cluster = Cluster::start(peers)?;
+    })?;
     let executor = Rc::new(LocalExecutor::new());
-    let mut rows: Vec<(Trial, Trial)> = Vec::new();
-    async_io::block_on(executor.run(async {
-        let folders = (TempDir::new("off")?, TempDir::new("on")?);
-        let edge = format!("[fleet]\nlisten = \"127.0.0.1:0\"\nseeds = {}\n", cluster.proxy.seeds());
-        let off = start_process(options, &folders.0, None, &executor)?;
-        let on = start_process(options, &folders.1, Some(edge), &executor)?;
-        Timer::after(Duration::from_secs(2)).await;
-        // The first turn, with a cold program, counts for nothing.
-        for number in 0..options.rounds + 1 {
-            let _ = writeln!(io::stderr(), "turn {number} of {}", options.rounds);
-            // Which comes first changes, so that what grows with time favours neither.
-            let pair = if number % 2 == 0 {
-                let off = run_trial(options, &off, number + 1, &executor).await?;
-                (off, run_trial(options, &on, number + 1, &executor).await?)
-            } else {
-                let on = run_trial(options, &on, number + 1, &executor).await?;
-                (run_trial(options, &off, number + 1, &executor).await?, on)
-            };
-            if number > 0 {
-                rows.push(pair);
-            }
-        }
-        Ok::<_, io::Error>(())
-    }))?;
-    Ok(report(&rows))
-}
-
-fn median(mut values: Vec<f64>) -> f64 {
-    values.sort_by(f64::total_cmp);
-    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
+    let rounds = async_io::block_on(executor.run(run_rounds(options, &cluster.proxy.seeds(), &executor)))?;
+    Ok(report(&rounds))
 }
 
-/// What 95 of 100 of these lie between.
-fn interval(mut values: Vec<f64>) -> [f64; 2] {
-    values.sort_by(f64::total_cmp);
-    [0.025, 0.975].map(|quantile| values[((values.len() - 1) as f64 * quantile) as usize])
+async fn run_rounds(
+    options: &Options,
+    seeds: &str,
+    executor: &Rc<LocalExecutor<'static>>,
+) -> io::Result<Vec<Round>> {
+    let (off_folder, on_folder) = (TempDir::new("off")?, TempDir::new("on")?);
+    let edge = format!("[fleet]\nlisten = \"127.0.0.1:0\"\nseeds = {seeds}\n");
+    let sides = Sides {
+        off: start_process(options, &off_folder, None, executor)?,
+        on: start_process(options, &on_folder, Some(edge), executor)?,
+    };
+    Timer::after(WARM_UP).await;
+    let mut rounds = Vec::new();
+    for number in 0..=options.rounds {
+        let _ = writeln!(io::stderr(), "turn {number} of {}", options.rounds);
+        let round = sides.run_round(options, number, executor).await?;
+        // The program warms up in the first round, which does not count.
+        if number > 0 {
+            rounds.push(round);
+        }
+    }
+    Ok(rounds)
 }
 
-fn report(rows: &[(Trial, Trial)]) -> Value {
-    let sides = |rows: &[&(Trial, Trial)]| {
-        (merge(rows.iter().map(|row| &row.0)), merge(rows.iter().map(|row| &row.1)))
-    };
-    let all: Vec<&(Trial, Trial)> = rows.iter().collect();
-    let (off, on) = sides(&all);
+fn report(rounds: &[Round]) -> Value {
+    let all = Round::merged(rounds.iter());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let draws: Vec<Vec<usize>> =
-        (0..RESAMPLES).map(|_| (0..rows.len()).map(|_| rng.random_range(0..rows.len())).collect()).collect();
-    let resampled: Vec<(Trial, Trial)> =
-        draws.iter().map(|draw| sides(&draw.iter().map(|at| &rows[*at]).collect::<Vec<_>>())).collect();
-    let compare = |of: &dyn Fn(&Trial) -> f64| {
-        let ratios = resampled.iter().map(|(off, on)| of(on) / of(off)).collect();
-        let rounds: Vec<f64> = rows.iter().map(|(off, on)| of(on) / of(off)).collect();
-        // A turn in which the machine was busy elsewhere spoils a sum and hardly moves a median.
-        let medians = draws.iter().map(|draw| median(draw.iter().map(|at| rounds[*at]).collect())).collect();
-        json!({ "off": of(&off), "on": of(&on), "ratio": of(&on) / of(&off), "interval": interval(ratios),
-                "median_of_turns": median(rounds.clone()),
-                "its_interval": interval(medians), "turns": rounds })
+    let resamples: Vec<Vec<usize>> = (0..RESAMPLES)
+        .map(|_| (0..rounds.len()).map(|_| rng.random_range(0..rounds.len())).collect())
+        .collect();
+    let merged_resamples: Vec<Round> = resamples
+        .iter()
+        .map(|resample| Round::merged(resample.iter().map(|index| &rounds[*index])))
+        .collect();
+    let compare = |figure: &dyn Fn(&Trial) -> f64| {
+        let ratios: Vec<f64> = rounds.iter().map(|round| round.ratio(figure)).collect();
+        let merged_ratios = merged_resamples.iter().map(|round| round.ratio(figure)).collect();
+        // A round in which the machine was busy elsewhere spoils a sum and hardly moves a median.
+        let median_of = |resample: &Vec<usize>| median(resample.iter().map(|index| ratios[*index]).collect());
+        let medians = resamples.iter().map(median_of).collect();
+        json!({
+            "off": figure(&all.off),
+            "on": figure(&all.on),
+            "ratio": all.ratio(figure),
+            "interval": interval_95(merged_ratios),
+            "median_of_turns": median(ratios.clone()),
+            "its_interval": interval_95(medians),
+            "turns": ratios,
+        })
     };
     json!({
-        "requests": [off.sent, on.sent],
-        "stolen_s": [off.steal_s, on.steal_s],
-        "p50_ms": compare(&|o| ms(o, 0.5)),
-        "p99_ms": compare(&|o| ms(o, 0.99)),
-        "cpu_ms_a_request": compare(&cpu_ms),
+        "requests": [all.off.sent, all.on.sent],
+        "stolen_s": [all.off.steal_s, all.on.steal_s],
+        "p50_ms": compare(&|trial| trial.quantile_ms(0.5)),
+        "p99_ms": compare(&|trial| trial.quantile_ms(0.99)),
+        "cpu_ms_a_request": compare(&Trial::cpu_ms_per_request),
     })
 }
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -17,6 +17,7 @@
 use super::engine::{Engine, Finish};
 use super::management;
 use crate::load::{self, OutcomeCounts, RequestClass, Workload};
+use crate::process::cpu_time_s;
 
 /// Time that a run takes on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
@@ -32,8 +33,6 @@
 const READY_LIMIT: Duration = Duration::from_secs(10);
 /// Between two looks whether a process serves.
 const READY_AGAIN: Duration = Duration::from_millis(20);
-/// Kernel ticks of `/proc/PID/stat` in a second.
-const TICKS_PER_S: f64 = 100.0;
 
 /// What is measured.
 #[derive(Clone, Debug)]
@@ -62,17 +61,13 @@
 impl CpuTime {
     fn of(process: &Process) -> io::Result<CpuTime> {
         let directory = format!("/proc/{}", process.id());
-        let stat = std::fs::read_to_string(format!("{directory}/stat"))?;
-        // Behind the name, which may hold anything, the state is the third field; user and system time are 14 and 15.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
         let mut exact_ns = 0.0;
         for task in std::fs::read_dir(format!("{directory}/task"))? {
             let schedstat = std::fs::read_to_string(task?.path().join("schedstat"))?;
             let on_cpu = schedstat.split_whitespace().next().and_then(|field| field.parse::<f64>().ok());
             exact_ns += on_cpu.ok_or_else(|| io::Error::other("schedstat without a time"))?;
         }
-        Ok(CpuTime { ticks_s: (ticks(11) + ticks(12)) / TICKS_PER_S, exact_s: exact_ns / 1e9 })
+        Ok(CpuTime { ticks_s: cpu_time_s(process.id())?, exact_s: exact_ns / 1e9 })
     }
 
     fn since(self, earlier: CpuTime) -> CpuTime {
--- a/crates/pinepoint-lab/src/process.rs
+++ b/crates/pinepoint-lab/src/process.rs
@@ -1,15 +1,28 @@
-//! The program under test as a process: its files, its start, where it may run, what it costs, its end.
+//! The program under test as a process: its configuration files, its start, the cores it may use, the resources it takes,
+//! its end.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use crate::machine::ServiceAddresses;
+use rustix::process::{Pid, Signal, kill_process};
+use rustix::thread::{CpuSet, sched_setaffinity};
 
-/// The settings of the classes that the lab's plans send.
+use crate::stub_services::ServiceAddresses;
+
+/// Kernel ticks of `/proc/PID/stat` and `/proc/stat` in a second.
+pub(crate) const TICKS_PER_S: f64 = 100.0;
+/// How long the program may take until it listens.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Where user and system time stand in `/proc/PID/stat` behind the name: fields 14 and 15 of all.
+const USER_TIME_FIELD: usize = 11;
+/// See above.
+const SYSTEM_TIME_FIELD: usize = 12;
+
+/// The settings of the request classes that experiments send; `CORES` stands for the cores of the engine.
 pub const SETTINGS: &str = r#"{"services":[
  {"name":"quick-match","effect":"read_like","promiseMs":1500,"deadlineMs":3800,"worth":1,"lateWorth":0.2},
  {"name":"report-view","effect":"read_like","promiseMs":2800,"deadlineMs":9400,"worth":1,"lateWorth":0.2},
@@ -21,12 +34,12 @@
  "registryFollows":true,"classCalls":[false,true,true],"worthWithout":[0,0.3,0],"callsOut":64,
  "callsOverMs":5000,"lingerMs":200,"gauges":["cpu_busy","runnable","mem_used","sockets"]}}"#;
 
-/// A folder of this process for files of the programs under test; it goes with this value.
+/// A folder for files of the processes under test; removed when dropped.
 #[derive(Debug)]
 pub(crate) struct TempDir(pub(crate) PathBuf);
 
 impl TempDir {
-    /// A new one of this name.
+    /// A new folder of this name.
     pub(crate) fn new(name: &str) -> io::Result<TempDir> {
         let path = std::env::temp_dir().join(format!("pinepoint-lab-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path)?;
@@ -40,7 +53,7 @@
     }
 }
 
-/// What the platform tells a comparer: the file that `RELAY_CONFIG` names.
+/// What the platform tells a process: the file that `RELAY_CONFIG` names.
 pub(crate) struct PlatformConfig<'a> {
     pub(crate) name: &'a str,
     pub(crate) listen: SocketAddr,
@@ -52,7 +65,7 @@
 }
 
 impl PlatformConfig<'_> {
-    /// The file.
+    /// The text of the file.
     pub(crate) fn render(&self) -> String {
         let PlatformConfig { name, listen, addresses, seed, memory_mb, sockets, cores } = self;
         let ServiceAddresses { engine, store, members } = addresses;
@@ -65,16 +78,16 @@
     }
 }
 
-/// A start of the program.
+/// How the program is started.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions<'a> {
     /// The program.
     pub program: &'a Path,
     /// A folder for its files.
     pub folder: &'a Path,
-    /// What is below it.
+    /// The services below it.
     pub addresses: ServiceAddresses,
-    /// Cores of the engine, as it is told.
+    /// Cores of the engine, as the program is told.
     pub cores: f64,
     /// The edge file, if any.
     pub edge: Option<String>,
@@ -82,92 +95,91 @@
     pub cpu: Option<usize>,
 }
 
-/// The running program. It ends with this value.
+impl LaunchOptions<'_> {
+    /// Writes the files, and starts the program with its standard error piped.
+    fn spawn(&self) -> io::Result<Child> {
+        let platform = PlatformConfig {
+            name: "n1",
+            listen: ([127, 0, 0, 1], 0).into(),
+            addresses: self.addresses,
+            seed: 0x8c1f_30d2_7a5b_e964,
+            memory_mb: 192,
+            sockets: 1024,
+            cores: self.cores,
+        };
+        let mut command = Command::new(self.program);
+        command.env("RELAY_CONFIG", self.write("config.json", &platform.render())?).stderr(Stdio::piped());
+        if let Some(edge) = &self.edge {
+            command.arg("--edge").arg(self.write("edge.toml", edge)?);
+        }
+        let child = command.spawn()?;
+        if let Some(cpu) = self.cpu {
+            pin_to_cpu(&child, cpu)?;
+        }
+        Ok(child)
+    }
+
+    fn write(&self, name: &str, text: &str) -> io::Result<PathBuf> {
+        let path = self.folder.join(name);
+        std::fs::write(&path, text)?;
+        Ok(path)
+    }
+}
+
+/// The running program. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Where MessagePack-RPC is listened for.
+    /// Where it takes MessagePack-RPC.
     pub rpc: SocketAddr,
-    /// Where AJP is, if it is on.
+    /// Where it takes AJP, if it does.
     pub ajp: Option<SocketAddr>,
     log: Receiver<String>,
 }
 
-/// What it cost.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUsage {
-    /// Time on a core, s.
+    /// CPU time, user and system, s.
     pub cpu_s: f64,
-    /// Most memory, kB.
+    /// Peak memory, kB.
     pub memory_kb: u64,
 }
 
 impl Process {
     /// Starts it and waits until it listens.
-    pub fn start(start: &LaunchOptions<'_>) -> io::Result<Process> {
-        let LaunchOptions { program, folder, addresses, cores, edge, cpu } = start;
-        let platform = PlatformConfig {
-            name: "n1",
-            listen: ([127, 0, 0, 1], 0).into(),
-            addresses: *addresses,
-            seed: 0x8c1f_30d2_7a5b_e964,
-            memory_mb: 192,
-            sockets: 1024,
-            cores: *cores,
-        };
-        let render = |name: &str, text: &str| -> io::Result<PathBuf> {
-            let path = folder.join(name);
-            std::fs::write(&path, text)?;
-            Ok(path)
-        };
-        let mut command = Command::new(program);
-        command.env("RELAY_CONFIG", render("config.json", &platform.render())?).stderr(Stdio::piped());
-        if let Some(edge) = edge {
-            command.arg("--edge").arg(render("edge.toml", edge)?);
-        }
-        let mut child = command.spawn()?;
-        if let Some(cpu) = cpu {
-            pin_to_cpu(&child, *cpu)?;
-        }
-        let log = BufReader::new(child.stderr.take().ok_or_else(|| io::Error::other("no log"))?);
-        let (sender, lines) = channel();
-        std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let (mut rpc, mut ajp) = (None, None);
-        while rpc.is_none() {
-            let line = lines.recv_timeout(Duration::from_secs(10)).map_err(io::Error::other)?;
-            let address = line.rsplit('=').next().and_then(|word| word.parse().ok());
-            if line.contains("message=started") {
-                rpc = address;
-            } else if line.contains("message=ajp") {
-                ajp = address;
-            }
-        }
-        let rpc = rpc.ok_or_else(|| io::Error::other("it did not start"))?;
-        Ok(Process { child, rpc, ajp, log: lines })
+    ///
+    /// # Errors
+    /// If its files cannot be written, or it does not start and listen in time.
+    pub fn start(options: &LaunchOptions<'_>) -> io::Result<Process> {
+        let mut child = options.spawn()?;
+        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+        let log = read_log(stderr);
+        let (rpc, ajp) = await_listening(&log)?;
+        Ok(Process { child, rpc, ajp, log })
     }
 
-    /// What it has cost so far.
+    /// The resources that it has used so far.
     pub fn usage(&self) -> ResourceUsage {
-        let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
-        let stat = read("stat").unwrap_or_default();
-        // Behind the name, which may hold anything: state is the third field, user and system time are 14 and 15.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
-        let status = read("status").unwrap_or_default();
-        let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let memory_kb = most.and_then(|text| text.trim().strip_suffix(" kB")?.parse().ok()).unwrap_or(0);
-        ResourceUsage { cpu_s: (ticks(11) + ticks(12)) / 100.0, memory_kb }
+        let id = self.child.id();
+        let cpu_s = cpu_time_s(id).unwrap_or(0.0);
+        let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let memory_kb = peak.and_then(|text| text.trim().strip_suffix(" kB")?.parse().ok()).unwrap_or(0);
+        ResourceUsage { cpu_s, memory_kb }
     }
 
-    /// Asks it to leave and waits for its end; returns how long that took and the lines that it wrote meanwhile.
+    /// Sends it SIGTERM and waits for its end; returns how long that took and the lines that it logged since its start.
+    ///
+    /// # Errors
+    /// If it has ended already.
     pub fn shut_down(mut self) -> io::Result<(Duration, Vec<String>)> {
-        let since = Instant::now();
-        let id = i32::try_from(self.child.id()).map_err(io::Error::other)?;
-        if let Some(id) = rustix::process::Pid::from_raw(id) {
-            rustix::process::kill_process(id, rustix::process::Signal::TERM)?;
+        let start = Instant::now();
+        if let Some(id) = pid(&self.child)? {
+            kill_process(id, Signal::TERM)?;
         }
         self.child.wait()?;
-        Ok((since.elapsed(), self.log.try_iter().collect()))
+        Ok((start.elapsed(), self.log.try_iter().collect()))
     }
 }
 
@@ -178,18 +190,61 @@
     }
 }
 
+/// Reads a log on a thread of its own until it ends or nobody listens.
+fn read_log(stderr: ChildStderr) -> Receiver<String> {
+    let log = BufReader::new(stderr);
+    let (sender, lines) = channel();
+    std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
+    lines
+}
+
+/// Waits until the log says where the program takes MessagePack-RPC and, before that, AJP if it does.
+fn await_listening(log: &Receiver<String>) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
+    let mut ajp = None;
+    loop {
+        let line = log.recv_timeout(START_TIMEOUT).map_err(io::Error::other)?;
+        let address = line.rsplit('=').next().and_then(|word| word.parse().ok());
+        if line.contains("message=started") {
+            if let Some(rpc) = address {
+                return Ok((rpc, ajp));
+            }
+        } else if line.contains("message=ajp") {
+            ajp = address;
+        }
+    }
+}
+
+/// CPU time of a process, user and system, in steps of a kernel tick, s.
+///
+/// # Errors
+/// If there is no such process.
+pub(crate) fn cpu_time_s(id: u32) -> io::Result<f64> {
+    let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
+    // The name, which may hold anything, ends with the last bracket.
+    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+    Ok((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) / TICKS_PER_S)
+}
+
+fn pid(child: &Child) -> io::Result<Option<Pid>> {
+    let id = i32::try_from(child.id()).map_err(io::Error::other)?;
+    Ok(Pid::from_raw(id))
+}
+
 /// Keeps a process on one core.
 fn pin_to_cpu(child: &Child, cpu: usize) -> io::Result<()> {
-    let mut set = rustix::thread::CpuSet::new();
-    set.set(cpu);
-    let id = i32::try_from(child.id()).map_err(io::Error::other)?;
-    Ok(rustix::thread::sched_setaffinity(rustix::process::Pid::from_raw(id), &set)?)
+    let mut cpus = CpuSet::new();
+    cpus.set(cpu);
+    Ok(sched_setaffinity(pid(child)?, &cpus)?)
 }
 
-/// Keeps the calling process off one core.
+/// Keeps the calling thread, and those that it starts, off one core, unless there is no other.
+///
+/// # Errors
+/// If the system refuses it.
 pub fn avoid_cpu(cpu: usize) -> io::Result<()> {
-    let mut set = rustix::thread::CpuSet::new();
-    let all = std::thread::available_parallelism()?.get();
-    (0..all).filter(|n| *n != cpu || all == 1).for_each(|n| set.set(n));
-    Ok(rustix::thread::sched_setaffinity(None, &set)?)
+    let mut cpus = CpuSet::new();
+    let count = std::thread::available_parallelism()?.get();
+    (0..count).filter(|n| *n != cpu || count == 1).for_each(|n| cpus.set(n));
+    Ok(sched_setaffinity(None, &cpus)?)
 }
--- a/crates/pinepoint-lab/src/routers.rs
+++ b/crates/pinepoint-lab/src/routers.rs
@@ -21,7 +21,7 @@
 use service_level::ServiceLevels;
 
 use crate::load::RequestClass;
-use crate::machine::EngineControl;
+use crate::simulated_engine::EngineControl;
 
 /// Violations that are kept in words; more are counted only.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -15,8 +15,8 @@
 use super::service_level::{ServiceLevel, ServiceLevels};
 use super::{RouterStats, Workload};
 use crate::load::{Outcome, Request, draw_request, timeout};
-use crate::machine::EngineControl;
 use crate::rpc::unix_ms;
+use crate::simulated_engine::EngineControl;
 
 /// Attempts of one request at most.
 const MAX_ATTEMPTS: u32 = 3;
--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -6,8 +6,8 @@
 
 use pinepoint_lab::fault_proxy::{Direction, Endpoint, FaultProxy};
 use pinepoint_lab::load::RequestClass;
-use pinepoint_lab::machine::EngineControl;
 use pinepoint_lab::routers::{Routers, Workload};
+use pinepoint_lab::simulated_engine::EngineControl;
 use rmpv::Value;
 
 /// What does not come within this time does not come.
