--- a/crates/pinepoint-membership/benches/measure.rs
+++ b/crates/pinepoint-membership/benches/measure.rs
@@ -17,7 +17,7 @@
 use pinepoint_membership::wire::{Packet, PacketBody, SenderState};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sim::{Net, PERIOD, World, address};
+use sim::{Network, PERIOD, Simulation, address};
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum What {
@@ -53,7 +53,7 @@
     bench: bool,
 }
 
-fn rules(detector: FailureDetector) -> MembershipSettings {
+fn settings(detector: FailureDetector) -> MembershipSettings {
     MembershipSettings { detector, ..MembershipSettings::default() }
 }
 
@@ -93,14 +93,14 @@
 
 fn detect(size: usize, detector: FailureDetector, seeds: u64) {
     let found = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(detector), seed);
-        world.weigh = 0;
-        let (since, gone) = (world.now, (seed as usize * 7 + 5) % size);
-        world.kill(gone);
+        let mut simulation = Simulation::preloaded(size, 3, settings(detector), seed);
+        simulation.encode_every = 0;
+        let (since, gone) = (simulation.now, (seed as usize * 7 + 5) % size);
+        simulation.kill(gone);
         let mut times = Vec::new();
-        while times.len() < size - 1 && world.now - since < 60.0 * PERIOD {
-            world.run(1.0);
-            times = world.told_of(gone, Liveness::Lost, since);
+        while times.len() < size - 1 && simulation.now - since < 60.0 * PERIOD {
+            simulation.run(1.0);
+            times = simulation.notification_times(gone, Liveness::Lost, since);
         }
         (times.first().map(|ms| ms / PERIOD), (times.len() == size - 1).then(|| times[size - 2] / PERIOD))
     });
@@ -120,23 +120,26 @@
     {
         let (rounds, length) = (20, 3.0);
         let sums = over(seeds, |seed| {
-            let mut world = World::preloaded(size, 3, rules(detector), seed);
-            world.weigh = 0;
-            world.net.loss = loss;
+            let mut simulation = Simulation::preloaded(size, 3, settings(detector), seed);
+            simulation.encode_every = 0;
+            simulation.net.loss = loss;
             let (mut suspected, mut lost, mut first_hand) = (0, 0, 0);
             let mut now: Vec<usize> = Vec::new();
             for round in 0..rounds {
                 let before = std::mem::take(&mut now);
-                before.iter().for_each(|at| world.go_on(*at));
+                before.iter().for_each(|at| simulation.resume(*at));
                 now = (0..paused).map(|n| (round * paused + n) % size).collect();
-                now.iter().for_each(|at| world.stop(*at));
-                world.run(length);
+                now.iter().for_each(|at| simulation.pause(*at));
+                simulation.run(length);
                 // Of those that are paused, or were a moment ago, it is true.
-                let quiet = |name: &str| now.iter().chain(&before).any(|at| world.nodes[*at].name == name);
-                for (own, told) in
-                    world.nodes.iter().flat_map(|node| node.told.iter().map(|t| (&node.name, &t.1)))
+                let quiet =
+                    |name: &str| now.iter().chain(&before).any(|at| simulation.nodes[*at].name == name);
+                for (own, notification) in simulation
+                    .nodes
+                    .iter()
+                    .flat_map(|node| node.notifications.iter().map(|t| (&node.name, &t.1)))
                 {
-                    if let Notification::MemberChanged { record, .. } = told
+                    if let Notification::MemberChanged { record, .. } = notification
                         && !quiet(&record.identity.name)
                     {
                         suspected += usize::from(record.liveness == Liveness::Suspected);
@@ -145,7 +148,7 @@
                         first_hand += usize::from(record.liveness == Liveness::Lost && record.accuser == by);
                     }
                 }
-                world.clear();
+                simulation.clear_records();
             }
             (suspected, lost, first_hand)
         });
@@ -164,36 +167,36 @@
 
 fn heal(size: usize, seeds: u64) {
     let took = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
-        world.weigh = 0;
+        let mut simulation = Simulation::preloaded(size, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.encode_every = 0;
         for _ in 0..6 {
-            let (kind, some) = (world.below(9), 1 + world.below(size / 10 + 1));
-            let picked: Vec<usize> = (0..some).map(|_| world.below(size)).collect();
+            let (kind, some) = (simulation.random_index(9), 1 + simulation.random_index(size / 10 + 1));
+            let picked: Vec<usize> = (0..some).map(|_| simulation.random_index(size)).collect();
             match kind {
-                0 => picked.iter().for_each(|at| world.kill(*at)),
-                1 => picked.iter().for_each(|at| world.stop(*at)),
-                2 => world.net.parts = (0..size).map(|at| at % (2 + seed as usize % 2)).collect(),
-                3 => world.net.loss = 0.2,
-                4 => world.net.deaf = picked.iter().map(|at| (*at, 0.3)).collect(),
-                5 => world.net.cut.extend(picked.iter().map(|at| (*at, (at + 1) % size))),
-                6 => world.net = Net { delay: 5.0, ..Net::default() },
-                7 => (0..size).filter(|at| at % 3 == 1).for_each(|at| world.kill(at)),
+                0 => picked.iter().for_each(|at| simulation.kill(*at)),
+                1 => picked.iter().for_each(|at| simulation.pause(*at)),
+                2 => simulation.net.partitions = (0..size).map(|at| at % (2 + seed as usize % 2)).collect(),
+                3 => simulation.net.loss = 0.2,
+                4 => simulation.net.receive_loss = picked.iter().map(|at| (*at, 0.3)).collect(),
+                5 => simulation.net.cut_links.extend(picked.iter().map(|at| (*at, (at + 1) % size))),
+                6 => simulation.net = Network { max_delay_ms: 5.0, ..Network::default() },
+                7 => (0..size).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at)),
                 _ => picked.iter().for_each(|at| {
-                    world.kill(*at);
-                    world.start(*at);
+                    simulation.kill(*at);
+                    simulation.start(*at);
                 }),
             }
-            let periods = 1.0 + world.below(15) as f64;
-            world.run(periods);
+            let periods = 1.0 + simulation.random_index(15) as f64;
+            simulation.run(periods);
         }
-        world.net = Net { delay: 5.0, ..Net::default() };
-        let stopped: Vec<usize> = (0..size).filter(|at| world.nodes[*at].stopped).collect();
-        stopped.into_iter().for_each(|at| world.go_on(at));
-        let gone: Vec<usize> = (0..size).filter(|at| world.nodes[*at].membership.is_none()).collect();
-        gone.into_iter().filter(|at| at % 2 == 0).for_each(|at| world.start(at));
-        let took = world.await_truth(60.0);
+        simulation.net = Network { max_delay_ms: 5.0, ..Network::default() };
+        let stopped: Vec<usize> = (0..size).filter(|at| simulation.nodes[*at].is_paused).collect();
+        stopped.into_iter().for_each(|at| simulation.resume(at));
+        let gone: Vec<usize> = (0..size).filter(|at| simulation.nodes[*at].membership.is_none()).collect();
+        gone.into_iter().filter(|at| at % 2 == 0).for_each(|at| simulation.start(at));
+        let took = simulation.run_until_converged(60.0);
         if took.is_none() {
-            println!("seed {seed}: not in 60 periods: {}", world.untrue());
+            println!("seed {seed}: not in 60 periods: {}", simulation.wrong_beliefs());
         }
         took
     });
@@ -207,19 +210,19 @@
     let seeds = seeds.min(5);
     let mut rows = Vec::new();
     for seed in 0..seeds {
-        let mut world = World::preloaded(size, 3, rules(detector), seed);
-        world.weigh = 101;
+        let mut simulation = Simulation::preloaded(size, 3, settings(detector), seed);
+        simulation.encode_every = 101;
         // Past the first minutes, in which each member judges whether the whole fleet starts.
         if detector != FailureDetector::Heartbeat {
-            world.run(130.0);
-            world.clear();
+            simulation.run(130.0);
+            simulation.clear_records();
         }
         let began = Instant::now();
-        world.run(periods);
+        simulation.run(periods);
         let each = size as f64 * periods;
         rows.push((
-            world.datagrams as f64 / each,
-            world.bytes as f64 / each,
+            simulation.datagrams as f64 / each,
+            simulation.bytes as f64 / each,
             began.elapsed().as_secs_f64() * 1e6 / each,
         ));
     }
@@ -358,9 +361,9 @@
     }
 }
 
-fn zone_kinds(world: &World) -> Vec<(f64, VerdictKind, String)> {
-    let told = world.nodes.iter().flat_map(|node| &node.told);
-    let verdicts = told.filter_map(|(at, told)| match told {
+fn zone_kinds(simulation: &Simulation) -> Vec<(f64, VerdictKind, String)> {
+    let notification = simulation.nodes.iter().flat_map(|node| &node.notifications);
+    let verdicts = notification.filter_map(|(at, notification)| match notification {
         Notification::VerdictChanged(change) if change.holds => {
             Some((*at, change.verdict.kind, change.verdict.subject.clone()))
         }
@@ -369,41 +372,43 @@
     verdicts.filter(|(_, kind, _)| !matches!(kind, VerdictKind::FleetStart | VerdictKind::OneWay)).collect()
 }
 
-fn judge(size: usize, seeds: u64) {
+fn diagnose(size: usize, seeds: u64) {
     let quiet = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
-        world.weigh = 0;
+        let mut simulation = Simulation::preloaded(size, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.encode_every = 0;
         // A zone of which chance has left nobody that runs is rightly judged gone.
         let mut emptied: Vec<String> = Vec::new();
         for _ in 0..8 {
-            let at = world.below(size);
-            match world.below(5) {
-                0 => world.kill(at),
-                1 => world.leave(at),
-                2 => world.stop(at),
-                3 => world.net = Net { loss: 0.1, delay: 60.0, ..Net::default() },
+            let at = simulation.random_index(size);
+            match simulation.random_index(5) {
+                0 => simulation.kill(at),
+                1 => simulation.leave(at),
+                2 => simulation.pause(at),
+                3 => simulation.net = Network { loss: 0.1, max_delay_ms: 60.0, ..Network::default() },
                 _ => {
-                    world.kill(at);
-                    world.start(at);
+                    simulation.kill(at);
+                    simulation.start(at);
                 }
             }
             for zone in 0..3 {
-                let mut runs =
-                    world.nodes.iter().filter(|n| n.zone == zone && n.membership.is_some() && !n.stopped);
+                let mut runs = simulation
+                    .nodes
+                    .iter()
+                    .filter(|n| n.zone == zone && n.membership.is_some() && !n.is_paused);
                 emptied.extend(runs.next().is_none().then(|| format!("z{zone}")));
             }
-            world.run(4.0);
+            simulation.run(4.0);
         }
-        zone_kinds(&world).into_iter().filter(|(_, _, of)| !emptied.contains(of)).count()
+        zone_kinds(&simulation).into_iter().filter(|(_, _, of)| !emptied.contains(of)).count()
     });
     let wrong = quiet.iter().filter(|n| **n > 0).count();
     let found = over(seeds, |seed| {
-        let mut world = World::preloaded(size, 3, rules(FailureDetector::Lifeguard), seed);
-        world.weigh = 0;
-        let since = world.now;
-        (0..size).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
-        world.run(25.0);
-        let verdicts = zone_kinds(&world);
+        let mut simulation = Simulation::preloaded(size, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.encode_every = 0;
+        let since = simulation.now;
+        (0..size).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at));
+        simulation.run(25.0);
+        let verdicts = zone_kinds(&simulation);
         let right =
             verdicts.iter().filter(|(_, kind, of)| *kind == VerdictKind::ZoneUnreachable && of == "z1");
         let mut times: Vec<f64> = right.map(|(at, ..)| (at - since) / PERIOD).collect();
@@ -475,7 +480,7 @@
             What::Heal => heal(size, seeds),
             What::Cost => kinds(size).iter().for_each(|detector| cost(size, *detector, seeds)),
             What::Alone => {}
-            What::DiagnosisEngine => judge(size, seeds),
+            What::DiagnosisEngine => diagnose(size, seeds),
         }
     }
     eprintln!("{:.0} s", began.elapsed().as_secs_f64());
--- a/crates/pinepoint-membership/src/diagnosis.rs
+++ b/crates/pinepoint-membership/src/diagnosis.rs
@@ -139,8 +139,11 @@
             self.diagnose_links(now, local, table, changes);
         }
         self.diagnose_fleet_start(now, local, table, changes);
+        self.verdicts.refresh(now);
         // A process that was stopped has not looked: its verdicts stand.
-        self.verdicts.expire(now, !local.is_recovering, changes);
+        if !local.is_recovering {
+            self.verdicts.expire(now, changes);
+        }
     }
 
     /// Whether zones need to be looked at: while all members answer they need not, however large the fleet.
--- a/crates/pinepoint-membership/src/diagnosis/hold_down.rs
+++ b/crates/pinepoint-membership/src/diagnosis/hold_down.rs
@@ -138,17 +138,21 @@
         changes.push(VerdictChange { verdict: active.verdict, holds: false });
     }
 
-    /// Marks the verdicts whose evidence is over and, if `may_end`, ends those that were held long enough.
-    pub(super) fn expire(&mut self, now: f64, may_end: bool, changes: &mut Vec<VerdictChange>) {
-        let flap_memory_ms = self.flap_memory_ms;
-        self.ended.retain(|_, ended| now - ended.ended_ms < flap_memory_ms);
-        let mut over = Vec::new();
-        for (key, active) in &mut self.active {
+    /// Marks the verdicts that were not confirmed just now, and forgets those that ended long ago.
+    pub(super) fn refresh(&mut self, now: f64) {
+        for active in self.active.values_mut() {
             active.verdict.is_held_down = active.confirmed_ms < now;
-            if may_end && active.is_over(now, self.hold_down_ms, self.period_ms) {
-                over.push(key.clone());
-            }
         }
+        let flap_memory_ms = self.flap_memory_ms;
+        self.ended.retain(|_, ended| now - ended.ended_ms < flap_memory_ms);
+    }
+
+    /// Ends the verdicts whose evidence is over and that were held long enough.
+    pub(super) fn expire(&mut self, now: f64, changes: &mut Vec<VerdictChange>) {
+        let (hold_down_ms, period_ms) = (self.hold_down_ms, self.period_ms);
+        let is_over = |active: &ActiveVerdict| active.is_over(now, hold_down_ms, period_ms);
+        let over = self.active.iter().filter(|(_, active)| is_over(active));
+        let over: Vec<VerdictKey> = over.map(|(key, _)| key.clone()).collect();
         for (kind, subject) in over {
             self.withdraw(now, kind, &subject, changes);
         }
--- a/crates/pinepoint-membership/src/membership/anti_entropy.rs
+++ b/crates/pinepoint-membership/src/membership/anti_entropy.rs
@@ -7,7 +7,7 @@
 use super::{Action, Membership};
 use crate::member::MemberRecord;
 use crate::table::bucket_of;
-use crate::wire::{BUCKET_COUNT, FRAME_BYTES, MAX_DATAGRAM_BYTES, Packet, PacketBody};
+use crate::wire::{BUCKET_COUNT, FRAME_BYTES, MAX_DATAGRAM_BYTES, Packet, PacketBody, SenderState};
 
 /// Most datagrams in which one side sends its records.
 const MAX_SYNC_DATAGRAMS: usize = 4;
@@ -44,12 +44,13 @@
         now - self.last_agreement_ms < within_ms && !differs
     }
 
-    /// Notes whether the digest in a packet of this peer equals the local one.
-    pub(super) fn record_digest(&mut self, now: f64, peer: SocketAddr, agrees: bool, known_members: u32) {
-        if !agrees {
-            self.divergence = Some(Divergence { seen_ms: now, peer, known_members });
-            return;
-        }
+    /// Notes that the digest in a packet of this peer differs from the local one.
+    fn record_divergence(&mut self, now: f64, peer: SocketAddr, known_members: u32) {
+        self.divergence = Some(Divergence { seen_ms: now, peer, known_members });
+    }
+
+    /// Notes that the digest in a packet of this peer equals the local one.
+    fn record_agreement(&mut self, now: f64, peer: SocketAddr) {
         self.last_agreement_ms = now;
         if self.divergence.is_some_and(|divergence| divergence.peer == peer) {
             self.divergence = None;
@@ -96,6 +97,16 @@
 }
 
 impl Membership {
+    /// Compares the digest in a packet with the local one.
+    pub(super) fn compare_digest(&mut self, now: f64, sender: &SenderState) {
+        let peer = sender.record.identity.address;
+        if sender.digest == self.digest() {
+            self.anti_entropy.record_agreement(now, peer);
+        } else {
+            self.anti_entropy.record_divergence(now, peer, sender.known_members);
+        }
+    }
+
     /// Starts an exchange with a peer that was seen to differ: at once if it knows many more members, otherwise once this
     /// member's own updates have spread.
     pub(super) fn sync_with_divergent_peer(&mut self, now: f64, actions: &mut Vec<Action>) {
--- a/crates/pinepoint-membership/src/membership/reception.rs
+++ b/crates/pinepoint-membership/src/membership/reception.rs
@@ -50,8 +50,7 @@
         if !matches!(body, PacketBody::SyncPull { .. }) {
             self.send_refutations(now, peer.address, refutations, actions);
         }
-        let agrees = sender.digest == self.digest();
-        self.anti_entropy.record_digest(now, peer.address, agrees, sender.known_members);
+        self.compare_digest(now, &sender);
         self.handle_body(now, &peer, body, actions);
     }
 
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -6,7 +6,7 @@
 mod sim;
 
 use pinepoint_membership::membership::{InjectedFault, MembershipSettings};
-use sim::{One, World};
+use sim::{DatagramFault, Simulation};
 
 /// Moments at which it happens, in fifths of a period, and datagrams that may be touched.
 const MOMENTS: u64 = 5;
@@ -14,32 +14,39 @@
 const DATAGRAMS: u64 = 40;
 
 #[derive(Clone, Copy, Debug)]
-enum What {
-    Crashes,
-    Leaves,
+enum Disturbance {
+    Crash,
+    Leave,
     /// Till the others hold it lost.
-    Pauses,
+    Pause,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Course {
-    what: What,
+    disturbance: Disturbance,
     moment: u64,
     restart: Option<f64>,
-    one: Option<(u64, One)>,
+    datagram_fault: Option<(u64, DatagramFault)>,
     seed: u64,
 }
 
 fn courses() -> Vec<Course> {
     let mut all = Vec::new();
     for seed in 0..2 {
-        for what in [What::Crashes, What::Leaves, What::Pauses] {
+        for disturbance in [Disturbance::Crash, Disturbance::Leave, Disturbance::Pause] {
             for moment in 0..MOMENTS {
                 for restart in std::iter::once(None).chain(RESTARTS.map(Some)) {
-                    let touched =
-                        (1..=DATAGRAMS).flat_map(|n| [Some((n, One::Lost)), Some((n, One::Late(4.0)))]);
-                    let ones = std::iter::once(None).chain(touched);
-                    all.extend(ones.map(|one| Course { what, moment, restart, one, seed }));
+                    let touched = (1..=DATAGRAMS).flat_map(|n| {
+                        [Some((n, DatagramFault::Dropped)), Some((n, DatagramFault::Delayed(4.0)))]
+                    });
+                    let datagram_faults = std::iter::once(None).chain(touched);
+                    all.extend(datagram_faults.map(|datagram_fault| Course {
+                        disturbance,
+                        moment,
+                        restart,
+                        datagram_fault,
+                        seed,
+                    }));
                 }
             }
         }
@@ -48,34 +55,34 @@
 }
 
 /// Runs one; tells what is wrong for ever, if anything.
-fn run(rules: MembershipSettings, course: Course) -> Option<String> {
-    let mut world = World::settled(3, 2, rules, course.seed);
-    world.net.one = course.one;
-    world.run(course.moment as f64 / 5.0);
-    match course.what {
-        What::Crashes => world.kill(1),
-        What::Leaves => world.leave(1),
-        What::Pauses => {
-            world.stop(1);
-            world.run(9.0);
-            world.go_on(1);
+fn run(settings: MembershipSettings, course: Course) -> Option<String> {
+    let mut simulation = Simulation::settled(3, 2, settings, course.seed);
+    simulation.net.datagram_fault = course.datagram_fault;
+    simulation.run(course.moment as f64 / 5.0);
+    match course.disturbance {
+        Disturbance::Crash => simulation.kill(1),
+        Disturbance::Leave => simulation.leave(1),
+        Disturbance::Pause => {
+            simulation.pause(1);
+            simulation.run(9.0);
+            simulation.resume(1);
         }
     }
     if let Some(periods) = course.restart {
-        world.run(periods);
-        world.kill(1);
-        world.start(1);
+        simulation.run(periods);
+        simulation.kill(1);
+        simulation.start(1);
     }
-    world.await_truth(25.0).is_none().then(|| world.untrue())
+    simulation.run_until_converged(25.0).is_none().then(|| simulation.wrong_beliefs())
 }
 
 /// The first course that ends wrongly, and how many were run.
 fn search(fault: Option<InjectedFault>) -> (Option<(Course, String)>, usize) {
-    let rules = MembershipSettings { injected_fault: fault, ..MembershipSettings::default() };
+    let settings = MembershipSettings { injected_fault: fault, ..MembershipSettings::default() };
     let mut ran = 0;
     let wrong = courses().into_iter().find_map(|course| {
         ran += 1;
-        Some((course, run(rules, course)?))
+        Some((course, run(settings, course)?))
     });
     (wrong, ran)
 }
--- a/crates/pinepoint-membership/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -1,89 +1,82 @@
-//! A fleet in simulated time: members, a network that loses, delays, duplicates, cuts and parts, and faults. Everything
-//! follows from a seed.
+//! A fleet in simulated time: members, a network with faults, crashes and pauses. Everything follows from a seed.
+//!
+//! Each of the test binaries and the benchmark compiles this module for itself and uses a part of it.
 #![allow(dead_code)]
 
+mod network;
+
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
+pub use network::{DatagramFault, Network};
 use pinepoint_membership::member::{Identity, Liveness, Phase, member_key};
 use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings, Notification};
 use pinepoint_membership::wire::{Codec, Message, Packet};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// Protocol period, ms.
 pub const PERIOD: f64 = 1000.0;
 /// The clocks of all members stand far from zero.
 const EPOCH: f64 = 1_700_000_000_000.0;
 
+/// Datagrams that the socket of a paused process holds.
+const SOCKET_CAPACITY: usize = 200;
+/// Shortest delay of a datagram, ms.
+const MIN_DELAY_MS: f64 = 0.2;
+
+/// A member, whether it runs or not.
 pub struct Node {
+    /// None while it does not run.
     pub membership: Option<Membership>,
     pub name: String,
     pub zone: usize,
-    /// Stopped as by a signal: it gets nothing done, and what comes waits.
-    pub stopped: bool,
-    waiting: Vec<Packet>,
-    /// Of its clock, ms.
-    pub clock_off: f64,
-    pub told: Vec<(f64, Notification)>,
-    lives: u32,
-    ticking: u64,
-}
-
-/// What the network does.
-#[derive(Clone, Debug, Default)]
-pub struct Net {
-    /// Part of all datagrams that is lost.
-    pub loss: f64,
-    /// Members of different parts do not hear each other; nothing here for one whole.
-    pub parts: Vec<usize>,
-    /// Nothing goes from the first to the second.
-    pub cut: Vec<(usize, usize)>,
-    /// Part that is lost of what these members are sent.
-    pub deaf: BTreeMap<usize, f64>,
-    /// Part that comes twice.
-    pub twice: f64,
-    /// Most delay, ms.
-    pub delay: f64,
-    /// What becomes of the datagram of this number, counted from the last [`World::clear`].
-    pub one: Option<(u64, One)>,
+    /// Its process is stopped, as by a signal: it does nothing, and its socket holds what is received.
+    pub is_paused: bool,
+    undelivered: Vec<Packet>,
+    /// By how much its clock is ahead, ms.
+    pub clock_offset_ms: f64,
+    /// What it notified, and when.
+    pub notifications: Vec<(f64, Notification)>,
+    starts: u32,
+    /// Number of the timer that is valid: ticks of earlier ones are void.
+    timer: u64,
 }
 
-/// What becomes of one datagram.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum One {
-    /// It is lost.
-    Lost,
-    /// It comes so many periods later.
-    Late(f64),
-}
-
-enum Thing {
+/// What happens at a moment.
+enum SimulationEvent {
+    /// The timer of this number of a member is due.
     Tick(usize, u64),
-    Arrive(usize, Packet),
+    /// A packet arrives at a member.
+    Deliver(usize, Packet),
 }
 
-pub struct World {
+/// A fleet, its network and its time.
+pub struct Simulation {
+    /// Unix ms.
     pub now: f64,
     pub nodes: Vec<Node>,
-    pub net: Net,
-    pub rules: MembershipSettings,
+    pub net: Network,
+    pub settings: MembershipSettings,
     pub random: Pcg64Mcg,
     pub datagrams: u64,
     pub bytes: u64,
-    /// Encode every so-manieth message, to count bytes and hold the bound; 0 for none.
-    pub weigh: u64,
+    /// Every n-th message is encoded, to estimate bytes and to check that it fits into a datagram; 0 for none.
+    pub encode_every: u64,
     codec: Codec,
+    /// Times of events, us since the epoch, and their numbers.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    things: std::collections::HashMap<u64, Thing>,
+    events: HashMap<u64, SimulationEvent>,
     sequence: u64,
 }
 
+/// Address of the member of this index.
 pub fn address(at: usize) -> SocketAddr {
     ([10, (at >> 16) as u8, (at >> 8) as u8, at as u8], 7000).into()
 }
 
-fn index(address: SocketAddr) -> usize {
+fn index_of(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
             let [_, a, b, c] = ip.octets();
@@ -93,263 +86,267 @@
     }
 }
 
-impl World {
-    /// Members in so many zones, none of them started.
-    pub fn new(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
+impl Simulation {
+    /// Members `n0`, `n1` and so on in zones `z0`, `z1` and so on, none of them running.
+    pub fn new(members: usize, zones: usize, settings: MembershipSettings, seed: u64) -> Simulation {
         let node = |at: usize| Node {
             membership: None,
             name: format!("n{at}"),
             zone: at % zones.max(1),
-            stopped: false,
-            waiting: Vec::new(),
-            clock_off: 0.0,
-            told: Vec::new(),
-            lives: 0,
-            ticking: 0,
+            is_paused: false,
+            undelivered: Vec::new(),
+            clock_offset_ms: 0.0,
+            notifications: Vec::new(),
+            starts: 0,
+            timer: 0,
         };
-        World {
+        Simulation {
             now: EPOCH,
             nodes: (0..members).map(node).collect(),
-            net: Net { delay: 5.0, ..Net::default() },
-            rules,
+            net: Network { max_delay_ms: 5.0, ..Network::default() },
+            settings,
             random: Pcg64Mcg::seed_from_u64(seed),
             datagrams: 0,
             bytes: 0,
-            weigh: 50,
+            encode_every: 50,
             codec: Codec::new("sim"),
             queue: BinaryHeap::new(),
-            things: std::collections::HashMap::new(),
+            events: HashMap::new(),
             sequence: 0,
         }
     }
 
-    /// The same, all started at once and settled.
-    pub fn settled(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
-        let mut world = World::new(members, zones, rules, seed);
-        (0..members).for_each(|at| world.start(at));
-        let took = world.await_truth(60.0);
+    /// Members that have all been started at once and have settled.
+    pub fn settled(members: usize, zones: usize, settings: MembershipSettings, seed: u64) -> Simulation {
+        let mut simulation = Simulation::new(members, zones, settings, seed);
+        (0..members).for_each(|at| simulation.start(at));
+        let took = simulation.run_until_converged(60.0);
         assert!(
             took.is_some(),
             "seed {seed}: {members} members that start together do not settle: {}",
-            world.untrue()
+            simulation.wrong_beliefs()
         );
-        world.clear();
-        world
+        simulation.clear_records();
+        simulation
     }
 
-    /// The same for large fleets: all know each other from the start.
-    pub fn preloaded(members: usize, zones: usize, rules: MembershipSettings, seed: u64) -> World {
-        let mut world = World::new(members, zones, rules, seed);
-        (0..members).for_each(|at| world.start(at));
+    /// Members that know each other from the start: for large fleets.
+    pub fn preloaded(members: usize, zones: usize, settings: MembershipSettings, seed: u64) -> Simulation {
+        let mut simulation = Simulation::new(members, zones, settings, seed);
+        (0..members).for_each(|at| simulation.start(at));
         let records: Vec<_> =
-            world.running().map(|(_, membership)| membership.local_record().clone()).collect();
-        let now = world.now;
-        for node in &mut world.nodes {
+            simulation.running().map(|(_, membership)| membership.local_record().clone()).collect();
+        let now = simulation.now;
+        for node in &mut simulation.nodes {
             if let Some(membership) = &mut node.membership {
                 membership.preload(now, records.iter());
             }
         }
-        world.run(6.0);
-        world.clear();
-        world
+        simulation.run(6.0);
+        simulation.clear_records();
+        simulation
     }
 
-    pub fn clear(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.told.clear());
+    /// Forgets notifications, and counts datagrams from 0.
+    pub fn clear_records(&mut self) {
+        self.nodes.iter_mut().for_each(|node| node.notifications.clear());
         (self.datagrams, self.bytes) = (0, 0);
     }
 
-    pub fn below(&mut self, n: usize) -> usize {
+    pub fn random_index(&mut self, n: usize) -> usize {
         (self.random.next_u64() % n.max(1) as u64) as usize
     }
 
-    pub fn chance(&mut self, part: f64) -> bool {
-        part > 0.0 && (self.below(1 << 20) as f64) < part * f64::from(1 << 20)
+    pub fn random_event(&mut self, probability: f64) -> bool {
+        probability > 0.0 && (self.random_index(1 << 20) as f64) < probability * f64::from(1 << 20)
     }
 
-    fn push(&mut self, at: f64, thing: Thing) {
+    fn push(&mut self, at: f64, event: SimulationEvent) {
         self.sequence += 1;
         self.queue.push(Reverse((((at - EPOCH).max(0.0) * 1000.0) as u64, self.sequence)));
-        self.things.insert(self.sequence, thing);
+        self.events.insert(self.sequence, event);
     }
 
-    // ---- faults ----
-
+    /// Starts the process of a member.
     pub fn start(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.lives += 1;
-        node.ticking += 1;
-        (node.stopped, node.waiting) = (false, Vec::new());
+        node.starts += 1;
+        node.timer += 1;
+        (node.is_paused, node.undelivered) = (false, Vec::new());
         let identity = Identity {
             name: node.name.clone(),
             zone: format!("z{}", node.zone),
             address: address(at),
             cores: 4,
-            instance: (at as u32) << 8 | node.lives,
+            instance: (at as u32) << 8 | node.starts,
         };
-        let (lives, off, ticking) = (node.lives, node.clock_off, node.ticking);
-        let seed = self.random.next_u64() ^ u64::from(lives);
+        let (starts, clock_offset_ms, timer) = (node.starts, node.clock_offset_ms, node.timer);
+        let seed = self.random.next_u64() ^ u64::from(starts);
         let seeds = (0..3.min(self.nodes.len())).map(address).collect();
-        let mut membership = Membership::new(self.rules, self.now + off, identity, seeds, seed);
-        let mut out = Vec::new();
-        membership.handle(self.now + off, Event::PhaseChanged(Phase::Serving), &mut out);
-        let due = membership.next_due() - off;
+        let mut membership =
+            Membership::new(self.settings, self.now + clock_offset_ms, identity, seeds, seed);
+        let mut actions = Vec::new();
+        membership.handle(self.now + clock_offset_ms, Event::PhaseChanged(Phase::Serving), &mut actions);
+        let due = membership.next_due() - clock_offset_ms;
         self.nodes[at].membership = Some(membership);
-        self.push(due, Thing::Tick(at, ticking));
-        self.carry_out(at, out);
+        self.push(due, SimulationEvent::Tick(at, timer));
+        self.perform(at, actions);
     }
 
+    /// Ends the process of a member without a word.
     pub fn kill(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        (node.membership, node.stopped) = (None, false);
-        node.ticking += 1;
+        (node.membership, node.is_paused) = (None, false);
+        node.timer += 1;
     }
 
+    /// Shuts a member down gracefully.
     pub fn leave(&mut self, at: usize) {
-        self.tell(at, Event::PhaseChanged(Phase::Draining));
+        self.handle(at, Event::PhaseChanged(Phase::Draining));
         self.run(1.0);
-        self.tell(at, Event::PhaseChanged(Phase::Left));
+        self.handle(at, Event::PhaseChanged(Phase::Left));
         self.kill(at);
     }
 
-    pub fn stop(&mut self, at: usize) {
-        self.nodes[at].stopped = true;
+    /// Stops the process of a member until it is resumed.
+    pub fn pause(&mut self, at: usize) {
+        self.nodes[at].is_paused = true;
     }
 
-    pub fn go_on(&mut self, at: usize) {
-        self.nodes[at].stopped = false;
-        let ticking = self.nodes[at].ticking;
-        // The timer is long due, and what came lies in the socket.
-        self.push(self.now, Thing::Tick(at, ticking));
-        for packet in std::mem::take(&mut self.nodes[at].waiting) {
-            self.push(self.now, Thing::Arrive(at, packet));
+    pub fn resume(&mut self, at: usize) {
+        self.nodes[at].is_paused = false;
+        let timer = self.nodes[at].timer;
+        // The timer is long due, and the socket holds what was received.
+        self.push(self.now, SimulationEvent::Tick(at, timer));
+        for packet in std::mem::take(&mut self.nodes[at].undelivered) {
+            self.push(self.now, SimulationEvent::Deliver(at, packet));
         }
     }
 
-    pub fn tell(&mut self, at: usize, event: Event) {
-        let now = self.now + self.nodes[at].clock_off;
+    /// Lets a member handle an event.
+    pub fn handle(&mut self, at: usize, event: Event) {
+        let now = self.now + self.nodes[at].clock_offset_ms;
         let Some(membership) = &mut self.nodes[at].membership else { return };
-        let mut out = Vec::new();
-        membership.handle(now, event, &mut out);
-        self.carry_out(at, out);
+        let mut actions = Vec::new();
+        membership.handle(now, event, &mut actions);
+        self.perform(at, actions);
     }
 
-    /// Delivers this as if it came over the network.
-    pub fn forge(&mut self, to: usize, packet: Packet) {
-        self.push(self.now, Thing::Arrive(to, packet));
+    /// Delivers a packet as if it came over the network.
+    pub fn inject_packet(&mut self, to: usize, packet: Packet) {
+        self.push(self.now, SimulationEvent::Deliver(to, packet));
     }
 
-    // ---- running ----
-
-    fn carry_out(&mut self, from: usize, actions: Vec<Action>) {
+    fn perform(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Notify(told) => self.nodes[from].told.push((self.now, told)),
-                Action::Send(to, packet) => self.send(from, index(to), packet),
+                Action::Notify(notification) => self.nodes[from].notifications.push((self.now, notification)),
+                Action::Send(to, packet) => self.send(from, index_of(to), packet),
             }
         }
     }
 
     fn send(&mut self, from: usize, to: usize, packet: Packet) {
         self.datagrams += 1;
-        if self.weigh > 0 && self.datagrams.is_multiple_of(self.weigh) {
+        if self.encode_every > 0 && self.datagrams.is_multiple_of(self.encode_every) {
             let bytes = self.codec.encode(&Message::Peer(packet.clone())).expect("within one datagram");
-            self.bytes += bytes.len() as u64 * self.weigh;
+            self.bytes += bytes.len() as u64 * self.encode_every;
         }
-        if to >= self.nodes.len() || self.is_cut(from, to) {
+        if to >= self.nodes.len() || self.net.is_cut(from, to) {
             return;
         }
         let mut late = 0.0;
-        match self.net.one.filter(|(number, _)| *number == self.datagrams) {
-            Some((_, One::Lost)) => return,
-            Some((_, One::Late(periods))) => late = periods * PERIOD,
+        match self.net.datagram_fault.filter(|(number, _)| *number == self.datagrams) {
+            Some((_, DatagramFault::Dropped)) => return,
+            Some((_, DatagramFault::Delayed(periods))) => late = periods * PERIOD,
             None => {}
         }
-        let loss = self.net.deaf.get(&to).copied().unwrap_or(0.0).max(self.net.loss);
-        if self.chance(loss) {
+        let loss = self.net.loss_towards(to);
+        if self.random_event(loss) {
             return;
         }
-        let copies = if self.chance(self.net.twice) { 2 } else { 1 };
+        let copies = if self.random_event(self.net.duplication) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = late + 0.2 + self.net.delay * self.below(1000) as f64 / 1000.0;
-            self.push(self.now + delay, Thing::Arrive(to, packet.clone()));
+            let delay = late + MIN_DELAY_MS + self.net.max_delay_ms * self.random_index(1000) as f64 / 1000.0;
+            self.push(self.now + delay, SimulationEvent::Deliver(to, packet.clone()));
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        let part = |at: usize| self.net.parts.get(at).copied().unwrap_or(0);
-        part(from) != part(to) || self.net.cut.contains(&(from, to))
-    }
-
-    /// One event; tells whether there was one before this time.
-    fn next(&mut self, until: f64) -> bool {
-        let Some(Reverse((at, number))) = self.queue.peek().copied() else { return false };
-        let at = EPOCH + at as f64 / 1000.0;
-        if at > until {
+    /// Handles the next event, if there is one before this time; returns whether there was.
+    fn step(&mut self, until: f64) -> bool {
+        let Some(Reverse((time_us, number))) = self.queue.peek().copied() else { return false };
+        let time = EPOCH + time_us as f64 / 1000.0;
+        if time > until {
             return false;
         }
         self.queue.pop();
-        self.now = self.now.max(at);
-        let Some(thing) = self.things.remove(&number) else { return true };
-        match thing {
-            Thing::Tick(at, ticking) => {
-                let node = &self.nodes[at];
-                if node.stopped || node.ticking != ticking || node.membership.is_none() {
-                    return true;
-                }
-                self.tell(at, Event::Tick);
-                let off = self.nodes[at].clock_off;
-                let due = self.nodes[at].membership.as_ref().map(|membership| membership.next_due() - off);
-                // Only one timer for each: that of a stop that ended makes a second one of the same number.
-                self.nodes[at].ticking += 1;
-                let ticking = self.nodes[at].ticking;
-                if let Some(due) = due {
-                    self.push(due.max(self.now + 0.01), Thing::Tick(at, ticking));
-                }
-            }
-            Thing::Arrive(at, packet) if self.nodes[at].stopped => {
-                // A socket holds so much.
-                if self.nodes[at].waiting.len() < 200 {
-                    self.nodes[at].waiting.push(packet);
-                }
-            }
-            Thing::Arrive(at, packet) => self.tell(at, Event::PacketReceived(packet)),
+        self.now = self.now.max(time);
+        match self.events.remove(&number) {
+            Some(SimulationEvent::Tick(at, timer)) => self.tick(at, timer),
+            Some(SimulationEvent::Deliver(at, packet)) => self.deliver(at, packet),
+            None => {}
         }
         true
     }
 
+    fn tick(&mut self, at: usize, timer: u64) {
+        let node = &self.nodes[at];
+        if node.is_paused || node.timer != timer || node.membership.is_none() {
+            return;
+        }
+        self.handle(at, Event::Tick);
+        let node = &mut self.nodes[at];
+        // A process that was resumed has had two ticks of one timer: only one of them counts.
+        node.timer += 1;
+        let timer = node.timer;
+        if let Some(membership) = &node.membership {
+            let due = membership.next_due() - node.clock_offset_ms;
+            self.push(due.max(self.now + 0.01), SimulationEvent::Tick(at, timer));
+        }
+    }
+
+    fn deliver(&mut self, at: usize, packet: Packet) {
+        let node = &mut self.nodes[at];
+        if !node.is_paused {
+            self.handle(at, Event::PacketReceived(packet));
+        } else if node.undelivered.len() < SOCKET_CAPACITY {
+            node.undelivered.push(packet);
+        }
+    }
+
     /// Lets so many periods pass.
     pub fn run(&mut self, periods: f64) {
         let until = self.now + periods * PERIOD;
-        while self.next(until) {}
+        while self.step(until) {}
         self.now = until;
     }
 
-    /// Runs until all that run hold the same and it is true; tells how many periods that took, or nothing if it took longer.
-    pub fn await_truth(&mut self, most: f64) -> Option<f64> {
+    /// Runs until all views are equal and true; returns how many periods that took, or none if it took longer.
+    pub fn run_until_converged(&mut self, max_periods: f64) -> Option<f64> {
         let began = self.now;
-        while self.now - began <= most * PERIOD {
+        while self.now - began <= max_periods * PERIOD {
             self.run(0.5);
-            if self.is_true() {
+            if self.has_converged() {
                 return Some((self.now - began) / PERIOD);
             }
         }
         None
     }
 
+    /// The members that run, and their indexes.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.membership.as_ref()?)))
     }
 
-    /// Whether all that run hold the same, and it is true.
-    pub fn is_true(&self) -> bool {
+    /// Whether the views of all members that run are equal and true.
+    pub fn has_converged(&self) -> bool {
         let mut digests = self.running().map(|(_, membership)| membership.digest());
         let first = digests.next();
-        digests.all(|digest| Some(digest) == first) && self.untrue().is_empty()
+        digests.all(|digest| Some(digest) == first) && self.wrong_beliefs().is_empty()
     }
 
-    /// What is held wrongly somewhere, the first few.
-    pub fn untrue(&self) -> String {
+    /// The first few beliefs that are wrong, for messages of failures.
+    pub fn wrong_beliefs(&self) -> String {
         let mut wrong = Vec::new();
         for (at, membership) in self.running() {
             for (other, node) in self.nodes.iter().enumerate().filter(|(other, _)| *other != at) {
@@ -373,16 +370,16 @@
         wrong.join("; ")
     }
 
-    /// When members other than this one told that they hold it so, ms from this time on, sorted.
-    pub fn told_of(&self, of: usize, liveness: Liveness, since: f64) -> Vec<f64> {
+    /// When each other member first notified that this one has this liveness, ms after `since`, ascending.
+    pub fn notification_times(&self, of: usize, liveness: Liveness, since: f64) -> Vec<f64> {
         let name = &self.nodes[of].name;
         let mut times: Vec<f64> = Vec::new();
         for (at, node) in self.nodes.iter().enumerate() {
             if at == of {
                 continue;
             }
-            let first = node.told.iter().find(|(when, told)| {
-                let Notification::MemberChanged { record, .. } = told else { return false };
+            let first = node.notifications.iter().find(|(when, notification)| {
+                let Notification::MemberChanged { record, .. } = notification else { return false };
                 *when >= since && record.identity.name == *name && record.liveness == liveness
             });
             times.extend(first.map(|(when, _)| when - since));
@@ -391,14 +388,18 @@
         times
     }
 
-    /// How often a member that runs was held so by another.
-    pub fn wrongly(&self, liveness: Liveness) -> usize {
-        let of = |told: &Notification| match told {
+    /// How often a member notified that one that runs has this liveness.
+    pub fn false_beliefs(&self, liveness: Liveness) -> usize {
+        let is_false = |notification: &Notification| match notification {
             Notification::MemberChanged { record, .. } if record.liveness == liveness => {
                 self.nodes.iter().any(|node| node.membership.is_some() && node.name == record.identity.name)
             }
             _ => false,
         };
-        self.nodes.iter().flat_map(|node| &node.told).filter(|(_, told)| of(told)).count()
+        self.nodes
+            .iter()
+            .flat_map(|node| &node.notifications)
+            .filter(|(_, notification)| is_false(notification))
+            .count()
     }
 }
