--- a/crates/pinepoint-membership/tests/courses.rs
+++ b/crates/pinepoint-membership/tests/courses.rs
@@ -1,8 +1,9 @@
-//! Whatever happens, after the last fault all hold the same, and it is true. `FLEET_SEED` replays one course.
+//! Convergence: whatever happens, after the last fault all views are equal and true. `FLEET_SEED` replays one course.
 
 mod sim;
 
-use pinepoint_membership::membership::MembershipSettings;
+use pinepoint_membership::member::Liveness;
+use pinepoint_membership::membership::{MembershipSettings, Notification};
 use sim::{Network, Simulation};
 
 fn seeds(n: u64) -> Vec<u64> {
@@ -53,19 +54,13 @@
         simulation.resume(7);
         let took = simulation.run_until_converged(15.0);
         assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.wrong_beliefs());
-        // It suspects itself before it accuses others.
-        use pinepoint_membership::member::Liveness;
-        use pinepoint_membership::membership::Notification;
-        let accused = simulation.nodes[7].notifications.iter().filter(
-            |(_, notification)| matches!(notification, Notification::MemberChanged { record, .. } if record.liveness != Liveness::Alive),
-        );
+        // It distrusts itself before it accuses others.
+        let accused = simulation.notifications_of(7).filter(|notification| {
+            matches!(notification, Notification::MemberChanged { record, .. } if record.liveness != Liveness::Alive)
+        });
         assert_eq!(accused.count(), 0, "FLEET_SEED={seed}: it accused others");
-        assert!(
-            simulation.nodes[7]
-                .notifications
-                .iter()
-                .any(|(_, notification)| matches!(notification, Notification::Stalled { .. }))
-        );
+        let is_stall = |notification: &Notification| matches!(notification, Notification::Stalled { .. });
+        assert!(simulation.notifications_of(7).any(is_stall), "FLEET_SEED={seed}: it noticed no stall");
     }
 }
 
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -1,8 +1,8 @@
-//! What the view promises in numbers, in simulated time: who is held lost when, who is accused wrongly, what it costs, and
-//! what is judged.
+//! Guarantees in numbers, in simulated time: how soon a crash is detected, false positives, cost, and verdicts.
 
 mod sim;
 
+use pinepoint_events::ReasonCode;
 use pinepoint_membership::diagnosis::VerdictKind;
 use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
 use pinepoint_membership::membership::{FailureDetector, MembershipSettings, Notification};
@@ -16,12 +16,12 @@
 /// Verdicts that came to hold anywhere, each once.
 fn verdicts_made(simulation: &Simulation) -> Vec<(VerdictKind, String)> {
     let mut all: Vec<(VerdictKind, String)> = Vec::new();
-    for (_, notification) in simulation.nodes.iter().flat_map(|node| &node.notifications) {
+    for notification in simulation.notifications() {
         if let Notification::VerdictChanged(change) = notification
             && change.holds
         {
             let verdict = (change.verdict.kind, change.verdict.subject.clone());
-            // All worlds here start at once, and their members say so.
+            // All members of a simulation start at once, and say so.
             if !all.contains(&verdict) && verdict.0 != VerdictKind::FleetStart {
                 all.push(verdict);
             }
@@ -79,12 +79,7 @@
             matches!(notification, Notification::MemberChanged { record, .. }
             if record.liveness != Liveness::Alive && names.contains(&record.identity.name))
         };
-        lost += simulation
-            .nodes
-            .iter()
-            .flat_map(|node| &node.notifications)
-            .filter(|(_, notification)| wrong(notification))
-            .count();
+        lost += simulation.notifications().filter(|notification| wrong(notification)).count();
         simulation.clear_records();
     }
     lost
@@ -225,18 +220,18 @@
         }
         let of_zone = |notification: &Notification| matches!(notification, Notification::VerdictChanged(change) if change.verdict.subject == "z1");
         for at in (0..30).filter(|at| at % 3 != 1) {
-            let notification: Vec<f64> = simulation.nodes[at]
+            let changes: Vec<f64> = simulation.nodes[at]
                 .notifications
                 .iter()
                 .filter(|(_, t)| of_zone(t))
                 .map(|(when, _)| *when)
                 .collect();
-            assert!(!notification.is_empty(), "seed {seed}: n{at} judged nothing");
+            assert!(!changes.is_empty(), "seed {seed}: n{at} judged nothing");
             // Twice a round, were it not held.
             assert!(
-                notification.len() <= 12,
+                changes.len() <= 12,
                 "seed {seed}: n{at} changed its mind {} times in {rounds} rounds",
-                notification.len()
+                changes.len()
             );
         }
         // And it is over in the end.
@@ -373,12 +368,9 @@
     ];
     simulation.inject_packet(1, Packet { sender: sender(stranger), body: PacketBody::Gossip, updates });
     simulation.run(1.0);
-    let notification =
+    let is_rejection =
         |notification: &Notification| matches!(notification, Notification::RecordRejected { .. });
-    assert!(
-        simulation.nodes[1].notifications.iter().any(|(_, t)| notification(t)),
-        "nothing is told of the forged start"
-    );
+    assert!(simulation.notifications_of(1).any(is_rejection), "nothing is told of the forged start");
     // The stranger never answers and is lost in the end; those it spoke of are themselves again.
     let took = simulation.run_until_converged(40.0);
     assert!(took.is_some(), "{}", simulation.wrong_beliefs());
@@ -392,9 +384,6 @@
     simulation.run(40.0);
     assert!(simulation.running().all(|(_, membership)| membership.table().len() <= 11));
     assert!(simulation.running().any(|(_, membership)| membership.table().len() == 11));
-    let full = |notification: &Notification| matches!(notification, Notification::RecordRejected { reason: why, .. } if pinepoint_events::ReasonCode::code(*why) == "full");
-    assert!(
-        simulation.nodes.iter().flat_map(|node| &node.notifications).any(|(_, t)| full(t)),
-        "nothing is told of it"
-    );
+    let is_full = |notification: &Notification| matches!(notification, Notification::RecordRejected { reason, .. } if reason.code() == "full");
+    assert!(simulation.notifications().any(is_full), "nothing is told of it");
 }
--- a/crates/pinepoint-membership/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -370,6 +370,16 @@
         wrong.join("; ")
     }
 
+    /// Notifications of all members, in no order of time.
+    pub fn notifications(&self) -> impl Iterator<Item = &Notification> {
+        self.nodes.iter().flat_map(|node| &node.notifications).map(|(_, notification)| notification)
+    }
+
+    /// Notifications of one member, in order.
+    pub fn notifications_of(&self, at: usize) -> impl Iterator<Item = &Notification> {
+        self.nodes[at].notifications.iter().map(|(_, notification)| notification)
+    }
+
     /// When each other member first notified that this one has this liveness, ms after `since`, ascending.
     pub fn notification_times(&self, of: usize, liveness: Liveness, since: f64) -> Vec<f64> {
         let name = &self.nodes[of].name;
@@ -396,10 +406,6 @@
             }
             _ => false,
         };
-        self.nodes
-            .iter()
-            .flat_map(|node| &node.notifications)
-            .filter(|(_, notification)| is_false(notification))
-            .count()
+        self.notifications().filter(|notification| is_false(notification)).count()
     }
 }
