--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -77,11 +77,16 @@
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 
+mod messages;
+mod settings;
 pub mod snapshot;
-mod types;
 
+pub use messages::{Action, Event, FailureReason, Outcome, RejectReason, Request};
+pub use settings::{
+    Class, Gauge, Idempotency, LoadReportKind, MAX_SETTING, Preemption, Rules, Settings, SettingsError,
+    Tenant,
+};
 pub use snapshot::AdmissionSnapshot;
-pub use types::*;
 
 /// Setpoint CT of the busy-cores share, 1. The paper leaves it open. Two cores are all busy by chance for a
 /// second at a time: at 0.97 a fleet at two thirds of its load refused a sixth of it beside short holds.
@@ -392,7 +397,7 @@
         settings.check()?;
         let (old, tenants) = (&self.0.set, settings.tenants.len());
         if settings.classes.len() < old.classes.len() || tenants < old.tenants.len() {
-            return Err(SettingsError::Removed);
+            return Err(SettingsError::IndexRemoved);
         }
         self.0.take_settings(Settings { cold: old.cold, ..settings });
         Ok(())
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -577,8 +577,8 @@
     let refused = |set: Settings| AdmissionController::new(set, 1).expect_err("makes no sense");
     assert_eq!(refused(Settings { cores: 0.0, ..settings() }), SettingsError::NoCores);
     assert_eq!(refused(Settings { classes: vec![], ..settings() }), SettingsError::NoClasses);
-    assert_eq!(refused(Settings { key_kb: -1.0, ..settings() }), SettingsError::Figure("key_kb"));
-    assert_eq!(refused(Settings { cores: f64::NAN, ..settings() }), SettingsError::Figure("cores"));
+    assert_eq!(refused(Settings { key_kb: -1.0, ..settings() }), SettingsError::OutOfRange("key_kb"));
+    assert_eq!(refused(Settings { cores: f64::NAN, ..settings() }), SettingsError::OutOfRange("cores"));
     assert!(AdmissionController::new(Settings { memory_kb: f64::INFINITY, ..settings() }, 1).is_ok());
 }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -319,7 +319,7 @@
 #[test]
 fn the_module_refuses_settings_that_take_an_index_away() {
     let mut controller = AdmissionController::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
-    assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::Removed));
+    assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::IndexRemoved));
     let bad = Settings { cores: 0.0, ..settings(&[3000.0; 2]) };
     assert_eq!(controller.reconfigure(bad), Err(SettingsError::NoCores));
     assert_eq!(controller.reconfigure(settings(&[3000.0; 3])), Ok(()));
