--- /dev/null
+++ b/src/admission/arrivals.rs
@@ -0,0 +1,62 @@
+//! Takes arrivals: works out their deadline and latency objective and feeds the measurements of the traffic.
+
+use super::filters::{OBSERVATION_WEIGHT, indicator, moving_average};
+use super::request_table::OpenRequest;
+use super::{AdmissionController, Class, Request};
+
+/// Arrivals over which the share of retries is averaged: a few seconds of a small server.
+const RETRIES_OVER_ARRIVALS: f64 = 30.0;
+
+/// What arrivals have shown about the callers.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CallerBehaviour {
+    /// Share of arrivals that are retries, 0 to 1.
+    pub(super) retry_share: f64,
+    /// Mean time that callers wait for a first attempt, by class, ms.
+    first_attempt_wait_ms: Vec<f64>,
+}
+
+impl CallerBehaviour {
+    /// Adds a class of which nothing was seen yet.
+    pub(super) fn add_class(&mut self, class: &Class) {
+        self.first_attempt_wait_ms.push(class.timeout_ms);
+    }
+
+    /// Takes an arrival whose caller waits `wait_ms` for this attempt, and returns the age of the request
+    /// before this attempt, ms.
+    ///
+    /// A caller may give each attempt only a part of its deadline. A retry is as old as its caller waits less
+    /// than for first attempts; otherwise all retries would look hopeless beside idle cores.
+    fn record_arrival(&mut self, request: &Request, wait_ms: f64) -> f64 {
+        self.retry_share += (indicator(request.retry) - self.retry_share) / RETRIES_OVER_ARRIVALS;
+        let usual_ms = &mut self.first_attempt_wait_ms[request.class];
+        if request.retry {
+            return (*usual_ms - wait_ms).max(0.0);
+        }
+        *usual_ms = moving_average(*usual_ms, wait_ms, OBSERVATION_WEIGHT);
+        0.0
+    }
+}
+
+impl AdmissionController {
+    /// Takes a request that was read; it is decided at the end of the batch.
+    pub(super) fn take_arrival(&mut self, now_ms: f64, mut request: Request) {
+        request.class = request.class.min(self.settings.classes.len() - 1);
+        request.tenant = request.tenant.filter(|tenant| *tenant < self.settings.tenants.len());
+        let class = &self.settings.classes[request.class];
+        let read_delay_ms = request.queued_ms.max(0.0);
+        let arrived_ms = now_ms - read_delay_ms;
+        let deadline_ms = request.deadline_ms.unwrap_or(arrived_ms + class.timeout_ms);
+        let earlier_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
+        let own_work_ms = class.objective_per_work * request.work_hint_ms.unwrap_or(0.0);
+        let objective_ms =
+            (arrived_ms - earlier_ms + class.latency_objective_ms + own_work_ms).min(deadline_ms);
+        self.loops.record_arrival();
+        self.idle_policy.record_arrival();
+        self.read_delay.record_arrival(read_delay_ms);
+        let left_ms = deadline_ms - now_ms;
+        let can_end_in_time = self.expected_work_ms(&request) / self.core_time.share < left_ms;
+        self.health.record_arrival(read_delay_ms > left_ms && !can_end_in_time);
+        self.requests.insert(OpenRequest::new(request, arrived_ms, deadline_ms, objective_ms));
+    }
+}
--- /dev/null
+++ b/src/admission/calls.rs
@@ -0,0 +1,136 @@
+//! Starts the calls that runs wait for, and takes what becomes of them.
+
+use super::call_budget::CallRepeat;
+use super::dispatch::MIN_RUN_MS;
+use super::request_table::{OpenRequest, RequestState};
+use super::{Action, AdmissionController, FailureReason, Idempotency, Outcome};
+
+/// A run that waits for a call.
+struct WaitingRun {
+    id: u32,
+    /// What its score gains if the call is made.
+    gain: f64,
+    objective_ms: f64,
+    weight_without_call: f64,
+}
+
+impl AdmissionController {
+    /// A run needs a call before it can go on.
+    pub(super) fn await_call(&mut self, now_ms: f64, id: u32) {
+        self.stall.record_progress(now_ms);
+        let core_time_ms = self.core_time.at(now_ms);
+        if let Some(open) = self.requests.open.get_mut(&id) {
+            open.state = RequestState::AwaitingCall;
+            open.core_time_at_call_ms = core_time_ms;
+            open.work_at_call_ms = (core_time_ms - open.core_time_at_start_ms).max(MIN_RUN_MS);
+        }
+    }
+
+    /// Starts calls as far as the budget allows.
+    pub(super) fn start_calls(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let in_call = self.requests.in_state(RequestState::InCall);
+        let started_ms: Vec<f64> = in_call.map(|open| open.call_started_ms).collect();
+        self.calls.update(now_ms, &self.settings, &started_ms);
+        let waiting = self.runs_awaiting_calls(now_ms);
+        // A call that can be left out leaves call time to the runs that cannot go on without.
+        let reserved_calls = self.expected_calls(0.0);
+        for run in waiting {
+            let reserved = if run.weight_without_call > 0.0 { reserved_calls } else { 0.0 };
+            if run.gain > 0.0 && self.calls.allows_call(now_ms, &self.settings, reserved) {
+                self.start_call(now_ms, run.id, actions);
+            } else {
+                self.do_without_call(now_ms, &run, actions);
+            }
+        }
+    }
+
+    /// Runs that wait for a call, the highest gain first, then the earliest objective: a run that was let in
+    /// for a call and is then overtaken by others is wasted work.
+    fn runs_awaiting_calls(&self, now_ms: f64) -> Vec<WaitingRun> {
+        let end_of_call_ms = now_ms + self.calls.duration_ms;
+        let awaiting = self.requests.in_state(RequestState::AwaitingCall).filter(|open| open.answer_owed);
+        let waiting = awaiting.map(|open| {
+            let weight_without_call = self.class_of(open).weight_without_call;
+            WaitingRun {
+                id: open.request.id,
+                gain: self.score(open, end_of_call_ms) * (1.0 - weight_without_call),
+                objective_ms: open.objective_ms,
+                weight_without_call,
+            }
+        });
+        let mut waiting: Vec<WaitingRun> = waiting.collect();
+        waiting.sort_by(|a, b| {
+            let by_gain = b.gain.total_cmp(&a.gain);
+            by_gain.then(a.objective_ms.total_cmp(&b.objective_ms)).then(a.id.cmp(&b.id))
+        });
+        waiting
+    }
+
+    fn start_call(&mut self, now_ms: f64, id: u32, actions: &mut Vec<Action>) {
+        self.calls.record_start();
+        let open = self.requests.open.get_mut(&id).expect("listed among the waiting runs");
+        open.state = RequestState::InCall;
+        open.calls += 1.0;
+        open.call_started_ms = now_ms;
+        let read_only = self.settings.classes[open.request.class].idempotency == Idempotency::ReadOnly;
+        let repeat = if read_only { CallRepeat::Allowed } else { CallRepeat::Forbidden };
+        let left_ms = open.deadline_ms - now_ms;
+        let call_timeout_ms = self.calls.timeout_ms(repeat).min(left_ms).max(1.0);
+        actions.push(Action::StartCall { id, call_timeout_ms });
+    }
+
+    /// A run whose call is not made now goes on without it, as late as it can and still be in time, where that
+    /// is worth something. One that cannot be answered at all fails: its call would only add load to a slow
+    /// dependency.
+    fn do_without_call(&mut self, now_ms: f64, run: &WaitingRun, actions: &mut Vec<Action>) {
+        let open = &self.requests.open[&run.id];
+        let can_skip = self.class_of(open).weight_without_call > 0.0 && self.score(open, now_ms) > 0.0;
+        let next_chance_ms = now_ms + self.calls.duration_ms.max(2.0 * self.sample_period_ms());
+        if can_skip && (run.gain <= 0.0 || self.score(open, next_chance_ms) <= 0.0) {
+            self.skip_call(now_ms, run.id, actions);
+        } else if run.gain <= 0.0 {
+            self.fail(run.id, FailureReason::CallUnavailable, actions);
+        }
+    }
+
+    fn skip_call(&mut self, now_ms: f64, id: u32, actions: &mut Vec<Action>) {
+        let core_time_ms = self.core_time.at(now_ms);
+        let open = self.requests.open.get_mut(&id).expect("listed among the waiting runs");
+        open.calls += 1.0;
+        open.resume(core_time_ms);
+        actions.push(Action::SkipCall { id });
+    }
+
+    /// A call ended after `took_ms`.
+    pub(super) fn end_call(
+        &mut self,
+        now_ms: f64,
+        id: u32,
+        outcome: Outcome,
+        took_ms: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        self.calls.record_end(now_ms, outcome, took_ms, self.settings.call_linger_ms);
+        let core_time_ms = self.core_time.at(now_ms);
+        let Some(open) = self.requests.open.get_mut(&id) else { return };
+        if outcome == Outcome::Done {
+            open.resume(core_time_ms);
+            return;
+        }
+        open.state = RequestState::AwaitingCall;
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
+        let read_only = self.settings.classes[open.request.class].idempotency == Idempotency::ReadOnly;
+        if !never_ran && !read_only {
+            // The call may have taken effect: a second call could do it twice.
+            self.fail(id, FailureReason::CallOutcomeUnknown, actions);
+        }
+    }
+}
+
+impl OpenRequest {
+    /// Goes on after its call; the time of the call does not count as core time.
+    fn resume(&mut self, core_time_ms: f64) {
+        self.state = RequestState::Running;
+        self.core_time_at_start_ms += core_time_ms - self.core_time_at_call_ms;
+    }
+}
--- /dev/null
+++ b/src/admission/request_table.rs
@@ -0,0 +1,148 @@
+//! The table of open requests, the arrivals that are not decided yet, and the retained keys.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use super::Request;
+
+/// Where an open request stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestState {
+    /// Read and not started.
+    Queued,
+    /// On the cores or waiting for the disk.
+    Running,
+    /// Stopped before a call.
+    AwaitingCall,
+    /// In a call.
+    InCall,
+    /// Waits for the result of the request that it duplicates.
+    AwaitingResult,
+}
+
+/// One open request.
+#[derive(Clone, Debug)]
+pub(super) struct OpenRequest {
+    pub(super) request: Request,
+    pub(super) state: RequestState,
+    /// Queued read of the same subject whose run it will share.
+    pub(super) follows: Option<u32>,
+    /// A final answer is still owed.
+    pub(super) answer_owed: bool,
+    /// When it reached the machine, ms.
+    pub(super) arrived_ms: f64,
+    /// When its caller stops waiting, ms.
+    pub(super) deadline_ms: f64,
+    /// Until when an answer earns the full weight, ms.
+    pub(super) objective_ms: f64,
+    /// Reading of the core time at its start, ms; waits for calls move it forward.
+    pub(super) core_time_at_start_ms: f64,
+    /// Reading of the core time when it last stopped before a call, ms.
+    pub(super) core_time_at_call_ms: f64,
+    /// Core time it had received when it last stopped before a call, ms; 0 before the first call.
+    pub(super) work_at_call_ms: f64,
+    /// When its last call was started, ms.
+    pub(super) call_started_ms: f64,
+    /// Calls that it made or went on without.
+    pub(super) calls: f64,
+}
+
+impl OpenRequest {
+    /// A request that was just read.
+    pub(super) fn new(request: Request, arrived_ms: f64, deadline_ms: f64, objective_ms: f64) -> Self {
+        OpenRequest {
+            request,
+            state: RequestState::Queued,
+            follows: None,
+            answer_owed: true,
+            arrived_ms,
+            deadline_ms,
+            objective_ms,
+            core_time_at_start_ms: 0.0,
+            core_time_at_call_ms: 0.0,
+            work_at_call_ms: 0.0,
+            call_started_ms: 0.0,
+            calls: 0.0,
+        }
+    }
+
+    /// Whether nothing of it was ever started.
+    pub(super) fn is_waiting(&self) -> bool {
+        matches!(self.state, RequestState::Queued | RequestState::AwaitingResult)
+    }
+}
+
+/// The open requests by id, the undecided arrivals in their order, and the retained keys.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RequestTable {
+    pub(super) open: BTreeMap<u32, OpenRequest>,
+    undecided: VecDeque<u32>,
+    /// Until when the key of each request is retained, ms.
+    keys: BTreeMap<u32, f64>,
+}
+
+impl RequestTable {
+    /// Adds an arrival, to be decided at the end of the batch.
+    pub(super) fn insert(&mut self, open: OpenRequest) {
+        let id = open.request.id;
+        self.undecided.push_back(id);
+        self.open.insert(id, open);
+    }
+
+    /// Takes the next arrival that is to be decided.
+    pub(super) fn next_undecided(&mut self) -> Option<u32> {
+        self.undecided.pop_front()
+    }
+
+    /// State of an open request.
+    pub(super) fn state(&self, id: u32) -> Option<RequestState> {
+        self.open.get(&id).map(|open| open.state)
+    }
+
+    pub(super) fn set_state(&mut self, id: u32, state: RequestState) {
+        if let Some(open) = self.open.get_mut(&id) {
+            open.state = state;
+        }
+    }
+
+    /// Open requests in this state, by id.
+    pub(super) fn in_state(&self, state: RequestState) -> impl Iterator<Item = &OpenRequest> {
+        self.open.values().filter(move |open| open.state == state)
+    }
+
+    /// Number of open requests in this state.
+    pub(super) fn count(&self, state: RequestState) -> f64 {
+        self.in_state(state).count() as f64
+    }
+
+    /// Whether a request is an undecided duplicate of one that ran or may have run. Until it is decided,
+    /// nothing else may tell its caller that it never ran.
+    pub(super) fn may_repeat_a_run(&self, open: &OpenRequest) -> bool {
+        let may_have_run = |first: u32| self.state(first) != Some(RequestState::Queued);
+        self.undecided.contains(&open.request.id) && open.request.duplicate_of.is_some_and(may_have_run)
+    }
+
+    /// Retains the key of a request until `until_ms`.
+    pub(super) fn retain_key(&mut self, id: u32, until_ms: f64) {
+        self.keys.insert(id, until_ms);
+    }
+
+    /// Whether the key of a request is retained.
+    pub(super) fn has_key(&self, id: u32) -> bool {
+        self.keys.contains_key(&id)
+    }
+
+    /// Drops the key of a request; returns whether it was retained.
+    pub(super) fn release_key(&mut self, id: u32) -> bool {
+        self.keys.remove(&id).is_some()
+    }
+
+    /// Drops the keys that have expired.
+    pub(super) fn expire_keys(&mut self, now_ms: f64) {
+        self.keys.retain(|_, until_ms| *until_ms > now_ms);
+    }
+
+    /// Number of retained keys.
+    pub(super) fn retained_keys(&self) -> usize {
+        self.keys.len()
+    }
+}
--- a/src/admission/snapshot.rs
+++ b/src/admission/snapshot.rs
@@ -1,41 +1,42 @@
-//! A read-only view of the decision module, for those that watch it. It owns no state and decides nothing: were
-//! it removed, no action would change.
+//! A read-only snapshot of the controller for telemetry. It owns no state and decides nothing: if it were
+//! removed, no action would change.
 
-use super::{AdmissionController, Module, RequestState};
+use super::AdmissionController;
+use super::request_table::RequestState;
 
-/// What a [`AdmissionController`] knows and wants at one instant.
+/// What an [`AdmissionController`] knows and wants at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSnapshot {
-    /// Share of arrivals that loop 1 refuses at read, 0 to 1.
-    pub refusal_share: f64,
-    /// Rate of starts that loop 2 allows, 1/s.
+    /// Share of arrivals that loop 1 rejects (alpha), 0 to 1.
+    pub reject_share: f64,
+    /// Rate of starts that loop 2 allows (u), 1/s.
     pub start_rate_per_s: f64,
-    /// Filtered share of busy cores, 0 to 1: what loop 1 steers.
+    /// Filtered share of busy cores, 0 to 1: what loop 1 controls.
     pub busy_share: f64,
     /// Filtered rate of arrivals, 1/s.
     pub arrivals_per_s: f64,
-    /// Requests held: what loop 2 steers.
-    pub held: f64,
-    /// Time in which all that is held could run, ms.
-    pub hold_ms: f64,
-    /// Filtered wait of requests before they were read, ms.
-    pub unread_ms: f64,
-    /// How much longer work takes than usual, 1.
-    pub stretch: f64,
-    /// Expected time of a call, ms.
-    pub call_ms: f64,
-    /// Calls that count against the share, abandoned ones included.
-    pub calls_in_hand: f64,
-    /// Memory booked for requests and keys, kB.
-    pub booked_kb: f64,
-    /// Health checks are answered well.
+    /// Queued requests: what loop 2 controls.
+    pub queued: f64,
+    /// Time in which all that is queued could run, ms.
+    pub queue_drain_ms: f64,
+    /// Filtered delay of requests before they were read, ms.
+    pub read_delay_ms: f64,
+    /// How much longer work takes than usual; 1 is the usual speed.
+    pub slowdown: f64,
+    /// Expected duration of a call, ms.
+    pub call_duration_ms: f64,
+    /// Calls that count against the quota, abandoned ones included.
+    pub calls_in_flight: f64,
+    /// Memory reserved for requests and keys, kB.
+    pub reserved_kb: f64,
+    /// Health checks are answered as healthy.
     pub healthy: bool,
-    /// No run gets anywhere.
-    pub hung: bool,
+    /// No run makes progress.
+    pub stalled: bool,
 }
 
 impl AdmissionSnapshot {
-    /// The names of [`AdmissionSnapshot::figures`].
+    /// The names of [`AdmissionSnapshot::figures`]. They are metric names and must not change.
     pub const NAMES: [&'static str; 13] = [
         "refusal_share",
         "start_rate_per_s",
@@ -52,50 +53,44 @@
         "hung",
     ];
 
-    /// Each figure under its name, always in the same order.
+    /// Each value under its metric name, always in the same order; booleans are 0 or 1.
     pub fn figures(self) -> impl Iterator<Item = (&'static str, f64)> {
-        let figures = [
-            self.refusal_share,
+        let values = [
+            self.reject_share,
             self.start_rate_per_s,
             self.busy_share,
             self.arrivals_per_s,
-            self.held,
-            self.hold_ms,
-            self.unread_ms,
-            self.stretch,
-            self.call_ms,
-            self.calls_in_hand,
-            self.booked_kb,
+            self.queued,
+            self.queue_drain_ms,
+            self.read_delay_ms,
+            self.slowdown,
+            self.call_duration_ms,
+            self.calls_in_flight,
+            self.reserved_kb,
             f64::from(u8::from(self.healthy)),
-            f64::from(u8::from(self.hung)),
+            f64::from(u8::from(self.stalled)),
         ];
-        Self::NAMES.into_iter().zip(figures)
+        Self::NAMES.into_iter().zip(values)
     }
 }
 
 impl AdmissionController {
-    /// The state at the last event.
-    pub fn view(&self) -> AdmissionSnapshot {
-        self.0.view()
-    }
-}
-
-impl Module {
-    fn view(&self) -> AdmissionSnapshot {
+    /// The state after the last event.
+    pub fn snapshot(&self) -> AdmissionSnapshot {
         AdmissionSnapshot {
-            refusal_share: self.alpha,
-            start_rate_per_s: self.start_rate,
-            busy_share: self.busy,
-            arrivals_per_s: self.rate_per_s,
-            held: self.count(RequestState::Queued),
-            hold_ms: self.hold_ms(),
-            unread_ms: self.intake_ms,
-            stretch: self.stretch,
-            call_ms: self.call_ms,
-            calls_in_hand: self.calls_in_hand,
-            booked_kb: self.memory_kb(),
-            healthy: self.healthy,
-            hung: self.hung,
+            reject_share: self.loops.reject_share,
+            start_rate_per_s: self.loops.start_rate_per_s,
+            busy_share: self.loops.busy_share,
+            arrivals_per_s: self.loops.arrivals_per_s,
+            queued: self.requests.count(RequestState::Queued),
+            queue_drain_ms: self.queue_drain_ms(),
+            read_delay_ms: self.read_delay.mean_ms,
+            slowdown: self.work.slowdown,
+            call_duration_ms: self.calls.duration_ms,
+            calls_in_flight: self.calls.in_flight,
+            reserved_kb: self.reserved_memory_kb(),
+            healthy: self.health.healthy,
+            stalled: self.stall.stalled,
         }
     }
 }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -242,7 +242,7 @@
         let (keys, results) = self.keys.size();
         (state.keys, state.results_bytes) = (keys as u64, results as u64);
         state.connections = self.callers.len() as u64;
-        state.module = self.controller.iter().flat_map(|module| module.view().figures()).collect();
+        state.module = self.controller.iter().flat_map(|module| module.snapshot().figures()).collect();
         state
     }
 
