--- a/src/bin/pinepoint/edge_config.rs
+++ b/src/bin/pinepoint/edge_config.rs
@@ -48,7 +48,7 @@
     type Error = String;
 
     fn try_from(kb: f64) -> Result<Self, String> {
-        let most = pinepoint::server::frontend::rpc::MEM_BELOW_KB;
+        let most = pinepoint::server::frontend::rpc::REQUEST_MEMORY_LIMIT_KB;
         if kb > 0.0 && kb < most {
             Ok(MemKb(kb))
         } else {
--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -253,6 +253,6 @@
 
     fn set_peer_connections(&self, connections: usize) {
         let own = if self.predecessor.borrow().is_some() { OTHER_DESCRIPTORS } else { 0 };
-        self.host.limiter.set_others(connections + own);
+        self.host.limiter.set_peer_connections(connections + own);
     }
 }
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -72,7 +72,7 @@
         }
         let _ = self.queue.send(CoreInput::Reconfigure(settings)).await;
         self.active_settings.replace(config.site.clone());
-        self.limiter.set_memory(memory_mb);
+        self.limiter.set_memory_limit(memory_mb);
         self.peers.set(engine, store, members);
         let classes = config.site.class_names.len();
         tracing::info!(%engine, %store, %members, classes, "reloaded");
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -15,7 +15,7 @@
 use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
 use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
 use crate::server::frontend::context::FrontendContext;
-use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, MEM_BELOW_KB};
+use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, REQUEST_MEMORY_LIMIT_KB};
 use crate::server::observability::counters::count;
 use crate::server::sync::Notify;
 
@@ -285,7 +285,7 @@
         let est_below = site.settings.classes[class].timeout_ms * EST_MOST;
         // As strict as the other front: what is out of range is not clamped, it is nobody's figure.
         let out_of = |value: Option<f64>, below: f64| value.is_some_and(|v| v <= 0.0 || v >= below);
-        if out_of(est_ms, est_below) || out_of(mem_kb, MEM_BELOW_KB) {
+        if out_of(est_ms, est_below) || out_of(mem_kb, REQUEST_MEMORY_LIMIT_KB) {
             return Err(Status(400));
         }
         Ok(Head {
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -46,7 +46,7 @@
     }
 
     /// The process may take so much memory from now on.
-    pub fn set_memory(&self, memory_mb: f64) {
+    pub fn set_memory_limit(&self, memory_mb: f64) {
         self.queued_most.set(queued_most(memory_mb));
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// The other process of this server holds so many connections.
-    pub fn set_others(&self, others: usize) {
+    pub fn set_peer_connections(&self, others: usize) {
         self.others.set(others);
         self.freed.wake();
     }
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -24,7 +24,7 @@
 /// Nesting of a message: itself, its parameters, its fields, their names.
 const DEPTH_MOST: u32 = 4;
 /// Memory that no request may book while it is held, kB.
-pub const MEM_BELOW_KB: f64 = 2000.0;
+pub const REQUEST_MEMORY_LIMIT_KB: f64 = 2000.0;
 /// Largest hint of work that is believed, as a multiple of the time its caller waits.
 pub const EST_MOST: f64 = 100.0;
 /// Requests that may be open on one connection.
@@ -335,7 +335,7 @@
         return Err("BadField");
     }
     let est_ms = within("est", f64::MIN_POSITIVE, settings.timeout_ms * EST_MOST)?;
-    let mem_kb = within("mem", f64::MIN_POSITIVE, MEM_BELOW_KB)?.unwrap_or(0.0);
+    let mem_kb = within("mem", f64::MIN_POSITIVE, REQUEST_MEMORY_LIMIT_KB)?.unwrap_or(0.0);
     within("prio", 0.0, 1.0)?;
     within("peer", 0.0, f64::INFINITY)?;
     Ok(Fields {
