--- a/crates/pinepoint-events/src/reasons.rs
+++ b/crates/pinepoint-events/src/reasons.rs
@@ -7,25 +7,25 @@
     /// Why an attempt was rejected. A rejected attempt never ran.
     RejectReason {
         /// It arrived after the grace period of a drain.
-        Leaving = "leaving",
+        Draining = "leaving",
         /// The memory for queued and running requests and idempotency keys is used up.
-        NoRoom = "no-room",
+        MemoryFull = "no-room",
         /// The engine makes no progress on any run.
-        Hung = "hung",
+        Stalled = "hung",
         /// The downstream call it needs cannot be made before its deadline.
-        NoCall = "no-call",
+        CallUnavailable = "no-call",
         /// It would not complete before its deadline.
         TooLate = "too-late",
         /// Load shedding by control loop 1: its priority weight is among the lowest of the current arrivals.
-        Surplus = "surplus",
+        LoadShed = "surplus",
         /// It was queued until no time was left before its deadline.
-        GivenUp = "given-up",
+        QueueTimeout = "given-up",
         /// It was queued, and a request of higher priority weight took its place.
         Displaced = "displaced",
         /// The engine is not up yet.
-        NotUp = "not-up",
-        /// Its request ID is already in use.
-        NameInUse = "name-in-use",
+        NotReady = "not-up",
+        /// Its attempt ID is already in use.
+        AttemptIdInUse = "name-in-use",
     }
 }
 
@@ -33,41 +33,41 @@
     /// Why an attempt failed. A failed attempt may have run.
     FailureReason {
         /// Its deadline passed.
-        Late = "late",
+        DeadlineExceeded = "late",
         /// The process was about to be stopped.
-        Stop = "stop",
+        Shutdown = "stop",
         /// The decision module had not answered by the deadline, so the core answered instead.
         Overdue = "overdue",
         /// A later attempt with the same idempotency key replaced it; neither had run.
         Superseded = "superseded",
         /// There is no memory to wait for the result of the attempt that it retries.
-        NoRoom = "no-room",
+        MemoryFull = "no-room",
         /// Its run waited for a downstream call that could not be made in time.
-        NoCall = "no-call",
+        CallUnavailable = "no-call",
         /// Its downstream call may have taken effect and must not be repeated.
-        CallInDoubt = "call-in-doubt",
+        CallOutcomeUnknown = "call-in-doubt",
         /// The engine reported that the run failed.
-        RunError = "run-error",
+        RunFailed = "run-error",
         /// The run was stopped.
-        RunStopped = "run-stopped",
+        RunCancelled = "run-stopped",
         /// The engine started nothing.
-        RunUnknown = "run-unknown",
+        RunNotStarted = "run-unknown",
         /// The attempt that it retries failed, or its result is no longer cached.
-        RepeatFailed = "repeat-failed",
+        OriginalFailed = "repeat-failed",
         /// Its idempotency key is known and belongs to a different request body.
-        OtherBody = "other-body",
+        BodyMismatch = "other-body",
         /// Its arrival timestamp is invalid.
-        BadTime = "bad-time",
+        InvalidArrivalTime = "bad-time",
         /// Another attempt with its idempotency key had run, so the core did not start it.
         AlreadyRan = "already-ran",
         /// Its idempotency key may have run in another process of this server that cannot be queried.
-        KeyUnknown = "key-unknown",
+        KeyStateUnknown = "key-unknown",
         /// The other process of this server, which owns the idempotency keys, did not let this one run it.
         ClaimDenied = "claim-denied",
         /// The bytes that followed it on its connection are not a valid message.
-        SpoiltConnection = "spoilt-connection",
-        /// Its request ID is already in use, and the effect of the other request may be in progress.
-        NameInUse = "name-in-use",
+        ProtocolError = "spoilt-connection",
+        /// Its attempt ID is already in use, and the other attempt may be taking effect.
+        AttemptIdInUse = "name-in-use",
     }
 }
 
@@ -79,7 +79,7 @@
         /// It failed and may have taken effect.
         Failed = "failed",
         /// It was rejected and never ran.
-        Declined = "declined",
+        Rejected = "declined",
         /// It timed out and may have taken effect.
         TimedOut = "timed-out",
         /// The downstream service could not be reached; the call never ran.
@@ -99,9 +99,9 @@
         /// With an error.
         Error = "error",
         /// It was stopped.
-        Stopped = "stopped",
-        /// The engine does not know the run: nothing was started.
-        Unknown = "unknown",
+        Cancelled = "stopped",
+        /// The engine does not know the run: it started nothing.
+        NotStarted = "unknown",
     }
 }
 
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -1,28 +1,28 @@
-//! What the view promises in numbers, in simulated time: who is held lost when, who is accused wrongly, what it costs, and
-//! what is judged.
+//! Guarantees in numbers, in simulated time: how soon a crash is detected, false positives, cost, and verdicts.
 
 mod sim;
 
-use pinepoint_membership::fleet::{Detector, Rules, Told};
-use pinepoint_membership::judge::Kind;
-use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_membership::wire::{Body, Packet, Sender};
-use sim::{Net, World, address};
+use pinepoint_events::ReasonCode;
+use pinepoint_membership::diagnosis::VerdictKind;
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use pinepoint_membership::membership::{FailureDetector, MembershipSettings, Notification};
+use pinepoint_membership::wire::{Packet, PacketBody, SenderState};
+use sim::{Network, Simulation, address};
 
-fn rules(detector: Detector) -> Rules {
-    Rules { detector, ..Rules::default() }
+fn settings(detector: FailureDetector) -> MembershipSettings {
+    MembershipSettings { detector, ..MembershipSettings::default() }
 }
 
 /// Verdicts that came to hold anywhere, each once.
-fn judged(world: &World) -> Vec<(Kind, String)> {
-    let mut all: Vec<(Kind, String)> = Vec::new();
-    for (_, told) in world.nodes.iter().flat_map(|node| &node.told) {
-        if let Told::Verdict(change) = told
+fn verdicts_made(simulation: &Simulation) -> Vec<(VerdictKind, String)> {
+    let mut all: Vec<(VerdictKind, String)> = Vec::new();
+    for notification in simulation.notifications() {
+        if let Notification::VerdictChanged(change) = notification
             && change.holds
         {
-            let verdict = (change.verdict.kind, change.verdict.of.clone());
-            // All worlds here start at once, and their members say so.
-            if !all.contains(&verdict) && verdict.0 != Kind::FleetStart {
+            let verdict = (change.verdict.kind, change.verdict.subject.clone());
+            // All members of a simulation start at once, and say so.
+            if !all.contains(&verdict) && verdict.0 != VerdictKind::FleetStart {
                 all.push(verdict);
             }
         }
@@ -35,11 +35,11 @@
 fn a_crash_is_held_lost_by_all_within_eight_periods_at_a_hundred_members() {
     let mut last: Vec<f64> = (0..10)
         .map(|seed| {
-            let mut world = World::settled(100, 3, rules(Detector::OwnTrouble), seed);
-            let since = world.now;
-            world.kill(31);
-            world.run(20.0);
-            let times = world.told_of(31, Standing::Lost, since);
+            let mut simulation = Simulation::settled(100, 3, settings(FailureDetector::Lifeguard), seed);
+            let since = simulation.now;
+            simulation.kill(31);
+            simulation.run(20.0);
+            let times = simulation.notification_times(31, Liveness::Lost, since);
             assert_eq!(times.len(), 99, "seed {seed}: all hold it lost");
             times[98] / sim::PERIOD
         })
@@ -52,35 +52,35 @@
 #[test]
 fn members_that_live_are_not_held_lost_at_a_twentieth_lost() {
     for seed in 0..3 {
-        let mut world = World::settled(60, 3, rules(Detector::OwnTrouble), seed);
-        world.net.loss = 0.05;
-        world.run(200.0);
-        assert_eq!(world.wrongly(Standing::Lost), 0, "seed {seed}");
+        let mut simulation = Simulation::settled(60, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.net.loss = 0.05;
+        simulation.run(200.0);
+        assert_eq!(simulation.false_beliefs(Liveness::Lost), 0, "seed {seed}");
     }
 }
 
 /// Members wrongly held lost by others while a tenth is paused in turns, each for three periods.
-fn wrongly_lost_with_pauses(detector: Detector, seed: u64) -> usize {
-    let mut world = World::settled(60, 3, rules(detector), seed);
+fn wrongly_lost_with_pauses(detector: FailureDetector, seed: u64) -> usize {
+    let mut simulation = Simulation::settled(60, 3, settings(detector), seed);
     let mut paused: Vec<usize> = Vec::new();
     let mut lost = 0;
     for round in 0..20 {
         let before = paused.clone();
-        paused.iter().for_each(|at| world.go_on(*at));
+        paused.iter().for_each(|at| simulation.resume(*at));
         paused = (0..6).map(|n| (round * 6 + n * 10) % 60).collect();
-        paused.iter().for_each(|at| world.stop(*at));
-        world.run(3.0);
+        paused.iter().for_each(|at| simulation.pause(*at));
+        simulation.run(3.0);
         // Accused by one that was paused itself: what own trouble is about.
         let names: Vec<String> = (0..60)
             .filter(|at| !paused.contains(at) && !before.contains(at))
-            .map(|at| world.nodes[at].name.clone())
+            .map(|at| simulation.nodes[at].name.clone())
             .collect();
-        let wrong = |told: &Told| {
-            matches!(told, Told::Member { record, .. }
-            if record.standing != Standing::Alive && names.contains(&record.identity.name))
+        let wrong = |notification: &Notification| {
+            matches!(notification, Notification::MemberChanged { record, .. }
+            if record.liveness != Liveness::Alive && names.contains(&record.identity.name))
         };
-        lost += world.nodes.iter().flat_map(|node| &node.told).filter(|(_, told)| wrong(told)).count();
-        world.clear();
+        lost += simulation.notifications().filter(|notification| wrong(notification)).count();
+        simulation.clear_records();
     }
     lost
 }
@@ -88,7 +88,7 @@
 #[test]
 fn one_that_was_paused_accuses_hardly_anyone_where_plain_swim_does() {
     let sum = |detector| (0..3).map(|seed| wrongly_lost_with_pauses(detector, seed)).sum::<usize>();
-    let (own, plain) = (sum(Detector::OwnTrouble), sum(Detector::Plain));
+    let (own, plain) = (sum(FailureDetector::Lifeguard), sum(FailureDetector::Swim));
     println!("accusations of members that were not paused: {own} against {plain} of plain SWIM");
     assert!(plain >= 5 * own.max(1), "{own} against {plain}");
 }
@@ -96,11 +96,11 @@
 #[test]
 fn what_it_costs_a_member_does_not_grow_with_the_fleet() {
     let cost = |n: usize| {
-        let mut world = World::settled(n, 3, rules(Detector::OwnTrouble), 1);
-        world.run(10.0);
-        world.clear();
-        world.run(30.0);
-        (world.datagrams as f64 / 30.0 / n as f64, world.bytes as f64 / 30.0 / n as f64)
+        let mut simulation = Simulation::settled(n, 3, settings(FailureDetector::Lifeguard), 1);
+        simulation.run(10.0);
+        simulation.clear_records();
+        simulation.run(30.0);
+        (simulation.datagrams as f64 / 30.0 / n as f64, simulation.bytes as f64 / 30.0 / n as f64)
     };
     let (small, large) = (cost(25), cost(150));
     println!("datagrams and bytes a member and period: {small:?} at 25, {large:?} at 150 members");
@@ -110,54 +110,61 @@
 #[test]
 fn a_zone_that_is_killed_cut_off_or_does_not_hear_is_judged_so() {
     // Killed, and whether anybody listens there is not known.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 5);
-    (0..30).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
-    world.run(14.0);
-    assert_eq!(judged(&world), [(Kind::ZoneUnreachable, "z1".to_owned())]);
+    let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 5);
+    (0..30).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at));
+    simulation.run(14.0);
+    assert_eq!(verdicts_made(&simulation), [(VerdictKind::ZoneUnreachable, "z1".to_owned())]);
 
     // Killed, and the system of others says that nobody listens.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 6);
-    (0..30).filter(|at| at % 3 == 1).for_each(|at| world.kill(at));
+    let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 6);
+    (0..30).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at));
     for at in (0..30).filter(|at| at % 3 != 1) {
         for zone in (0..30).filter(|at| at % 3 == 1) {
-            world.tell(at, pinepoint_membership::fleet::Event::Refused(address(zone)));
+            simulation.handle(at, pinepoint_membership::membership::Event::ConnectionRefused(address(zone)));
         }
     }
-    world.run(14.0);
-    assert_eq!(judged(&world), [(Kind::ZoneLost, "z1".to_owned())]);
+    simulation.run(14.0);
+    assert_eq!(verdicts_made(&simulation), [(VerdictKind::ZoneLost, "z1".to_owned())]);
 
     // Cut off: those within know that it is they, those outside that the zone is gone.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 7);
-    world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
-    world.run(25.0);
-    for (at, fleet) in world.running() {
-        let kinds: Vec<Kind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
-        let kinds: Vec<Kind> = kinds.into_iter().filter(|kind| *kind != Kind::FleetStart).collect();
-        let wanted = if at % 3 == 1 { Kind::SelfCutOff } else { Kind::ZoneUnreachable };
+    let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 7);
+    simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.run(25.0);
+    for (at, membership) in simulation.running() {
+        let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
+        let kinds: Vec<VerdictKind> =
+            kinds.into_iter().filter(|kind| *kind != VerdictKind::FleetStart).collect();
+        let wanted = if at % 3 == 1 { VerdictKind::SelfCutOff } else { VerdictKind::ZoneUnreachable };
         assert_eq!(kinds, [wanted], "n{at}");
     }
 
     // Its messages still come out, and nothing goes in.
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 8);
-    world.net.cut = (0..30)
+    let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 8);
+    simulation.net.cut_links = (0..30)
         .flat_map(|from| (0..30).map(move |to| (from, to)))
         .filter(|(from, to)| from % 3 != 1 && to % 3 == 1)
         .collect();
-    world.run(20.0);
-    assert!(judged(&world).contains(&(Kind::ZoneCutOff, "z1".to_owned())), "{:?}", judged(&world));
+    simulation.run(20.0);
+    assert!(
+        verdicts_made(&simulation).contains(&(VerdictKind::ZoneCutOff, "z1".to_owned())),
+        "{:?}",
+        verdicts_made(&simulation)
+    );
 }
 
 #[test]
 fn one_that_loses_most_at_once_knows_that_it_is_cut_off_itself() {
     for seed in 0..5 {
-        let mut world = World::settled(20, 3, rules(Detector::OwnTrouble), seed);
-        world.net.parts = (0..20).map(|at| usize::from(at == 7)).collect();
-        world.run(40.0);
-        let own = world.nodes[7].fleet.as_ref().expect("it runs");
-        assert!(own.verdicts().any(|verdict| verdict.kind == Kind::SelfCutOff), "seed {seed}");
-        let others = world.running().filter(|(at, _)| *at != 7);
+        let mut simulation = Simulation::settled(20, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.net.partitions = (0..20).map(|at| usize::from(at == 7)).collect();
+        simulation.run(40.0);
+        let own = simulation.nodes[7].membership.as_ref().expect("it runs");
+        assert!(own.verdicts().any(|verdict| verdict.kind == VerdictKind::SelfCutOff), "seed {seed}");
+        let others = simulation.running().filter(|(at, _)| *at != 7);
         assert!(
-            others.flat_map(|(_, fleet)| fleet.verdicts()).all(|v| v.kind != Kind::SelfCutOff),
+            others
+                .flat_map(|(_, membership)| membership.verdicts())
+                .all(|v| v.kind != VerdictKind::SelfCutOff),
             "seed {seed}"
         );
     }
@@ -165,32 +172,37 @@
 
 #[test]
 fn one_dead_direction_of_a_link_is_seen_by_the_one_who_is_not_heard() {
-    let mut world = World::settled(8, 2, rules(Detector::OwnTrouble), 3);
-    world.net.cut = vec![(2, 5)];
-    world.run(60.0);
-    assert_eq!(world.wrongly(Standing::Lost), 0, "others can ask");
-    assert!(judged(&world).contains(&(Kind::OneWay, "n5".to_owned())), "{:?}", judged(&world));
+    let mut simulation = Simulation::settled(8, 2, settings(FailureDetector::Lifeguard), 3);
+    simulation.net.cut_links = vec![(2, 5)];
+    simulation.run(60.0);
+    assert_eq!(simulation.false_beliefs(Liveness::Lost), 0, "others can ask");
+    assert!(
+        verdicts_made(&simulation).contains(&(VerdictKind::OneWay, "n5".to_owned())),
+        "{:?}",
+        verdicts_made(&simulation)
+    );
 }
 
 #[test]
 fn crashes_drains_slow_members_and_loss_make_no_verdict() {
     for seed in 0..6 {
-        let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), seed);
-        world.run(100.0);
-        world.clear();
-        world.net = Net { loss: 0.05, delay: 60.0, ..Net::default() };
+        let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), seed);
+        simulation.run(100.0);
+        simulation.clear_records();
+        simulation.net = Network { loss: 0.05, max_delay_ms: 60.0, ..Network::default() };
         for at in [4, 9, 14] {
-            world.leave(at);
-            world.run(4.0);
-            world.start(at);
-            world.run(4.0);
+            simulation.leave(at);
+            simulation.run(4.0);
+            simulation.start(at);
+            simulation.run(4.0);
         }
-        world.kill(20);
-        world.stop(21);
-        world.run(10.0);
-        world.go_on(21);
-        world.run(20.0);
-        let wrong: Vec<_> = judged(&world).into_iter().filter(|(kind, _)| *kind != Kind::OneWay).collect();
+        simulation.kill(20);
+        simulation.pause(21);
+        simulation.run(10.0);
+        simulation.resume(21);
+        simulation.run(20.0);
+        let wrong: Vec<_> =
+            verdicts_made(&simulation).into_iter().filter(|(kind, _)| *kind != VerdictKind::OneWay).collect();
         assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
     }
 }
@@ -198,50 +210,57 @@
 #[test]
 fn a_zone_that_flaps_is_held_gone_and_its_verdict_changes_rarely() {
     for seed in 0..3 {
-        let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), seed);
+        let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), seed);
         let rounds = 30;
         for _ in 0..rounds {
-            world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
-            world.run(14.0);
-            world.net.parts.clear();
-            world.run(14.0);
+            simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+            simulation.run(14.0);
+            simulation.net.partitions.clear();
+            simulation.run(14.0);
         }
-        let of_zone = |told: &Told| matches!(told, Told::Verdict(change) if change.verdict.of == "z1");
+        let of_zone = |notification: &Notification| matches!(notification, Notification::VerdictChanged(change) if change.verdict.subject == "z1");
         for at in (0..30).filter(|at| at % 3 != 1) {
-            let told: Vec<f64> =
-                world.nodes[at].told.iter().filter(|(_, t)| of_zone(t)).map(|(when, _)| *when).collect();
-            assert!(!told.is_empty(), "seed {seed}: n{at} judged nothing");
+            let changes: Vec<f64> = simulation.nodes[at]
+                .notifications
+                .iter()
+                .filter(|(_, t)| of_zone(t))
+                .map(|(when, _)| *when)
+                .collect();
+            assert!(!changes.is_empty(), "seed {seed}: n{at} judged nothing");
             // Twice a round, were it not held.
             assert!(
-                told.len() <= 12,
+                changes.len() <= 12,
                 "seed {seed}: n{at} changed its mind {} times in {rounds} rounds",
-                told.len()
+                changes.len()
             );
         }
         // And it is over in the end.
-        world.run(100.0);
-        let holds = world.running().filter(|(_, fleet)| fleet.verdicts().any(|v| v.of == "z1")).count();
+        simulation.run(100.0);
+        let holds = simulation
+            .running()
+            .filter(|(_, membership)| membership.verdicts().any(|v| v.subject == "z1"))
+            .count();
         assert_eq!(holds, 0, "seed {seed}");
     }
 }
 
 /// What the larger side judges wrongly of itself and of its own zones when a zone that was cut off comes back and tells what
 /// it held meanwhile: that all others are gone.
-fn wrongly_judged_after_a_cut(members: usize, periods: f64, seed: u64) -> Vec<(Kind, String)> {
-    let mut world = World::settled(members, 3, rules(Detector::OwnTrouble), seed);
-    world.net.parts = (0..members).map(|at| usize::from(at % 3 == 1)).collect();
-    world.run(periods);
-    world.net.parts.clear();
-    world.run(20.0);
+fn wrongly_judged_after_a_cut(members: usize, periods: f64, seed: u64) -> Vec<(VerdictKind, String)> {
+    let mut simulation = Simulation::settled(members, 3, settings(FailureDetector::Lifeguard), seed);
+    simulation.net.partitions = (0..members).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.run(periods);
+    simulation.net.partitions.clear();
+    simulation.run(20.0);
     let mut wrong = Vec::new();
-    for (_, node) in world.nodes.iter().enumerate().filter(|(at, _)| at % 3 != 1) {
-        for (_, told) in &node.told {
-            if let Told::Verdict(change) = told
+    for (_, node) in simulation.nodes.iter().enumerate().filter(|(at, _)| at % 3 != 1) {
+        for (_, notification) in &node.notifications {
+            if let Notification::VerdictChanged(change) = notification
                 && change.holds
-                && change.verdict.of != "z1"
-                && !matches!(change.verdict.kind, Kind::OneWay | Kind::FleetStart)
+                && change.verdict.subject != "z1"
+                && !matches!(change.verdict.kind, VerdictKind::OneWay | VerdictKind::FleetStart)
             {
-                wrong.push((change.verdict.kind, change.verdict.of.clone()));
+                wrong.push((change.verdict.kind, change.verdict.subject.clone()));
             }
         }
     }
@@ -262,57 +281,60 @@
 
 #[test]
 fn a_restart_long_ago_says_nothing_of_a_zone_that_goes_now() {
-    let mut world = World::settled(30, 3, rules(Detector::OwnTrouble), 3);
-    world.kill(4);
-    world.run(20.0);
-    world.start(4);
-    world.run(60.0);
-    world.clear();
-    world.net.parts = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
-    world.run(25.0);
-    let outside = world.running().filter(|(at, _)| at % 3 != 1);
-    for (at, fleet) in outside {
-        let kinds: Vec<Kind> = fleet.verdicts().map(|verdict| verdict.kind).collect();
-        assert_eq!(kinds, [Kind::ZoneUnreachable], "n{at}");
+    let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 3);
+    simulation.kill(4);
+    simulation.run(20.0);
+    simulation.start(4);
+    simulation.run(60.0);
+    simulation.clear_records();
+    simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.run(25.0);
+    let outside = simulation.running().filter(|(at, _)| at % 3 != 1);
+    for (at, membership) in outside {
+        let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
+        assert_eq!(kinds, [VerdictKind::ZoneUnreachable], "n{at}");
     }
 }
 
 #[test]
 fn a_start_of_the_whole_fleet_is_told_from_a_rolling_deploy() {
-    let mut world = World::settled(12, 3, rules(Detector::OwnTrouble), 2);
-    world.run(120.0);
-    assert!(world.running().all(|(_, f)| f.verdicts().all(|v| v.kind != Kind::FleetStart)), "long over");
-    (0..12).for_each(|at| world.kill(at));
-    (0..12).for_each(|at| world.start(at));
-    world.run(40.0);
-    let judge = |world: &World| {
-        world.running().filter(|(_, f)| f.verdicts().any(|v| v.kind == Kind::FleetStart)).count()
+    let mut simulation = Simulation::settled(12, 3, settings(FailureDetector::Lifeguard), 2);
+    simulation.run(120.0);
+    assert!(
+        simulation.running().all(|(_, f)| f.verdicts().all(|v| v.kind != VerdictKind::FleetStart)),
+        "long over"
+    );
+    (0..12).for_each(|at| simulation.kill(at));
+    (0..12).for_each(|at| simulation.start(at));
+    simulation.run(40.0);
+    let count_fleet_starts = |simulation: &Simulation| {
+        simulation.running().filter(|(_, f)| f.verdicts().any(|v| v.kind == VerdictKind::FleetStart)).count()
     };
-    assert_eq!(judge(&world), 12);
-    world.run(200.0);
-    world.clear();
+    assert_eq!(count_fleet_starts(&simulation), 12);
+    simulation.run(200.0);
+    simulation.clear_records();
     for at in 0..12 {
-        world.leave(at);
-        world.start(at);
-        world.run(6.0);
+        simulation.leave(at);
+        simulation.start(at);
+        simulation.run(6.0);
     }
-    assert_eq!(judge(&world), 0, "a rolling deploy is no start of the fleet");
+    assert_eq!(count_fleet_starts(&simulation), 0, "a rolling deploy is no start of the fleet");
 }
 
 #[test]
 fn two_processes_of_one_name_are_found_and_both_say_so() {
-    let mut world = World::settled(10, 2, rules(Detector::OwnTrouble), 4);
-    world.nodes[8].name = "n3".into();
-    world.kill(8);
-    world.start(8);
-    world.run(20.0);
+    let mut simulation = Simulation::settled(10, 2, settings(FailureDetector::Lifeguard), 4);
+    simulation.nodes[8].name = "n3".into();
+    simulation.kill(8);
+    simulation.start(8);
+    simulation.run(20.0);
     for at in [3, 8] {
-        let fleet = world.nodes[at].fleet.as_ref().expect("it runs");
-        assert!(fleet.verdicts().any(|v| v.kind == Kind::NameClash), "n{at} says nothing");
+        let membership = simulation.nodes[at].membership.as_ref().expect("it runs");
+        assert!(membership.verdicts().any(|v| v.kind == VerdictKind::NameClash), "n{at} says nothing");
     }
 }
 
-fn forged(of: usize, start: u64, standing: Standing, incarnation: u32) -> Record {
+fn forged(of: usize, generation: u64, liveness: Liveness, incarnation: u32) -> MemberRecord {
     let identity = Identity {
         name: format!("n{of}"),
         zone: "z0".into(),
@@ -320,38 +342,48 @@
         cores: 4,
         instance: 77,
     };
-    Record { identity: identity.into(), start, incarnation, phase: Phase::Serving, standing, by: 0 }
+    MemberRecord {
+        identity: identity.into(),
+        generation,
+        incarnation,
+        phase: Phase::Serving,
+        liveness,
+        accuser: 0,
+    }
 }
 
 #[test]
 fn forged_starts_and_incarnations_do_bounded_harm_and_are_told() {
-    let mut world = World::settled(10, 2, rules(Detector::OwnTrouble), 4);
-    let now = world.now as u64;
-    let from = |record| Sender { record, load: Load::default(), digest: 0, known: 1, now_ms: 0.0 };
-    let mut stranger = forged(0, now, Standing::Alive, 0);
+    let mut simulation = Simulation::settled(10, 2, settings(FailureDetector::Lifeguard), 4);
+    let now = simulation.now as u64;
+    let sender =
+        |record| SenderState { record, load: Load::default(), digest: 0, known_members: 1, now_ms: 0.0 };
+    let mut stranger = forged(0, now, Liveness::Alive, 0);
     stranger.identity = Identity { name: "stranger".into(), ..(*stranger.identity).clone() }.into();
-    let own = world.nodes[6].fleet.as_ref().expect("it runs").own().clone();
-    let news = vec![
-        forged(3, u64::MAX, Standing::Alive, 0),
-        forged(4, now + 5000, Standing::Lost, 0),
-        Record { standing: Standing::Lost, incarnation: u32::MAX, ..own },
+    let own = simulation.nodes[6].membership.as_ref().expect("it runs").local_record().clone();
+    let updates = vec![
+        forged(3, u64::MAX, Liveness::Alive, 0),
+        forged(4, now + 5000, Liveness::Lost, 0),
+        MemberRecord { liveness: Liveness::Lost, incarnation: u32::MAX, ..own },
     ];
-    world.forge(1, Packet { from: from(stranger), body: Body::Gossip, news });
-    world.run(1.0);
-    let told = |told: &Told| matches!(told, Told::Disbelieved(..));
-    assert!(world.nodes[1].told.iter().any(|(_, t)| told(t)), "nothing is told of the forged start");
+    simulation.inject_packet(1, Packet { sender: sender(stranger), body: PacketBody::Gossip, updates });
+    simulation.run(1.0);
+    let is_rejection =
+        |notification: &Notification| matches!(notification, Notification::RecordRejected { .. });
+    assert!(simulation.notifications_of(1).any(is_rejection), "nothing is told of the forged start");
     // The stranger never answers and is lost in the end; those it spoke of are themselves again.
-    let took = world.await_truth(40.0);
-    assert!(took.is_some(), "{}", world.untrue());
+    let took = simulation.run_until_converged(40.0);
+    assert!(took.is_some(), "{}", simulation.wrong_beliefs());
 }
 
 #[test]
 fn at_the_bound_of_members_the_gone_give_way_and_no_one_else_is_taken() {
-    let mut world = World::new(20, 2, Rules { members: 12, ..Rules::default() }, 1);
-    (0..20).for_each(|at| world.start(at));
-    world.run(40.0);
-    assert!(world.running().all(|(_, fleet)| fleet.table().len() <= 11));
-    assert!(world.running().any(|(_, fleet)| fleet.table().len() == 11));
-    let full = |told: &Told| matches!(told, Told::Disbelieved(why, _) if pinepoint_events::ReasonCode::code(*why) == "full");
-    assert!(world.nodes.iter().flat_map(|node| &node.told).any(|(_, t)| full(t)), "nothing is told of it");
+    let mut simulation =
+        Simulation::new(20, 2, MembershipSettings { max_members: 12, ..MembershipSettings::default() }, 1);
+    (0..20).for_each(|at| simulation.start(at));
+    simulation.run(40.0);
+    assert!(simulation.running().all(|(_, membership)| membership.table().len() <= 11));
+    assert!(simulation.running().any(|(_, membership)| membership.table().len() == 11));
+    let is_full = |notification: &Notification| matches!(notification, Notification::RecordRejected { reason, .. } if reason.code() == "full");
+    assert!(simulation.notifications().any(is_full), "nothing is told of it");
 }
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -56,16 +56,16 @@
     let ends = [
         served(10.0, false, None),
         RequestEventKind::Answered {
-            answer: Answer::Rejected(RejectReason::Hung),
+            answer: Answer::Rejected(RejectReason::Stalled),
             hint_ms: None,
             took_ms: 1.0,
         },
         RequestEventKind::Answered {
-            answer: Answer::Failed(FailureReason::RunError),
+            answer: Answer::Failed(FailureReason::RunFailed),
             hint_ms: None,
             took_ms: 1.0,
         },
-        RequestEventKind::DeadlineExceeded { why: FailureReason::Late, took_ms: 1.0 },
+        RequestEventKind::DeadlineExceeded { why: FailureReason::DeadlineExceeded, took_ms: 1.0 },
         RequestEventKind::CallerGone { took_ms: 1.0 },
     ];
     for kind in ends {
--- a/src/node/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -9,15 +9,15 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connection::{self, Intake, Stop, Writer};
-use super::connection_state::{Guest, MESSAGE_MS};
-use super::counters::count;
-use super::front::Front;
-use super::port::{Arrival, Caller, Input, Reply};
-use super::rpc::{BODY_MOST, EST_MOST, MEM_BELOW_KB};
-use super::sync::Signal;
-use crate::Effect;
-use crate::settings::Site;
+use crate::admission::Idempotency;
+use crate::config::site::Site;
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::context::FrontendContext;
+use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, REQUEST_MEMORY_LIMIT_KB};
+use crate::server::observability::counters::count;
+use crate::server::sync::Notify;
 
 /// Longest packet with its head of four bytes, bytes.
 const PACKET_MOST: usize = 8192;
@@ -277,15 +277,15 @@
         let name = self.path.strip_prefix('/').unwrap_or_default();
         let class = site.class_of(name, now_ms).ok_or(Status(404))?;
         let token = self.word("token")?;
-        if site.settings.classes[class].effect == Effect::Keyed && token.is_none() {
+        if site.settings.classes[class].idempotency == Idempotency::Keyed && token.is_none() {
             return Err(Status(400));
         }
         let est_ms = self.number("est")?;
         let mem_kb = self.number("mem")?;
-        let est_below = site.settings.classes[class].deadline_ms * EST_MOST;
+        let est_below = site.settings.classes[class].timeout_ms * EST_MOST;
         // As strict as the other front: what is out of range is not clamped, it is nobody's figure.
         let out_of = |value: Option<f64>, below: f64| value.is_some_and(|v| v <= 0.0 || v >= below);
-        if out_of(est_ms, est_below) || out_of(mem_kb, MEM_BELOW_KB) {
+        if out_of(est_ms, est_below) || out_of(mem_kb, REQUEST_MEMORY_LIMIT_KB) {
             return Err(Status(400));
         }
         Ok(Head {
@@ -366,41 +366,41 @@
 // ---- connections ----
 
 struct Connection {
-    guest: Rc<Guest>,
-    front: Rc<Front>,
-    writer: Writer,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+    writer: WriteHalf,
     /// The request that waits for its answer, if one does.
     open: Cell<Option<u64>>,
-    answered: Signal,
+    answered: Notify,
 }
 
 impl Connection {
     fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: bool) {
-        headers.extend(self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
-        self.guest.used_ms.set(self.front.clock.now());
+        headers.extend(self.front.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))));
+        self.state.used_ms.set(self.front.clock.now());
         self.writer.push(|out| response(out, status, &headers, body, reuse));
     }
 }
 
 impl Caller for Connection {
     fn id(&self) -> u64 {
-        self.guest.id
+        self.state.id
     }
 
-    fn answer(&self, ticket: u64, reply: &Reply) {
-        if self.open.get() != Some(ticket) {
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        if self.open.get() != Some(correlation_id) {
             return;
         }
         self.open.set(None);
-        self.guest.answered.set(self.guest.answered.get() + 1);
-        let reuse = !self.guest.told();
+        self.state.answered.set(self.state.answered.get() + 1);
+        let reuse = !self.state.told();
         match reply {
             Reply::Served(result) => {
                 let kind = vec![("Content-Type", "application/octet-stream".to_owned())];
                 self.respond(200, kind, result, reuse);
             }
-            Reply::Refused { backoff_ms, last, .. } => {
-                let seconds = (backoff_ms / 1000.0).ceil().max(1.0);
+            Reply::Rejected { retry_after_ms, last, .. } => {
+                let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
                 let mut headers = vec![("Retry-After", format!("{seconds:.0}"))];
                 headers.extend(last.then(|| ("final", "1".to_owned())));
                 self.respond(503, headers, b"", reuse);
@@ -410,15 +410,15 @@
         self.answered.wake();
     }
 
-    fn leave(&self) {
+    fn go_away(&self) {
         // An idle connection goes now; the front end opens another elsewhere. A request whose body is on its
         // way was not read and holds up nothing, but is given the time to become one.
-        self.guest.tell_at_once(self.front.clock.now());
+        self.state.tell_at_once(self.front.clock.now());
     }
 
-    fn leave_if_idle(&self, since_ms: f64) {
-        if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
-            self.leave();
+    fn go_away_if_idle(&self, since_ms: f64) {
+        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
+            self.go_away();
         }
     }
 }
@@ -426,36 +426,37 @@
 /// Serves one connection to its end; returns the reason code.
 pub async fn serve(
     stream: Rc<Async<TcpStream>>,
-    guest: Rc<Guest>,
-    front: Rc<Front>,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
     options: Rc<Options>,
 ) -> &'static str {
     let connection = Rc::new(Connection {
-        guest,
+        state,
         front: front.clone(),
-        writer: Writer::new(front.clone()),
+        writer: WriteHalf::new(front.clone()),
         open: Cell::new(None),
-        answered: Signal::default(),
+        answered: Notify::default(),
     });
-    let _ = front.queue.send(Input::Opened(connection.clone())).await;
-    let mut input = Input13 { intake: Intake::new(stream.clone(), connection.guest.clone(), front.clone()) };
+    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let mut input =
+        Input13 { intake: ReadHalf::new(stream.clone(), connection.state.clone(), front.clone()) };
     let reading = converse(&mut input, &connection, &options);
     let nothing_open = || connection.open.get().is_none();
-    connection::run(&stream, &connection.guest, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
 }
 
 /// The reading half: packets as they are whole.
 struct Input13 {
-    intake: Intake,
+    intake: ReadHalf,
 }
 
 impl Input13 {
     /// The next packet. One that has begun must be whole in time; with `until` the wait for it ends too.
-    async fn packet(&mut self, connection: &Connection, until: Option<f64>) -> Result<Vec<u8>, Stop> {
+    async fn packet(&mut self, connection: &Connection, until: Option<f64>) -> Result<Vec<u8>, CloseReason> {
         let mut until = until;
         loop {
             let bytes = &mut self.intake.bytes;
-            if let Some(payload) = take_packet(bytes).map_err(|e| Stop::Spoilt(e.code()))? {
+            if let Some(payload) = take_packet(bytes).map_err(|e| CloseReason::Spoilt(e.code()))? {
                 return Ok(payload);
             }
             if until.is_none() && !bytes.is_empty() {
@@ -466,14 +467,14 @@
     }
 }
 
-async fn converse(input: &mut Input13, connection: &Rc<Connection>, options: &Options) -> Stop {
+async fn converse(input: &mut Input13, connection: &Rc<Connection>, options: &Options) -> CloseReason {
     let front = &connection.front;
     loop {
         let payload = match input.packet(connection, None).await {
             Ok(payload) => payload,
             Err(stop) => return stop,
         };
-        connection.guest.heard(front.clock.now());
+        connection.state.heard(front.clock.now());
         match payload.first() {
             Some(&CPING) if payload.len() == 1 => {
                 count(&front.counters.pings);
@@ -482,16 +483,16 @@
             // Anyone who can connect could send it; SIGTERM is the way to stop this process.
             Some(&SHUTDOWN) => {}
             Some(&FORWARD_REQUEST) => {
-                connection.guest.busy.set(true);
+                connection.state.busy.set(true);
                 let end = request(input, connection, options, &payload).await;
-                connection.guest.busy.set(false);
+                connection.state.busy.set(false);
                 match end {
-                    Ok(()) if connection.guest.told() => return Stop::Orderly("drained"),
+                    Ok(()) if connection.state.told() => return CloseReason::Orderly("drained"),
                     Ok(()) => {}
                     Err(stop) => return stop,
                 }
             }
-            _ => return Stop::Spoilt("bad-code"),
+            _ => return CloseReason::Spoilt("bad-code"),
         }
         connection.writer.ready().await;
         future::yield_now().await;
@@ -504,29 +505,29 @@
     connection: &Rc<Connection>,
     options: &Options,
     payload: &[u8],
-) -> Result<(), Stop> {
+) -> Result<(), CloseReason> {
     let front = &connection.front;
-    let t0 = front.clock.now();
-    let ticket = connection.guest.read.get() + 1;
-    connection.guest.read.set(ticket);
+    let arrived_ms = front.clock.now();
+    let correlation_id = connection.state.read.get() + 1;
+    connection.state.read.set(correlation_id);
     let bad = |status: u16, reuse: bool| {
         count(&front.counters.bad_requests);
-        connection.guest.answered.set(connection.guest.answered.get() + 1);
-        connection.respond(status, Vec::new(), b"", reuse && !connection.guest.told());
+        connection.state.answered.set(connection.state.answered.get() + 1);
+        connection.respond(status, Vec::new(), b"", reuse && !connection.state.told());
         // Without reuse the rest of the body may be under way, and nothing after it can be made out.
-        if reuse { Ok(()) } else { Err(Stop::Orderly("bad-request")) }
+        if reuse { Ok(()) } else { Err(CloseReason::Orderly("bad-request")) }
     };
-    let forward = forward(payload).map_err(|e| Stop::Spoilt(e.code()))?;
+    let forward = forward(payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
     let length = match forward.body_length() {
         Ok(length) => length,
         Err(Status(status)) => return bad(status, false),
     };
-    let site = front.deployment.site();
-    let head = match forward.request(&site, t0, options.secret.as_deref()) {
+    let site = front.active_settings.site();
+    let head = match forward.request(&site, arrived_ms, options.secret.as_deref()) {
         Ok(head) => head,
         Err(Status(status)) => return bad(status, length == BodyLength::Known(0) && status != 403),
     };
-    let until = t0 + site.settings.classes[head.class].deadline_ms;
+    let until = arrived_ms + site.settings.classes[head.class].timeout_ms;
     let mut body = Vec::new();
     let wanted = match length {
         BodyLength::Known(n) if n > BODY_MOST => return bad(413, false),
@@ -545,7 +546,7 @@
             });
         }
         let payload = input.packet(connection, Some(until.min(front.clock.now() + MESSAGE_MS))).await?;
-        let data = body_data(&payload).map_err(|e| Stop::Spoilt(e.code()))?;
+        let data = body_data(&payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
         if data.is_empty() {
             if wanted == usize::MAX {
                 break;
@@ -555,20 +556,20 @@
         }
         body.extend_from_slice(data);
         if body.len() > wanted {
-            return Err(Stop::Spoilt("bad-length"));
+            return Err(CloseReason::Spoilt("bad-length"));
         }
         if body.len() > BODY_MOST {
             return bad(413, false);
         }
     }
-    connection.open.set(Some(ticket));
+    connection.open.set(Some(correlation_id));
     let arrival = Arrival {
         caller: connection.clone(),
         front: pinepoint_events::Protocol::Ajp,
-        ticket,
-        rid: name(options.seed, connection.guest.id, ticket),
+        correlation_id,
+        attempt_id: name(options.seed, connection.state.id, correlation_id),
         class: head.class,
-        t0,
+        arrived_ms,
         again: head.again,
         est_ms: head.est_ms,
         mem_kb: head.mem_kb.unwrap_or(options.mem_kb),
@@ -577,7 +578,7 @@
         tenant: None,
         body,
     };
-    let _ = front.queue.send(Input::Request(Box::new(arrival))).await;
+    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
     while connection.open.get().is_some() {
         let answered = async {
             connection.answered.wait().await;
@@ -587,23 +588,26 @@
         match future::or(answered, input.intake.more(&connection.writer, None)).await {
             Ok(()) => {}
             // Nothing more is taken in; what was read is still answered.
-            Err(Stop::Finishing) => return Err(Stop::Finishing),
+            Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
             Err(stop) => {
                 connection.open.set(None);
-                let _ = front.queue.send(Input::Gone(connection.guest.id, ticket)).await;
+                let _ = front
+                    .queue
+                    .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id })
+                    .await;
                 return Err(stop);
             }
         }
         if input.intake.bytes.len() > PACKET_MOST {
-            return Err(Stop::Spoilt("unasked-data"));
+            return Err(CloseReason::Spoilt("unasked-data"));
         }
     }
     Ok(())
 }
 
 /// A name for a try, unlike any other of this process: its place in a row, scrambled one to one.
-fn name(seed: u64, connection: u64, ticket: u64) -> String {
-    let mut x = seed ^ (connection << 32 | ticket & 0xffff_ffff);
+fn name(seed: u64, connection: u64, correlation_id: u64) -> String {
+    let mut x = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
     for _ in 0..2 {
         x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
--- a/src/node/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 use pinepoint_clock::Clock;
 
-use super::sync::Signal;
+use crate::server::sync::Notify;
 
 /// Time in which a new connection has to bring its first whole message, and any the rest of one that has begun,
 /// ms. A router connects when it has something to say; what says nothing is owed an end within 3 s.
@@ -19,7 +19,7 @@
 
 /// What the guards know of one connection.
 #[derive(Debug)]
-pub struct Guest {
+pub struct ConnectionState {
     /// Tells connections apart, over all fronts.
     pub id: u64,
     /// Requests and checks read.
@@ -40,13 +40,13 @@
     wanted: Cell<bool>,
     /// Its writing half is shut; it only waits for the other side to close.
     lingers: Cell<bool>,
-    changed: Signal,
+    changed: Notify,
 }
 
-impl Guest {
+impl ConnectionState {
     /// A connection that was accepted at this time.
     pub fn new(id: u64, now: f64) -> Self {
-        Guest {
+        ConnectionState {
             id,
             read: Cell::new(0),
             answered: Cell::new(0),
@@ -57,7 +57,7 @@
             told_ms: Cell::new(None),
             wanted: Cell::new(false),
             lingers: Cell::new(false),
-            changed: Signal::default(),
+            changed: Notify::default(),
         }
     }
 
@@ -127,14 +127,14 @@
     }
 
     /// Completes, with the reason, when the connection should go: nothing is under way on it, and it made way or said
-    /// nothing for too long. `idle_ms` is the time after which routers close idle ones themselves: what is left after it
+    /// nothing for too long. `caller_idle_timeout_ms` is the time after which routers close idle ones themselves: what is left after it
     /// belongs to none that lives.
-    pub async fn should_go(&self, clock: &Clock, idle_ms: f64) -> &'static str {
+    pub async fn should_go(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
         loop {
             let (limit_ms, reason) = match (self.spoke.get(), self.told_ms.get()) {
                 (false, _) => (MESSAGE_MS, "silent"),
                 (true, Some(stays_ms)) => (stays_ms, "told-to-go"),
-                (true, None) => (idle_ms, "idle"),
+                (true, None) => (caller_idle_timeout_ms, "idle"),
             };
             let now = clock.now();
             let at = self.used_ms.get() + limit_ms;
--- a/src/node/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -9,13 +9,13 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::connection::{self, Intake, Stop, Writer};
-use super::connection_state::{Guest, MESSAGE_MS};
-use super::counters::count;
-use super::front::Front;
-use super::port::{Arrival, Caller, Input, Reply};
-use crate::Effect;
-use crate::settings::Site;
+use crate::admission::Idempotency;
+use crate::config::site::Site;
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::context::FrontendContext;
+use crate::server::observability::counters::count;
 
 /// Longest body of a request, bytes.
 pub const BODY_MOST: usize = 2048;
@@ -24,7 +24,7 @@
 /// Nesting of a message: itself, its parameters, its fields, their names.
 const DEPTH_MOST: u32 = 4;
 /// Memory that no request may book while it is held, kB.
-pub const MEM_BELOW_KB: f64 = 2000.0;
+pub const REQUEST_MEMORY_LIMIT_KB: f64 = 2000.0;
 /// Largest hint of work that is believed, as a multiple of the time its caller waits.
 pub const EST_MOST: f64 = 100.0;
 /// Requests that may be open on one connection.
@@ -254,9 +254,9 @@
 /// The parts of a request, before it is tied to a connection.
 #[derive(Debug)]
 pub struct Fields {
-    rid: String,
+    attempt_id: String,
     class: usize,
-    t0: f64,
+    arrived_ms: f64,
     again: bool,
     est_ms: Option<f64>,
     mem_kb: f64,
@@ -326,22 +326,22 @@
         if value.is_none_or(|v| v >= least && v < below) { Ok(value) } else { Err("BadField") }
     };
     let hex = |word: &str, n: usize| word.len() == n && word.bytes().all(|b| b.is_ascii_hexdigit());
-    let rid = text("rid")?.filter(|word| hex(word, 16)).ok_or("BadField")?;
+    let attempt_id = text("rid")?.filter(|word| hex(word, 16)).ok_or("BadField")?;
     let settings = &site.settings.classes[class];
-    let keyed = settings.effect == Effect::Keyed;
+    let keyed = settings.idempotency == Idempotency::Keyed;
     let (token, subject, again) = (text("token")?, text("obj")?, text("again")?);
     let fits = |word: Option<&str>| word.is_none_or(|w| (1..=64).contains(&w.len()));
     if keyed && token.is_none() || !fits(token) || !fits(subject) || again.is_some_and(|word| word != "1") {
         return Err("BadField");
     }
-    let est_ms = within("est", f64::MIN_POSITIVE, settings.deadline_ms * EST_MOST)?;
-    let mem_kb = within("mem", f64::MIN_POSITIVE, MEM_BELOW_KB)?.unwrap_or(0.0);
+    let est_ms = within("est", f64::MIN_POSITIVE, settings.timeout_ms * EST_MOST)?;
+    let mem_kb = within("mem", f64::MIN_POSITIVE, REQUEST_MEMORY_LIMIT_KB)?.unwrap_or(0.0);
     within("prio", 0.0, 1.0)?;
     within("peer", 0.0, f64::INFINITY)?;
     Ok(Fields {
-        rid: rid.to_owned(),
+        attempt_id: attempt_id.to_owned(),
         class,
-        t0: number("t0")?.ok_or("BadField")?,
+        arrived_ms: number("t0")?.ok_or("BadField")?,
         again: again.is_some(),
         est_ms,
         mem_kb,
@@ -355,9 +355,9 @@
 // ---- connections ----
 
 struct Connection {
-    guest: Rc<Guest>,
-    front: Rc<Front>,
-    writer: Writer,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+    writer: WriteHalf,
     open: RefCell<BTreeSet<u64>>,
     last_id: Cell<u64>,
 }
@@ -365,13 +365,13 @@
 impl Connection {
     /// The fields that go with every answer.
     fn hint(&self) -> Vec<(&'static str, String)> {
-        self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
+        self.front.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
     }
 
     /// Takes a request off those that are open; tells whether it was.
     fn close(&self, id: u64) -> bool {
         let was_open = self.open.borrow_mut().remove(&id);
-        self.guest.busy.set(!self.open.borrow().is_empty());
+        self.state.busy.set(!self.open.borrow().is_empty());
         was_open
     }
 
@@ -390,42 +390,42 @@
 
 impl Caller for Connection {
     fn id(&self) -> u64 {
-        self.guest.id
+        self.state.id
     }
 
-    fn answer(&self, ticket: u64, reply: &Reply) {
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
         // Nothing is owed to a request that was given up, and nothing twice to any.
-        if !self.close(ticket) {
+        if !self.close(correlation_id) {
             return;
         }
-        self.guest.used_ms.set(self.front.clock.now());
-        self.guest.answered.set(self.guest.answered.get() + 1);
+        self.state.used_ms.set(self.front.clock.now());
+        self.state.answered.set(self.state.answered.get() + 1);
         match reply {
             Reply::Served(result) => {
                 let fields = self.hint();
                 self.writer.push(|out| {
-                    write_head(out, ticket);
+                    write_head(out, correlation_id);
                     out.extend_from_slice(&[0xc0, 0x92]);
                     write_bin(out, result);
                     write_fields(out, &fields);
                 });
             }
-            Reply::Refused { backoff_ms, last, .. } => {
+            Reply::Rejected { retry_after_ms, last, .. } => {
                 let mut more = Vec::new();
-                if *backoff_ms > 0.0 {
-                    more.push(("backoff", format!("{:.0}", backoff_ms.ceil())));
+                if *retry_after_ms > 0.0 {
+                    more.push(("backoff", format!("{:.0}", retry_after_ms.ceil())));
                 }
                 if *last {
                     more.push(("final", "1".to_owned()));
                 }
-                self.error(ticket, "Busy", more);
+                self.error(correlation_id, "Busy", more);
             }
-            Reply::Failed { .. } => self.error(ticket, "Failed", Vec::new()),
+            Reply::Failed { .. } => self.error(correlation_id, "Failed", Vec::new()),
         }
     }
 
-    fn leave(&self) {
-        if self.guest.tell(self.front.clock.now()) {
+    fn go_away(&self) {
+        if self.state.tell(self.front.clock.now()) {
             self.writer.push(|out| {
                 out.extend_from_slice(&[0x93, 0x02]);
                 write_str(out, "goaway");
@@ -434,30 +434,34 @@
         }
     }
 
-    fn leave_if_idle(&self, since_ms: f64) {
-        if self.guest.used_ms.get() < since_ms && !self.guest.busy.get() {
-            self.leave();
+    fn go_away_if_idle(&self, since_ms: f64) {
+        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
+            self.go_away();
         }
     }
 }
 
 /// Serves one connection to its end.
-pub async fn serve(stream: Rc<Async<TcpStream>>, guest: Rc<Guest>, front: Rc<Front>) -> &'static str {
+pub async fn serve(
+    stream: Rc<Async<TcpStream>>,
+    state: Rc<ConnectionState>,
+    front: Rc<FrontendContext>,
+) -> &'static str {
     let connection = Rc::new(Connection {
-        guest,
+        state,
         front: front.clone(),
-        writer: Writer::new(front.clone()),
+        writer: WriteHalf::new(front.clone()),
         open: RefCell::new(BTreeSet::new()),
         last_id: Cell::new(0),
     });
-    let _ = front.queue.send(Input::Opened(connection.clone())).await;
-    let mut intake = Intake::new(stream.clone(), connection.guest.clone(), front.clone());
+    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let mut intake = ReadHalf::new(stream.clone(), connection.state.clone(), front.clone());
     let reading = read(&mut intake, &connection);
     let nothing_open = || connection.open.borrow().is_empty();
-    connection::run(&stream, &connection.guest, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
 }
 
-async fn read(intake: &mut Intake, connection: &Rc<Connection>) -> Stop {
+async fn read(intake: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
     let front = &connection.front;
     // When the message began whose first part is all there is.
     let mut part_ms = None;
@@ -467,16 +471,16 @@
             return stop;
         }
         loop {
-            match take_message(&mut intake.bytes, &front.deployment.site(), front.clock.now()) {
+            match take_message(&mut intake.bytes, &front.active_settings.site(), front.clock.now()) {
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     part_ms = None;
-                    connection.guest.heard(front.clock.now());
+                    connection.state.heard(front.clock.now());
                     if let Err(error) = handle(message, connection).await {
-                        return Stop::Spoilt(error.code());
+                        return CloseReason::Spoilt(error.code());
                     }
                 }
-                Err(error) => return Stop::Spoilt(error.code()),
+                Err(error) => return CloseReason::Spoilt(error.code()),
             }
         }
         part_ms = (!intake.bytes.is_empty()).then(|| part_ms.unwrap_or(front.clock.now()));
@@ -490,7 +494,10 @@
     match message {
         Message::Abort(id) => {
             if connection.close(id) {
-                let _ = front.queue.send(Input::Gone(connection.guest.id, id)).await;
+                let _ = front
+                    .queue
+                    .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id: id })
+                    .await;
             }
         }
         Message::Ping(id) => {
@@ -516,14 +523,14 @@
                         return Err(FrameError::TooManyOpen);
                     }
                     connection.open.borrow_mut().insert(id);
-                    connection.guest.busy.set(true);
+                    connection.state.busy.set(true);
                     let arrival = Arrival {
                         caller: connection.clone(),
                         front: pinepoint_events::Protocol::Rpc,
-                        ticket: id,
-                        rid: fields.rid,
+                        correlation_id: id,
+                        attempt_id: fields.attempt_id,
                         class: fields.class,
-                        t0: fields.t0,
+                        arrived_ms: fields.arrived_ms,
                         again: fields.again,
                         est_ms: fields.est_ms,
                         mem_kb: fields.mem_kb,
@@ -532,7 +539,7 @@
                         tenant: fields.tenant,
                         body: fields.body,
                     };
-                    let _ = front.queue.send(Input::Request(Box::new(arrival))).await;
+                    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
                 }
             }
         }
@@ -541,6 +548,6 @@
 }
 
 fn next_id(connection: &Connection, id: u64) -> Result<(), FrameError> {
-    connection.guest.read.set(connection.guest.read.get() + 1);
+    connection.state.read.set(connection.state.read.get() + 1);
     if id <= connection.last_id.replace(id) { Err(FrameError::Id) } else { Ok(()) }
 }
--- a/src/node/fleet.rs
+++ b/src/server/observability/membership.rs
@@ -10,8 +10,8 @@
 use pinepoint_membership::io::StatusSource;
 use pinepoint_membership::member::{Load, Phase};
 
-use super::port::Input;
-use super::status::Status;
+use crate::server::control::status::Status;
+use crate::server::core::api::CoreInput;
 
 /// A machine that started cold is told as such for so long, ms: nobody tells when it is warm.
 const COLD_MS: f64 = 30_000.0;
@@ -19,11 +19,11 @@
 const LOOK_MS: f64 = 1000.0;
 
 /// Passes on what the core tells, and keeps what others are to know of it.
-pub struct Watch {
+pub struct MembershipObserver {
     inner: Rc<dyn Observer>,
     status: Rc<Status>,
     clock: Clock,
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     phase: Cell<Phase>,
     cold_until_ms: Cell<f64>,
     looked_ms: Cell<f64>,
@@ -32,16 +32,16 @@
     keys_most: f64,
 }
 
-impl Watch {
+impl MembershipObserver {
     /// Watches for this observer too.
     pub fn new(
         inner: Rc<dyn Observer>,
         status: Rc<Status>,
         clock: Clock,
-        queue: Sender<Input>,
+        queue: Sender<CoreInput>,
         keys_most: f64,
     ) -> Self {
-        Watch {
+        MembershipObserver {
             inner,
             status,
             clock,
@@ -60,7 +60,7 @@
     (of_one.clamp(0.0, 1.0) * 255.0).round() as u8
 }
 
-impl Observer for Watch {
+impl Observer for MembershipObserver {
     fn request_event(&self, now_ms: f64, fact: RequestEvent) {
         self.inner.request_event(now_ms, fact);
     }
@@ -92,7 +92,7 @@
     }
 }
 
-impl StatusSource for Watch {
+impl StatusSource for MembershipObserver {
     fn phase(&self) -> Phase {
         if self.phase.get() == Phase::Cold && self.clock.now() >= self.cold_until_ms.get() {
             self.phase.set(Phase::Serving);
@@ -105,7 +105,7 @@
         if now - self.looked_ms.get() >= LOOK_MS {
             self.looked_ms.set(now);
             // A full queue is one that the core works on: it is asked again.
-            let _ = self.queue.try_send(Input::Look);
+            let _ = self.queue.try_send(CoreInput::ReportState);
         }
         Load { healthy: self.status.healthy.get(), ..self.load.get() }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,16 +6,16 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use pinepoint_lab::rig::{Options, Rig};
-use pinepoint_membership::member::{Identity, Load, Phase, Record, Standing};
-use pinepoint_membership::wire::{Body, Codec, Message, Packet, Sender};
+use pinepoint_lab::cluster::{Cluster, Options};
+use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
+use pinepoint_membership::wire::{Codec, Message, Packet, PacketBody, SenderState};
 
 /// Courses at once: a process that is not run looks dead, and these are to be stopped by scripts only.
 const AT_ONCE: usize = 3;
 static FREE: (Mutex<usize>, Condvar) = (Mutex::new(AT_ONCE), Condvar::new());
 
 struct Course {
-    rig: Rig,
+    cluster: Cluster,
     _turn: Turn,
 }
 
@@ -52,7 +52,7 @@
     let fleet = fleet.to_owned();
     let options =
         Options { program, folder, members, zones, period_ms: 150, seed: 5, fleet, ..Options::default() };
-    Course { rig: Rig::prepare(options).expect("a rig"), _turn: turn }
+    Course { cluster: Cluster::prepare(options).expect("a rig"), _turn: turn }
 }
 
 impl Course {
@@ -61,14 +61,14 @@
     }
 
     fn run(&mut self, script: &str) {
-        if let Err(broken) = self.rig.run(script) {
-            panic!("{broken} (files in {})", self.rig.folder().display());
+        if let Err(broken) = self.cluster.run(script) {
+            panic!("{broken} (files in {})", self.cluster.folder().display());
         }
     }
 
     /// The view of the process of this number, from 1.
     fn view(&self, n: usize) -> serde_json::Value {
-        self.rig.view(n - 1).expect("it answers")
+        self.cluster.view(n - 1).expect("it answers")
     }
 }
 
@@ -76,7 +76,7 @@
     fn drop(&mut self) {
         // What a failed course leaves is worth a look.
         if !std::thread::panicking() {
-            let _ = std::fs::remove_dir_all(self.rig.folder());
+            let _ = std::fs::remove_dir_all(self.cluster.folder());
         }
     }
 }
@@ -111,7 +111,7 @@
          n2 continue
          all wait settled",
     );
-    let log = std::fs::read_to_string(course.rig.folder().join("n2.log")).expect("its log");
+    let log = std::fs::read_to_string(course.cluster.folder().join("n2.log")).expect("its log");
     assert!(log.contains("reason=own-trouble"), "it did not see that it was stopped: {log}");
     assert!(log.contains("reason=refuted"), "it was not told that it was held lost: {log}");
     let after = log.split_once("reason=own-trouble").map_or("", |(_, after)| after);
@@ -195,7 +195,7 @@
 fn garbage_is_not_answered_and_does_no_harm() {
     let mut course = course("garbage", 3, 1);
     course.all_start();
-    let to = course.rig.listen(0);
+    let to = course.cluster.listen(0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
     for n in 0..400_usize {
@@ -360,8 +360,8 @@
          all wait settled
          rules hold",
     );
-    let all = course.rig.routers.book().all();
-    assert_eq!(all.asked, all.served + all.refused + all.failed + all.lost, "{all:?}");
+    let all = course.cluster.routers.stats().all();
+    assert_eq!(all.requests, all.served + all.rejected + all.failed + all.lost, "{all:?}");
 }
 
 #[test]
@@ -451,14 +451,22 @@
     );
 }
 
-/// What one that goes by this name and start would send.
-fn message(name: &str, start: u64, standing: Standing, from: &UdpSocket, news: Vec<Record>) -> Message {
+/// What one that goes by this name and generation would send.
+fn message(
+    name: &str,
+    generation: u64,
+    liveness: Liveness,
+    from: &UdpSocket,
+    updates: Vec<MemberRecord>,
+) -> Message {
     let address = from.local_addr().expect("bound");
     let identity = Identity { name: name.to_owned(), zone: "z1".into(), address, cores: 2, instance: 77 };
     let phase = Phase::Serving;
-    let record = Record { identity: Rc::new(identity), start, incarnation: 0, phase, standing, by: 0 };
-    let from = Sender { record, load: Load::default(), digest: 0, known: 9, now_ms: start as f64 };
-    Message::Peer(Packet { from, body: Body::Ping { seq: 7 }, news })
+    let record =
+        MemberRecord { identity: Rc::new(identity), generation, incarnation: 0, phase, liveness, accuser: 0 };
+    let sender =
+        SenderState { record, load: Load::default(), digest: 0, known_members: 9, now_ms: generation as f64 };
+    Message::Peer(Packet { sender, body: PacketBody::Ping { sequence: 7 }, updates })
 }
 
 #[test]
@@ -469,12 +477,12 @@
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
     let now = course.view(1)["members"][0]["start"].as_u64().expect("a start");
     let (own, other) = (Codec::new("pinepoint"), Codec::new("another"));
-    let sound = message("stranger", now, Standing::Alive, &socket, Vec::new());
+    let sound = message("stranger", now, Liveness::Alive, &socket, Vec::new());
     let bytes = own.encode(&sound).expect("encoded");
     let mut version = bytes.clone();
     version[0] += 1;
     let foreign = other.encode(&sound).expect("encoded");
-    let to = course.rig.listen(0);
+    let to = course.cluster.listen(0);
     for wrong in [&version[..], &foreign[..], &bytes[..bytes.len() - 3], &[]] {
         socket.send_to(wrong, to).expect("sent");
     }
@@ -488,17 +496,17 @@
     };
     let n3 = member(3);
     let address = n3["address"].as_str().and_then(|text| text.parse().ok()).expect("an address");
-    let of = |name: &str, start, standing, incarnation| {
+    let of = |name: &str, generation, liveness, incarnation| {
         let zone = "z1".into();
         let identity = Identity { name: name.to_owned(), zone, address, cores: 2, instance: 9 };
         let phase = Phase::Serving;
-        Record { identity: Rc::new(identity), start, incarnation, phase, standing, by: 1 }
+        MemberRecord { identity: Rc::new(identity), generation, incarnation, phase, liveness, accuser: 1 }
     };
-    let news = vec![
-        of("n2", u64::MAX, Standing::Alive, 0),
-        of("n3", n3["start"].as_u64().expect("a start") + 1, Standing::Lost, 3),
+    let updates = vec![
+        of("n2", u64::MAX, Liveness::Alive, 0),
+        of("n3", n3["start"].as_u64().expect("a start") + 1, Liveness::Lost, 3),
     ];
-    let forged = message("stranger", now, Standing::Alive, &socket, news);
+    let forged = message("stranger", now, Liveness::Alive, &socket, updates);
     socket.send_to(&own.encode(&forged).expect("encoded"), to).expect("sent");
     course.run(
         "n1 wait log fleet-disbelieved *reason=forged-start*
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -5,7 +5,7 @@
 #[path = "handover/mod.rs"]
 mod world;
 
-use pinepoint::node::lifecycle::Phase as Life;
+use pinepoint::server::control::lifecycle::Phase as Life;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use world::*;
@@ -77,7 +77,7 @@
                 }
             }
             Step::EngineUp => {
-                if newest == 1 && matches!(world.life(1), Life::Starting | Life::StartingDrained) {
+                if newest == 1 && matches!(world.life(1), Life::Starting | Life::StartingLameDuck) {
                     world.engine_up(1);
                 }
             }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,18 +1,29 @@
 //! The life of the process by itself: which phase may follow on which, whatever comes in whatever order.
 
-use pinepoint::node::lifecycle::{Left, Lifecycle, Phase, Published, Times};
+use pinepoint::server::control::lifecycle::{DrainTimes, Lifecycle, Outstanding, Phase, Published};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 use Phase::{
-    Closing, Drained, Finishing, Gone, HandedOver, Leaving, Serving, Starting, StartingDrained, ToldToGo,
+    Closing, Draining, Finishing, GoAwaySent, HandedOver, LameDuck, Serving, Starting, StartingLameDuck,
+    Terminated,
 };
 
-const ALL: [Phase; 10] =
-    [Starting, StartingDrained, Serving, Drained, Leaving, ToldToGo, HandedOver, Closing, Finishing, Gone];
-const TIMES: Times = Times { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING: Left = Left { doors: 0, connections: 0, owed: false };
-const DOOR: Left = Left { doors: 1, ..NOTHING };
+const ALL: [Phase; 10] = [
+    Starting,
+    StartingLameDuck,
+    Serving,
+    LameDuck,
+    Draining,
+    GoAwaySent,
+    HandedOver,
+    Closing,
+    Finishing,
+    Terminated,
+];
+const TIMES: DrainTimes = DrainTimes { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
+const NOTHING: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
+const DOOR: Outstanding = Outstanding { listeners: 1, ..NOTHING };
 
 fn serving() -> Lifecycle {
     let mut life = Lifecycle::new(TIMES, true);
@@ -22,7 +33,7 @@
 }
 
 /// Advances as far as it goes at this time.
-fn advance(life: &mut Lifecycle, now: f64, left: Left) -> Phase {
+fn advance(life: &mut Lifecycle, now: f64, left: Outstanding) -> Phase {
     while life.advance(now, left).is_some() {}
     life.phase()
 }
@@ -35,99 +46,100 @@
         .filter(|(from, to)| from.may_become(*to))
         .collect();
     let wanted = [
-        (Starting, StartingDrained),
+        (Starting, StartingLameDuck),
         (Starting, Serving),
         (Starting, Closing),
-        (StartingDrained, Starting),
-        (StartingDrained, Drained),
-        (StartingDrained, Closing),
-        (Serving, Drained),
-        (Serving, Leaving),
+        (StartingLameDuck, Starting),
+        (StartingLameDuck, LameDuck),
+        (StartingLameDuck, Closing),
+        (Serving, LameDuck),
+        (Serving, Draining),
         (Serving, HandedOver),
-        (Drained, Serving),
-        (Drained, Leaving),
-        (Drained, HandedOver),
-        (Leaving, ToldToGo),
-        (Leaving, HandedOver),
-        (ToldToGo, HandedOver),
-        (ToldToGo, Closing),
+        (LameDuck, Serving),
+        (LameDuck, Draining),
+        (LameDuck, HandedOver),
+        (Draining, GoAwaySent),
+        (Draining, HandedOver),
+        (GoAwaySent, HandedOver),
+        (GoAwaySent, Closing),
         (HandedOver, Finishing),
-        (HandedOver, Gone),
+        (HandedOver, Terminated),
         (Closing, Finishing),
-        (Closing, Gone),
-        (Finishing, Gone),
+        (Closing, Terminated),
+        (Finishing, Terminated),
     ];
     assert_eq!(legal, wanted);
     // Only the end of a drain leads back.
     let back: Vec<_> = legal.into_iter().filter(|(from, to)| from >= to).collect();
-    assert_eq!(back, [(StartingDrained, Starting), (Drained, Serving)]);
+    assert_eq!(back, [(StartingLameDuck, Starting), (LameDuck, Serving)]);
 }
 
 #[test]
 fn a_drain_goes_through_its_phases_by_the_time_of_the_notice() {
     let mut life = serving();
-    assert!(life.notice(5000.0), "taken late, it counts from when it came");
-    assert_eq!(advance(&mut life, 5799.0, DOOR), Leaving);
-    assert_eq!(advance(&mut life, 5800.0, DOOR), ToldToGo);
-    assert_eq!(advance(&mut life, 5999.0, NOTHING), ToldToGo, "others still hear of it late");
+    assert!(life.begin_drain(5000.0), "taken late, it counts from when it came");
+    assert_eq!(advance(&mut life, 5799.0, DOOR), Draining);
+    assert_eq!(advance(&mut life, 5800.0, DOOR), GoAwaySent);
+    assert_eq!(advance(&mut life, 5999.0, NOTHING), GoAwaySent, "others still hear of it late");
     assert_eq!(advance(&mut life, 6000.0, DOOR), Closing);
     assert_eq!(advance(&mut life, 6799.0, DOOR), Closing);
     assert_eq!(advance(&mut life, 6800.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 6939.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 6940.0, DOOR), Gone, "the kill is near");
+    assert_eq!(advance(&mut life, 6940.0, DOOR), Terminated, "the kill is near");
     assert_eq!(life.kill_ms(), Some(7000.0));
-    assert!(!life.notice(6950.0), "a second notice moves nothing");
+    assert!(!life.begin_drain(6950.0), "a second notice moves nothing");
     assert_eq!(life.kill_ms(), Some(7000.0));
 }
 
 #[test]
 fn it_ends_when_nothing_is_left_and_not_before() {
-    let somebody = [DOOR, Left { connections: 1, ..NOTHING }, Left { owed: true, ..NOTHING }];
+    let somebody =
+        [DOOR, Outstanding { connections: 1, ..NOTHING }, Outstanding { answers_pending: true, ..NOTHING }];
     for left in somebody {
         let mut life = serving();
-        life.notice(0.0);
+        life.begin_drain(0.0);
         assert_eq!(advance(&mut life, 1000.0, left), Closing, "{left:?}");
-        assert_eq!(advance(&mut life, 1001.0, NOTHING), Gone);
+        assert_eq!(advance(&mut life, 1001.0, NOTHING), Terminated);
     }
 }
 
 #[test]
 fn the_notice_before_the_engine_is_up_is_not_undone_by_the_engine() {
     let mut life = Lifecycle::new(TIMES, true);
-    assert_eq!(life.published(), Published { healthy: false, listed: None });
-    assert!(life.notice(0.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: None });
+    assert!(life.begin_drain(0.0));
     assert_eq!(life.phase(), Closing);
     assert!(!life.engine_up(), "nothing may begin to serve");
     life.set_healthy(true);
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert_eq!(advance(&mut life, 1.0, NOTHING), Gone, "nobody was ever told of it");
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
+    assert_eq!(advance(&mut life, 1.0, NOTHING), Terminated, "nobody was ever told of it");
 }
 
 #[test]
 fn the_list_follows_health_only_where_the_site_says_so() {
-    for (by_health, listed) in [(true, false), (false, true)] {
+    for (by_health, registered) in [(true, false), (false, true)] {
         let mut life = Lifecycle::new(TIMES, by_health);
         life.engine_up();
         life.set_healthy(false);
-        assert_eq!(life.published(), Published { healthy: false, listed: Some(listed) });
+        assert_eq!(life.published(), Published { healthy: false, registered: Some(registered) });
     }
 }
 
 #[test]
 fn a_drain_by_operators_ends_and_begins_in_any_phase_that_serves() {
     let mut life = Lifecycle::new(TIMES, true);
-    assert!(life.set_drained(true));
-    assert_eq!(life.published(), Published { healthy: false, listed: None }, "the engine is not up");
+    assert!(life.set_lame_duck(true));
+    assert_eq!(life.published(), Published { healthy: false, registered: None }, "the engine is not up");
     assert!(life.engine_up());
     life.set_healthy(true);
-    assert_eq!(life.phase(), Drained);
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert!(life.set_drained(true), "asked twice, it stays");
+    assert_eq!(life.phase(), LameDuck);
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
+    assert!(life.set_lame_duck(true), "asked twice, it stays");
     assert!(!life.engine_up(), "an engine that comes back ends no drain");
-    assert_eq!(life.phase(), Drained);
-    assert!(life.set_drained(false));
-    assert!(life.set_drained(false), "nothing to end");
-    assert_eq!(life.published(), Published { healthy: true, listed: Some(true) });
+    assert_eq!(life.phase(), LameDuck);
+    assert!(life.set_lame_duck(false));
+    assert!(life.set_lame_duck(false), "nothing to end");
+    assert_eq!(life.published(), Published { healthy: true, registered: Some(true) });
 }
 
 #[test]
@@ -135,51 +147,51 @@
     for drained_first in [true, false] {
         let mut life = serving();
         if drained_first {
-            assert!(life.set_drained(true));
+            assert!(life.set_lame_duck(true));
         }
-        assert!(life.notice(0.0));
-        assert!(life.set_drained(true), "it takes no new work anyhow");
-        assert!(!life.set_drained(false), "there is no way back");
-        assert_eq!(life.phase(), Leaving);
-        assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
+        assert!(life.begin_drain(0.0));
+        assert!(life.set_lame_duck(true), "it takes no new work anyhow");
+        assert!(!life.set_lame_duck(false), "there is no way back");
+        assert_eq!(life.phase(), Draining);
+        assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
     }
     let mut life = Lifecycle::new(TIMES, true);
-    assert!(life.set_drained(true));
-    assert!(life.notice(0.0));
+    assert!(life.set_lame_duck(true));
+    assert!(life.begin_drain(0.0));
     assert_eq!(life.phase(), Closing, "one that never served has nobody to wait for");
 }
 
 #[test]
 fn one_that_is_handed_over_stays_healthy_and_is_no_business_of_the_list() {
     let mut life = serving();
-    assert!(life.hand_over(5000.0));
-    assert_eq!(life.published(), Published { healthy: true, listed: None });
+    assert!(life.mark_handed_over(5000.0));
+    assert_eq!(life.published(), Published { healthy: true, registered: None });
     assert_eq!(advance(&mut life, 5001.0, DOOR), HandedOver);
     assert_eq!(life.kill_ms(), Some(6500.0));
     assert_eq!(advance(&mut life, 6300.0, DOOR), Finishing);
-    assert_eq!(life.published(), Published { healthy: false, listed: None });
-    assert_eq!(advance(&mut life, 6440.0, DOOR), Gone);
+    assert_eq!(life.published(), Published { healthy: false, registered: None });
+    assert_eq!(advance(&mut life, 6440.0, DOOR), Terminated);
 
     let mut life = serving();
-    life.set_drained(true);
-    assert!(life.hand_over(5000.0));
-    assert_eq!(life.published(), Published { healthy: false, listed: None }, "drained, it stays so");
-    assert_eq!(advance(&mut life, 5001.0, NOTHING), Gone, "nothing keeps it");
+    life.set_lame_duck(true);
+    assert!(life.mark_handed_over(5000.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: None }, "drained, it stays so");
+    assert_eq!(advance(&mut life, 5001.0, NOTHING), Terminated, "nothing keeps it");
 }
 
 #[test]
 fn a_take_over_that_comes_behind_the_notice_ends_the_reports() {
     let mut life = serving();
-    assert!(life.notice(5000.0));
-    assert_eq!(life.published(), Published { healthy: false, listed: Some(false) });
-    assert!(life.hand_over(5400.0));
-    assert_eq!(life.published().listed, None);
+    assert!(life.begin_drain(5000.0));
+    assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
+    assert!(life.mark_handed_over(5400.0));
+    assert_eq!(life.published().registered, None);
     assert_eq!(life.kill_ms(), Some(6500.0), "the kill counts from the notice");
-    assert!(!life.hand_over(5500.0));
+    assert!(!life.mark_handed_over(5500.0));
     let mut late = serving();
-    late.notice(0.0);
+    late.begin_drain(0.0);
     advance(&mut late, 1000.0, DOOR);
-    assert!(!late.hand_over(1001.0), "its doors are shut");
+    assert!(!late.mark_handed_over(1001.0), "its doors are shut");
 }
 
 #[derive(Clone, Debug)]
@@ -211,25 +223,25 @@
         ], 1..20),
     ) {
         let handover_stop_ms = stop_ms * 0.9;
-        let mut life = Lifecycle::new(Times { grace_ms, stop_ms, handover_stop_ms }, true);
+        let mut life = Lifecycle::new(DrainTimes { grace_ms, stop_ms, handover_stop_ms }, true);
         let (mut now, mut told, mut handed_over) = (1e12, None, false);
         for step in &steps {
             let before = life.phase();
             match step {
                 Step::Up => {
-                    prop_assert_eq!(life.engine_up(), matches!(before, Starting | StartingDrained));
+                    prop_assert_eq!(life.engine_up(), matches!(before, Starting | StartingLameDuck));
                 }
                 Step::Notice => {
-                    prop_assert_eq!(life.notice(now), told.is_none());
+                    prop_assert_eq!(life.begin_drain(now), told.is_none());
                     told = told.or(Some(now));
                 }
                 Step::Health(good) => life.set_healthy(*good),
                 Step::Drain(drained) => {
-                    prop_assert_eq!(life.set_drained(*drained), before < Leaving || *drained && before != Gone);
+                    prop_assert_eq!(life.set_lame_duck(*drained), before < Draining || *drained && before != Terminated);
                 }
                 Step::HandOver => {
-                    let may = matches!(before, Serving | Drained | Leaving | ToldToGo);
-                    prop_assert_eq!(life.hand_over(now), may);
+                    let may = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
+                    prop_assert_eq!(life.mark_handed_over(now), may);
                     handed_over |= may;
                     told = told.or(may.then_some(now));
                 }
@@ -238,26 +250,26 @@
                     advance(&mut life, now, if *left { DOOR } else { NOTHING });
                 }
             }
-            let back = matches!((before, life.phase()), (StartingDrained, Starting) | (Drained, Serving));
+            let back = matches!((before, life.phase()), (StartingLameDuck, Starting) | (LameDuck, Serving));
             prop_assert!(life.phase() >= before || back && matches!(step, Step::Drain(false)));
             let published = life.published();
             if handed_over {
-                prop_assert_eq!(published.listed, None);
+                prop_assert_eq!(published.registered, None);
             } else if told.is_some() {
-                prop_assert_eq!(published, Published { healthy: false, listed: Some(false) });
+                prop_assert_eq!(published, Published { healthy: false, registered: Some(false) });
             }
-            if matches!(life.phase(), StartingDrained | Drained) {
-                prop_assert!(!published.healthy && published.listed != Some(true));
+            if matches!(life.phase(), StartingLameDuck | LameDuck) {
+                prop_assert!(!published.healthy && published.registered != Some(true));
             }
             if let Some(since) = told {
                 let kill = (since + stop_ms).max(now + 100.0);
-                prop_assert!(life.phase() == Gone || life.next_due().is_some_and(|due| due <= kill));
+                prop_assert!(life.phase() == Terminated || life.next_deadline_ms().is_some_and(|due| due <= kill));
             }
         }
         if let Some(since) = told {
             let late = advance(&mut life, now.max(since + stop_ms), DOOR);
             prop_assert!(late >= Finishing);
-            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, DOOR), Gone);
+            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, DOOR), Terminated);
         }
     }
 }
@@ -266,8 +278,8 @@
 #[test]
 fn the_last_answers_are_written_however_late_they_are_given() {
     let mut life = serving();
-    life.notice(5000.0);
+    life.begin_drain(5000.0);
     assert_eq!(advance(&mut life, 7100.0, DOOR), Finishing);
     assert_eq!(advance(&mut life, 7199.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 7200.0, DOOR), Gone);
+    assert_eq!(advance(&mut life, 7200.0, DOOR), Terminated);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,9 +4,9 @@
 mod bench;
 
 use bench::{Bench, Step};
-use pinepoint::node::lifecycle::Phase;
-use pinepoint::node::port::Input;
-use pinepoint::settings::Site;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::lifecycle::Phase;
+use pinepoint::server::core::api::CoreInput;
 use pinepoint_events::ProcessEvent;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -48,10 +48,11 @@
 }
 
 fn class(name: usize) -> BoxedStrategy<Value> {
-    let effect = prop_oneof![Just("read_like"), Just("idempotency_key"), Just("non_idempotent"), Just("")];
+    let idempotency =
+        prop_oneof![Just("read_like"), Just("idempotency_key"), Just("non_idempotent"), Just("")];
     let figures = (figure(), positive_figure(), figure(), figure(), figure(), figure());
-    (effect, figures).prop_map(move |(effect, (aim, deadline, worth, late, stretch, window))| {
-        json!({"name": format!("c{name}"), "effect": effect, "promiseMs": aim, "deadlineMs": deadline, "worth": worth,
+    (idempotency, figures).prop_map(move |(idempotency, (aim, deadline, worth, late, stretch, window))| {
+        json!({"name": format!("c{name}"), "effect": idempotency, "promiseMs": aim, "deadlineMs": deadline, "worth": worth,
             "lateWorth": late, "aimStretch": stretch, "keyTtlMs": window})
     })
     .boxed()
@@ -102,7 +103,7 @@
         6 => (any::<u8>(), any::<u8>()).prop_map(|(run, how)| Step::End { run, how }),
         4 => any::<u8>().prop_map(|run| Step::Need { run }),
         4 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::CallOver { call, how }),
-        2 => any::<u8>().prop_map(|ticket| Step::Gone { ticket }),
+        2 => any::<u8>().prop_map(|correlation_id| Step::Gone { correlation_id }),
         1 => Just(Step::Down),
         1 => Just(Step::Up),
     ]
@@ -141,7 +142,7 @@
                 }
                 step => bench.run(step),
             }
-            bench.tell(Input::Look);
+            bench.tell(CoreInput::ReportState);
             let open = bench.seen.state.borrow().open.clone();
             for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
@@ -149,7 +150,7 @@
         }
         bench.run(&Step::Leave);
         bench.pass(stop_ms + 200.0, 0.5);
-        prop_assert_eq!(bench.core.phase(), Phase::Gone);
+        prop_assert_eq!(bench.core.phase(), Phase::Terminated);
         let unanswered = bench.sums().into_iter().map(|[read, answered, gone]| read - answered - gone).sum::<u64>();
         prop_assert_eq!(unanswered, 0, "all that was read is answered before the end");
         prop_assert!(bench.seen.answers.borrow().values().all(|replies| replies.len() == 1));
@@ -202,9 +203,9 @@
 fn a_deadline_that_is_given_is_a_number_above_0() {
     let with = |class: Value| {
         let settings = json!({"services": [{"name": "look"}, class], "specifics": {"cores": 2}});
-        Site::read(&settings).map(|site| site.settings.classes[1].deadline_ms).map_err(|e| e.to_string())
+        Site::read(&settings).map(|site| site.settings.classes[1].timeout_ms).map_err(|e| e.to_string())
     };
-    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::Class::default().deadline_ms));
+    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().timeout_ms));
     assert_eq!(with(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
     for wrong in [json!(null), json!("900"), json!(0), json!(-5), json!(-0.0), json!([900]), json!(true)] {
         let told = with(json!({"name": "write", "deadlineMs": wrong.clone()})).expect_err("refused");
