--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -120,9 +120,8 @@
     });
 }
 
-/// From the end of an interval to its acknowledgements, with so many receivers.
-#[divan::bench(args = [1, 3, 10])]
-fn decisions_for_an_interval(bencher: Bencher, receivers: usize) {
+/// A delivery to receivers that acknowledge each message, without delays.
+fn delivery(receivers: usize) -> Delivery {
     let config = DeliveryConfig {
         spool: Bounds { bytes: 1 << 20, age_ms: 1e9, window: 16 },
         circuit_breaker: circuit_breaker::Config::default(),
@@ -137,52 +136,64 @@
         max_send_delay_ms: 0.0,
     };
     let schema = schema();
-    let paths: Rc<[String]> =
-        MetricNaming { prefix: "pinepoint".into(), host: "n1".into(), tags: false }.paths(&schema).into();
-    let names: Vec<String> = (0..receivers).map(|n| format!("10.0.0.{n}:2003")).collect();
-    let base = vec![0.0; schema.counts()].into();
-    let mut delivery = Delivery::new(config, &names, paths, base, 1);
+    let naming = MetricNaming { prefix: "pinepoint".into(), host: "n1".into(), tags: false };
+    let base_totals = vec![0.0; schema.counts()].into();
+    Delivery::new(config, &receiver_names(receivers), naming.paths(&schema).into(), base_totals, 1)
+}
+
+fn receiver_names(receivers: usize) -> Vec<String> {
+    (0..receivers).map(|n| format!("10.0.0.{n}:2003")).collect()
+}
+
+/// Handles an event and all that follows from it: connections are established and messages acknowledged at once.
+fn handle(delivery: &mut Delivery, now: f64, event: Event) {
+    let mut events = vec![event];
+    let mut actions = Vec::new();
+    while let Some(event) = events.pop() {
+        delivery.handle(now, event, &mut actions);
+        events.extend(actions.drain(..).filter_map(answer));
+    }
+}
+
+/// The event that answers an action.
+fn answer(action: Action) -> Option<Event> {
+    match action {
+        Action::Connect { connection } => Some(Event::Connected { connection }),
+        Action::Send { connection, sequence, .. } => {
+            Some(Event::Acknowledged { connection, up_to: sequence, closed: false })
+        }
+        _ => None,
+    }
+}
+
+/// From the end of an interval to its acknowledgements, with so many receivers.
+#[divan::bench(args = [1, 3, 10])]
+fn decisions_for_an_interval(bencher: Bencher, receivers: usize) {
+    let mut delivery = delivery(receivers);
     let (model, mut now) = (snapshot(0), 0.0);
     bencher.bench_local(|| {
         now += 10_000.0;
-        let (mut events, mut out) =
-            (vec![Event::IntervalEnded(Snapshot { slot_s: now as u64, ..model.clone() })], Vec::new());
-        while let Some(event) = events.pop() {
-            delivery.handle(now, event, &mut out);
-            for action in out.drain(..) {
-                match action {
-                    Action::Connect { connection } => events.push(Event::Connected { connection }),
-                    Action::Send { connection, sequence, .. } => {
-                        events.push(Event::Acknowledged { connection, up_to: sequence, closed: false });
-                    }
-                    _ => {}
-                }
-            }
-        }
-        // What was delayed so that not all processes send at once.
-        delivery.handle(now + 1.0, Event::Tick, &mut out);
-        for action in out.drain(..) {
-            if let Action::Send { connection, sequence, .. } = action {
-                events.push(Event::Acknowledged { connection, up_to: sequence, closed: false });
-            }
-        }
-        events.drain(..).for_each(|event| delivery.handle(now + 1.0, event, &mut Vec::new()));
+        let snapshot = Snapshot { slot_s: now as u64, ..model.clone() };
+        handle(&mut delivery, now, Event::IntervalEnded(snapshot));
+        // Sends what was delayed.
+        handle(&mut delivery, now + 1.0, Event::Tick);
     });
     assert!(delivery.stats().backlog_intervals <= 1, "{:?}", delivery.stats());
 }
 
-/// A ring of ten, and the order of one path on it.
+/// Building a ring of ten receivers.
 #[divan::bench]
 fn ring_of_ten(bencher: Bencher) {
-    let names: Vec<String> = (0..10).map(|n| format!("10.0.0.{n}:2003")).collect();
+    let names = receiver_names(10);
     bencher.bench_local(|| {
         HashRing::new(names.iter().enumerate().map(|(slot, name)| (slot as u8, name.as_str())))
     });
 }
 
+/// The order in which one path prefers ten receivers.
 #[divan::bench]
 fn preference_of_a_path(bencher: Bencher) {
-    let names: Vec<String> = (0..10).map(|n| format!("10.0.0.{n}:2003")).collect();
+    let names = receiver_names(10);
     let ring = HashRing::new(names.iter().enumerate().map(|(slot, name)| (slot as u8, name.as_str())));
     bencher.bench_local(|| ring.preference(black_box("pinepoint.n1.class.report-view.total.p99_ms")));
 }
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -89,7 +89,7 @@
 #[test]
 fn more_classes_move_no_count_and_those_of_one_name_share_their_series() {
     let mut accounts = accounts(false);
-    let told = |accounts: &Accounts, name: &str, stat: &str| {
+    let total = |accounts: &Accounts, name: &str, stat: &str| {
         let (totals, _) = accounts.clone().cut();
         let is_named = |point: &usize| {
             let metric = accounts.schema.describe(*point);
@@ -97,7 +97,7 @@
                 |class| metric.scope == Scope::Class(class) && accounts.schema.classes()[class] == name;
             metric.stat == stat && (0..accounts.schema.classes().len()).any(of_class)
         };
-        totals[(0..accounts.schema.counts()).find(is_named).expect("a series")]
+        totals[(0..accounts.schema.counts()).find(is_named).expect("a metric")]
     };
     accounts.note(&event(0, read(None)));
     accounts.note(&event(1, read(None)));
@@ -111,9 +111,9 @@
         accounts.note(&event(class, read(None)));
         accounts.note(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
     }
-    let reads = ["look", "write", "more"].map(|name| told(&accounts, name, "read"));
+    let reads = ["look", "write", "more"].map(|name| total(&accounts, name, "read"));
     assert_eq!(reads, [2.0, 2.0, 2.0]);
-    assert_eq!(told(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
+    assert_eq!(total(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
     assert_eq!(accounts.totals[accounts.schema.log_lines_left_out()], 7.0);
     let state = CoreState { open: vec![2, 1, 2, 1], ..CoreState::default() };
     assert_eq!((accounts.open_by_series(&state), accounts.law_off(&state)), (vec![2, 2, 2], 0.0));
--- a/crates/pinepoint-telemetry/src/circuit_breaker.rs
+++ b/crates/pinepoint-telemetry/src/circuit_breaker.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// When the slow start in progress will end, ms; nothing if there is none.
+    /// When the slow start in progress will end, ms; `None` if there is none.
     pub fn slow_start_end_ms(&self, now: f64) -> Option<f64> {
         let end_ms = self.closed_at_ms + self.config.slow_start_ms;
         (self.is_closed() && end_ms > now).then_some(end_ms)
--- a/crates/pinepoint-telemetry/src/collectd.rs
+++ b/crates/pinepoint-telemetry/src/collectd.rs
@@ -112,7 +112,7 @@
         format!("{}/{PLUGIN_NAME}-{plugin_instance}/{type_name}-{type_instance}", self.host)
     }
 
-    /// The values of a list in an interval; nothing if a list of one value has none.
+    /// The values of a list in an interval; `None` if a list of one value has none.
     fn values(&self, schema: &Schema, interval: &Interval, list: usize) -> Option<Vec<Value>> {
         let ValueList { identifier, points } = self.lists.get(list)?;
         let value = |point: usize| {
--- a/crates/pinepoint-telemetry/src/delivery.rs
+++ b/crates/pinepoint-telemetry/src/delivery.rs
@@ -204,7 +204,7 @@
         self.receiver_mut(slot)?.connection.as_mut()
     }
 
-    /// The connection with this ID; nothing if it has ended.
+    /// The connection with this ID; `None` if it has ended.
     fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.current_connection_mut(id.receiver).filter(|connection| connection.id == id)
     }
--- a/crates/pinepoint-telemetry/src/delivery/connection.rs
+++ b/crates/pinepoint-telemetry/src/delivery/connection.rs
@@ -18,7 +18,7 @@
 pub(super) struct UnackedMessage {
     sequence: u64,
     sent_ms: f64,
-    /// Nothing for a health check.
+    /// `None` for a health check.
     pub(super) batch: Option<PointBatch>,
 }
 
@@ -41,7 +41,7 @@
     ack_requested_ms: Option<f64>,
     last_sequence: u64,
     pub(super) unacked: VecDeque<UnackedMessage>,
-    /// Nothing while all data is written.
+    /// `None` while all data is written.
     progress: Option<WriteProgress>,
 }
 
--- a/crates/pinepoint-telemetry/src/distribution.rs
+++ b/crates/pinepoint-telemetry/src/distribution.rs
@@ -83,7 +83,7 @@
         self.buckets.len() * size_of::<Bucket>()
     }
 
-    /// A statistic, in ms except for the count; nothing for a quantile or maximum of no values.
+    /// A statistic, in ms except for the count; `None` for a quantile or maximum of no values.
     pub(crate) fn statistic(&self, statistic: Statistic) -> Option<f64> {
         match statistic {
             Statistic::Count => Some(self.count() as f64),
--- a/crates/pinepoint-telemetry/src/distribution/tests.rs
+++ b/crates/pinepoint-telemetry/src/distribution/tests.rs
@@ -14,8 +14,8 @@
     assert_eq!(whole.buckets, merged.buckets);
     exact.sort_by(f64::total_cmp);
     for (thousandths, at) in [(500, 1999), (900, 3599), (990, 3959), (999, 3995)] {
-        let told = merged.statistic(Statistic::Quantile(thousandths)).expect("values");
-        assert!((told / exact[at] - 1.0).abs() < 0.01, "{thousandths}: {told} for {}", exact[at]);
+        let quantile = merged.statistic(Statistic::Quantile(thousandths)).expect("values");
+        assert!((quantile / exact[at] - 1.0).abs() < 0.01, "{thousandths}: {quantile} for {}", exact[at]);
     }
     assert_eq!(merged.statistic(Statistic::Count), Some(4000.0));
     let sum: f64 = exact.iter().sum();
@@ -24,10 +24,10 @@
 
 #[test]
 fn nothing_recorded_has_a_count_and_no_quantile() {
-    let dist = DistributionRecorder::default().take();
-    assert_eq!(dist.statistic(Statistic::Count), Some(0.0));
-    assert_eq!(dist.statistic(Statistic::Quantile(990)), None);
-    assert_eq!(dist.statistic(Statistic::Max), None);
+    let distribution = DistributionRecorder::default().take();
+    assert_eq!(distribution.statistic(Statistic::Count), Some(0.0));
+    assert_eq!(distribution.statistic(Statistic::Quantile(990)), None);
+    assert_eq!(distribution.statistic(Statistic::Max), None);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     for ms in [f64::NAN, -5.0, f64::INFINITY, 1e12] {
         recorder.record(ms);
     }
-    let dist = recorder.take();
-    assert_eq!(dist.statistic(Statistic::Count), Some(4.0));
-    assert!(dist.statistic(Statistic::Max).expect("values") <= 605_000.0);
+    let distribution = recorder.take();
+    assert_eq!(distribution.statistic(Statistic::Count), Some(4.0));
+    assert!(distribution.statistic(Statistic::Max).expect("values") <= 605_000.0);
 }
--- a/crates/pinepoint-telemetry/src/encoder.rs
+++ b/crates/pinepoint-telemetry/src/encoder.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How the receiver of this name is reached; nothing if the name is not an address.
+    /// How the receiver of this name is reached; `None` if the name is not an address.
     pub(crate) fn transport(&self, receiver: &str) -> Option<Transport> {
         match self {
             Encoder::Graphite(graphite) => graphite.transport(receiver),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// These points of an interval; nothing if the system has no random numbers for encryption.
+    /// These points of an interval; `None` if the system has no random numbers for encryption.
     pub(crate) fn points(&self, interval: &Interval, points: &[u16]) -> Option<EncodedMessage> {
         let points = points.iter().map(|point| usize::from(*point));
         match self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A health check; nothing if the system has no random numbers for encryption.
+    /// A health check; `None` if the system has no random numbers for encryption.
     pub(crate) fn probe(&self, now_ms: f64) -> Option<EncodedMessage> {
         match self {
             Encoder::Graphite(graphite) => Some(graphite.probe(now_ms)),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A notification; nothing if the destination accepts none, or if the system has no random numbers for
+    /// A notification; `None` if the destination accepts none, or if the system has no random numbers for
     /// encryption.
     pub(crate) fn notification(&self, now_ms: f64, notification: &Notification) -> Option<EncodedMessage> {
         match self {
--- a/crates/pinepoint-telemetry/src/schema/tests.rs
+++ b/crates/pinepoint-telemetry/src/schema/tests.rs
@@ -21,16 +21,16 @@
 #[test]
 fn places_are_those_of_the_names() {
     let schema = schema();
-    let told = |point: usize| described(&schema, point);
-    assert_eq!(told(schema.class_counter(1, ClassCounter::DeadlineExceeded)), "Class(1) expired");
-    assert_eq!(told(schema.rejected(1, RejectReason::TooLate)), "Class(1) refused.too-late");
-    assert_eq!(told(schema.failed(0, FailureReason::Shutdown)), "Class(0) failed.stop");
-    assert_eq!(told(schema.call(1, CallOutcome::Reset)), "Class(1) call.reset");
-    assert_eq!(told(schema.run(1, RunOutcome::NotStarted)), "Class(1) run_end.unknown");
-    assert_eq!(told(schema.node().start + 1), "Node pings");
-    assert_eq!(told(schema.delivery(Destination::Collectd).counters), "Telemetry collectd.intervals_merged");
-    assert_eq!(told(schema.log_lines_left_out()), "Telemetry log_lines_left_out");
-    let gauge = |at: usize| told(schema.counts() + at);
+    let name = |point: usize| described(&schema, point);
+    assert_eq!(name(schema.class_counter(1, ClassCounter::DeadlineExceeded)), "Class(1) expired");
+    assert_eq!(name(schema.rejected(1, RejectReason::TooLate)), "Class(1) refused.too-late");
+    assert_eq!(name(schema.failed(0, FailureReason::Shutdown)), "Class(0) failed.stop");
+    assert_eq!(name(schema.call(1, CallOutcome::Reset)), "Class(1) call.reset");
+    assert_eq!(name(schema.run(1, RunOutcome::NotStarted)), "Class(1) run_end.unknown");
+    assert_eq!(name(schema.node().start + 1), "Node pings");
+    assert_eq!(name(schema.delivery(Destination::Collectd).counters), "Telemetry collectd.intervals_merged");
+    assert_eq!(name(schema.log_lines_left_out()), "Telemetry log_lines_left_out");
+    let gauge = |at: usize| name(schema.counts() + at);
     let offsets = schema.gauge_offsets();
     let error = offsets.accounting_error;
     assert_eq!(gauge(offsets.core_state), "State held");
@@ -39,6 +39,6 @@
     assert_eq!((gauge(error), gauge(error + 1)), ("Telemetry law_off".into(), "Telemetry span_s".into()));
     let at = schema.distribution(1, ClassDistribution::Total);
     let point = schema.counts() + schema.gauges() + at * STATISTICS.len() + 4;
-    assert_eq!(told(point), "Class(1) total.p99_ms");
+    assert_eq!(name(point), "Class(1) total.p99_ms");
     assert_eq!(schema.location(point), ValueLocation::Distribution(at, Statistic::Quantile(990)));
 }
--- a/crates/pinepoint-telemetry/src/send_queue/tests.rs
+++ b/crates/pinepoint-telemetry/src/send_queue/tests.rs
@@ -8,13 +8,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut stream = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     let (mut peer, _) = listener.accept().expect("accepted");
-    assert_eq!(unacknowledged_bytes(&stream).expect("told"), 0);
+    assert_eq!(unacknowledged_bytes(&stream).expect("a socket"), 0);
     stream.set_nonblocking(true).expect("set");
     let mut written = 0;
     while let Ok(n) = stream.write(&[0; 65_536]) {
         written += n;
     }
-    assert!(unacknowledged_bytes(&stream).expect("told") > 0);
+    assert!(unacknowledged_bytes(&stream).expect("a socket") > 0);
     stream.set_nonblocking(false).expect("set");
     stream.shutdown(Shutdown::Write).expect("half closed");
     let mut read = Vec::new();
@@ -23,5 +23,5 @@
     drop(peer);
     // The end of the other side comes behind its acknowledgement of ours.
     assert_eq!(stream.read(&mut [0]).expect("an end"), 0);
-    assert_eq!(unacknowledged_bytes(&stream).expect("told"), 0);
+    assert_eq!(unacknowledged_bytes(&stream).expect("a socket"), 0);
 }
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -75,7 +75,7 @@
 }
 
 impl Interval {
-    /// The value of a point; nothing if the interval has none.
+    /// The value of a point; `None` if the interval has none.
     pub fn value(&self, schema: &Schema, temporality: Temporality, point: usize) -> Option<f64> {
         let snapshot = &self.snapshot;
         let value = match schema.location(point) {
--- a/crates/pinepoint-telemetry/src/spool.rs
+++ b/crates/pinepoint-telemetry/src/spool.rs
@@ -64,7 +64,7 @@
     /// Its number, counting up.
     pub number: u64,
     snapshot: Snapshot,
-    /// Nothing until a first point of it is sent; until then it may be merged.
+    /// `None` until a first point of it is sent; until then it may be merged.
     pub ack_state: Option<AckState>,
 }
 
@@ -190,7 +190,7 @@
         self.intervals.iter().take(self.bounds.window)
     }
 
-    /// The data of an interval; nothing if the spool no longer has it.
+    /// The data of an interval; `None` if the spool no longer has it.
     pub fn interval(&self, number: u64) -> Option<Interval> {
         let at = self.position(number)?;
         let previous = at.checked_sub(1).map(|at| &self.intervals[at].snapshot.totals);
@@ -198,7 +198,7 @@
         Some(Interval { snapshot: self.intervals[at].snapshot.clone(), previous_totals })
     }
 
-    /// The acknowledgements of an interval with this number of points, created if it has none; nothing if the
+    /// The acknowledgements of an interval with this number of points, created if it has none; `None` if the
     /// spool no longer has the interval.
     pub fn ack_state_mut(&mut self, number: u64, points: usize) -> Option<&mut AckState> {
         let at = self.position(number)?;
--- a/crates/pinepoint-telemetry/src/spool/tests.rs
+++ b/crates/pinepoint-telemetry/src/spool/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-/// Slot and what was added, for each interval.
-fn told(spool: &Spool) -> Vec<(u64, f64)> {
+/// For each interval its slot and the increase of the first counter.
+fn increases(spool: &Spool) -> Vec<(u64, f64)> {
     let numbers: Vec<u64> = spool.intervals.iter().map(|interval| interval.number).collect();
     let interval = |number| spool.interval(number).expect("in the spool");
     numbers
@@ -37,14 +37,14 @@
     let one = snapshot(0).bytes();
     for room in 3..12 {
         let spool = filled(Bounds { bytes: one * room, ..BOUNDS }, 100);
-        let told = told(&spool);
+        let increases = increases(&spool);
         assert!(spool.size().1 <= one * room);
-        assert_eq!(told.iter().map(|(_, added)| added).sum::<f64>(), 700.0);
+        assert_eq!(increases.iter().map(|(_, increase)| increase).sum::<f64>(), 700.0);
         let slots: Vec<u32> = spool.intervals.iter().map(|interval| interval.snapshot.slots).collect();
         assert_eq!(slots.iter().sum::<u32>(), 100);
         let most = 100_u32.div_ceil(room as u32).next_power_of_two() * 2;
         assert!(slots.iter().all(|n| *n <= most), "room for {room}: {slots:?}");
-        assert_eq!(spool.losses(), Losses { merged: 100 - told.len() as u64, dropped: 0 });
+        assert_eq!(spool.losses(), Losses { merged: 100 - increases.len() as u64, dropped: 0 });
     }
 }
 
@@ -60,24 +60,24 @@
     for n in 3..50 {
         spool.push(n as f64, snapshot(n));
     }
-    let told = told(&spool);
-    assert_eq!(told[..2], [(0, 7.0), (10, 7.0)]);
-    assert_eq!(told.iter().map(|(_, added)| added).sum::<f64>(), 350.0);
+    let increases = increases(&spool);
+    assert_eq!(increases[..2], [(0, 7.0), (10, 7.0)]);
+    assert_eq!(increases.iter().map(|(_, increase)| increase).sum::<f64>(), 350.0);
 }
 
 #[test]
 fn old_intervals_go_into_their_successors_and_old_doubts_are_dropped_and_counted() {
     let mut spool = filled(Bounds { age_ms: 35_000.0, ..BOUNDS }, 10);
-    let kept = told(&spool);
-    assert_eq!(kept.iter().map(|(_, added)| added).sum::<f64>(), 70.0);
-    assert_eq!(kept[0], (60, 49.0), "{kept:?}");
+    let before = increases(&spool);
+    assert_eq!(before.iter().map(|(_, increase)| increase).sum::<f64>(), 70.0);
+    assert_eq!(before[0], (60, 49.0), "{before:?}");
     let front = spool.intervals[0].number;
     spool.ack_state_mut(front, 2).expect("there");
     for n in 10..20 {
         spool.push((n + 1) as f64 * 10_000.0, snapshot(n));
     }
     assert_eq!(spool.losses().dropped, 1);
-    assert_eq!(told(&spool).iter().map(|(_, added)| added).sum::<f64>(), 140.0 - 49.0);
+    assert_eq!(increases(&spool).iter().map(|(_, increase)| increase).sum::<f64>(), 140.0 - 49.0);
 }
 
 #[test]
@@ -87,10 +87,10 @@
         spool.ack_state_mut(number, 2).expect("there").acknowledged = vec![1, 1].into();
     }
     spool.remove_delivered(|state| state.acknowledged.iter().all(|acknowledged| *acknowledged != 0));
-    assert_eq!(told(&spool), [(10, 7.0), (20, 7.0), (30, 7.0)], "the third waits for the second");
+    assert_eq!(increases(&spool), [(10, 7.0), (20, 7.0), (30, 7.0)], "the third waits for the second");
     spool.ack_state_mut(1, 2).expect("there").acknowledged = vec![1, 1].into();
     spool.remove_delivered(|state| state.acknowledged.iter().all(|acknowledged| *acknowledged != 0));
-    assert_eq!(told(&spool), [(30, 7.0)]);
+    assert_eq!(increases(&spool), [(30, 7.0)]);
     assert_eq!(spool.size().1, snapshot(3).bytes());
 }
 
--- a/crates/pinepoint-telemetry/src/telemetry/destination.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/destination.rs
@@ -40,7 +40,7 @@
 /// The deliveries of one destination.
 pub(super) struct DestinationDeliveries {
     pub(super) destination: Destination,
-    /// Nothing if the destination is off.
+    /// `None` if the destination is off.
     current: RefCell<Option<RunningDelivery>>,
     /// Deliveries whose schema lacks classes that were added since: they send what they have and get no more
     /// intervals.
--- a/crates/pinepoint-telemetry/src/telemetry/setup.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/setup.rs
@@ -26,7 +26,7 @@
         self.graphite.is_none() && self.collectd.is_none()
     }
 
-    /// The names of the receivers of a destination; nothing if it is off.
+    /// The names of the receivers of a destination; `None` if it is off.
     pub(super) fn receivers(&self, destination: Destination) -> Option<Vec<String>> {
         match destination {
             Destination::Graphite => {
--- a/crates/pinepoint-telemetry/src/transport/tests.rs
+++ b/crates/pinepoint-telemetry/src/transport/tests.rs
@@ -38,7 +38,7 @@
         self.commands.try_send(Command::RequestAck).expect("sent");
     }
 
-    /// The next event but for progress; nothing if none comes in that time.
+    /// The next event but for progress; `None` if none comes in that time.
     async fn next(&self, ms: u64) -> Option<Event> {
         let late = async {
             async_io::Timer::after(Duration::from_millis(ms)).await;
