--- a/src/bin/pinepoint-adapter/wire.rs
+++ b/src/bin/pinepoint-adapter/wire.rs
@@ -307,7 +307,7 @@
         .or_else(|| seed.as_i64().map(|v| v as u64))
         .ok_or_else(|| bad("Enlist", "rngSeed", "a whole number"))?;
     let info = message.get("info").ok_or_else(|| bad("Enlist", "info", "an object"))?;
-    let site = Site::read(info).map_err(|e| Fault(format!("Enlist: {e}")))?;
+    let site = Site::from_json(info).map_err(|e| Fault(format!("Enlist: {e}")))?;
     let controller = AdmissionController::new(site.settings, seed)
         .map_err(|e| Fault(format!("Enlist: field info is unusable: {e}")))?;
     Ok(Host { controller, class_names: site.class_names, tenant_names: site.tenant_names })
--- a/src/bin/pinepoint/bind.rs
+++ b/src/bin/pinepoint/bind.rs
@@ -1,4 +1,4 @@
-//! Opening listening sockets. It must never accept a connection.
+//! Opening listening sockets. It never accepts a connection.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -6,46 +6,64 @@
 use async_io::Async;
 use pinepoint_clock::Clock;
 
-use crate::signals::Signs;
+use crate::signals::SignalStream;
 use crate::start_error::StartError;
 
-/// How long an address that is in use is waited for, and between two tries, ms. The platform gives a start 30 s.
-const BIND_MS: f64 = 15_000.0;
-const BIND_AGAIN_MS: f64 = 20.0;
+/// How long to wait for an address that is in use, ms. The platform gives a start 30 s.
+const ADDRESS_IN_USE_TIMEOUT_MS: f64 = 15_000.0;
+/// Pause between two attempts, ms.
+const RETRY_MS: f64 = 20.0;
 
-/// A listening socket, and the address that it has.
-pub type Bound = (Async<TcpListener>, SocketAddr);
+/// A listening socket that is ready for the executor.
+pub struct BoundListener {
+    /// The socket.
+    pub listener: Async<TcpListener>,
+    /// Its own address, with the port that the system chose for port 0.
+    pub address: SocketAddr,
+}
+
+impl BoundListener {
+    /// Makes a listening socket ready for the executor.
+    pub fn new(listener: TcpListener) -> io::Result<Self> {
+        let address = listener.local_addr()?;
+        Ok(BoundListener { listener: Async::new(listener)?, address })
+    }
+}
 
-/// A listening socket made ready for the executor, and its address.
-pub fn with_address(listener: TcpListener) -> io::Result<Bound> {
-    let address = listener.local_addr()?;
-    Ok((Async::new(listener)?, address))
+/// Opens a socket on which no other process can listen.
+pub fn listen_exclusively(address: SocketAddr) -> io::Result<TcpListener> {
+    TcpListener::bind(address)
 }
 
-/// Opens a listening socket. An address that is in use is waited for: the process that had it a moment ago is about to
-/// end, and a start that failed for it would be a comparer that is missing. Nothing there if the notice to leave came
-/// first.
+/// Opens a listening socket with `open`. An address that is in use is waited for: the process that used it a moment ago is
+/// about to end, and a failed start would leave the fleet a server short.
+///
+/// # Errors
+///
+/// [`StartError::Terminated`] if a termination notice arrives during the wait, [`StartError::System`] for any other
+/// failure and after the wait. `name` tells the socket in logs and errors.
 pub fn bind(
-    what: &'static str,
+    name: &'static str,
     address: SocketAddr,
     open: fn(SocketAddr) -> io::Result<TcpListener>,
-    signs: &mut Signs,
+    signals: &mut SignalStream,
     clock: &Clock,
-) -> Result<Option<Bound>, StartError> {
-    let until = clock.now() + BIND_MS;
-    let mut told = false;
+) -> Result<BoundListener, StartError> {
+    let deadline_ms = clock.now() + ADDRESS_IN_USE_TIMEOUT_MS;
+    let mut is_logged = false;
     loop {
-        match open(address).and_then(with_address) {
-            Ok(bound) => return Ok(Some(bound)),
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && clock.now() < until => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(what, %address, "address-in-use");
+        match open(address).and_then(BoundListener::new) {
+            Ok(bound) => return Ok(bound),
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && clock.now() < deadline_ms => {
+                if !is_logged {
+                    tracing::warn!(what = name, %address, "address-in-use");
+                    is_logged = true;
                 }
-                if async_io::block_on(signs.notice_within(BIND_AGAIN_MS, clock)) {
-                    return Ok(None);
+                if async_io::block_on(signals.terminated_within(RETRY_MS, clock)) {
+                    return Err(StartError::Terminated);
                 }
             }
-            Err(error) => return Err(StartError::System(what, error)),
+            Err(error) => return Err(StartError::System(name, error)),
         }
     }
 }
--- a/src/bin/pinepoint/edge_config.rs
+++ b/src/bin/pinepoint/edge_config.rs
@@ -1,65 +1,72 @@
-//! The operators' TOML file. It owns its fields and what each may hold; it must never act on them. A file is taken whole
-//! or not at all, and what is wrong with one is told by line and field.
+//! The operators' TOML file, which switches on what the platform's protocol does not need. It owns the file's fields and
+//! their ranges, and acts on none of them. A file is accepted or rejected as a whole, and an error names line and field.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 pub use pinepoint::config::{Config, FileError};
-use pinepoint::config::{line_and_column, read_text};
+use pinepoint::config::{Position, read_text};
+use pinepoint::server::frontend::rpc::MEM_BELOW_KB;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
+#[cfg(test)]
+mod tests;
+
 /// What `--edge FILE` switches on; without it all of this is off.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Edge {
     /// The log.
     pub log: pinepoint_log::Options,
-    /// The AJP front.
+    /// The AJP listener.
     pub ajp: Option<Ajp>,
-    /// What holds for all destinations of counts.
+    /// What holds for all destinations of metrics.
     pub telemetry: pinepoint_telemetry::config::Telemetry,
     /// The view of the fleet.
     pub fleet: Option<pinepoint_membership::config::Config>,
-    /// Counts to Graphite.
+    /// Metrics to Graphite.
     pub graphite: Option<pinepoint_telemetry::config::Graphite>,
-    /// Counts to collectd.
+    /// Metrics to collectd.
     pub collectd: Option<pinepoint_telemetry::config::Collectd>,
 }
 
-/// The AJP front.
+/// The AJP listener.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ajp {
-    /// Where front ends connect.
+    /// Where web servers connect.
     pub listen: SocketAddr,
-    /// What they have to know, if anything.
+    /// The secret that they have to send, if any.
     pub secret: Option<String>,
-    /// Memory booked for a request that does not tell its own, kB.
+    /// Memory that is reserved for a request that does not declare its own, kB.
     pub mem_kb: MemKb,
 }
 
-/// Memory of one request, kB: above 0 and below 2,000, as on the other front.
+/// Memory of one request, kB: above 0 and below [`MEM_BELOW_KB`], as in the platform's protocol.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct MemKb(pub f64);
 
+/// The memory of a request is out of range.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("{kb} is not above 0 and below {MEM_BELOW_KB}")]
+pub struct MemOutOfRange {
+    kb: f64,
+}
+
 impl TryFrom<f64> for MemKb {
-    type Error = String;
+    type Error = MemOutOfRange;
 
-    fn try_from(kb: f64) -> Result<Self, String> {
-        let most = pinepoint::server::frontend::rpc::MEM_BELOW_KB;
-        if kb > 0.0 && kb < most {
-            Ok(MemKb(kb))
-        } else {
-            Err(format!("{kb} is not above 0 and below {most}"))
-        }
+    fn try_from(kb: f64) -> Result<Self, MemOutOfRange> {
+        let is_in_range = kb > 0.0 && kb < MEM_BELOW_KB;
+        is_in_range.then_some(MemKb(kb)).ok_or(MemOutOfRange { kb })
     }
 }
 
 impl Edge {
-    /// What it says of telemetry.
-    pub fn setup(&self) -> pinepoint_telemetry::Setup {
+    /// The part of the file that is about telemetry.
+    pub fn telemetry_setup(&self) -> pinepoint_telemetry::Setup {
         pinepoint_telemetry::Setup {
             telemetry: self.telemetry.clone(),
             graphite: self.graphite.clone(),
@@ -79,38 +86,16 @@
 }
 
 fn parse_toml<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, FileError> {
-    let told = |field: String, error: &toml::de::Error| FileError {
-        at: error.span().map(|span| line_and_column(text, span.start)),
+    let file_error = |field: String, error: &toml::de::Error| FileError {
+        position: error.span().map(|span| Position::of_offset(text, span.start)),
         field,
         ..FileError::new(file, error.message())
     };
-    let toml = toml::Deserializer::parse(text).map_err(|error| told(String::new(), &error))?;
+    let toml = toml::Deserializer::parse(text).map_err(|error| file_error(String::new(), &error))?;
     serde_path_to_error::deserialize(toml).map_err(|error| {
-        let field = error.path().to_string();
-        told(if field == "." { String::new() } else { field }, error.inner())
+        let path = error.path().to_string();
+        // The path of the whole document is a dot.
+        let field = if path == "." { String::new() } else { path };
+        file_error(field, error.inner())
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn edge(text: &str) -> String {
-        parse_toml::<Edge>(Path::new("edge.toml"), text).map_or_else(|e| e.to_string(), |_| "taken".into())
-    }
-
-    #[test]
-    fn an_edge_file_is_refused_with_its_line_and_field() {
-        assert_eq!(edge(""), "taken");
-        assert_eq!(
-            edge("[ajp]\nlisten = \"127.0.0.1:8009\"\nmem_kb = 4e3\n"),
-            "edge.toml:3:10: ajp.mem_kb: 4000 is not above 0 and below 2000"
-        );
-        let unknown = edge("\n[log]\nlevels = \"info\"\n");
-        assert!(unknown.starts_with("edge.toml:3:1: log.levels: unknown field `levels`"), "{unknown}");
-        let level = edge("[log]\nlevel = \"loud\"");
-        assert!(level.starts_with("edge.toml:2:9: log.level: \"loud\" is no level: write error,"), "{level}");
-        let cut = edge("[ajp\n");
-        assert!(cut.starts_with("edge.toml:1:5: "), "{cut}");
-    }
-}
--- a/src/bin/pinepoint/main.rs
+++ b/src/bin/pinepoint/main.rs
@@ -1,4 +1,4 @@
-//! The program of one comparer. This file owns the command line and the exit; it must never touch a request.
+//! The `pinepoint` program: the command line and the exit status of one server process and of the tools around it.
 
 #![forbid(unsafe_code)]
 
@@ -8,6 +8,7 @@
 mod edge_config;
 mod environment;
 mod limits;
+mod process;
 mod reload;
 mod serve;
 mod signals;
@@ -21,8 +22,8 @@
 use clap::{Parser, Subcommand};
 
 use edge_config::Edge;
-use environment::{MANAGEMENT, configuration};
-use signals::Signs;
+use environment::{MANAGEMENT, read_config};
+use signals::SignalStream;
 use start_error::StartError;
 
 /// One comparer: takes requests from routers, runs them on the engine of its machine, and turns away what it cannot
@@ -60,7 +61,7 @@
     Ask {
         /// What to ask
         #[arg(ignore_case = true)]
-        call: ask::Call,
+        call: ask::ManagementCommand,
         /// Its management address
         #[arg(long, value_name = "ADDRESS", env = MANAGEMENT)]
         at: std::net::SocketAddr,
@@ -81,16 +82,18 @@
     }
 }
 
+/// Serves until the end of a drain; returns the exit status.
 fn serve(edge_file: Option<PathBuf>) -> ExitCode {
-    let signs = Signs::new().map_err(|e| StartError::System("signals", e));
+    // Before anything else: until then a signal ends the process at once.
+    let signals = SignalStream::new().map_err(|error| StartError::System("signals", error));
     let edge = Edge::read_if_named(edge_file.as_deref()).map_err(StartError::from);
-    // What is wrong with the file is told in the ordinary form: the one that it chooses is not known.
+    // An error in the file is logged in the default format: the one that the file chooses is not known.
     let log = edge.as_ref().map_or_else(|_| pinepoint_log::Options::default(), |edge| edge.log.clone());
     if let Err(error) = pinepoint_log::init(&log) {
         eprintln!("pinepoint: {error}");
         return ExitCode::FAILURE;
     }
-    match edge.and_then(|edge| serve::run(configuration()?, edge, edge_file, signs?)) {
+    match edge.and_then(|edge| serve::run(read_config()?, edge, edge_file, signals?)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "not-started");
--- a/src/bin/pinepoint/reload.rs
+++ b/src/bin/pinepoint/reload.rs
@@ -1,4 +1,4 @@
-//! Reads both files again and puts them in force. A file that cannot be used changes nothing.
+//! Reads both files again at SIGHUP and applies them.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -10,26 +10,31 @@
 
 /// What a reload needs.
 pub struct Reload {
-    /// Puts the platform's file in force.
+    /// Applies the platform's configuration.
     pub reloader: Reloader,
     /// Telemetry, if it is on.
     pub telemetry: Option<Rc<Telemetry>>,
     /// The operators' file, if one was named.
-    pub edge: Option<PathBuf>,
+    pub edge_file: Option<PathBuf>,
 }
 
 impl Reload {
-    /// Puts the configuration in force as it is now, and moves telemetry to the receivers of the edge file. A file that
-    /// cannot be used changes nothing: it may be half written, and a program that ends or loses its links on SIGHUP loses
-    /// every request it holds.
+    /// Applies the configuration as it is now, and moves telemetry to the receivers of the edge file. A file that cannot
+    /// be used changes nothing: it may be half written, and a process that ends or loses its connections at a SIGHUP loses
+    /// every request that it holds.
     pub async fn run(&mut self) {
         self.reloader.reload().await;
-        let Some(telemetry) = &self.telemetry else { return };
-        match Edge::read_if_named(self.edge.as_deref()) {
+        if let Some(telemetry) = &self.telemetry {
+            self.reload_telemetry(telemetry);
+        }
+    }
+
+    fn reload_telemetry(&self, telemetry: &Telemetry) {
+        match Edge::read_if_named(self.edge_file.as_deref()) {
             Ok(edge) => {
-                let left_alone = telemetry.reload(&edge.setup());
+                let unchanged = telemetry.reload(&edge.telemetry_setup());
                 tracing::info!("edge-reloaded");
-                for what in left_alone {
+                for what in unchanged {
                     tracing::warn!(what, "needs-a-new-start");
                 }
             }
--- a/src/bin/pinepoint/signals.rs
+++ b/src/bin/pinepoint/signals.rs
@@ -1,4 +1,5 @@
-//! The signals, and what the program does at each.
+//! The signals of the process, and what it does at each: SIGTERM and SIGINT are termination notices, SIGHUP reloads, and
+//! SIGUSR1 logs the counters.
 
 use std::collections::VecDeque;
 use std::io;
@@ -12,84 +13,84 @@
 
 use crate::reload::Reload;
 
-/// Wait after signals that could not be read, ms.
-const SIGNAL_AGAIN_MS: f64 = 1000.0;
+/// Pause after signals that could not be read, ms.
+const READ_RETRY_MS: f64 = 1000.0;
 
-/// The signals, from before anything else is done: one that comes while its handler is not there ends the process, and
-/// takes what the program was about to do along. What comes during the start is taken when that is over, in its order.
-pub struct Signs {
+/// The signals, taken from before anything else is done: one that arrives without a handler ends the process, with
+/// everything that it was about to do. Signals that arrive during the start are handled after it, in their order.
+pub struct SignalStream {
     signals: Signals,
-    /// Taken already, and not yet heeded.
-    early: VecDeque<Signal>,
+    /// Received during the start and not handled yet.
+    deferred: VecDeque<Signal>,
 }
 
-impl Signs {
+impl SignalStream {
     /// Takes the signals from now on.
     pub fn new() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])?;
-        Ok(Signs { signals, early: VecDeque::new() })
+        Ok(SignalStream { signals, deferred: VecDeque::new() })
     }
 
-    /// The next signal, the ones kept before first.
+    /// The next signal, the deferred ones first.
     pub async fn next(&mut self, clock: &Clock) -> Signal {
-        if let Some(signal) = self.early.pop_front() {
+        if let Some(signal) = self.deferred.pop_front() {
             return signal;
         }
         loop {
             match self.signals.next().await {
                 Some(Ok(signal)) => return signal,
-                // An error is no notice to leave.
+                // An error is no termination notice.
                 Some(Err(error)) => tracing::warn!(%error, "signal-not-read"),
                 None => tracing::warn!("signals-ended"),
             }
-            clock.pause(SIGNAL_AGAIN_MS).await;
+            clock.pause(READ_RETRY_MS).await;
         }
     }
 
-    /// Waits a moment for a notice to leave; tells whether it came. What else comes is kept.
-    pub async fn notice_within(&mut self, ms: f64, clock: &Clock) -> bool {
+    /// Waits up to `timeout_ms` for a termination notice; returns whether it arrived. All signals are deferred.
+    pub async fn terminated_within(&mut self, timeout_ms: f64, clock: &Clock) -> bool {
         let signal = async { Some(self.signals.next().await) };
-        let late = async {
-            clock.pause(ms).await;
+        let timeout = async {
+            clock.pause(timeout_ms).await;
             None
         };
-        let Some(Some(Ok(signal))) = future::or(signal, late).await else { return false };
-        self.early.push_back(signal);
+        let Some(Some(Ok(signal))) = future::or(signal, timeout).await else { return false };
+        self.deferred.push_back(signal);
         matches!(signal, Signal::Term | Signal::Int)
     }
 }
 
-/// What the program needs to act on signals.
-pub struct Handler {
+/// Handles signals while the process serves.
+pub struct SignalHandler {
     /// Reads the files again.
     pub reload: Reload,
-    /// Where the notice to leave is published.
+    /// Where a termination notice is published.
     pub status: Rc<Status>,
-    /// Printed on demand.
+    /// Logged on demand.
     pub counters: Rc<Counters>,
     /// The clock.
     pub clock: Clock,
 }
 
-impl Handler {
-    /// Acts on each signal as it comes.
-    pub async fn run(mut self, mut signs: Signs) {
+impl SignalHandler {
+    /// Handles each signal as it arrives. Never completes.
+    pub async fn run(mut self, mut signals: SignalStream) {
         loop {
-            match signs.next(&self.clock).await {
+            match signals.next(&self.clock).await {
                 Signal::Usr1 => self.counters.print(),
                 Signal::Hup => {
                     self.reload.run().await;
                     self.status.registry_wakeup.wake();
                 }
-                _ => self.publish_notice(),
+                _ => self.publish_termination_notice(),
             }
         }
     }
 
-    /// The grace and the kill count from now, whatever the core has in hand.
-    fn publish_notice(&self) {
-        let first = self.status.termination_notice_ms.take();
-        self.status.termination_notice_ms.set(first.or(Some(self.clock.now())));
+    /// The grace period and the kill count from now, whatever the core is busy with. Only the first notice counts.
+    fn publish_termination_notice(&self) {
+        let first_ms = self.status.termination_notice_ms.take();
+        self.status.termination_notice_ms.set(first_ms.or(Some(self.clock.now())));
         self.status.core_wakeup.wake();
     }
 }
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -1,7 +1,6 @@
-//! The start of a process that may take over from another one of the same server: it looks for a predecessor, and opens the
-//! listening sockets that were passed, or its own. It must never wait for a predecessor without a bound.
+//! The start of a process that may take over from another process of the same server: it looks for that predecessor, and
+//! opens the listening sockets that the predecessor passed, or new ones. It never waits for a predecessor without a bound.
 
-use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -15,108 +14,100 @@
 use pinepoint_handover::io::{Connected, connect, socket_path};
 use pinepoint_handover::ownership::{NoPredecessor, Rules};
 
-use crate::bind::{Bound, bind, with_address};
-use crate::signals::Signs;
+use crate::bind::{BoundListener, bind, listen_exclusively};
+use crate::signals::SignalStream;
 use crate::start_error::StartError;
 
-/// The directory that all processes of a server share.
+/// Names the directory that all processes of a server share.
 const SHARED_DIRECTORY: &str = "TMPDIR";
 
-/// What was found of a predecessor, and the listening sockets that were opened.
+/// The result of looking for a predecessor, and the listening sockets that a successor will be passed.
 pub struct Upgrade {
+    /// The socket that both processes know.
     path: PathBuf,
-    found: Result<Connected, NoPredecessor>,
-    /// Those that were opened, by name, for a successor.
+    predecessor: Result<Connected, NoPredecessor>,
+    /// Copies of the sockets that were opened, by name.
     opened: Vec<(String, TcpListener)>,
 }
 
 impl Upgrade {
-    /// Looks for a predecessor, where the platform tells of upgrades at all: it then gives a management address and a shared
-    /// directory.
-    pub fn look(management: Option<SocketAddr>) -> Option<Upgrade> {
+    /// Looks for a predecessor. `None` where the platform does no upgrades: where it does, it gives a management address and
+    /// a shared directory.
+    pub fn find_predecessor(management: Option<SocketAddr>) -> Option<Upgrade> {
         management?;
         let directory = std::env::var_os(SHARED_DIRECTORY)?;
         let path = socket_path(Path::new(&directory));
-        let found = async_io::block_on(connect(&path, 0));
-        Some(Upgrade { path, found, opened: Vec::new() })
+        let predecessor = async_io::block_on(connect(&path, 0));
+        Some(Upgrade { path, predecessor, opened: Vec::new() })
     }
 
     /// Whether a predecessor may be serving.
     pub fn may_have_predecessor(&self) -> bool {
-        match &self.found {
+        match &self.predecessor {
             Ok(_) => true,
-            Err(why) => !why.is_absent(),
+            Err(reason) => !reason.is_absent(),
         }
     }
 
-    /// The listening socket of this name: the predecessor's, or one of its own that others may share.
-    pub fn open(
+    /// The listening socket of this name: the one that the predecessor passed, or a new one that others may share.
+    fn open_listener(
         &mut self,
         name: &'static str,
         address: SocketAddr,
-        signs: &mut Signs,
+        signals: &mut SignalStream,
         clock: &Clock,
-    ) -> Result<Option<Bound>, StartError> {
-        let passed = self.found.as_mut().ok().and_then(|found| take_named(&mut found.listeners, name));
-        let opened = match passed {
-            Some(listener) => Some(with_address(listener).map_err(|e| StartError::System(name, e))?),
-            None => bind(name, address, bind_shared, signs, clock)?,
+    ) -> Result<BoundListener, StartError> {
+        let system_error = |error| StartError::System(name, error);
+        let bound = match self.take_passed(name) {
+            Some(listener) => BoundListener::new(listener).map_err(system_error)?,
+            None => bind(name, address, bind_shared, signals, clock)?,
         };
-        if let Some((listener, _)) = &opened {
-            let copy = listener.get_ref().try_clone().map_err(|e| StartError::System(name, e))?;
-            self.opened.push((name.to_owned(), copy));
-        }
-        Ok(opened)
+        let copy = bound.listener.get_ref().try_clone().map_err(system_error)?;
+        self.opened.push((name.to_owned(), copy));
+        Ok(bound)
+    }
+
+    fn take_passed(&mut self, name: &str) -> Option<TcpListener> {
+        let passed = &mut self.predecessor.as_mut().ok()?.listeners;
+        let index = passed.iter().position(|(listener, _)| listener == name)?;
+        Some(passed.swap_remove(index).1)
     }
 
-    /// The links to the other process, and what the core needs of them.
-    pub fn link(
+    /// Turns this into the links to the other process, and what the core needs of them.
+    pub fn into_links(
         self,
         site: &Site,
-        host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
+        context: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
     ) -> (Rc<HandoverLinks>, HandoverParts) {
         let inbox = Rc::new(PeerInbox::default());
         let (names, listeners) = self.opened.into_iter().unzip();
-        let link = match self.found {
+        let link = match self.predecessor {
             Ok(Connected { hello, link, task, .. }) => {
                 inbox.push(PeerEvent::PredecessorFound(hello));
                 Some((link, task))
             }
-            Err(why) => {
-                inbox.push(PeerEvent::NoPredecessor(why));
+            Err(reason) => {
+                inbox.push(PeerEvent::NoPredecessor(reason));
                 None
             }
         };
-        let links = HandoverLinks::new(host(self.path, inbox.clone()), listeners, link);
-        let parts = HandoverParts { port: links.clone(), inbox, rules: rules(site), listeners: names };
+        let links = HandoverLinks::new(context(self.path, inbox.clone()), listeners, link);
+        let rules = Rules { longest_window_ms: longest_window_ms(site), ..Rules::default() };
+        let parts = HandoverParts { port: links.clone(), inbox, rules, listeners: names };
         (links, parts)
     }
 }
 
-fn take_named(listeners: &mut Vec<(String, TcpListener)>, name: &str) -> Option<TcpListener> {
-    let place = listeners.iter().position(|(listener, _)| listener == name)?;
-    Some(listeners.swap_remove(place).1)
-}
-
-fn rules(site: &Site) -> Rules {
-    Rules { longest_window_ms: longest_window_ms(site), ..Rules::default() }
-}
-
-/// The listening socket of this name, in a process that may be part of an upgrade or not.
-pub fn open(
+/// The listening socket of this name, whether the process may be part of an upgrade or not.
+pub fn open_listener(
     upgrade: &mut Option<Upgrade>,
     name: &'static str,
     address: SocketAddr,
-    signs: &mut Signs,
+    signals: &mut SignalStream,
     clock: &Clock,
-) -> Result<Option<Bound>, StartError> {
+) -> Result<BoundListener, StartError> {
     match upgrade {
-        Some(upgrade) => upgrade.open(name, address, signs, clock),
-        None => bind(name, address, bind_alone, signs, clock),
+        Some(upgrade) => upgrade.open_listener(name, address, signals, clock),
+        None => bind(name, address, listen_exclusively, signals, clock),
     }
 }
-
-/// Listens at an address at which nobody else may.
-pub fn bind_alone(address: SocketAddr) -> io::Result<TcpListener> {
-    TcpListener::bind(address)
-}
--- a/src/config/active.rs
+++ b/src/config/active.rs
@@ -1,5 +1,5 @@
-//! The settings in force, as all parts of the process share them. It owns which they are; it must never change them in
-//! place: who holds an older version keeps a consistent one.
+//! The settings in force, as all parts of the process share them. They are replaced and never changed in place: whoever
+//! holds an older version keeps a consistent one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
         self.site.borrow().clone()
     }
 
-    /// Puts others in force, which [`Site::merged_with`] made of these.
+    /// Replaces them by settings that [`Site::merged_with`] made of these.
     pub fn replace(&self, site: Rc<Site>) {
         *self.site.borrow_mut() = site;
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,6 +1,10 @@
-//! The configuration file that the platform writes, as JSON. It owns the file's fields, what each may hold and which
-//! successor may follow a configuration that is in force; it must never act on them. A file is taken whole or not at
-//! all, and what is wrong with one is told by line and field.
+//! The configuration file that the platform writes, as JSON.
+//!
+//! It owns the file's fields, their ranges, and which configuration may follow the active one at a reload; it acts on none
+//! of them. A file is accepted or rejected as a whole, and an error names line and field.
+//!
+//! - [`site`] is the settings object in the file, and the indexes of classes and tenants.
+//! - [`active`] shares the settings in force.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,38 +14,38 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::config::site::Site;
+use crate::config::site::{Site, SiteError};
 
 pub mod active;
 mod position;
 mod required;
 pub mod site;
 
-pub use position::line_and_column;
+pub use position::Position;
 
 /// What is wrong with a file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
     /// The file.
     pub file: PathBuf,
-    /// Line and column, from 1, where they are known.
-    pub at: Option<(usize, usize)>,
-    /// The field, with its parents, where one is at fault.
+    /// Where in the file, if that is known.
+    pub position: Option<Position>,
+    /// The field with its parents, as in `settings.services[1].deadlineMs`; empty if none is at fault.
     pub field: String,
     /// What is wrong, and what would be right.
-    pub wrong: String,
+    pub problem: String,
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
-        if let Some((line, column)) = self.at {
+        if let Some(Position { line, column }) = self.position {
             write!(f, ":{line}:{column}")?;
         }
         if !self.field.is_empty() {
             write!(f, ": {}", self.field)?;
         }
-        write!(f, ": {}", self.wrong)
+        write!(f, ": {}", self.problem)
     }
 }
 
@@ -49,14 +53,40 @@
 
 impl FileError {
     /// An error about the whole file.
-    pub fn new(file: &Path, wrong: impl fmt::Display) -> Self {
-        FileError { file: file.to_owned(), at: None, field: String::new(), wrong: wrong.to_string() }
+    pub fn new(file: &Path, problem: impl fmt::Display) -> Self {
+        FileError {
+            file: file.to_owned(),
+            position: None,
+            field: String::new(),
+            problem: problem.to_string(),
+        }
+    }
+}
+
+/// The text of a file, for errors that name one of its fields.
+#[derive(Clone, Copy)]
+struct Source<'a> {
+    file: &'a Path,
+    text: &'a str,
+}
+
+impl Source<'_> {
+    /// An error about one field.
+    fn field_error(self, field: &str, problem: impl fmt::Display) -> FileError {
+        let position = Position::of_offset(self.text, position::field_offset(self.text, field));
+        let error = FileError::new(self.file, problem);
+        FileError { position: Some(position), field: field.to_owned(), ..error }
+    }
+
+    /// An error about the settings object.
+    fn site_error(self, error: &SiteError) -> FileError {
+        self.field_error(&format!("settings.{}", error.field()), error)
     }
 
-    /// An error about one field of a JSON text.
-    fn of_field(file: &Path, text: &str, field: &str, wrong: impl fmt::Display) -> Self {
-        let at = line_and_column(text, position::of_field(text, field));
-        FileError { at: Some(at), field: field.to_owned(), ..FileError::new(file, wrong) }
+    /// Settings that the admission controller accepts.
+    fn checked(self, site: Site) -> Result<Rc<Site>, FileError> {
+        site.settings.check().map_err(|error| self.field_error("settings", error))?;
+        Ok(Rc::new(site))
     }
 }
 
@@ -66,37 +96,37 @@
         .map_err(|error| FileError::new(file, format_args!("cannot be read: {error}")))
 }
 
-/// What the process is told by the platform.
+/// The configuration of one process.
 #[derive(Debug)]
 pub struct Config {
-    /// The name, the same after a restart.
+    /// The name of the server, the same after a restart.
     pub name: String,
-    /// Where routers connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators connect, if anywhere.
     pub management: Option<SocketAddr>,
-    /// The engine.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The platform's service registry.
+    /// Address of the platform's service registry; the file calls it `members`.
     pub registry: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// For random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// From the notice to leave to the kill, ms.
+    /// From the termination notice to the kill, ms; above 0.
     pub stop_ms: f64,
-    /// Memory of the process, MB.
+    /// Memory limit of the process, MB; above 0.
     pub memory_mb: f64,
-    /// Descriptors of the process.
+    /// Limit of file descriptors of the process.
     pub sockets: usize,
-    /// Settings and names.
+    /// Settings of the admission controller, and the names of classes and tenants.
     pub site: Rc<Site>,
-    /// The whole file, whose keys its successors must have.
+    /// The whole file: a configuration that follows must have its keys.
     document: Value,
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     name: String,
     listen: SocketAddr,
     management: Option<SocketAddr>,
@@ -124,19 +154,18 @@
 
     /// Checks the text of a file.
     pub fn parse(file: &Path, text: &str) -> Result<Config, FileError> {
-        let raw: Raw = from_json(file, text)?;
+        let raw: RawConfig = from_json(file, text)?;
         let document: Value = from_json(file, text)?;
-        let wrong = |field: &str, wrong: &dyn fmt::Display| FileError::of_field(file, text, field, wrong);
+        let source = Source { file, text };
         let seed = u64::from_str_radix(&raw.seed, 16)
-            .map_err(|_| wrong("seed", &"is not up to 16 hexadecimal digits"))?;
+            .map_err(|_| source.field_error("seed", "is not up to 16 hexadecimal digits"))?;
         for (field, value) in [("stop_ms", raw.stop_ms), ("limits.memory_mb", raw.limits.memory_mb)] {
             if !(value.is_finite() && value > 0.0) {
-                return Err(wrong(field, &"is not a number above 0"));
+                return Err(source.field_error(field, "is not a number above 0"));
             }
         }
-        let site = Site::read(&raw.settings)
-            .map_err(|error| wrong(&format!("settings.{}", error.field()), &error))?;
-        site.settings.check().map_err(|error| wrong("settings", &error))?;
+        let site = Site::from_json(&raw.settings).map_err(|error| source.site_error(&error))?;
+        let site = source.checked(site)?;
         Ok(Config {
             name: raw.name,
             listen: raw.listen,
@@ -148,7 +177,7 @@
             stop_ms: raw.stop_ms,
             memory_mb: raw.limits.memory_mb,
             sockets: raw.limits.sockets,
-            site: Rc::new(site),
+            site,
             document,
         })
     }
@@ -158,25 +187,22 @@
         self.next(file, &read_text(file)?, now_ms)
     }
 
-    /// The configuration that follows on this one by the text of a file that was read at this time, Unix ms. Stricter
-    /// than [`Config::parse`]: a key that this one has must not be missing, as the file may not be what was meant.
+    /// The configuration that follows this one, from the text of a file that was read at `now_ms` (Unix ms). Stricter than
+    /// [`Config::parse`]: a key that this one has must not be missing, as the file may be incomplete.
     pub fn next(&self, file: &Path, text: &str, now_ms: f64) -> Result<Config, FileError> {
         let document: Value = from_json(file, text)?;
-        let wrong = |field: &str, wrong: &dyn fmt::Display| FileError::of_field(file, text, field, wrong);
+        let source = Source { file, text };
         if let Some(field) = required::first_missing(&self.document, &document) {
-            return Err(wrong(&field, &"is missing, and the configuration in force has it"));
+            return Err(source.field_error(&field, "is missing, and the configuration in force has it"));
         }
         let new = Config::parse(file, text)?;
-        let site = self
-            .site
-            .merged_with(Site::clone(&new.site), now_ms)
-            .map_err(|error| wrong(&format!("settings.{}", error.field()), &error))?;
-        site.settings.check().map_err(|error| wrong("settings", &error))?;
-        Ok(Config { site: Rc::new(site), ..new })
+        let merged = self.site.merged_with(Site::clone(&new.site), now_ms);
+        let site = merged.map_err(|error| source.site_error(&error))?;
+        Ok(Config { site: source.checked(site)?, ..new })
     }
 
-    /// What differs from this one in `new` and cannot change without a restart.
-    pub fn fixed_differences(&self, new: &Config) -> Vec<&'static str> {
+    /// The fields in which `new` differs from this one and which cannot change without a restart.
+    pub fn restart_only_differences(&self, new: &Config) -> Vec<&'static str> {
         let differences = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
@@ -187,19 +213,21 @@
     }
 }
 
+/// Parses a JSON text that holds one value and nothing else.
 fn from_json<'a, T: Deserialize<'a>>(file: &Path, text: &'a str) -> Result<T, FileError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
-        let (field, inner) = (error.path().to_string(), error.into_inner());
-        let at = (inner.line() > 0).then(|| (inner.line(), inner.column()));
-        let field = if field == "." { String::new() } else { field.replace('?', "") };
-        FileError { at, field, ..FileError::new(file, without_place(&inner.to_string())) }
+        let (path, inner) = (error.path().to_string(), error.into_inner());
+        let position = (inner.line() > 0).then(|| Position { line: inner.line(), column: inner.column() });
+        // The path of the whole document is a dot; an unknown part of a path is a question mark.
+        let field = if path == "." { String::new() } else { path.replace('?', "") };
+        FileError { position, field, ..FileError::new(file, without_position(&inner.to_string())) }
     })?;
     json.end().map_err(|error| FileError::new(file, format_args!("goes on after its end: {error}")))?;
     Ok(value)
 }
 
-/// A message of the JSON library without the place that stands at its end.
-fn without_place(message: &str) -> &str {
+/// A message of the JSON library without the position at its end.
+fn without_position(message: &str) -> &str {
     message.split(" at line ").next().unwrap_or(message)
 }
--- a/src/config/position.rs
+++ b/src/config/position.rs
@@ -1,22 +1,33 @@
-//! Where a field stands in a JSON text. It owns no state and judges nothing.
+//! Positions in a text, and the position of a field in a JSON text.
 
 use serde::de::IgnoredAny;
 
-/// Line and column of a byte of the text, from 1.
-pub fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
-    let before = &text.as_bytes()[..offset.min(text.len())];
-    let line = before.iter().filter(|b| **b == b'\n').count() + 1;
-    let column = before.iter().rev().take_while(|b| **b != b'\n').count() + 1;
-    (line, column)
+/// A position in a text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Position {
+    /// Line, from 1.
+    pub line: usize,
+    /// Column in bytes, from 1; 0 where the JSON library says so, at the end of an empty text.
+    pub column: usize,
+}
+
+impl Position {
+    /// The position of the byte at this offset. An offset behind the text is that of its end.
+    pub fn of_offset(text: &str, offset: usize) -> Position {
+        let before = &text.as_bytes()[..offset.min(text.len())];
+        let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
+        let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
+        Position { line, column }
+    }
 }
 
 /// Byte offset of the key that a path such as `settings.services[1].name` names, or of the element if it ends with an
 /// index. If that is not there, the offset of the innermost parent that is. The text is valid JSON.
-pub(super) fn of_field(text: &str, path: &str) -> usize {
+pub(super) fn field_offset(text: &str, path: &str) -> usize {
     let mut cursor = Cursor { text, offset: 0 };
     let mut found = 0;
-    let steps = path.split(['.', '[']).map(|step| step.trim_end_matches(']')).filter(|step| !step.is_empty());
-    for step in steps {
+    let steps = path.split(['.', '[']).map(|step| step.trim_end_matches(']'));
+    for step in steps.filter(|step| !step.is_empty()) {
         match cursor.enter(step) {
             Some(offset) => found = offset,
             None => break,
@@ -25,39 +36,45 @@
     found
 }
 
-/// Stands at the beginning of a value.
+/// A reader that is at the beginning of a value.
 struct Cursor<'a> {
     text: &'a str,
     offset: usize,
 }
 
 impl Cursor<'_> {
-    /// Goes into the member or element of this name of the value here; returns where its key, or the element, begins.
+    /// Enters the member or element of this name of the value; returns the offset of its key, or of the element.
     fn enter(&mut self, step: &str) -> Option<usize> {
         self.skip_space();
         match self.take()? {
-            b'{' => loop {
-                self.skip_space();
-                let key_at = self.offset;
-                let key: String = self.parse()?;
-                self.skip_space();
-                self.take().filter(|byte| *byte == b':')?;
-                if key == step {
-                    return Some(key_at);
-                }
-                self.skip_value_and_comma()?;
-            },
-            b'[' => {
-                for _ in 0..step.parse::<usize>().ok()? {
-                    self.skip_value_and_comma()?;
-                }
-                self.skip_space();
-                Some(self.offset)
-            }
+            b'{' => self.enter_member(step),
+            b'[' => self.enter_element(step.parse().ok()?),
             _ => None,
         }
     }
 
+    fn enter_member(&mut self, name: &str) -> Option<usize> {
+        loop {
+            self.skip_space();
+            let key_offset = self.offset;
+            let key: String = self.parse()?;
+            self.skip_space();
+            self.take().filter(|byte| *byte == b':')?;
+            if key == name {
+                return Some(key_offset);
+            }
+            self.skip_value_and_comma()?;
+        }
+    }
+
+    fn enter_element(&mut self, index: usize) -> Option<usize> {
+        for _ in 0..index {
+            self.skip_value_and_comma()?;
+        }
+        self.skip_space();
+        Some(self.offset)
+    }
+
     fn skip_value_and_comma(&mut self) -> Option<()> {
         self.parse::<IgnoredAny>()?;
         self.skip_space();
--- a/src/config/required.rs
+++ b/src/config/required.rs
@@ -1,5 +1,5 @@
-//! Which keys a configuration needs to follow on another. It owns the list of those that may be left out; it must never
-//! look at what a key holds.
+//! Which keys a configuration needs to follow the active one at a reload. It owns the list of those that may be missing,
+//! and looks at no value.
 
 use std::collections::BTreeSet;
 
@@ -7,40 +7,40 @@
 
 /// Keys that may be missing, by their path; whatever is below them is not looked at.
 const OPTIONAL: [&str; 2] = ["management", "settings.prices.fleet"];
-/// Lists whose entries are alike: each needs the keys that all entries in force have in common.
-const ENTRIES: [&str; 2] = ["settings.services", "settings.projects"];
-/// Keys that some entries of these lists have and others need not.
+/// Lists of entries of one kind: each new entry needs the keys that all active entries have in common.
+const LISTS: [&str; 2] = ["settings.services", "settings.projects"];
+/// Keys that an entry of these lists may lack even so.
 const OPTIONAL_IN_ENTRIES: [&str; 1] = ["aimStretch"];
 
-/// The path of the first key that the document in force has and the new one has not.
-pub(super) fn first_missing(in_force: &Value, new: &Value) -> Option<String> {
-    missing_below("", in_force, new)
+/// The path of the first key that the active document has and the new one lacks.
+pub(super) fn first_missing(active: &Value, new: &Value) -> Option<String> {
+    missing_below("", active, new)
 }
 
-fn missing_below(path: &str, in_force: &Value, new: &Value) -> Option<String> {
-    match (in_force, new) {
-        (Value::Object(in_force), Value::Object(new)) => {
-            in_force.iter().find_map(|(key, value)| missing_at(&join(path, key), value, new.get(key)))
+fn missing_below(path: &str, active: &Value, new: &Value) -> Option<String> {
+    match (active, new) {
+        (Value::Object(active), Value::Object(new)) => {
+            active.iter().find_map(|(key, value)| missing_at(&join(path, key), value, new.get(key)))
         }
-        // Nothing of what the object holds is there.
-        (Value::Object(in_force), _) if !in_force.is_empty() => Some(path.to_owned()),
-        (Value::Array(in_force), Value::Array(new)) if ENTRIES.contains(&path) => {
-            let common = common_keys(in_force);
-            new.iter().enumerate().find_map(|(at, entry)| {
+        // No key of the object is there.
+        (Value::Object(active), _) if !active.is_empty() => Some(path.to_owned()),
+        (Value::Array(active), Value::Array(new)) if LISTS.contains(&path) => {
+            let common = common_keys(active);
+            new.iter().enumerate().find_map(|(index, entry)| {
                 let missing = common.iter().find(|key| entry.get(key.as_str()).is_none())?;
-                Some(format!("{path}[{at}].{missing}"))
+                Some(format!("{path}[{index}].{missing}"))
             })
         }
         _ => None,
     }
 }
 
-fn missing_at(path: &str, in_force: &Value, new: Option<&Value>) -> Option<String> {
+fn missing_at(path: &str, active: &Value, new: Option<&Value>) -> Option<String> {
     if OPTIONAL.contains(&path) {
         return None;
     }
     match new {
-        Some(new) => missing_below(path, in_force, new),
+        Some(new) => missing_below(path, active, new),
         None => Some(path.to_owned()),
     }
 }
--- a/src/server/control/management.rs
+++ b/src/server/control/management.rs
@@ -36,7 +36,7 @@
 const ACCEPT_AGAIN_MS: f64 = 50.0;
 
 /// Connections at a time in a process that may hold so many descriptors.
-pub fn most_connections(descriptors: usize) -> usize {
+pub fn max_connections(descriptors: usize) -> usize {
     (descriptors / CONNECTIONS_PART).clamp(CONNECTIONS_LEAST, CONNECTIONS_MOST)
 }
 
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -55,7 +55,7 @@
     }
 
     async fn put_in_force(&mut self, config: Config) {
-        for field in self.config.fixed_differences(&config) {
+        for field in self.config.restart_only_differences(&config) {
             tracing::warn!(field, "needs-a-new-start");
         }
         let mut config = config;
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -64,7 +64,7 @@
         .collect();
     let info = json!({"services": services, "contract": {"answerSlackMs": 100, "drainGraceMs": 1000},
         "specifics": {"cores": 2, "heapKb": 100_000, "gauges": ["cpu_busy", "runnable"], "runFactor": 2}});
-    Site::read(&info).expect("the settings of the test can be read")
+    Site::from_json(&info).expect("the settings of the test can be read")
 }
 
 /// What a core wants of its links, carried out by the world behind each turn.
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,7 +13,7 @@
     Action, AdmissionController, Class, Event, FailureReason, Gauge, Idempotency, Request, Settings,
     SettingsError, Tenant,
 };
-use pinepoint::config::site::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
+use pinepoint::config::site::{MAX_CLASSES, MAX_TENANTS, RETIRED_GRACE_MS, Site, SiteError};
 use pinepoint::config::{Config, FileError};
 use pinepoint::server::core::api::{CoreInput, Reply, RunResult};
 use proptest::prelude::*;
@@ -69,7 +69,7 @@
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 2, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::read(&settings).expect("well formed")
+    Site::from_json(&settings).expect("well formed")
 }
 
 const READ: &str = "read_like";
@@ -82,7 +82,7 @@
     let first = parse(&document());
     let again = next(&first, &document()).expect("taken");
     assert_eq!(again.site.settings, first.site.settings);
-    assert!(first.fixed_differences(&again).is_empty());
+    assert!(first.restart_only_differences(&again).is_empty());
 }
 
 #[test]
@@ -91,7 +91,7 @@
     for text in [document().to_string(), serde_json::to_string_pretty(&document()).expect("text")] {
         for cut in 0..text.len() {
             let error = first.next(Path::new("c.json"), &text[..cut], 0.0).expect_err("turned down");
-            assert!(error.at.is_some(), "cut at {cut}: {error}");
+            assert!(error.position.is_some(), "cut at {cut}: {error}");
         }
         assert!(first.next(Path::new("c.json"), &text, 0.0).is_ok());
     }
@@ -135,7 +135,7 @@
                 assert!(!optional.contains(&pointer.as_str()), "{error}");
                 let key = pointer.rsplit('/').next().expect("a key");
                 assert!(error.to_string().contains(key), "without {pointer}: {error}");
-                assert!(error.at.is_some(), "without {pointer}: {error}");
+                assert!(error.position.is_some(), "without {pointer}: {error}");
             }
         }
     }
@@ -148,10 +148,10 @@
     let text = serde_json::to_string_pretty(&lacks).expect("text");
     let error = first.next(Path::new("c.json"), &text, 0.0).expect_err("turned down");
     assert_eq!(error.field, "settings.services[1].worth");
-    let (line, _) = error.at.expect("a place");
+    let line = error.position.expect("a place").line;
     let told = text.lines().nth(line - 1).expect("a line");
     assert!(told.contains('{'), "the entry that lacks it begins on line {line}: {told}");
-    assert!(error.wrong.contains("is missing"), "{error}");
+    assert!(error.problem.contains("is missing"), "{error}");
 }
 
 #[test]
@@ -188,7 +188,7 @@
             services(&mut bad)[class]["deadlineMs"] = wrong.clone();
             let error = next(&first, &bad).expect_err("turned down");
             assert_eq!(error.field, format!("settings.services[{class}].deadlineMs"), "{wrong}");
-            assert!(error.at.is_some());
+            assert!(error.position.is_some());
         }
     }
     assert_eq!(first.engine, "127.0.0.1:2".parse().expect("an address"), "nothing of it was taken");
@@ -202,7 +202,7 @@
     other["limits"]["sockets"] = json!(128);
     other["limits"]["memory_mb"] = json!(16);
     let second = next(&first, &other).expect("taken");
-    assert_eq!(first.fixed_differences(&second), ["name", "limits.sockets"]);
+    assert_eq!(first.restart_only_differences(&second), ["name", "limits.sockets"]);
     assert_eq!(second.memory_mb, 16.0);
 }
 
@@ -290,18 +290,19 @@
         site(&names.iter().map(|name| (name.as_str(), READ)).collect::<Vec<_>>())
     };
     let full = named(0, 100).merged_with(named(100, 100), 0.0).expect("taken");
-    let full = full.merged_with(named(200, CLASSES_MOST - 200), 0.0).expect("as many as there may be");
-    let error = full.merged_with(named(CLASSES_MOST, 1), 0.0).expect_err("one more");
-    assert_eq!(error, SiteError::Full { field: "services", most: CLASSES_MOST });
+    let full = full.merged_with(named(200, MAX_CLASSES - 200), 0.0).expect("as many as there may be");
+    let error = full.merged_with(named(MAX_CLASSES, 1), 0.0).expect_err("one more");
+    assert_eq!(error, SiteError::TooManyNames { field: "services", max: MAX_CLASSES });
     assert!(error.to_string().contains("restart"), "{error}");
-    assert!(full.merged_with(named(0, CLASSES_MOST), 0.0).is_ok(), "those that are known fit for ever");
+    assert!(full.merged_with(named(0, MAX_CLASSES), 0.0).is_ok(), "those that are known fit for ever");
 
     let tenants = |from: usize, n: usize| {
         let tenants: Vec<Value> = (from..from + n).map(|n| json!({"name": format!("t{n}")})).collect();
-        Site::read(&json!({"services": [service("look", READ)], "projects": tenants})).expect("well formed")
+        Site::from_json(&json!({"services": [service("look", READ)], "projects": tenants}))
+            .expect("well formed")
     };
-    let full = tenants(0, TENANTS_MOST);
-    assert!(full.merged_with(tenants(TENANTS_MOST, 1), 0.0).is_err());
+    let full = tenants(0, MAX_TENANTS);
+    assert!(full.merged_with(tenants(MAX_TENANTS, 1), 0.0).is_err());
     assert!(full.merged_with(tenants(0, 10), 0.0).is_ok());
 }
 
@@ -590,7 +591,7 @@
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 3, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::read(&settings).expect("well formed")
+    Site::from_json(&settings).expect("well formed")
 }
 
 /// What a request came with.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -128,7 +128,7 @@
         steps in proptest::collection::vec(step(), 1..60),
         stop_ms in prop_oneof![Just(1.0), 1.0..5000.0f64],
     ) {
-        let site = Site::read(&settings).expect("well formed");
+        let site = Site::from_json(&settings).expect("well formed");
         let checked = site.settings.check();
         prop_assert!(checked.is_ok(), "{checked:?} of {settings}");
         let classes = site.settings.classes.len();
@@ -176,7 +176,7 @@
     ) {
         let mut settings = settings;
         settings.pointer_mut(section).and_then(Value::as_object_mut).expect("there").insert(field.into(), wrong);
-        let told = match Site::read(&settings) {
+        let told = match Site::from_json(&settings) {
             Err(error) => error.to_string(),
             Ok(site) => site.settings.check().expect_err("refused").to_string(),
         };
@@ -188,7 +188,7 @@
 fn names_that_no_line_and_no_caller_can_tell_apart_are_refused() {
     let named = |names: &[&str]| {
         let classes: Vec<Value> = names.iter().map(|name| json!({"name": name})).collect();
-        Site::read(&json!({"services": classes, "specifics": {"cores": 2}}))
+        Site::from_json(&json!({"services": classes, "specifics": {"cores": 2}}))
             .map(|_| ())
             .map_err(|e| e.to_string())
     };
@@ -203,7 +203,7 @@
 fn a_deadline_that_is_given_is_a_number_above_0() {
     let with = |class: Value| {
         let settings = json!({"services": [{"name": "look"}, class], "specifics": {"cores": 2}});
-        Site::read(&settings).map(|site| site.settings.classes[1].timeout_ms).map_err(|e| e.to_string())
+        Site::from_json(&settings).map(|site| site.settings.classes[1].timeout_ms).map_err(|e| e.to_string())
     };
     assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().timeout_ms));
     assert_eq!(with(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
