--- /dev/null
+++ b/crates/pinepoint-log/src/options.rs
@@ -0,0 +1,78 @@
+//! What an operator configures: the format of lines, and which of them are written.
+
+use std::str::FromStr;
+
+use serde::Deserialize;
+use thiserror::Error;
+use tracing_subscriber::filter::Targets;
+
+/// Settings of the log.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq)]
+#[serde(default, deny_unknown_fields)]
+pub struct Options {
+    /// The format of a line; in settings files: `form`.
+    #[serde(rename = "form")]
+    pub format: LineFormat,
+    /// Which lines are written.
+    pub level: LevelFilter,
+}
+
+/// The format of a line.
+#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum LineFormat {
+    /// `name=value` pairs (logfmt), quoted where necessary.
+    #[default]
+    Text,
+    /// A JSON object.
+    Json,
+}
+
+/// A default level, and levels for parts of the program: `info,pinepoint::node::links=debug`.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(try_from = "String")]
+pub struct LevelFilter(Targets);
+
+impl LevelFilter {
+    pub(crate) fn into_targets(self) -> Targets {
+        self.0
+    }
+}
+
+impl Default for LevelFilter {
+    fn default() -> Self {
+        LevelFilter(Targets::new().with_default(tracing::Level::INFO))
+    }
+}
+
+/// The text is not a [`LevelFilter`].
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{0} is no level: write error, warn, info, debug or trace, or PART=LEVEL, with commas")]
+pub struct ParseLevelError(String);
+
+impl FromStr for LevelFilter {
+    type Err = ParseLevelError;
+
+    fn from_str(text: &str) -> Result<Self, ParseLevelError> {
+        // `Targets` takes a single word for the name of a part: a misspelt level would be accepted without an effect.
+        let is_valid =
+            |word: &str| word.contains('=') || word.parse::<tracing::Level>().is_ok() || word == "off";
+        match text.parse::<Targets>() {
+            Ok(targets) if !text.is_empty() && text.split(',').all(|word| is_valid(word.trim())) => {
+                Ok(LevelFilter(targets))
+            }
+            _ => Err(ParseLevelError(format!("{text:?}"))),
+        }
+    }
+}
+
+impl TryFrom<String> for LevelFilter {
+    type Error = ParseLevelError;
+
+    fn try_from(text: String) -> Result<Self, ParseLevelError> {
+        text.parse()
+    }
+}
+
+#[cfg(test)]
+mod tests;
