--- a/crates/pinepoint-clock/src/lib.rs
+++ b/crates/pinepoint-clock/src/lib.rs
@@ -1,5 +1,5 @@
-//! The one clock. It owns the notion of "now" for every crate of the workspace: Unix milliseconds as `f64`,
-//! never going back, settable in tests. It must never be bypassed: nothing else reads a system clock.
+//! The clock of all crates of the workspace: Unix milliseconds as `f64` that never go back, settable in tests. No other code
+//! reads a system clock.
 //!
 //! ```
 //! let clock = pinepoint_clock::Clock::fixed(1_000.0);
@@ -9,10 +9,13 @@
 //! assert_eq!(clock.now(), 2_500.0, "it never goes back");
 //! ```
 //!
-//! Tests of several processes set their clocks off from each other by the file that `PINEPOINT_TEST_CLOCK` names, which
-//! holds ms and is read again now and then. Programs built for release have no such way.
+//! Tests of several processes give each process a clock offset through a file, whose path is in the environment variable
+//! `PINEPOINT_TEST_CLOCK` and which holds milliseconds. Release builds do not contain this.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
+
+#[cfg(debug_assertions)]
+mod test_offset;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,83 +23,84 @@
 
 use async_io::Timer;
 
-/// A handle on the clock; clones share it.
+/// Longest time that [`Clock::until`] waits, ms: one day.
+const MAX_WAIT_MS: f64 = 86_400_000.0;
+
+/// A handle on a clock; clones share it.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// The last time told, and when that was on the monotonic clock; nothing there for a fixed clock.
-    last: Rc<Cell<(f64, Option<Instant>)>>,
+    state: Rc<Cell<State>>,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum State {
+    /// Stands at this time, Unix ms.
+    Fixed { now_ms: f64 },
+    /// Follows the system's clock.
+    System {
+        /// The last time that was returned, Unix ms.
+        last_ms: f64,
+        /// When it was returned, on the monotonic clock.
+        read_at: Instant,
+    },
 }
 
 impl Clock {
     /// The system's Unix clock.
     pub fn system() -> Self {
-        Clock { last: Rc::new(Cell::new((0.0, Some(Instant::now())))) }
+        Clock::with_state(State::System { last_ms: 0.0, read_at: Instant::now() })
     }
 
-    /// A clock that stands at this time until it is set.
+    /// A clock that stands at this time, Unix ms, until it is set.
     pub fn fixed(ms: f64) -> Self {
-        Clock { last: Rc::new(Cell::new((ms, None))) }
+        Clock::with_state(State::Fixed { now_ms: ms })
+    }
+
+    fn with_state(state: State) -> Self {
+        Clock { state: Rc::new(Cell::new(state)) }
     }
 
-    /// Moves a fixed clock; the system's is left alone.
+    /// Sets a fixed clock to this time, Unix ms, unless it is earlier than the current one. Does nothing to the system's clock.
     pub fn set(&self, ms: f64) {
-        if let (last, None) = self.last.get() {
-            self.last.set((ms.max(last), None));
+        if let State::Fixed { now_ms } = self.state.get() {
+            self.state.set(State::Fixed { now_ms: ms.max(now_ms) });
         }
     }
 
-    /// The time now. Where the system's clock was set back, this one goes on from where it was: the decision
-    /// module takes no time that goes back, and were it to stand still, no timer would go off.
+    /// The current time, Unix ms. After the system's clock was set back, this one goes on from the last time at the pace of the
+    /// monotonic clock: time never goes back, and does not stand still either, so that timers go on to fire.
     pub fn now(&self) -> f64 {
-        let (last, Some(told)) = self.last.get() else { return self.last.get().0 };
-        let unix =
-            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_secs_f64() * 1000.0;
-        #[cfg(debug_assertions)]
-        let unix = unix + set_off::by_ms();
-        let now = if unix >= last { unix } else { last + told.elapsed().as_secs_f64() * 1000.0 };
-        self.last.set((now, Some(Instant::now())));
-        now
+        let (last_ms, read_at) = match self.state.get() {
+            State::Fixed { now_ms } => return now_ms,
+            State::System { last_ms, read_at } => (last_ms, read_at),
+        };
+        let unix_ms = unix_ms();
+        let now_ms = if unix_ms >= last_ms { unix_ms } else { last_ms + as_ms(read_at.elapsed()) };
+        self.state.set(State::System { last_ms: now_ms, read_at: Instant::now() });
+        now_ms
     }
 
-    /// Completes at this time.
+    /// Waits until this time, Unix ms, but at most one day.
     pub async fn until(&self, ms: f64) {
-        let wait = (ms - self.now()).clamp(0.0, 86_400_000.0);
-        Timer::at(Instant::now() + Duration::from_secs_f64(wait / 1000.0)).await;
+        let wait_ms = (ms - self.now()).clamp(0.0, MAX_WAIT_MS);
+        Timer::at(Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0)).await;
     }
 
-    /// Completes this much later.
+    /// Waits for this long, ms.
     pub async fn pause(&self, ms: f64) {
         self.until(self.now() + ms).await;
     }
 }
 
-/// Of tests only: what this process's clock is off by.
-#[cfg(debug_assertions)]
-mod set_off {
-    use std::cell::Cell;
-    use std::path::PathBuf;
-    use std::time::{Duration, Instant};
-
-    /// Between two looks at the file.
-    const EVERY: Duration = Duration::from_millis(1);
-
-    thread_local! {
-        static FILE: Option<PathBuf> = std::env::var_os("PINEPOINT_TEST_CLOCK").map(PathBuf::from);
-        static LAST: Cell<(Option<Instant>, f64)> = const { Cell::new((None, 0.0)) };
-    }
+/// The system's Unix clock, ms.
+fn unix_ms() -> f64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    let unix_ms = as_ms(since_epoch);
+    #[cfg(debug_assertions)]
+    let unix_ms = unix_ms + test_offset::offset_ms();
+    unix_ms
+}
 
-    pub fn by_ms() -> f64 {
-        FILE.with(|file| {
-            let Some(file) = file else { return 0.0 };
-            let (looked, ms) = LAST.get();
-            if looked.is_some_and(|at| at.elapsed() < EVERY) {
-                return ms;
-            }
-            // A file that is just being written says nothing.
-            let text = std::fs::read_to_string(file).unwrap_or_default();
-            let ms = text.trim().parse().unwrap_or(ms);
-            LAST.set((Some(Instant::now()), ms));
-            ms
-        })
-    }
+fn as_ms(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1000.0
 }
