--- a/src/node/port.rs
+++ b/src/server/core/api.rs
@@ -9,47 +9,47 @@
 use pinepoint_handover::message::{Hello, Message};
 use pinepoint_handover::ownership::NoPredecessor;
 
-use crate::settings::Site;
-use crate::{FailureReason, Outcome, RejectReason};
+use crate::admission::{FailureReason, Outcome, RejectReason};
+use crate::config::site::Site;
 
 /// One end of a connection on which requests came. The core answers through it and never waits for it.
 pub trait Caller {
     /// Tells callers apart, over all fronts.
     fn id(&self) -> u64;
-    /// Queues the one answer to the request that this caller named `ticket`.
-    fn answer(&self, ticket: u64, reply: &Reply);
+    /// Queues the one answer to the request that this caller named `correlation_id`.
+    fn answer(&self, correlation_id: u64, reply: &Reply);
     /// No new request should come on this connection; it may go once everything on it is answered.
-    fn leave(&self);
+    fn go_away(&self);
     /// Leaves if nothing was carried since this time.
-    fn leave_if_idle(&self, since_ms: f64);
+    fn go_away_if_idle(&self, since_ms: f64);
 }
 
 /// The engine, as the core commands it. Commands are queued; while there is no link they are dropped.
 pub trait Engine {
     /// Begins a run.
-    fn run(&self, rid: &str, class: &str, body: &[u8]);
+    fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]);
     /// Stops a run.
-    fn halt(&self, rid: &str);
+    fn cancel_run(&self, attempt_id: &str);
     /// Hands a run the reply to its call; tells whether there is a link that it goes to.
-    fn feed(&self, rid: &str, reply: &[u8]) -> bool;
+    fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool;
     /// Lets a run go on without the call that this notice asked for; tells whether there is a link.
-    fn skip(&self, rid: &str, notice: u64) -> bool;
+    fn skip_call(&self, attempt_id: &str, notice: u64) -> bool;
     /// Asks for the gauges.
-    fn stat(&self, tag: u64);
+    fn request_gauges(&self, tag: u64);
 }
 
-/// The store, as the core calls it: each call ends with one [`Input::CallEnded`] unless it is dropped. Calls are told
+/// The store, as the core calls it: each call ends with one [`CoreInput::CallEnded`] unless it is dropped. Calls are told
 /// apart by numbers of the core's own: the name of the request may stand for a later call of it, or for another request.
 pub trait Store {
     /// Makes a call for this request; `once` if it must not be made twice.
-    fn call(self: Rc<Self>, call: u64, rid: &str, patience_ms: f64, body: &[u8], once: bool);
+    fn start_call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
     /// Gives a call up; nothing is told of its end.
-    fn drop_call(&self, call: u64);
+    fn cancel_call(&self, call: u64);
 }
 
 /// The other process of this server during an upgrade, as the core reaches it: the predecessor that it takes over from, or the
 /// successor that takes over from it. Nothing here waits.
-pub trait HandoverPort {
+pub trait HandoverTransport {
     /// Sends to the predecessor; nothing is sent where there is none.
     fn send_to_predecessor(&self, message: &Message);
     /// Sends to the successor; nothing is sent where there is none.
@@ -58,7 +58,7 @@
     fn drop_predecessor(&self);
     /// Ends the link to the successor; nothing is told of it any more.
     fn drop_successor(&self);
-    /// Looks for the predecessor again, which is told by [`PeerInput`].
+    /// Looks for the predecessor again, which is told by [`PeerEvent`].
     fn find_predecessor(&self);
     /// Listens for a successor, in place of whoever listened before.
     fn listen_for_successor(&self);
@@ -70,7 +70,7 @@
 
 /// What the core is told of the other process of this server.
 #[derive(Debug)]
-pub enum PeerInput {
+pub enum PeerEvent {
     /// A predecessor was found, and said this.
     PredecessorFound(Hello),
     /// None was found.
@@ -90,24 +90,24 @@
 /// What the other process has told and the core has not taken yet. It does not stand in line behind requests: it is bounded by
 /// what the other process may have on its way.
 #[derive(Debug, Default)]
-pub struct PeerInbox(RefCell<VecDeque<PeerInput>>);
+pub struct PeerInbox(RefCell<VecDeque<PeerEvent>>);
 
 impl PeerInbox {
     /// Puts one in.
-    pub fn push(&self, input: PeerInput) {
+    pub fn push(&self, input: PeerEvent) {
         self.0.borrow_mut().push_back(input);
     }
 
     /// Takes the oldest out.
-    pub fn pop(&self) -> Option<PeerInput> {
+    pub fn pop(&self) -> Option<PeerEvent> {
         self.0.borrow_mut().pop_front()
     }
 }
 
 /// The doors of the process, as one that leaves looks at them.
-pub trait Doors {
+pub trait OpenSockets {
     /// Listening sockets that are open, or that someone stands before.
-    fn open(&self) -> usize;
+    fn listeners(&self) -> usize;
     /// Connections of callers that are not closed, whether the core has heard of them or not.
     fn connections(&self) -> usize;
 }
@@ -117,21 +117,21 @@
 pub enum Reply {
     /// The result that the engine made.
     Served(Rc<[u8]>),
-    /// This try never ran. The caller should stay away for `backoff_ms`, and not try elsewhere if `last`.
-    Refused {
+    /// This try never ran. The caller should stay away for `retry_after_ms`, and not try elsewhere if `last`.
+    Rejected {
         /// 0 for no advice.
-        backoff_ms: f64,
+        retry_after_ms: f64,
         /// Ask for no further try.
         last: bool,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// It failed; nothing is promised. `late` if there was no time left.
     Failed {
         /// It was out of time.
         late: bool,
         /// Why.
-        why: FailureReason,
+        reason: FailureReason,
     },
 }
 
@@ -142,13 +142,13 @@
     /// The front that read it.
     pub front: Protocol,
     /// The caller's own name for it, not in use.
-    pub ticket: u64,
+    pub correlation_id: u64,
     /// The name that engine and store know it by, new with every try.
-    pub rid: String,
+    pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, Unix ms.
-    pub t0: f64,
+    pub arrived_ms: f64,
     /// Marked as a further try.
     pub again: bool,
     /// Work hint, ms.
@@ -167,7 +167,7 @@
 
 /// How the engine ended a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RunEnd {
+pub enum RunResult {
     /// With this result.
     Complete(Rc<[u8]>),
     /// It failed.
@@ -179,7 +179,7 @@
 }
 
 /// What a reload changes for the core.
-pub struct NewSettings {
+pub struct Reconfiguration {
     /// Settings and names, with all indexes as they were.
     pub site: Rc<Site>,
     /// From the notice to leave to the kill, ms.
@@ -189,38 +189,78 @@
 }
 
 /// What reaches the core.
-pub enum Input {
+pub enum CoreInput {
     /// A connection was accepted.
-    Opened(Rc<dyn Caller>),
-    /// A connection is over; nobody waits for what is left on it.
-    Closed(u64),
+    ConnectionOpened(Rc<dyn Caller>),
+    /// A connection has ended; nobody waits for what is still open on it.
+    ConnectionClosed {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+    },
     /// A request was read.
-    Request(Box<Arrival>),
-    /// The caller gave this request up.
-    Gone(u64, u64),
-    /// What came on a connection is no message of its wire: what was read on it before is to be failed.
-    Spoilt(u64),
-    /// The engine answered an attach.
-    EngineUp {
-        /// It started cold.
+    RequestReceived(Box<Arrival>),
+    /// The caller no longer waits for one request.
+    CallerGone {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+        /// The caller's own name for the request.
+        correlation_id: u64,
+    },
+    /// What came on a connection breaks its protocol: the requests that were read on it before fail.
+    ProtocolError {
+        /// [`Caller::id`] of the connection.
+        caller: u64,
+    },
+    /// The engine accepted the connection to it.
+    EngineAttached {
+        /// The engine started cold.
         cold: bool,
-        /// That long ago, ms.
+        /// Time since its start, ms.
         ms: f64,
     },
-    /// The link to the engine broke.
-    EngineDown,
+    /// The connection to the engine is lost.
+    EngineDetached,
     /// A run is over.
-    Done(String, RunEnd),
-    /// A run stands before a call, told by the notice of this number, with this body.
-    Need(String, u64, Vec<u8>),
-    /// The gauges that were asked for with this tag.
-    Stats(u64, Vec<f64>),
-    /// The engine did not carry out a command for this request.
-    Declined(String, String),
-    /// The call of this number is over, with the reply if it went well.
-    CallEnded(u64, Outcome, Option<Vec<u8>>),
-    /// A question for the state, which the observer is told.
-    Look,
-    /// These settings are in force for all that comes behind this.
-    Settings(NewSettings),
+    RunEnded {
+        /// The attempt that ran.
+        attempt_id: String,
+        /// How it ended.
+        result: RunResult,
+    },
+    /// A run waits for the reply to a call.
+    CallNeeded {
+        /// The attempt that runs.
+        attempt_id: String,
+        /// Number of the engine's notice, by which the call is named.
+        notice: u64,
+        /// What the call carries.
+        body: Vec<u8>,
+    },
+    /// The gauges that were requested with this tag.
+    Gauges {
+        /// The tag of the request.
+        tag: u64,
+        /// The values, in the order of the settings.
+        values: Vec<f64>,
+    },
+    /// The engine did not carry out a command.
+    CommandRejected {
+        /// The command's word.
+        command: String,
+        /// The attempt that it was for.
+        attempt_id: String,
+    },
+    /// A call is over.
+    CallEnded {
+        /// The core's number of the call.
+        call: u64,
+        /// How it ended.
+        outcome: Outcome,
+        /// The reply, if it succeeded.
+        reply: Option<Vec<u8>>,
+    },
+    /// The observer is told the state of the core.
+    ReportState,
+    /// These settings are in force for everything that follows in the queue.
+    Reconfigure(Reconfiguration),
 }
--- a/src/node/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -10,21 +10,21 @@
 use pinepoint_telemetry::schema::Schema;
 use pinepoint_telemetry::{Parts, Setup, Source, Telemetry};
 
-use super::counters::Counters;
-use super::port::Input;
-use crate::View;
-use crate::settings::Site;
+use crate::admission::AdmissionSnapshot;
+use crate::config::site::Site;
+use crate::server::core::api::CoreInput;
+use crate::server::observability::counters::Counters;
 
 /// The node, as telemetry sees it.
 struct Node {
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     counters: Rc<Counters>,
 }
 
 impl Source for Node {
     fn ask(&self) {
         // A queue that is full is one that the core works on: it is asked again.
-        let _ = self.queue.try_send(Input::Look);
+        let _ = self.queue.try_send(CoreInput::ReportState);
     }
 
     fn counts(&self) -> Vec<u64> {
@@ -45,7 +45,7 @@
 }
 
 /// What the start of telemetry takes beside its own setup.
-pub struct Host {
+pub struct TelemetryContext {
     /// The comparer's name.
     pub name: String,
     /// Settings and names.
@@ -57,7 +57,7 @@
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
     /// Counters of the node.
     pub counters: Rc<Counters>,
 }
@@ -65,32 +65,32 @@
 /// Tells telemetry of the classes in force, before anything happens to a request of a new one.
 pub fn set_classes(telemetry: &Telemetry, site: &Site) {
     let (names, classes) = classes_of(site);
-    telemetry.set_classes(&names, classes, site.settings.worth_by_work);
+    telemetry.set_classes(&names, classes, site.settings.weight_by_work);
 }
 
 /// Name and terms of each class, by index.
 fn classes_of(site: &Site) -> (Vec<String>, Vec<Class>) {
-    let terms = |class: &crate::Class| Class {
-        aim_ms: class.aim_ms,
-        aim_stretch: class.aim_stretch,
-        worth: class.worth,
-        late_worth: class.late_worth,
-        worth_without: class.worth_without,
+    let terms = |class: &crate::admission::Class| Class {
+        aim_ms: class.latency_objective_ms,
+        aim_stretch: class.objective_per_work,
+        worth: class.weight,
+        late_worth: class.late_weight,
+        worth_without: class.weight_without_call,
     };
     let classes = site.settings.classes.iter();
     classes.enumerate().map(|(at, class)| (site.class_name(at).to_owned(), terms(class))).unzip()
 }
 
 /// Begins to count and to send what the setup says.
-pub fn start(setup: &Setup, host: Host) -> Rc<Telemetry> {
-    let Host { name, site, seed, clock, executor, queue, counters } = host;
+pub fn start(setup: &Setup, host: TelemetryContext) -> Rc<Telemetry> {
+    let TelemetryContext { name, site, seed, clock, executor, queue, counters } = host;
     let (names, classes) = classes_of(&site);
     let node: Vec<&'static str> = counters.list().into_iter().map(|(name, _)| name).collect();
-    let module = View::NAMES;
+    let module = AdmissionSnapshot::NAMES;
     let parts = Parts {
         schema: Rc::new(Schema::new(&names, &node, &module)),
         classes,
-        by_work: site.settings.worth_by_work,
+        by_work: site.settings.weight_by_work,
         host: name,
         clock,
         executor,
