--- a/crates/pinepoint-idempotency/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -1,6 +1,6 @@
-//! Every course of two keys, three tries, failing writes, ends of runs, cuts of power that keep any of the unsynced writes, and time
-//! that passes, up to a depth: at most one effect for each key in its window, one final answer for each try, and no refusal of
-//! what may have run. The program's own records are run; what is enumerated are the choices around it. Two faults that are built in
+//! Every course of two keys, three attempts, failing writes, ends of runs, power losses that keep any of the unsynced writes, and
+//! time that passes, up to a depth: at most one effect for each key in its window, one final answer for each attempt, and no
+//! rejection of what may have run. The records are the program's own; the choices around them are enumerated. Two injected faults
 //! have to be found.
 
 use std::collections::{BTreeMap, HashSet};
@@ -8,27 +8,29 @@
 
 use pinepoint_idempotency::clock::ClockContinuity;
 use pinepoint_idempotency::records::{
-    Action, Attempt, Event, Fault, IdempotencyRecords, Key, Options, RunOutcome,
+    Action, Attempt, Event, Fault, IdempotencyRecords, Key, Options, RunOutcome, WriteId,
 };
 use pinepoint_store::format::Change;
 
 const WINDOW: f64 = 1000.0;
 const GRACE: f64 = 500.0;
+/// The table of the clock reading.
+const CLOCK_TABLE: &str = "clock";
 /// Choices in a row, where `LEDGER_DEPTH` says nothing else.
 const DEPTH: usize = 7;
 
-/// One step of the world around the ledger.
+/// One step of the world around the records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Choice {
-    /// A try of this key, with this body.
+    /// An attempt of this key, with this body.
     Attempt(u8, u64),
     /// The oldest write is durable.
     Synced,
-    /// It fails, and is there or not.
+    /// The oldest write fails, and is on disk or not.
     Fails(bool),
     /// A run of this key ends.
     Ends(u8, RunEnd),
-    /// The power goes, with so many of the writes that wait kept.
+    /// The power fails, with so many of the pending writes on disk.
     Cut(usize, Clock),
     /// A window passes.
     Passes,
@@ -41,32 +43,58 @@
     NeverRan,
 }
 
-/// What the clock does over a cut.
+/// What the clock does over a power loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Clock {
     Right,
-    /// Over a boot nothing is known of it, and it shows an hour more.
+    /// The machine was booted, and the clock shows an hour more.
     Forward,
     Back,
 }
 
+/// An attempt that was sent.
+#[derive(Clone, Debug)]
+struct SentAttempt {
+    key: Key,
+    digest: u64,
+    /// True time.
+    sent_ms: f64,
+    is_answered: bool,
+    /// The power failed before it was answered.
+    is_interrupted: bool,
+}
+
+/// A run that may have taken effect.
+#[derive(Clone, Debug)]
+struct Effect {
+    key: Key,
+    digest: u64,
+    /// When its request was first sent, true time.
+    sent_ms: f64,
+}
+
+/// A write that is not on disk yet; a lazy one has no id.
+#[derive(Clone, Debug)]
+struct PendingWrite {
+    id: Option<WriteId>,
+    changes: Vec<Change>,
+}
+
 #[derive(Clone, Debug)]
 struct World {
     options: Options,
     records: IdempotencyRecords,
-    /// True time, and what the clock shows beyond it.
-    now: f64,
-    shown: f64,
+    /// True time, and by how much the clock differs from it, ms.
+    now_ms: f64,
+    clock_error_ms: f64,
     disk: BTreeMap<Key, Vec<u8>>,
-    /// The mark of the time on the disk is of an earlier life than this, and its clock was set since or nobody knows.
-    old_mark: bool,
-    writes: Vec<(Option<u64>, Vec<Change>)>,
-    /// Runs that have left and not ended, by key, and all that may have had their effect: the true time of their first sending.
+    /// The clock reading on disk is of an earlier process than the last, and the clock may have been set since.
+    has_old_reading: bool,
+    writes: Vec<PendingWrite>,
+    /// Keys of the runs under way.
     running: Vec<Key>,
-    effects: Vec<(Key, u64, f64)>,
-    /// Tries: key, body, whether an answer came, whether the power went while it waited.
-    tries: Vec<(Key, u64, bool, bool)>,
-    sent_ms: Vec<f64>,
+    effects: Vec<Effect>,
+    attempts: Vec<SentAttempt>,
     cuts: u32,
     fails: u32,
     passed: u32,
@@ -84,15 +112,14 @@
         World {
             options,
             records,
-            now: 1e9,
-            shown: 0.0,
+            now_ms: 1e9,
+            clock_error_ms: 0.0,
             disk: BTreeMap::new(),
-            old_mark: false,
+            has_old_reading: false,
             writes: Vec::new(),
             running: Vec::new(),
             effects: Vec::new(),
-            tries: Vec::new(),
-            sent_ms: Vec::new(),
+            attempts: Vec::new(),
             cuts: 0,
             fails: 0,
             passed: 0,
@@ -100,11 +127,11 @@
         }
     }
 
-    fn choices(&self, tries: usize, cuts: u32) -> Vec<Choice> {
+    fn choices(&self, max_attempts: usize, max_cuts: u32) -> Vec<Choice> {
         let mut all = Vec::new();
-        if self.tries.len() < tries {
+        if self.attempts.len() < max_attempts {
             all.extend([Choice::Attempt(0, 1), Choice::Attempt(1, 1)]);
-            if self.tries.len() == 1 {
+            if self.attempts.len() == 1 {
                 all.push(Choice::Attempt(0, 2));
             }
         }
@@ -119,7 +146,7 @@
                 [RunEnd::Completed, RunEnd::NoResult, RunEnd::NeverRan].map(|end| Choice::Ends(key[0], end)),
             );
         }
-        if self.cuts < cuts {
+        if self.cuts < max_cuts {
             for kept in 0..=self.writes.len() {
                 all.extend([Clock::Right, Clock::Forward, Clock::Back].map(|clock| Choice::Cut(kept, clock)));
             }
@@ -132,59 +159,70 @@
 
     fn step(&mut self, choice: Choice) {
         match choice {
-            Choice::Attempt(key, digest) => {
-                let ticket = self.tries.len() as u64;
-                self.tries.push((vec![key], digest, false, false));
-                self.sent_ms.push(self.now);
-                let first_sent_ms = self.now + self.shown;
-                let attempt =
-                    Attempt { ticket, key: vec![key], caller: 1, digest, first_sent_ms, window_ms: WINDOW };
-                self.handle(Event::Attempt(attempt));
-            }
-            Choice::Synced => {
-                let (number, changes) = self.writes.remove(0);
-                self.keep(&changes);
-                number.into_iter().for_each(|number| {
-                    self.handle(Event::WriteCompleted { write: number, is_durable: true })
-                });
-            }
-            Choice::Fails(is_there) => {
+            Choice::Attempt(key, digest) => self.attempt(vec![key], digest),
+            Choice::Synced => self.complete_oldest_write(true, true),
+            Choice::Fails(is_on_disk) => {
                 self.fails += 1;
-                let (number, changes) = self.writes.remove(0);
-                if is_there {
-                    self.keep(&changes);
-                }
-                number.into_iter().for_each(|number| {
-                    self.handle(Event::WriteCompleted { write: number, is_durable: false })
-                });
+                self.complete_oldest_write(is_on_disk, false);
             }
-            Choice::Ends(key, end) => {
-                self.running.retain(|running| running[0] != key);
-                let end = match end {
-                    RunEnd::Completed => RunOutcome::Completed(vec![key]),
-                    RunEnd::NoResult => RunOutcome::NoResult,
-                    RunEnd::NeverRan => {
-                        // It is proved that it had none.
-                        let last = self.effects.iter().rposition(|(of, ..)| of[0] == key);
-                        last.map(|at| self.effects.remove(at));
-                        RunOutcome::NeverRan
-                    }
-                };
-                self.handle(Event::RunEnded { key: vec![key], outcome: end });
-            }
-            Choice::Cut(kept, clock) => self.cut(kept, clock),
+            Choice::Ends(key, end) => self.end_run(key, end),
+            Choice::Cut(kept, clock) => self.cut_power(kept, clock),
             Choice::Passes => {
                 self.passed += 1;
-                self.now += WINDOW + GRACE;
+                self.now_ms += WINDOW + GRACE;
                 self.handle(Event::Tick);
             }
         }
     }
 
-    fn keep(&mut self, changes: &[Change]) {
+    /// What the clock shows.
+    fn clock_ms(&self) -> f64 {
+        self.now_ms + self.clock_error_ms
+    }
+
+    fn attempt(&mut self, key: Key, digest: u64) {
+        let ticket = self.attempts.len() as u64;
+        let sent_ms = self.now_ms;
+        self.attempts.push(SentAttempt {
+            key: key.clone(),
+            digest,
+            sent_ms,
+            is_answered: false,
+            is_interrupted: false,
+        });
+        let first_sent_ms = self.clock_ms();
+        let attempt = Attempt { ticket, key, caller: 1, digest, first_sent_ms, window_ms: WINDOW };
+        self.handle(Event::Attempt(attempt));
+    }
+
+    fn complete_oldest_write(&mut self, is_on_disk: bool, is_durable: bool) {
+        let PendingWrite { id, changes } = self.writes.remove(0);
+        if is_on_disk {
+            self.apply(&changes);
+        }
+        if let Some(write) = id {
+            self.handle(Event::WriteCompleted { write, is_durable });
+        }
+    }
+
+    fn end_run(&mut self, key: u8, end: RunEnd) {
+        self.running.retain(|running| running[0] != key);
+        let outcome = match end {
+            RunEnd::Completed => RunOutcome::Completed(vec![key]),
+            RunEnd::NoResult => RunOutcome::NoResult,
+            RunEnd::NeverRan => {
+                let last = self.effects.iter().rposition(|effect| effect.key[0] == key);
+                last.map(|index| self.effects.remove(index));
+                RunOutcome::NeverRan
+            }
+        };
+        self.handle(Event::RunEnded { key: vec![key], outcome });
+    }
+
+    fn apply(&mut self, changes: &[Change]) {
         for change in changes {
-            if change.table == "mark" {
-                self.old_mark = false;
+            if change.table == CLOCK_TABLE {
+                self.has_old_reading = false;
                 continue;
             }
             match &change.value {
@@ -194,53 +232,54 @@
         }
     }
 
-    fn cut(&mut self, kept: usize, clock: Clock) {
+    fn cut_power(&mut self, kept: usize, clock: Clock) {
         self.cuts += 1;
         let writes = std::mem::take(&mut self.writes);
-        writes[..kept].iter().for_each(|(_, changes)| self.keep(changes));
+        writes[..kept].iter().for_each(|write| self.apply(&write.changes));
         self.running.clear();
-        self.tries.iter_mut().for_each(|attempt| attempt.3 |= !attempt.2);
+        self.attempts.iter_mut().for_each(|attempt| attempt.is_interrupted |= !attempt.is_answered);
         let continuity = match clock {
-            Clock::Right if self.old_mark => ClockContinuity::Unknown,
+            Clock::Right if self.has_old_reading => ClockContinuity::Unknown,
             Clock::Right => ClockContinuity::Continuous { elapsed_ms: 0.0 },
             Clock::Forward => ClockContinuity::Unknown,
             Clock::Back => ClockContinuity::SteppedBack,
         };
-        self.shown += match clock {
+        self.clock_error_ms += match clock {
             Clock::Right => 0.0,
             Clock::Forward => 3_600_000.0,
             Clock::Back => -10_000.0,
         };
         let entries = self.disk.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
         let (records, mut report) =
-            IdempotencyRecords::open(self.options, self.now + self.shown, continuity, entries);
+            IdempotencyRecords::open(self.options, self.clock_ms(), continuity, entries);
         self.records = records;
         if !matches!(continuity, ClockContinuity::Continuous { .. }) {
-            self.old_mark = true;
-            let mark = Change {
-                table: "mark".into(),
+            self.has_old_reading = true;
+            let reading = Change {
+                table: CLOCK_TABLE.into(),
                 key: Vec::new(),
                 value: Some(Vec::new()),
                 expires_at_ms: f64::MAX,
             };
-            report.rewritten.push(mark);
-            self.writes.push((None, report.rewritten));
+            report.rewritten.push(reading);
+            self.writes.push(PendingWrite { id: None, changes: report.rewritten });
         }
     }
 
     fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.records.handle(self.now + self.shown, event, &mut out);
+        self.records.handle(self.clock_ms(), event, &mut out);
         for action in out {
             match action {
-                Action::WriteDurably { write: number, changes } => self.writes.push((Some(number), changes)),
-                Action::WriteLazily(changes) => self.writes.push((None, changes)),
+                Action::WriteDurably { write, changes } => {
+                    self.writes.push(PendingWrite { id: Some(write), changes });
+                }
+                Action::WriteLazily(changes) => self.writes.push(PendingWrite { id: None, changes }),
                 Action::Run { ticket, key } => self.runs(ticket, key),
                 Action::Respond { ticket, .. } | Action::Fail { ticket, .. } => self.answered(ticket),
                 Action::Reject { ticket, reason } => {
                     self.answered(ticket);
-                    let (key, digest, ..) = &self.tries[ticket as usize];
-                    if self.had_effect(key, *digest, self.sent_ms[ticket as usize]) {
+                    if self.had_effect(&self.attempts[ticket as usize]) {
                         self.wrong =
                             Some(format!("try {ticket} is refused ({reason:?}), and its key has run"));
                     }
@@ -249,34 +288,39 @@
         }
     }
 
-    /// Whether a run of the key may have had its effect in the window in which this time lies.
-    fn had_effect(&self, key: &Key, digest: u64, sent_ms: f64) -> bool {
-        self.effects.iter().any(|(of, d, at)| of == key && *d == digest && sent_ms < at + WINDOW)
+    /// Whether the request of an attempt may have taken effect in the window in which it was sent.
+    fn had_effect(&self, attempt: &SentAttempt) -> bool {
+        self.effects.iter().any(|effect| {
+            effect.key == attempt.key
+                && effect.digest == attempt.digest
+                && attempt.sent_ms < effect.sent_ms + WINDOW
+        })
     }
 
     fn runs(&mut self, ticket: u64, key: Key) {
-        let (digest, sent) = (self.tries[ticket as usize].1, self.sent_ms[ticket as usize]);
-        if self.had_effect(&key, digest, sent) {
+        let attempt = &self.attempts[ticket as usize];
+        if self.had_effect(attempt) {
             self.wrong = Some(format!("key {key:?} runs a second time in its window, for try {ticket}"));
         }
-        self.effects.push((key.clone(), digest, sent));
+        let (digest, sent_ms) = (attempt.digest, attempt.sent_ms);
+        self.effects.push(Effect { key: key.clone(), digest, sent_ms });
         self.running.push(key);
     }
 
     fn answered(&mut self, ticket: u64) {
-        let attempt = &mut self.tries[ticket as usize];
-        if attempt.2 {
+        let attempt = &mut self.attempts[ticket as usize];
+        if attempt.is_answered {
             self.wrong = Some(format!("a second answer to try {ticket}"));
         }
-        attempt.2 = true;
+        attempt.is_answered = true;
     }
 
-    /// Where nothing is under way every try that the power did not end is answered.
+    /// Once nothing is under way, every attempt is answered, unless the power failed.
     fn check(&mut self) {
-        let idle = self.running.is_empty() && self.writes.iter().all(|(number, _)| number.is_none());
-        let open = |(at, attempt): (usize, &(Key, u64, bool, bool))| (!attempt.2 && !attempt.3).then_some(at);
-        if idle && let Some(at) = self.tries.iter().enumerate().find_map(open) {
-            self.wrong = Some(format!("try {at} waits for nothing"));
+        let is_idle = self.running.is_empty() && self.writes.iter().all(|write| write.id.is_none());
+        let waits = |attempt: &SentAttempt| !attempt.is_answered && !attempt.is_interrupted;
+        if is_idle && let Some(ticket) = self.attempts.iter().position(waits) {
+            self.wrong = Some(format!("try {ticket} waits for nothing"));
         }
     }
 }
@@ -284,8 +328,8 @@
 struct Search {
     seen: HashSet<u64>,
     wrong: Option<(Vec<Choice>, String)>,
-    tries: usize,
-    cuts: u32,
+    max_attempts: usize,
+    max_cuts: u32,
 }
 
 impl Search {
@@ -293,7 +337,7 @@
         if left == 0 || self.wrong.is_some() {
             return;
         }
-        for choice in world.choices(self.tries, self.cuts) {
+        for choice in world.choices(self.max_attempts, self.max_cuts) {
             let mut next = world.clone();
             next.step(choice);
             next.check();
@@ -312,8 +356,13 @@
     }
 }
 
-fn search(options: Options, tries: usize, cuts: u32, depth: usize) -> (Option<(Vec<Choice>, String)>, usize) {
-    let mut search = Search { seen: HashSet::new(), wrong: None, tries, cuts };
+fn search(
+    options: Options,
+    max_attempts: usize,
+    max_cuts: u32,
+    depth: usize,
+) -> (Option<(Vec<Choice>, String)>, usize) {
+    let mut search = Search { seen: HashSet::new(), wrong: None, max_attempts, max_cuts };
     search.go(&World::new(options), &mut Vec::new(), depth);
     (search.wrong, search.seen.len())
 }
