--- a/crates/pinepoint-lab/src/operation.rs
+++ b/crates/pinepoint-lab/src/operation.rs
@@ -1,5 +1,5 @@
-//! The program in operation: real processes that are upgraded and managed, with stand-ins for what is around them, and
-//! the measurement of upgrades under load. Loopback only.
+//! The program in operation: real processes that are upgraded and managed among stub services, and the experiment on
+//! upgrades under load. Loopback only.
 
 pub mod client;
 pub mod cost;
@@ -8,7 +8,7 @@
 pub mod load;
 pub mod management;
 pub mod services;
-pub mod stand_ins;
+pub mod stubs;
 
 use std::io;
 use std::path::PathBuf;
@@ -19,18 +19,18 @@
 
 use deployment::{Deployment, Process, Setup, Signal};
 use engine::{Engine, Finish};
-use load::{Load, Plan, Tally};
+use load::{Load, Plan, ReplyCounts};
 
-/// Time that a run takes on the engine.
+/// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(5);
 /// A new process that does not take over in this time does not.
 const READY_LIMIT: Duration = Duration::from_secs(15);
 /// Load before, between and after the steps of an upgrade.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Requests to the management port of each kind, idle and at full load.
-const ASKS: usize = 300;
+/// Queries of the management port with each command, idle and at full load.
+const QUERIES: usize = 300;
 /// Pause before each of these, so that they meet the load at many moments.
-const ASK_PAUSE: Duration = Duration::from_millis(5);
+const QUERY_PAUSE: Duration = Duration::from_millis(5);
 /// Commands whose answer time is measured.
 const COMMANDS: [&str; 2] = ["PING", "INFO"];
 
@@ -45,14 +45,14 @@
     pub clients: usize,
 }
 
-/// What one upgrade did.
+/// What was measured of one upgrade.
 #[derive(Clone, Copy, Debug)]
 struct Upgrade {
-    /// From the start of the new process until it said that it serves.
+    /// From the start of the new process until it answered that it is ready.
     ready: Duration,
-    /// From SIGTERM to the end of the old process; nothing if it had to be killed.
+    /// From SIGTERM to the end of the old process; none if it had to be killed.
     exit: Option<Duration>,
-    tally: Tally,
+    replies: ReplyCounts,
 }
 
 impl Upgrade {
@@ -61,20 +61,23 @@
             "upgrade": number,
             "ready_ms": self.ready.as_millis() as u64,
             "exit_ms": self.exit.map(|exit| exit.as_millis() as u64),
-            "sent": self.tally.sent,
-            "served": self.tally.served,
-            "busy": self.tally.busy,
-            "failed": self.tally.failed,
-            "lost": self.tally.lost,
-            "late": self.tally.late,
-            "refused_connections": self.tally.refused_connections,
-            "ended_unannounced": self.tally.ended_unannounced,
+            "sent": self.replies.sent,
+            "served": self.replies.served,
+            "busy": self.replies.busy,
+            "failed": self.replies.failed,
+            "lost": self.replies.lost,
+            "late": self.replies.late,
+            "refused_connections": self.replies.refused_connections,
+            "ended_unannounced": self.replies.ended_unannounced,
         })
     }
 }
 
-/// Measures, tells each upgrade as it ends, and returns the summary.
-pub fn measure(options: &Options, tell: &mut dyn FnMut(&Value)) -> io::Result<Value> {
+/// Runs the experiment; calls `emit` with the report of each upgrade as it ends, and returns the summary.
+///
+/// # Errors
+/// If the program does not start, is not ready in time, or does not answer its management port.
+pub fn measure(options: &Options, emit: &mut dyn FnMut(&Value)) -> io::Result<Value> {
     let deployment = Deployment::new(Setup::new(&options.program))?;
     let mut current = start(&deployment)?;
     current.await_ready(READY_LIMIT)?;
@@ -89,7 +92,7 @@
     for number in 1..=options.upgrades {
         let (upgrade, next) = upgrade(&deployment, current, options.clients)?;
         current = next;
-        tell(&upgrade.report(number));
+        emit(&upgrade.report(number));
         upgrades.push(upgrade);
     }
     let out_reports = deployment.list.reports_since(since).iter().filter(|report| !report.up).count();
@@ -107,7 +110,7 @@
     Plan { address: deployment.listen, clients, depth: 4, pause, reconnect: false }
 }
 
-/// One upgrade under load; returns what it did and the process that serves now.
+/// Upgrades under load; returns what was measured, and the process that serves now.
 fn upgrade(deployment: &Deployment, mut old: Process, clients: usize) -> io::Result<(Upgrade, Process)> {
     let load = Load::start(plan(deployment, clients, Duration::from_millis(5)));
     std::thread::sleep(SETTLE);
@@ -116,20 +119,20 @@
     new.await_ready(READY_LIMIT)?;
     let ready = began.elapsed();
     std::thread::sleep(SETTLE);
-    let told = Instant::now();
+    let signalled = Instant::now();
     old.signal(Signal::TERM)?;
-    let exit = old.wait_exit(deployment.stop())?.map(|_| told.elapsed());
+    let exit = old.wait_exit(deployment.stop())?.map(|_| signalled.elapsed());
     drop(old);
     std::thread::sleep(SETTLE);
-    Ok((Upgrade { ready, exit, tally: load.stop()? }, new))
+    Ok((Upgrade { ready, exit, replies: load.stop()? }, new))
 }
 
 /// Times of the answers to each command, us, in the order of [`COMMANDS`].
 fn answer_times(process: &Process) -> io::Result<Vec<Histogram<u64>>> {
     let times = |command: &&str| {
         let mut times = Histogram::new(3).map_err(io::Error::other)?;
-        for _ in 0..ASKS {
-            std::thread::sleep(ASK_PAUSE);
+        for _ in 0..QUERIES {
+            std::thread::sleep(QUERY_PAUSE);
             let answer = process.ask(command)?;
             if !answer.is_ok() {
                 return Err(io::Error::other(format!("{command}: {}", answer.head())));
@@ -150,8 +153,8 @@
     let mut ready: Vec<u64> = upgrades.iter().map(|upgrade| upgrade.ready.as_millis() as u64).collect();
     ready.sort_unstable();
     let quantile = |part: f64| ready.get(((ready.len() as f64 * part).ceil() as usize).saturating_sub(1));
-    let mut total = Tally::default();
-    upgrades.iter().for_each(|upgrade| total += upgrade.tally);
+    let mut total = ReplyCounts::default();
+    upgrades.iter().for_each(|upgrade| total += upgrade.replies);
     let exit = upgrades.iter().filter_map(|upgrade| upgrade.exit).max();
     let answers = |times: &[Histogram<u64>], at: usize| {
         let ms = |quantile: f64| times[at].value_at_quantile(quantile) as f64 / 1000.0;
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -1,8 +1,8 @@
-//! CPU time of the program for each answered request, against an earlier build of it. All processes run side by side and
-//! are loaded in short turns with the same requests, so that what the machine does meanwhile falls on all alike.
+//! The experiment on CPU time for each answered request, against an earlier build of the program. All processes run side by
+//! side and are loaded in short rounds with the same requests, so that what the machine does meanwhile affects all alike.
 
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,20 +19,20 @@
 use crate::load::{self, OutcomeCounts, RequestClass, Workload};
 use crate::process::cpu_time_s;
 
-/// Time that a run takes on the engine.
+/// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
-/// Window of the keyed class: short, so that the number of kept keys settles within a turn.
+/// Deduplication window of the keyed class: short, so that the number of retained keys settles within a trial.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// Connections that carry the load.
 const CONNECTIONS: usize = 12;
-/// Between a turn's last answer and the reading of its cost, so that no turn pays for the one before it.
+/// Pause between the last answer of a trial and the reading of its cost, so that no trial pays for the one before it.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Between two calls of `INFO`.
+/// Pause between two queries of `INFO`.
 const INFO_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that does not serve in this time does not.
+/// How long a process may take until it is ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
-/// Between two looks whether a process serves.
-const READY_AGAIN: Duration = Duration::from_millis(20);
+/// Pause between two health checks of a process that starts.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What is measured.
 #[derive(Clone, Debug)]
@@ -41,15 +41,15 @@
     pub before: PathBuf,
     /// The program.
     pub program: PathBuf,
-    /// Length of the load of each turn.
+    /// Duration of the load of each trial.
     pub duration: Duration,
-    /// Turns, beside the first one, which is not counted.
-    pub trials: u64,
+    /// Rounds, each with one trial of each variant, beside the first one, which is not counted.
+    pub rounds: u64,
     /// Requests a second.
     pub rate: f64,
 }
 
-/// CPU time of a process, user and system, s.
+/// CPU time of a process, user and system, s, measured in two ways.
 #[derive(Clone, Copy, Debug, Default)]
 struct CpuTime {
     /// From `/proc/PID/stat`, in kernel ticks.
@@ -75,7 +75,7 @@
     }
 }
 
-/// One turn of one process.
+/// One trial of one variant.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     outcomes: OutcomeCounts,
@@ -93,27 +93,37 @@
     }
 }
 
-/// A process that is compared, with its surroundings.
+/// Whether a variant has a management port.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Management {
+    /// It has none.
+    Off,
+    /// It has one, which is polled under load.
+    Polled,
+}
+
+/// A variant of the program that is compared: its process and its deployment.
 struct Variant {
     name: &'static str,
-    /// Its management port is asked for its figures while it is loaded.
-    polled: bool,
+    /// Its management port is polled while it is loaded.
+    is_polled: bool,
     deployment: Deployment,
     process: Process,
     trials: Vec<Trial>,
 }
 
 impl Variant {
-    fn start(name: &'static str, program: &PathBuf, managed: bool) -> io::Result<Variant> {
+    fn start(name: &'static str, program: &Path, management: Management) -> io::Result<Variant> {
         let deployment = Deployment::new(Setup { key_window: KEY_WINDOW, ..Setup::new(program) })?;
-        let environment = if managed { Some(free_address()?) } else { None };
+        let is_polled = management == Management::Polled;
+        let environment = if is_polled { Some(free_address()?) } else { None };
         let source = ManagementSource { environment, configuration: None };
         let process = deployment.start_with(Engine::start(Finish::After(RUN_TIME))?, source)?;
         await_healthy(&deployment)?;
-        Ok(Variant { name, polled: managed, deployment, process, trials: Vec::new() })
+        Ok(Variant { name, is_polled, deployment, process, trials: Vec::new() })
     }
 
-    fn trial(&self, options: &Options, seed: u64) -> io::Result<Trial> {
+    fn run_trial(&self, options: &Options, seed: u64) -> io::Result<Trial> {
         let workload = Workload {
             classes: vec![request_class(READ_CLASS, false), request_class(KEYED_CLASS, true)],
             rate: options.rate,
@@ -123,7 +133,7 @@
             work_sigma: 0.5,
             seed,
         };
-        let poller = self.polled.then(|| InfoPoller::start(&self.process));
+        let poller = self.is_polled.then(|| InfoPoller::start(&self.process));
         let before = CpuTime::of(&self.process)?;
         let executor = Rc::new(LocalExecutor::new());
         let summary = async_io::block_on(executor.run(async {
@@ -148,12 +158,12 @@
         if deployment.connect().is_ok_and(|client: Client| client.ping() == Reply::Health(true)) {
             return Ok(());
         }
-        std::thread::sleep(READY_AGAIN);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
     Err(io::Error::new(io::ErrorKind::TimedOut, "a process does not serve"))
 }
 
-/// Calls `INFO` once an interval on a thread of its own.
+/// Queries `INFO` once an interval on a thread of its own.
 struct InfoPoller {
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
@@ -180,7 +190,7 @@
         poller
     }
 
-    /// Tells how many calls were answered; an error if one was not.
+    /// Stops polling; returns the number of answers, or an error if a query failed.
     fn stop(self) -> io::Result<u64> {
         self.stop.store(true, Ordering::Relaxed);
         match self.error.lock().unwrap_or_else(PoisonError::into_inner).take() {
@@ -190,23 +200,27 @@
     }
 }
 
-/// Runs all turns, every other one in the reverse order, so that what grows with time favours no process.
-pub fn measure(options: &Options, tell: &mut dyn FnMut(&Value)) -> io::Result<Value> {
+/// Runs all rounds, every other one in the reverse order, so that what grows with time favours no variant; calls `emit`
+/// with the report of each trial, and returns the summary.
+///
+/// # Errors
+/// If a program does not start or is not ready in time, or a query of its management port fails.
+pub fn measure(options: &Options, emit: &mut dyn FnMut(&Value)) -> io::Result<Value> {
     let mut variants = vec![
-        Variant::start("before", &options.before, false)?,
-        Variant::start("now", &options.program, false)?,
-        Variant::start("now, managed, INFO each second", &options.program, true)?,
+        Variant::start("before", &options.before, Management::Off)?,
+        Variant::start("now", &options.program, Management::Off)?,
+        Variant::start("now, managed, INFO each second", &options.program, Management::Polled)?,
     ];
-    for number in 0..=options.trials {
+    for number in 0..=options.rounds {
         let mut order: Vec<usize> = (0..variants.len()).collect();
         if number % 2 == 1 {
             order.reverse();
         }
         for at in order {
-            let trial = variants[at].trial(options, number + 1)?;
-            // The first turn, with a cold program, counts for nothing.
+            let trial = variants[at].run_trial(options, number + 1)?;
+            // The program warms up in the first round, which does not count.
             if number > 0 {
-                tell(&trial_report(variants[at].name, number, &trial));
+                emit(&trial_report(variants[at].name, number, &trial));
                 variants[at].trials.push(trial);
             }
         }
--- a/crates/pinepoint-lab/src/operation/load.rs
+++ b/crates/pinepoint-lab/src/operation/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests all the time and account for each: every one is answered, or is counted as not.
+//! A load with a closed loop: clients that send requests all the time, wait for the replies, and count what became of each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 
 use super::client::{Client, Reply, Request};
 
-/// Pause before a refused connection is tried again.
+/// Pause before a connection is attempted again after one was refused.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Makes keys that no other request has.
+/// Numbers of requests, so that no two have the same key.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
 /// What is sent.
@@ -33,12 +33,12 @@
 
 /// What became of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Sent, or tried to.
+pub struct ReplyCounts {
+    /// Sent, or attempted to.
     pub sent: u64,
     /// Served.
     pub served: u64,
-    /// Refused.
+    /// Rejected.
     pub busy: u64,
     /// Answered with another error.
     pub failed: u64,
@@ -48,17 +48,17 @@
     pub late: u64,
     /// Connections that could not be made.
     pub refused_connections: u64,
-    /// Connections that ended between two rounds without the notice to go.
+    /// Connections that ended between two rounds without a GOAWAY.
     pub ended_unannounced: u64,
 }
 
-impl Tally {
-    /// Requests and connections that the program owed something and ended: none may be, whatever is upgraded.
+impl ReplyCounts {
+    /// Requests and connections that ended although the program owed them an answer: there must be none in an upgrade.
     pub fn ended_without_answer(&self) -> u64 {
         self.lost + self.late + self.refused_connections + self.ended_unannounced
     }
 
-    fn note(&mut self, reply: &Reply) {
+    fn count(&mut self, reply: &Reply) {
         match reply {
             Reply::Served(_) => self.served += 1,
             Reply::Busy => self.busy += 1,
@@ -69,8 +69,8 @@
     }
 }
 
-impl AddAssign for Tally {
-    fn add_assign(&mut self, other: Tally) {
+impl AddAssign for ReplyCounts {
+    fn add_assign(&mut self, other: ReplyCounts) {
         self.sent += other.sent;
         self.served += other.served;
         self.busy += other.busy;
@@ -82,11 +82,11 @@
     }
 }
 
-/// The clients, each on a thread of its own.
+/// A running load: the clients, each on a thread of its own.
 #[derive(Debug)]
 pub struct Load {
     stop: Arc<AtomicBool>,
-    clients: Vec<JoinHandle<Tally>>,
+    clients: Vec<JoinHandle<ReplyCounts>>,
 }
 
 impl Load {
@@ -101,10 +101,13 @@
         Load { stop, clients }
     }
 
-    /// Lets every client wait for its last replies, and sums what became of all requests.
-    pub fn stop(self) -> io::Result<Tally> {
+    /// Stops sending, waits for the last replies, and returns the counts of all clients.
+    ///
+    /// # Errors
+    /// If a client panicked.
+    pub fn stop(self) -> io::Result<ReplyCounts> {
         self.stop.store(true, Ordering::Relaxed);
-        let mut sum = Tally::default();
+        let mut sum = ReplyCounts::default();
         for client in self.clients {
             sum += client.join().map_err(|_| io::Error::other("a client panicked"))?;
         }
@@ -112,37 +115,37 @@
     }
 }
 
-fn send_until(plan: Plan, stop: &AtomicBool) -> Tally {
-    let mut tally = Tally::default();
+fn send_until(plan: Plan, stop: &AtomicBool) -> ReplyCounts {
+    let mut counts = ReplyCounts::default();
     let mut connection: Option<Client> = None;
     while !stop.load(Ordering::Relaxed) {
-        let usable = connection.take().filter(|client| may_be_used(client, plan, &mut tally));
+        let usable = connection.take().filter(|client| is_reusable(client, plan, &mut counts));
         let Some(client) = usable.or_else(|| Client::connect(plan.address).ok()) else {
-            tally.refused_connections += 1;
+            counts.refused_connections += 1;
             std::thread::sleep(RECONNECT_PAUSE);
             continue;
         };
-        send_round(&client, plan.depth, &mut tally);
+        send_round(&client, plan.depth, &mut counts);
         connection = Some(client);
         std::thread::sleep(plan.pause);
     }
-    tally
+    counts
 }
 
-/// Whether a client sends on a connection that it has used before, as routers decide it.
-fn may_be_used(client: &Client, plan: Plan, tally: &mut Tally) -> bool {
-    let (told_to_go, ended) = (client.is_told_to_go(), client.ending().is_some());
-    if ended && !told_to_go {
-        tally.ended_unannounced += 1;
+/// Whether a client sends again on a connection that it has used before, by the rules of routers.
+fn is_reusable(client: &Client, plan: Plan, counts: &mut ReplyCounts) -> bool {
+    let (goaway, ended) = (client.is_told_to_go(), client.ending().is_some());
+    if ended && !goaway {
+        counts.ended_unannounced += 1;
     }
-    !told_to_go && !ended && !plan.reconnect
+    !goaway && !ended && !plan.reconnect
 }
 
-fn send_round(client: &Client, depth: usize, tally: &mut Tally) {
+fn send_round(client: &Client, depth: usize, counts: &mut ReplyCounts) {
     let ids: Vec<Option<u64>> = (0..depth).map(|_| client.send(&next_request()).ok()).collect();
     for id in ids {
-        tally.sent += 1;
-        tally.note(&id.map_or(Reply::Lost, |id| client.wait(id)));
+        counts.sent += 1;
+        counts.count(&id.map_or(Reply::Lost, |id| client.wait(id)));
     }
 }
 
--- a/crates/pinepoint-lab/src/operation/stand_ins.rs
+++ b/crates/pinepoint-lab/src/operation/stubs.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what a comparer needs around it, at the addresses of its configuration file: the engine, the store and
-//! the list service. They let a newcomer start the program on one machine and watch it serve a request.
+//! Stub services at the addresses of a configuration file: the engine, the store and the list service. With them one can
+//! start the program on one machine and watch it serve a request.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -12,14 +12,14 @@
 use super::engine::{Engine, Finish};
 use super::services::{ListService, Store};
 
-/// Time that a run takes on the stand-in engine.
+/// Duration of a run on the stub engine.
 const RUN_TIME: Duration = Duration::from_millis(5);
-/// How long the program is waited for before the request is given up.
-const PROGRAM_WAIT: Duration = Duration::from_secs(30);
-/// Pause between two tries to reach the program while it starts.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long connections to the program are attempted.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause between two attempts to connect while the program starts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The addresses that a configuration file names; its other fields are the program's business.
+/// The addresses that a configuration file names; its other fields are not read.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// Where routers connect to the program.
@@ -53,9 +53,9 @@
     }
 }
 
-/// The stand-ins, running on threads of their own for as long as this process lives.
+/// The stub services, running on threads of their own for as long as this process lives.
 #[derive(Debug)]
-pub struct StandIns {
+pub struct Stubs {
     /// The engine.
     pub engine: Engine,
     /// The store.
@@ -64,13 +64,13 @@
     pub list: ListService,
 }
 
-impl StandIns {
+impl Stubs {
     /// Starts all three at these addresses.
-    pub fn start(addresses: &Addresses) -> io::Result<StandIns> {
+    pub fn start(addresses: &Addresses) -> io::Result<Stubs> {
         let engine = Engine::start_on(TcpListener::bind(addresses.engine)?, Finish::After(RUN_TIME))?;
         let store = Store::start_on(TcpListener::bind(addresses.store)?)?;
         let list = ListService::start_on(UdpSocket::bind(addresses.members)?)?;
-        Ok(StandIns { engine, store, list })
+        Ok(Stubs { engine, store, list })
     }
 }
 
@@ -80,8 +80,8 @@
     loop {
         match Client::connect(listen) {
             Ok(client) => return Ok(client.call(&Request::read(body))),
-            Err(error) if since.elapsed() > PROGRAM_WAIT => return Err(error),
-            Err(_) => std::thread::sleep(RETRY_PAUSE),
+            Err(error) if since.elapsed() > CONNECT_TIMEOUT => return Err(error),
+            Err(_) => std::thread::sleep(RETRY_INTERVAL),
         }
     }
 }
