--- a/crates/pinepoint-lab/src/lib.rs
+++ b/crates/pinepoint-lab/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod fault_proxy;
 pub mod fleet;
 pub mod graphite;
+mod line_protocol;
 mod listen;
 pub mod load;
 pub mod operation;
--- a/crates/pinepoint-lab/src/listen.rs
+++ b/crates/pinepoint-lab/src/listen.rs
@@ -1,8 +1,8 @@
-//! How stand-ins listen: ports of their own, connections that are served while a script lets them be, and lines of the platform's
-//! protocol. It owns ports; what is said over them is the stand-ins'.
+//! How stub services listen: at addresses of their own, and with connections that are served while a script lets the
+//! service be up. It does not know what is said on the connections.
 
 use std::io;
-use std::net::{TcpListener, TcpStream, UdpSocket};
+use std::net::{Ipv4Addr, TcpListener, TcpStream, UdpSocket};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -11,35 +11,24 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-/// How often those that listen look whether they are to go on.
+/// Pause between two looks whether a service is up.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Addresses that are tried before none is found.
+const MAX_BIND_ATTEMPTS: usize = 1000;
 
-/// Takes a whole line off the front, with its body if its form has one.
-pub(crate) fn take_line(input: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
-    let end = input.windows(2).position(|two| two == b"\r\n")?;
-    let text = String::from_utf8_lossy(&input[..end]).into_owned();
-    let has_body = ["RUN ", "FEED ", "CALL "].iter().any(|head| text.starts_with(head));
-    let length = if has_body { text.rsplit(' ').next()?.parse::<usize>().ok()? + 2 } else { 0 };
-    let body = input.get(end + 2..end + 2 + length)?.to_vec();
-    input.drain(..end + 2 + length);
-    Some((text, body.strip_suffix(b"\r\n").unwrap_or(&body).to_vec()))
-}
-
-/// Addresses handed out by this process.
-static HOSTS: AtomicUsize = AtomicUsize::new(0);
+/// Addresses that were handed out by this process.
+static ADDRESSES: AtomicUsize = AtomicUsize::new(0);
 /// The port at each of them. Systems hand out ports from 32,768 on to those that ask for any, also at all addresses at once: one
 /// from there may be somebody else's whenever nobody listens at it.
 const PORT: u16 = 17_400;
 
-/// A port of loopback at an address of its own, for streams and datagrams: nobody else is given the same, also while
-/// nobody listens there.
+/// Binds a port of loopback at an address of its own, free for streams and datagrams: nobody else is given the same, also
+/// while nobody listens there.
 pub(crate) fn bind_unique_address() -> io::Result<TcpListener> {
     let mut last = io::ErrorKind::AddrInUse.into();
-    for _ in 0..1000 {
-        let number = HOSTS.fetch_add(1, Ordering::Relaxed);
-        let (high, low) = ((number / 250 % 100) as u8, 1 + (number % 250) as u8);
-        let host = std::net::Ipv4Addr::from([127, 77 + high, (std::process::id() % 250) as u8, low]);
-        // Another process of the laboratory may have it.
+    for _ in 0..MAX_BIND_ATTEMPTS {
+        let host = unique_host(ADDRESSES.fetch_add(1, Ordering::Relaxed));
+        // Another process of this tool may have it.
         match UdpSocket::bind((host, PORT)).and_then(|_| TcpListener::bind((host, PORT))) {
             Ok(listener) => return Ok(listener),
             Err(error) => last = error,
@@ -48,7 +37,13 @@
     Err(last)
 }
 
-/// Serves connections while this says so. While it does not nobody listens there, and those that were open are closed.
+/// The loopback address of this number, which is most likely of this process alone.
+fn unique_host(number: usize) -> Ipv4Addr {
+    let (high, low) = ((number / 250 % 100) as u8, 1 + (number % 250) as u8);
+    Ipv4Addr::from([127, 77 + high, (std::process::id() % 250) as u8, low])
+}
+
+/// Serves connections while the service is up. While it is down nobody listens there, and open connections are closed.
 pub(crate) fn serve_while_up<S, F>(
     listener: TcpListener,
     is_up: impl Fn() -> bool + Clone + 'static,
@@ -59,10 +54,6 @@
     S: Fn(Async<TcpStream>) -> F,
     F: Future<Output = io::Result<()>> + 'static,
 {
-    async fn poll_tick<T>() -> Option<T> {
-        Timer::after(POLL_INTERVAL).await;
-        None
-    }
     let address = listener.local_addr()?;
     let mut listener = Some(Async::new(listener)?);
     Ok(async move {
@@ -75,18 +66,28 @@
                 Timer::after(POLL_INTERVAL).await;
                 continue;
             };
-            let accepted = async { open.accept().await.ok().map(|(stream, _)| stream) };
-            if let Some(stream) = future::or(accepted, poll_tick()).await {
+            if let Some(stream) = accept_soon(open).await {
                 let _ = stream.get_ref().set_nodelay(true);
-                let (served, is_up) = (serve(stream), is_up.clone());
-                let until_down = async move {
-                    while is_up() {
-                        Timer::after(POLL_INTERVAL).await;
-                    }
-                    Ok(())
-                };
-                executor.spawn(future::or(served, until_down)).detach();
+                let serving = future::or(serve(stream), until_down(is_up.clone()));
+                executor.spawn(serving).detach();
             }
         }
     })
 }
+
+/// A connection that comes before the next look whether the service is up.
+async fn accept_soon(listener: &Async<TcpListener>) -> Option<Async<TcpStream>> {
+    let accepted = async { listener.accept().await.ok().map(|(stream, _)| stream) };
+    let time_to_look = async {
+        Timer::after(POLL_INTERVAL).await;
+        None
+    };
+    future::or(accepted, time_to_look).await
+}
+
+async fn until_down(is_up: impl Fn() -> bool) -> io::Result<()> {
+    while is_up() {
+        Timer::after(POLL_INTERVAL).await;
+    }
+    Ok(())
+}
--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -10,6 +10,7 @@
 use rmpv::Value;
 
 use crate::rpc::{self, NOTIFICATION, RESPONSE, RequestFields, take_message, unix_ms};
+use crate::sync::lock;
 
 /// Class of requests that only read.
 pub const READ_CLASS: &str = "look";
@@ -117,7 +118,7 @@
 
 impl Shared {
     fn inbox(&self) -> MutexGuard<'_, Inbox> {
-        self.inbox.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.inbox)
     }
 
     /// Waits until there is something to take, or the time is over.
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -18,6 +18,7 @@
 use super::management;
 use crate::load::{self, OutcomeCounts, RequestClass, Workload};
 use crate::process::cpu_time_s;
+use crate::sync::lock;
 
 /// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
@@ -180,7 +181,7 @@
                 match management::ask(address, "INFO").and_then(|answer| answer.figures()) {
                     Ok(_) => calls.fetch_add(1, Ordering::Relaxed),
                     Err(wrong) => {
-                        *error.lock().unwrap_or_else(PoisonError::into_inner) = Some(wrong);
+                        *lock(&error) = Some(wrong);
                         return;
                     }
                 };
@@ -193,7 +194,7 @@
     /// Stops polling; returns the number of answers, or an error if a query failed.
     fn stop(self) -> io::Result<u64> {
         self.stop.store(true, Ordering::Relaxed);
-        match self.error.lock().unwrap_or_else(PoisonError::into_inner).take() {
+        match lock(&self.error).take() {
             Some(error) => Err(error),
             None => Ok(self.calls.load(Ordering::Relaxed)),
         }
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -7,7 +7,9 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::listen::{bind_unique_address, take_line};
+use crate::line_protocol::take_line;
+use crate::listen::bind_unique_address;
+use crate::sync::lock;
 
 /// Cores that the engine reports as busy when as many runs are open: more than the requests that a light load has open at once,
 /// so that the decision module has no reason to refuse one.
@@ -158,7 +160,7 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
 
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -4,10 +4,12 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use crate::listen::{bind_unique_address, take_line};
+use crate::line_protocol::take_line;
+use crate::listen::bind_unique_address;
+use crate::sync::lock;
 
 /// One report to the list service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +46,7 @@
 
     /// All reports that came at this time or later.
     pub fn reports_since(&self, since: Instant) -> Vec<Report> {
-        let reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
+        let reports = lock(&self.reports);
         reports.iter().filter(|report| report.at >= since).cloned().collect()
     }
 
@@ -62,7 +64,7 @@
         let text = String::from_utf8_lossy(&packet[..n]);
         if let ["HB", name, state @ ("UP" | "OUT")] = text.split_whitespace().collect::<Vec<_>>().as_slice() {
             let report = Report { at: Instant::now(), name: (*name).to_owned(), up: *state == "UP" };
-            reports.lock().unwrap_or_else(PoisonError::into_inner).push(report);
+            lock(reports).push(report);
         }
     }
 }
--- a/crates/pinepoint-lab/src/routers.rs
+++ b/crates/pinepoint-lab/src/routers.rs
@@ -12,7 +12,7 @@
 use std::iter::Sum;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 use async_executor::LocalExecutor;
 
@@ -22,6 +22,7 @@
 
 use crate::load::RequestClass;
 use crate::simulated_engine::EngineControl;
+use crate::sync::lock;
 
 /// Violations that are kept in words; more are counted only.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
@@ -139,12 +140,12 @@
 
     /// What they observed so far.
     pub fn stats(&self) -> MutexGuard<'_, RouterStats> {
-        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.stats)
     }
 
     /// Sets the requests a second from now on; 0 for none.
     pub fn set_rate(&self, rate: f64) {
-        *self.rate.lock().unwrap_or_else(PoisonError::into_inner) = rate;
+        *lock(&self.rate) = rate;
     }
 }
 
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -17,6 +17,7 @@
 use crate::load::{Outcome, Request, draw_request, timeout};
 use crate::rpc::unix_ms;
 use crate::simulated_engine::EngineControl;
+use crate::sync::lock;
 
 /// Attempts of one request at most.
 const MAX_ATTEMPTS: u32 = 3;
@@ -81,7 +82,7 @@
     }
 
     fn stats(&self) -> MutexGuard<'_, RouterStats> {
-        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.stats)
     }
 
     pub(super) fn set_connection(&self, path: Path, connection: Option<Rc<Connection>>) {
@@ -133,7 +134,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(self.workload.seed);
         let mut number = 0;
         loop {
-            let rate = *rate.lock().unwrap_or_else(PoisonError::into_inner);
+            let rate = *lock(rate);
             if rate <= 0.0 {
                 Timer::after(IDLE_POLL_INTERVAL).await;
                 continue;
--- a/crates/pinepoint-lab/src/simulated_engine.rs
+++ b/crates/pinepoint-lab/src/simulated_engine.rs
@@ -13,7 +13,8 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 
-use crate::listen::{bind_unique_address, serve_while_up, take_line};
+use crate::line_protocol::take_line;
+use crate::listen::{bind_unique_address, serve_while_up};
 use crate::sync::lock;
 
 /// Speed of an engine that is cold, as a share of its full speed.
--- a/crates/pinepoint-lab/src/store.rs
+++ b/crates/pinepoint-lab/src/store.rs
@@ -1,42 +1,47 @@
-//! The store that all comparers share, over the platform's line protocol: it has so many slots, calls beyond them take
-//! longer in the same measure, and one that is crowded over [`OVERLOAD_FACTOR`] times its slots for [`OVERLOAD_LIMIT`] falls: nobody
-//! listens there until it is back. It owns its crowd and the count of it; scripts change it while it runs.
+//! A stub store that many processes share, over the platform's line protocol. It makes so many calls at once; beyond these
+//! all calls take longer in proportion. If calls in flight exceed [`OVERLOAD_FACTOR`] times its slots for [`OVERLOAD_LIMIT`]
+//! it crashes: nobody listens there until its outage is over. Scripts change it while it runs.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
-use crate::listen::{bind_unique_address, serve_while_up, take_line};
+use crate::line_protocol::take_line;
+use crate::listen::{bind_unique_address, serve_while_up};
+use crate::sync::lock;
 
-/// How many times its slots in hand for how long make it fall.
+/// Calls in flight, as a multiple of the slots, beyond which the store is overloaded.
 pub const OVERLOAD_FACTOR: f64 = 5.0;
-/// See above.
+/// How long the store is overloaded before it crashes.
 pub const OVERLOAD_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the store is like, and what became of it.
+/// How long the store is down after a crash, unless a script says otherwise.
+const DEFAULT_OUTAGE: Duration = Duration::from_secs(5);
+
+/// The state of the store: what a script may change, and what it counts.
 #[derive(Clone, Debug)]
 pub struct StoreState {
-    /// Calls that it makes at once in the time of one.
+    /// Calls that it makes at once without delay.
     pub slots: usize,
-    /// Time of a call.
+    /// Time of a call within the slots.
     pub call: Duration,
-    /// How long it stays away once it fell.
+    /// How long it is down after a crash.
     pub outage: Duration,
-    /// A script has put it down.
+    /// A script has taken it down.
     pub down: bool,
-    /// Calls in hand, and the most that were.
+    /// Calls in flight now.
     pub in_flight: usize,
-    /// See above.
+    /// The most calls that were in flight.
     pub peak_in_flight: usize,
-    /// Calls that were asked for.
+    /// Calls so far.
     pub calls: u64,
-    /// How often it fell.
+    /// Crashes so far.
     pub crashes: u32,
     overloaded_since: Option<Instant>,
     recovers_at: Option<Instant>,
@@ -48,7 +53,7 @@
         StoreState {
             slots,
             call,
-            outage: Duration::from_secs(5),
+            outage: DEFAULT_OUTAGE,
             down: false,
             in_flight: 0,
             peak_in_flight: 0,
@@ -59,7 +64,7 @@
         }
     }
 
-    /// Whether it listens; looks after its fall and its return.
+    /// Whether it listens; crashes and recovers as time passes.
     fn is_up(&mut self) -> bool {
         let now = Instant::now();
         if self.in_flight as f64 <= OVERLOAD_FACTOR * self.slots as f64 {
@@ -75,7 +80,7 @@
         !self.down && self.recovers_at.is_none()
     }
 
-    /// A call begins: how long it takes.
+    /// Starts a call; returns how long it takes.
     fn start_call(&mut self) -> Duration {
         self.calls += 1;
         self.in_flight += 1;
@@ -94,6 +99,9 @@
 
 impl Store {
     /// Starts it on this executor.
+    ///
+    /// # Errors
+    /// If no address can be bound.
     pub fn start(state: StoreState, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Store> {
         let listener = bind_unique_address()?;
         let store = Store { state: Arc::new(Mutex::new(state)), address: listener.local_addr()? };
@@ -107,12 +115,12 @@
         Ok(store)
     }
 
-    /// What it is like now, to read and to change.
+    /// The state, to read and to change.
     pub fn state(&self) -> MutexGuard<'_, StoreState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 
-    /// Whether anybody listens there now.
+    /// Whether it listens now.
     pub fn listens(&self) -> bool {
         self.state().is_up()
     }
@@ -138,7 +146,7 @@
     }
 }
 
-/// A call in hand; it is none any more when this goes, however it ends.
+/// A call in flight, until this is dropped.
 struct CallGuard(Store);
 
 impl Drop for CallGuard {
