--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -1,4 +1,5 @@
-//! One MessagePack-RPC connection of a client: requests out, replies by id, the notice to go, and how it ended.
+//! One MessagePack-RPC connection of a client: requests, replies by message id, GOAWAY, and how the connection ended. It
+//! owns the connection and the thread that reads it.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -16,44 +17,44 @@
 pub const READ_CLASS: &str = "look";
 /// Class of requests that read and call the store; their bodies begin with [`super::engine::CALL_PREFIX`].
 pub const CALLING_CLASS: &str = "lookup";
-/// Class of requests with an effect, which carry a key.
+/// Class of requests with an effect, which carry an idempotency key.
 pub const KEYED_CLASS: &str = "write";
 
-/// A reply that does not come in this time does not come: longer than any deadline.
+/// How long a reply is waited for: longer than any deadline.
 pub const REPLY_LIMIT: Duration = Duration::from_secs(8);
-/// How long a connection is waited for.
+/// How long an attempt to connect may take.
 const CONNECT_LIMIT: Duration = Duration::from_secs(5);
 
 /// Numbers of attempts, unique in this process.
 static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
-/// A request; each time it is sent is a try with a name of its own.
+/// A request; each time it is sent is an attempt with a request id of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Its class.
     pub class: &'static str,
-    /// The key, in the keyed class.
+    /// The idempotency key, in the keyed class.
     pub token: Option<String>,
     /// The body.
     pub body: String,
-    /// When it reached the machine, Unix ms.
+    /// When it was first sent, Unix ms.
     pub t0: u128,
-    /// The work that its hint tells, ms.
+    /// Estimate of its work, ms.
     pub work_ms: u32,
 }
 
 impl Request {
-    /// One that only reads, from now.
+    /// A request that only reads, sent now.
     pub fn read(body: &str) -> Request {
         Request { class: READ_CLASS, token: None, body: body.to_owned(), t0: unix_ms(), work_ms: 5 }
     }
 
-    /// One that calls the store, from now.
+    /// A request that calls the store, sent now.
     pub fn calling(body: &str) -> Request {
         Request { class: CALLING_CLASS, ..Request::read(&format!("{}{body}", super::engine::CALL_PREFIX)) }
     }
 
-    /// One with an effect, whose body is its key, from now. A repeat is the same again with a later `t0`.
+    /// A request with an effect, whose body is its idempotency key, sent now. A repeat is the same with a later `t0`.
     pub fn keyed(token: &str) -> Request {
         Request { class: KEYED_CLASS, token: Some(token.to_owned()), ..Request::read(token) }
     }
@@ -77,7 +78,7 @@
     Served(String),
     /// The answer to a health check.
     Health(bool),
-    /// Refused.
+    /// Rejected.
     Busy,
     /// Any other error, by its name.
     Failed(String),
@@ -97,16 +98,16 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// In order.
+    /// Closed in order.
     Closed,
-    /// By a reset or another error, which may have taken replies along.
+    /// Broken by a reset or another error, which may have lost replies.
     Broken,
 }
 
 #[derive(Debug, Default)]
 struct Inbox {
     replies: HashMap<u64, Reply>,
-    told_to_go: bool,
+    has_goaway: bool,
     ending: Option<Ending>,
 }
 
@@ -121,15 +122,15 @@
         lock(&self.inbox)
     }
 
-    /// Waits until there is something to take, or the time is over.
+    /// Waits until `take` returns something, or the time is over.
     fn wait_for<T>(&self, limit: Duration, mut take: impl FnMut(&mut Inbox) -> Option<T>) -> Option<T> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         let mut inbox = self.inbox();
         loop {
             if let Some(taken) = take(&mut inbox) {
                 return Some(taken);
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return None;
             }
@@ -147,7 +148,10 @@
 }
 
 impl Client {
-    /// Connects; a thread reads what comes until the connection ends.
+    /// Connects; a thread reads replies until the connection ends.
+    ///
+    /// # Errors
+    /// If nobody accepts the connection in time.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_LIMIT)?;
         stream.set_nodelay(true)?;
@@ -161,25 +165,34 @@
         self.last_id.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// The bytes of a request and its id, to be sent in parts by [`Client::write`].
+    /// The message id of a request and its bytes, to be sent in parts by [`Client::write`].
+    ///
+    /// # Errors
+    /// If the request cannot be encoded.
     pub fn encode(&self, request: &Request) -> io::Result<(u64, Vec<u8>)> {
         let id = self.next_id();
         Ok((id, request.message(id)?))
     }
 
     /// Writes any bytes.
+    ///
+    /// # Errors
+    /// If the connection has ended.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         (&self.stream).write_all(bytes)
     }
 
-    /// Sends a request; tells its id.
+    /// Sends a request; returns its message id.
+    ///
+    /// # Errors
+    /// If the connection has ended.
     pub fn send(&self, request: &Request) -> io::Result<u64> {
         let (id, bytes) = self.encode(request)?;
         self.write(&bytes)?;
         Ok(id)
     }
 
-    /// Waits for the reply to what was sent under this id.
+    /// Waits for the reply to the request of this message id.
     pub fn wait(&self, id: u64) -> Reply {
         let take = |inbox: &mut Inbox| inbox.replies.remove(&id).or(inbox.ending.map(|_| Reply::Lost));
         self.shared.wait_for(REPLY_LIMIT, take).unwrap_or(Reply::Late)
@@ -190,26 +203,29 @@
         self.send(request).map_or(Reply::Lost, |id| self.wait(id))
     }
 
-    /// A health check.
+    /// Sends a health check and waits for the reply.
     pub fn ping(&self) -> Reply {
         let id = self.next_id();
         let message = rpc::encode_call(id, "ping", Vec::new());
         message.and_then(|bytes| self.write(&bytes)).map_or(Reply::Lost, |()| self.wait(id))
     }
 
-    /// Gives a request up.
+    /// Aborts a request.
+    ///
+    /// # Errors
+    /// If the connection has ended.
     pub fn abort(&self, id: u64) -> io::Result<()> {
         self.write(&rpc::encode_notification("abort", vec![id.into()])?)
     }
 
-    /// Whether the notice to go has come.
+    /// Whether a GOAWAY has come.
     pub fn is_told_to_go(&self) -> bool {
-        self.shared.inbox().told_to_go
+        self.shared.inbox().has_goaway
     }
 
-    /// Waits for the notice to go.
+    /// Waits for a GOAWAY; tells whether it came.
     pub fn wait_for_notice(&self, limit: Duration) -> bool {
-        self.shared.wait_for(limit, |inbox| inbox.told_to_go.then_some(())).is_some()
+        self.shared.wait_for(limit, |inbox| inbox.has_goaway.then_some(())).is_some()
     }
 
     /// How the connection ended, if it has.
@@ -250,7 +266,7 @@
 fn accept_message(inbox: &mut Inbox, message: &Value) {
     match message.as_array().map(Vec::as_slice) {
         Some([kind, name, _]) if kind.as_u64() == Some(NOTIFICATION) && name.as_str() == Some("goaway") => {
-            inbox.told_to_go = true;
+            inbox.has_goaway = true;
         }
         Some([kind, id, error, result]) if kind.as_u64() == Some(RESPONSE) => {
             if let Some(id) = id.as_u64() {
--- a/crates/pinepoint-lab/src/operation/deployment.rs
+++ b/crates/pinepoint-lab/src/operation/deployment.rs
@@ -1,5 +1,5 @@
-//! What stays while processes of one name come and go: the listen address, the list service, the store, the directory
-//! for temporary files. It starts processes; what they say is for its callers to judge.
+//! What stays while processes of one name are replaced: the listen address, the list service, the store, the directory for
+//! temporary files. It starts processes and ends them; it does not check what they answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,9 +20,12 @@
 
 /// The name of the socket by which processes hand over, in the directory for temporary files.
 const HANDOVER_SOCKET: &str = "pinepoint-handover.sock";
+/// Pause between two looks whether a process has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The environment variable that names the management address.
 const MANAGEMENT_VARIABLE: &str = "RELAY_MANAGEMENT";
 
+/// The settings of the request classes of [`super::client`]; `WINDOW` stands for the window of the keyed class, ms.
 const SETTINGS: &str = r#"{"services":[
  {"name":"look","effect":"read_like","promiseMs":1000,"deadlineMs":2500,"worth":1},
  {"name":"lookup","effect":"read_like","promiseMs":1000,"deadlineMs":2500,"worth":1},
@@ -33,10 +36,10 @@
  "registryFollows":true,"classCalls":[false,true,false],"worthWithout":[0,0,0],"callsOut":8,"callsOverMs":5000,
  "lingerMs":200,"gauges":["cpu_busy","runnable","mem_used","sockets"]}}"#;
 
-/// Tells apart the deployments of this process.
+/// Number of deployments of this process, so that each has a folder of its own.
 static DEPLOYMENTS: AtomicUsize = AtomicUsize::new(0);
 
-/// What a deployment is like.
+/// How a deployment is set up.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The program.
@@ -45,16 +48,16 @@
     pub stop: Duration,
     /// Limit on the sockets of a process.
     pub sockets: u32,
-    /// Window of the keyed class.
+    /// Deduplication window of the keyed class.
     pub key_window: Duration,
     /// `$TMPDIR` of the processes, if it is not a directory of the deployment.
     pub temporary: Option<PathBuf>,
-    /// Where the processes report to, if not to the list service of the deployment.
+    /// Where the processes send load reports, if not to the list service of the deployment.
     pub members: Option<SocketAddr>,
 }
 
 impl Setup {
-    /// The usual one for this program.
+    /// The default setup for this program.
     pub fn new(program: impl Into<PathBuf>) -> Setup {
         Setup {
             program: program.into(),
@@ -67,7 +70,7 @@
     }
 }
 
-/// Where a process is told that its management port is.
+/// Where the address of the management port of a process is configured.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ManagementSource {
     /// In the environment.
@@ -76,7 +79,7 @@
     pub configuration: Option<SocketAddr>,
 }
 
-/// The stable surroundings of the processes.
+/// What all processes share.
 #[derive(Debug)]
 pub struct Deployment {
     setup: Setup,
@@ -96,7 +99,10 @@
 }
 
 impl Deployment {
-    /// One without processes.
+    /// A deployment without processes.
+    ///
+    /// # Errors
+    /// If a folder cannot be made or an address cannot be bound.
     pub fn new(setup: Setup) -> io::Result<Deployment> {
         let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
         let folder = TempDir::new(&format!("operation-{number}"))?;
@@ -121,17 +127,26 @@
     }
 
     /// A connection to whichever process accepts it.
+    ///
+    /// # Errors
+    /// If none does in time.
     pub fn connect(&self) -> io::Result<Client> {
         Client::connect(self.listen)
     }
 
-    /// Starts a process on this engine, with a management port named by the environment.
+    /// Starts a process on this engine, with a management port that the environment configures.
+    ///
+    /// # Errors
+    /// If the program does not start.
     pub fn start(&self, engine: Engine) -> io::Result<Process> {
         let source = ManagementSource { environment: Some(free_address()?), configuration: None };
         self.start_with(engine, source)
     }
 
-    /// Starts a process whose management port is named so.
+    /// Starts a process whose management port is configured so.
+    ///
+    /// # Errors
+    /// If its files cannot be written or the program does not start.
     pub fn start_with(&self, engine: Engine, source: ManagementSource) -> io::Result<Process> {
         let number = self.started.fetch_add(1, Ordering::Relaxed);
         let config = self.folder.0.join(format!("config-{number}.json"));
@@ -165,7 +180,7 @@
     }
 }
 
-/// A process of the program. It is killed with this value.
+/// A process of the program. It is killed when this is dropped; its log is printed if a test has failed.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -184,41 +199,59 @@
         self.child.id()
     }
 
-    /// Asks its management port.
+    /// Sends a command to its management port.
+    ///
+    /// # Errors
+    /// If there is no answer in time.
     pub fn ask(&self, command: &str) -> io::Result<Answer> {
         management::ask(self.management, command)
     }
 
-    /// Waits until its management port says that it serves; tells how long that took.
+    /// Waits until its management port answers that it is ready; returns how long that took.
+    ///
+    /// # Errors
+    /// If that takes longer than the limit.
     pub fn await_ready(&self, limit: Duration) -> io::Result<Duration> {
         management::await_ready(self.management, limit)
     }
 
     /// Sends it a signal.
+    ///
+    /// # Errors
+    /// If it has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         Ok(kill_process(id.ok_or(io::ErrorKind::InvalidInput)?, signal)?)
     }
 
-    /// Kills it outright, and waits until it is gone.
+    /// Kills it by SIGKILL and waits for its end.
+    ///
+    /// # Errors
+    /// If the system refuses it.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Waits for its own end; nothing if it does not end in time.
+    /// Waits for its end; `None` if it does not end in time.
+    ///
+    /// # Errors
+    /// If the system refuses it.
     pub fn wait_exit(&mut self, limit: Duration) -> io::Result<Option<ExitStatus>> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
             let status = self.child.try_wait()?;
-            if status.is_some() || Instant::now() >= until {
+            if status.is_some() || Instant::now() >= deadline {
                 return Ok(status);
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
     /// What it has logged so far.
+    ///
+    /// # Errors
+    /// If the log cannot be read.
     pub fn log(&self) -> io::Result<String> {
         std::fs::read_to_string(&self.log)
     }
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -1,4 +1,5 @@
-//! An engine that records every run and ends it on command or after a time. It shares no cores between runs.
+//! A stub engine that records every run and ends it on command or after a time. Unlike [`crate::simulated_engine`] it does
+//! not share cores between runs.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -12,12 +13,12 @@
 use crate::sync::lock;
 
 /// Cores that the engine reports as busy when as many runs are open: more than the requests that a light load has open at once,
-/// so that the decision module has no reason to refuse one.
+/// so that the admission controller has no reason to reject one.
 pub(crate) const CORES: usize = 16;
 /// A run whose body begins so stops once for a call to the store.
 pub const CALL_PREFIX: &str = "call ";
 
-/// Makes the result of each run different from that of any other.
+/// Number of results, so that no two runs have the same.
 static RESULTS: AtomicU64 = AtomicU64::new(0);
 
 /// When runs end.
@@ -25,7 +26,7 @@
 pub enum Finish {
     /// When [`Engine::finish`] says so.
     OnCommand,
-    /// This long after they began, or after the reply to their call.
+    /// This long after they were started, or after the reply to their call.
     After(Duration),
 }
 
@@ -33,7 +34,7 @@
 enum RunState {
     Running { due: Option<Instant> },
     AtCall,
-    Over,
+    Ended,
 }
 
 #[derive(Debug)]
@@ -56,7 +57,7 @@
 impl State {
     fn write(&mut self, bytes: &[u8]) {
         if let Some(link) = &mut self.link {
-            // A broken link is mended by the program, which asks for the notices it missed.
+            // The program reconnects after a broken link, and asks for the notices that it missed.
             let _ = link.write_all(bytes);
         }
     }
@@ -74,13 +75,13 @@
         }
     }
 
-    fn open(&self, run: &Run) -> bool {
-        run.state != RunState::Over
+    fn is_open(&self, run: &Run) -> bool {
+        run.state != RunState::Ended
     }
 
     fn end(&mut self, at: usize, how: &str) {
         let run = &mut self.runs[at];
-        run.state = RunState::Over;
+        run.state = RunState::Ended;
         let result = match how {
             "complete" => format!("{}/{}", run.body, RESULTS.fetch_add(1, Ordering::Relaxed)),
             _ => String::new(),
@@ -112,7 +113,7 @@
     }
 
     fn begin(&mut self, rid: &str, body: Vec<u8>) {
-        // A command that is sent again after a break changes nothing.
+        // A command that is sent again after a broken link changes nothing.
         if self.runs.iter().any(|run| run.rid == rid) {
             return;
         }
@@ -130,7 +131,7 @@
             ["ATTACH", last] => self.attach(last.parse().unwrap_or(0)),
             ["RUN", rid, ..] => self.begin(rid, body),
             ["HALT", rid] => {
-                if let Some(at) = self.runs.iter().position(|run| run.rid == *rid && self.open(run)) {
+                if let Some(at) = self.runs.iter().position(|run| run.rid == *rid && self.is_open(run)) {
                     self.end(at, "cancelled");
                 }
             }
@@ -174,11 +175,17 @@
 
 impl Engine {
     /// Starts an engine that is up, at a loopback address of its own.
+    ///
+    /// # Errors
+    /// If no address can be bound.
     pub fn start(finish: Finish) -> io::Result<Engine> {
         Engine::start_on(bind_unique_address()?, finish)
     }
 
-    /// Starts an engine that is up and takes its link on this listener.
+    /// Starts an engine that is up and accepts its link on this listener.
+    ///
+    /// # Errors
+    /// If the listener has no address.
     pub fn start_on(listener: TcpListener, finish: Finish) -> io::Result<Engine> {
         let address = listener.local_addr()?;
         let state = State { finish, up: true, link: None, runs: Vec::new(), notices: Vec::new() };
@@ -190,13 +197,16 @@
     }
 
     /// Starts an engine that is down.
+    ///
+    /// # Errors
+    /// If no address can be bound.
     pub fn start_down(finish: Finish) -> io::Result<Engine> {
         let engine = Engine::start(finish)?;
         engine.set_up(false);
         Ok(engine)
     }
 
-    /// Takes links from now on, or ends the one there is and takes none.
+    /// Accepts links from now on, or ends the link there is and accepts none.
     pub fn set_up(&self, up: bool) {
         let mut state = self.shared.state();
         state.up = up;
@@ -210,12 +220,12 @@
         self.shared.state().finish = finish;
     }
 
-    /// Ends all runs with this body well that wait for no call; tells how many these were.
+    /// Completes all runs with this body that wait for no call; returns their number.
     pub fn finish(&self, body: &str) -> usize {
         self.finish_where(|run| run.body == body)
     }
 
-    /// Ends all runs well that wait for no call; tells how many these were.
+    /// Completes all runs that wait for no call; returns their number.
     pub fn finish_all(&self) -> usize {
         self.finish_where(|_| true)
     }
@@ -230,12 +240,12 @@
         ending.len()
     }
 
-    /// How often this body was begun.
+    /// How often a run of this body was started.
     pub fn runs_of(&self, body: &str) -> usize {
         self.shared.state().runs.iter().filter(|run| run.body == body).count()
     }
 
-    /// How often each body was begun.
+    /// How often a run of each body was started.
     pub fn runs(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for run in &self.shared.state().runs {
@@ -244,10 +254,10 @@
         counts
     }
 
-    /// Runs that are not over.
+    /// Runs that have not ended.
     pub fn open_runs(&self) -> usize {
         let state = self.shared.state();
-        state.runs.iter().filter(|run| state.open(run)).count()
+        state.runs.iter().filter(|run| state.is_open(run)).count()
     }
 }
 
--- a/crates/pinepoint-lab/src/operation/management.rs
+++ b/crates/pinepoint-lab/src/operation/management.rs
@@ -1,16 +1,18 @@
-//! A caller of the management port: one line out, one answer back, then the server closes.
+//! A client of the management port: one command line, one answer, then the server closes the connection.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a connection and an answer are waited for.
+/// How long a connection and an answer may take.
 const ANSWER_LIMIT: Duration = Duration::from_secs(5);
+/// Pause between two queries whether a process is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The line that ends an answer of several lines.
 const LAST_LINE: &str = ".";
 
-/// What came back until the server closed.
+/// What the server sent until it closed the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// All lines, without their ends.
@@ -19,7 +21,7 @@
     pub took: Duration,
 }
 
-/// One figure of `INFO`.
+/// One metric of `INFO`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Figure {
     /// Its value.
@@ -39,12 +41,15 @@
         is_head(self.head(), "+OK")
     }
 
-    /// Whether the first line says that it was not.
+    /// Whether the first line says that the command failed.
     pub fn is_error(&self) -> bool {
         is_head(self.head(), "-ERR")
     }
 
-    /// The figures of an answer to `INFO`, by name; an error if the answer is not one.
+    /// The metrics of an answer to `INFO`, by name.
+    ///
+    /// # Errors
+    /// If it is not such an answer.
     pub fn figures(&self) -> io::Result<BTreeMap<String, Figure>> {
         let invalid =
             |line: &str| io::Error::new(io::ErrorKind::InvalidData, format!("no INFO line: {line}"));
@@ -74,27 +79,36 @@
 }
 
 /// Sends one command on a connection of its own and reads the answer to its end.
+///
+/// # Errors
+/// If there is no answer in time.
 pub fn ask(address: SocketAddr, command: &str) -> io::Result<Answer> {
     ask_bytes(address, format!("{command}\r\n").as_bytes())
 }
 
 /// The same with any bytes in place of a line.
+///
+/// # Errors
+/// If there is no answer in time.
 pub fn ask_bytes(address: SocketAddr, bytes: &[u8]) -> io::Result<Answer> {
     let began = Instant::now();
     let mut stream = TcpStream::connect_timeout(&address, ANSWER_LIMIT)?;
     stream.set_read_timeout(Some(ANSWER_LIMIT))?;
     stream.set_write_timeout(Some(ANSWER_LIMIT))?;
-    // A server that has heard enough may close before all is written; its answer is read all the same.
+    // The server may close the connection before all is written; its answer is read all the same.
     let _ = stream.write_all(bytes);
     read_answer(&mut stream, began)
 }
 
 /// Reads the answer on a connection that was made at this time.
+///
+/// # Errors
+/// If the connection breaks or the time is over before the answer is complete.
 pub fn read_answer(stream: &mut TcpStream, began: Instant) -> io::Result<Answer> {
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
         Ok(_) => {}
-        // A close over input that was not read is a reset; what came before it counts.
+        // A server that closes without reading all input resets the connection; what came before counts.
         Err(error) if error.kind() == io::ErrorKind::ConnectionReset && bytes.ends_with(b"\n") => {}
         Err(error) => return Err(error),
     }
@@ -102,7 +116,10 @@
     Ok(Answer { lines: text.lines().map(str::to_owned).collect(), took: began.elapsed() })
 }
 
-/// Asks `PING` until the answer is good; tells how long that took.
+/// Sends `PING` until the answer is good; returns how long that took.
+///
+/// # Errors
+/// If that takes longer than the limit.
 pub fn await_ready(address: SocketAddr, limit: Duration) -> io::Result<Duration> {
     let began = Instant::now();
     loop {
@@ -114,6 +131,6 @@
             let last = answer.map_or_else(|error| error.to_string(), |answer| answer.head().to_owned());
             return Err(io::Error::new(io::ErrorKind::TimedOut, format!("not ready in {limit:?}: {last}")));
         }
-        std::thread::sleep(Duration::from_millis(10));
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
 }
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -1,5 +1,5 @@
-//! The services that all processes of a deployment share: the list service, which records each report, and a store that
-//! answers each call at once.
+//! The stub services that all processes of a deployment share: the list service, which records each load report, and a
+//! store that answers each call at once.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -11,14 +11,14 @@
 use crate::listen::bind_unique_address;
 use crate::sync::lock;
 
-/// One report to the list service.
+/// One load report to the list service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// When it came.
+    /// When it arrived.
     pub at: Instant,
-    /// Who it is about.
+    /// The name it is about.
     pub name: String,
-    /// `UP`, or else `OUT`.
+    /// Whether it says `UP`; if not, it says `OUT`.
     pub up: bool,
 }
 
@@ -32,11 +32,17 @@
 
 impl ListService {
     /// Starts it on a thread of its own, at a free loopback port.
+    ///
+    /// # Errors
+    /// If no port can be bound.
     pub fn start() -> io::Result<ListService> {
         ListService::start_on(UdpSocket::bind("127.0.0.1:0")?)
     }
 
     /// Starts it on a thread of its own, reading reports from this socket.
+    ///
+    /// # Errors
+    /// If the socket has no address.
     pub fn start_on(socket: UdpSocket) -> io::Result<ListService> {
         let service = ListService { reports: Arc::default(), address: socket.local_addr()? };
         let reports = service.reports.clone();
@@ -44,13 +50,13 @@
         Ok(service)
     }
 
-    /// All reports that came at this time or later.
+    /// All reports that arrived at this time or later.
     pub fn reports_since(&self, since: Instant) -> Vec<Report> {
         let reports = lock(&self.reports);
         reports.iter().filter(|report| report.at >= since).cloned().collect()
     }
 
-    /// Whether a report of this kind came at this time or later.
+    /// Whether a report that says `UP`, or one that says `OUT`, arrived at this time or later.
     pub fn heard_since(&self, since: Instant, up: bool) -> bool {
         self.reports_since(since).iter().any(|report| report.up == up)
     }
@@ -79,11 +85,17 @@
 
 impl Store {
     /// Starts it on threads of its own, at a loopback address of its own.
+    ///
+    /// # Errors
+    /// If no address can be bound.
     pub fn start() -> io::Result<Store> {
         Store::start_on(bind_unique_address()?)
     }
 
-    /// Starts it on threads of its own, taking connections on this listener.
+    /// Starts it on threads of its own, accepting connections on this listener.
+    ///
+    /// # Errors
+    /// If the listener has no address.
     pub fn start_on(listener: TcpListener) -> io::Result<Store> {
         let store = Store { calls: Arc::default(), address: listener.local_addr()? };
         let calls = store.calls.clone();
@@ -91,7 +103,7 @@
         Ok(store)
     }
 
-    /// Calls that it answered.
+    /// Number of calls that it has answered.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -100,7 +112,7 @@
 fn accept_callers(listener: &TcpListener, calls: &Arc<AtomicU64>) {
     for stream in listener.incoming().flatten() {
         let calls = calls.clone();
-        // The end of a connection is the caller's business.
+        // An error ends its connection, and nothing else.
         std::thread::spawn(move || answer_calls(stream, &calls));
     }
 }
--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! What checks the program has to be able to fail: comparers that are wrong on purpose, and ways that are cut.
+//! The checks of the test tool can fail: servers that are wrong on purpose break its rules, and a blocked stream stands.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,19 +10,19 @@
 use pinepoint_lab::simulated_engine::EngineControl;
 use rmpv::Value;
 
-/// What does not come within this time does not come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long anything is waited for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn await_so(what: &str, is_so: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < until, "{what}: not in time");
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}: not in time");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A comparer that answers each request of this body with what is returned, each value an answer of its own.
-fn wrong(answer: impl Fn(&str) -> Vec<Value> + Send + Sync + Clone + 'static) -> SocketAddr {
+/// A server that answers each request with the errors that `answer` returns for its body, each in an answer of its own.
+fn wrong_server(answer: impl Fn(&str) -> Vec<Value> + Send + Sync + Clone + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -58,12 +58,12 @@
 
 #[test]
 fn right_answers_break_no_rule_and_the_sums_come_out() {
-    let address = wrong(|body| vec![if body.contains("n7") { busy() } else { Value::Nil }]);
+    let address = wrong_server(|body| vec![if body.contains("n7") { busy() } else { Value::Nil }]);
     let routers =
         Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
-    await_so("a hundred are served", || routers.stats().all().served >= 100);
+    wait_until("a hundred are served", || routers.stats().all().served >= 100);
     routers.set_rate(0.0);
-    await_so("all have ended", || routers.stats().in_flight == 0);
+    wait_until("all have ended", || routers.stats().in_flight == 0);
     let all = routers.stats().all();
     let broken = routers.stats().violations.clone();
     assert!(broken.is_empty(), "{broken:?}");
@@ -74,24 +74,24 @@
 
 #[test]
 fn a_second_answer_is_seen() {
-    let address = wrong(|_| vec![Value::Nil, Value::Nil]);
+    let address = wrong_server(|_| vec![Value::Nil, Value::Nil]);
     let routers =
         Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
-    await_so("a broken rule", || {
+    wait_until("a broken rule", || {
         routers.stats().violations.iter().any(|rule| rule.contains("second answer"))
     });
 }
 
 #[test]
 fn no_answer_is_seen_unless_a_script_stopped_who_owes_it() {
-    let silent = || wrong(|_| Vec::new());
+    let silent = || wrong_server(|_| Vec::new());
     let routers =
         Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
     let excused =
         Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
     excused.stats().excused.insert(0);
-    await_so("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("no answer")));
-    await_so("some are lost", || excused.stats().all().lost > 0);
+    wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("no answer")));
+    wait_until("some are lost", || excused.stats().all().lost > 0);
     assert!(excused.stats().violations.is_empty());
 }
 
@@ -99,12 +99,12 @@
 fn busy_told_of_a_key_that_has_run_is_seen() {
     let control = EngineControl::default();
     let engine = control.clone();
-    let address = wrong(move |body| {
+    let address = wrong_server(move |body| {
         *engine.state().started.entry(body.to_owned()).or_default() += 1;
         vec![busy()]
     });
     let routers = Routers::start(workload(true), vec![address], vec![control]).expect("started");
-    await_so("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy told")));
+    wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy told")));
 }
 
 #[test]
@@ -126,10 +126,10 @@
     assert!(served.read(&mut got).is_err(), "nothing goes over a way that is cut");
     served.write_all(b"back").expect("sent");
     let mut back = [0; 4];
-    near.set_read_timeout(Some(PATIENCE)).expect("set");
+    near.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     near.read_exact(&mut back).expect("the other direction goes");
     proxy.faults().blocked.clear();
-    served.set_read_timeout(Some(PATIENCE)).expect("set");
+    served.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     served.read_exact(&mut got).expect("it comes");
     assert_eq!((&got, &back), (b"bcd", b"back"));
     drop(near);
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of upgrades and of the management port share: a deployment of the program among stand-ins, the usual
-//! steps of an upgrade, and checks that every such test makes.
+//! What the tests of upgrades and of the management port share: a deployment of the program among stub services, the
+//! usual steps of an upgrade, and checks that every such test makes.
 
 // Each test file uses a part of it.
 #![allow(dead_code, unused_imports)]
@@ -19,13 +19,13 @@
 pub const READY_LIMIT: Duration = Duration::from_secs(6);
 /// An answer of the management port comes within this time.
 pub const ANSWER_LIMIT: Duration = Duration::from_secs(1);
-/// Reports come several times a second.
+/// Load reports come several times a second.
 pub const REPORT_LIMIT: Duration = Duration::from_secs(2);
 /// Anything else that is waited for.
 pub const PATIENCE: Duration = Duration::from_secs(10);
-/// Time that a run takes on an engine that ends runs by itself.
+/// Duration of a run on an engine that ends runs by itself.
 pub const RUN_TIME: Duration = Duration::from_millis(5);
-/// Time for something that must not happen, to happen.
+/// How long a test watches for what must not happen.
 pub const QUIET: Duration = Duration::from_millis(700);
 
 pub fn setup() -> Setup {
@@ -50,7 +50,7 @@
     Engine::start(Finish::OnCommand).expect("a free port")
 }
 
-/// An engine that nobody reaches before it is set up.
+/// An engine that is down until the test takes it up.
 pub fn engine_down() -> Engine {
     Engine::start_down(Finish::After(RUN_TIME)).expect("a free port")
 }
@@ -60,7 +60,7 @@
     deployment.start(engine).expect("the program starts")
 }
 
-/// Starts a process and waits until it serves.
+/// Starts a process and waits until it is ready.
 pub fn start_ready(deployment: &Deployment, engine: Engine) -> Process {
     let process = start(deployment, engine);
     ready(&process);
@@ -79,26 +79,26 @@
     process.signal(signal).expect("the process is there");
 }
 
-/// Asks a management port that has to answer in time.
+/// Queries a management port that has to answer in time.
 pub fn answer(process: &Process, command: &str) -> Answer {
     let answer = process.ask(command).expect("the management port answers");
     assert!(answer.took <= ANSWER_LIMIT, "{command} took {:?}", answer.took);
     answer
 }
 
-/// Gives a command that has to be carried out.
+/// Sends a command that has to succeed.
 pub fn command_ok(process: &Process, command: &str) {
     let answer = answer(process, command);
     assert!(answer.is_ok(), "{command}: {}", answer.head());
 }
 
-/// Gives a command that has to be turned down.
+/// Sends a command that has to fail.
 pub fn command_fails(process: &Process, command: &str) {
     let answer = answer(process, command);
     assert!(answer.is_error(), "{command}: {}", answer.head());
 }
 
-/// One figure of `INFO`.
+/// One metric of `INFO`.
 pub fn figure(process: &Process, name: &str) -> u64 {
     let figures = answer(process, "INFO").figures().expect("an answer to INFO");
     figures.get(name).unwrap_or_else(|| panic!("no {name} in {figures:?}")).value
@@ -132,13 +132,13 @@
     }
 }
 
-/// Tells a process to leave; it has to end in order before the kill.
+/// Sends SIGTERM to a process; it has to end in order before the kill.
 pub fn leave(deployment: &Deployment, process: &mut Process) {
     tell(process, Signal::TERM);
     ends(deployment, process);
 }
 
-/// A process that was told to leave just now has to end in order before the kill.
+/// A process that was just sent SIGTERM has to end in order before the kill.
 pub fn ends(deployment: &Deployment, process: &mut Process) {
     let status = process.wait_exit(deployment.stop()).expect("a process of ours");
     let status = status.expect("the process ends by itself before the kill");
@@ -158,10 +158,10 @@
 
 /// Ends a load that was light: each request has to be served, and no connection may have ended unannounced.
 pub fn all_served(load: Load) {
-    let tally = load.stop().expect("the clients end");
-    assert!(tally.sent > 0, "nothing was sent");
-    assert_eq!(tally.ended_without_answer(), 0, "{tally:?}");
-    assert_eq!(tally.served, tally.sent, "{tally:?}");
+    let counts = load.stop().expect("the clients end");
+    assert!(counts.sent > 0, "nothing was sent");
+    assert_eq!(counts.ended_without_answer(), 0, "{counts:?}");
+    assert_eq!(counts.served, counts.sent, "{counts:?}");
 }
 
 /// How often a body was run by all of these engines.
@@ -181,19 +181,19 @@
     assert!(doubles.is_empty(), "run more than once: {doubles:?}");
 }
 
-/// The list service heard nothing but that the name is up.
+/// The list service received no report but that the name is up.
 pub fn never_out(deployment: &Deployment, since: Instant) {
     let reports = deployment.list.reports_since(since);
     assert!(!reports.is_empty(), "no reports at all");
     assert!(reports.iter().all(|report| report.up), "reported OUT");
 }
 
-/// Waits until the health checks of a connection are answered so.
+/// Waits until the health checks of a connection have this answer.
 pub fn await_health(client: &Client, good: bool, limit: Duration) {
     eventually_within(limit, &format!("health {good}"), || client.ping() == Reply::Health(good));
 }
 
-/// Waits until the list service hears a report of this kind; what comes from the returned time on was sent after it.
+/// Waits until the list service receives a report of this kind; what comes from the returned time on was sent after it.
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
     eventually_within(REPORT_LIMIT, &format!("a report up={up}"), || deployment.list.heard_since(since, up));
