--- a/src/deployment.rs
+++ b/src/config/active.rs
@@ -1,21 +1,21 @@
-//! The settings in force, as all parts of the process share them. It owns which they are; it must never change them in
-//! place: who holds an older version keeps a consistent one.
+//! The settings in force, as all parts of the process share them. They are replaced and never changed in place: whoever
+//! holds an older version keeps a consistent one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use crate::settings::Site;
+use crate::config::site::Site;
 
 /// The settings in force.
 #[derive(Debug)]
-pub struct Deployment {
+pub struct ActiveSettings {
     site: RefCell<Rc<Site>>,
 }
 
-impl Deployment {
+impl ActiveSettings {
     /// The settings that the process starts with.
     pub fn new(site: Rc<Site>) -> Self {
-        Deployment { site: RefCell::new(site) }
+        ActiveSettings { site: RefCell::new(site) }
     }
 
     /// The settings in force now.
@@ -23,7 +23,7 @@
         self.site.borrow().clone()
     }
 
-    /// Puts others in force, which [`Site::merged_with`] made of these.
+    /// Replaces them by settings that [`Site::merged_with`] made of these.
     pub fn replace(&self, site: Rc<Site>) {
         *self.site.borrow_mut() = site;
     }
--- a/src/node/reload.rs
+++ b/src/server/control/reload.rs
@@ -8,13 +8,13 @@
 use pinepoint_clock::Clock;
 use pinepoint_telemetry::Telemetry;
 
-use super::counters::{Counters, count};
-use super::links::Peers;
-use super::port::{Input, NewSettings};
-use super::room::Room;
-use super::telemetry;
-use crate::configuration::Config;
-use crate::deployment::Deployment;
+use crate::config::Config;
+use crate::config::active::ActiveSettings;
+use crate::server::core::api::{CoreInput, Reconfiguration};
+use crate::server::frontend::limiter::ConnectionLimiter;
+use crate::server::observability::counters::{Counters, count};
+use crate::server::observability::telemetry;
+use crate::server::upstream::UpstreamAddresses;
 
 /// Reads the configuration again when it is told to.
 pub struct Reloader {
@@ -23,11 +23,11 @@
     /// What is in force.
     pub config: Config,
     /// What the fronts go by.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// Where the links go.
-    pub peers: Rc<Peers>,
+    pub addresses: Rc<UpstreamAddresses>,
     /// Room for connections.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
     /// What counts by class, if it is on.
     pub telemetry: Option<Rc<Telemetry>>,
     /// Counters.
@@ -35,7 +35,7 @@
     /// The clock.
     pub clock: Clock,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
 }
 
 impl Reloader {
@@ -55,7 +55,7 @@
     }
 
     async fn put_in_force(&mut self, config: Config) {
-        for field in self.config.fixed_differences(&config) {
+        for field in self.config.restart_only_differences(&config) {
             tracing::warn!(field, "needs-a-new-start");
         }
         let mut config = config;
@@ -64,18 +64,18 @@
             (config.engine, config.management) = (self.config.engine, self.config.management);
             tracing::warn!(engine = %config.engine, "engine-kept-as-the-file-is-for-another-process");
         }
-        let Config { engine, store, members, memory_mb, stop_ms, .. } = config;
-        let settings = NewSettings { site: config.site.clone(), stop_ms, memory_mb };
+        let Config { engine, store, registry, memory_mb, stop_ms, .. } = config;
+        let settings = Reconfiguration { site: config.site.clone(), stop_ms, memory_mb };
         // Telemetry before any fact about a new class, and the core before the fronts: a request of a new class, read once the fronts know it, comes behind this in the queue.
         if let Some(telemetry) = &self.telemetry {
             telemetry::set_classes(telemetry, &config.site);
         }
-        let _ = self.queue.send(Input::Settings(settings)).await;
-        self.deployment.replace(config.site.clone());
-        self.room.set_memory(memory_mb);
-        self.peers.set(engine, store, members);
+        let _ = self.queue.send(CoreInput::Reconfigure(settings)).await;
+        self.active_settings.replace(config.site.clone());
+        self.limiter.set_memory_limit(memory_mb);
+        self.addresses.set(engine, store, registry);
         let classes = config.site.class_names.len();
-        tracing::info!(%engine, %store, %members, classes, "reloaded");
+        tracing::info!(%engine, %store, members = %registry, classes, "reloaded");
         self.config = config;
     }
 }
--- a/tests/bench/mod.rs
+++ b/tests/bench/mod.rs
@@ -5,12 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use pinepoint::node::core::{Core, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::port::{Arrival, Caller, Doors, Engine, Input, NewSettings, Reply, RunEnd, Store};
-use pinepoint::node::status::Status;
-use pinepoint::settings::Site;
-use pinepoint::{Effect, Outcome};
+use pinepoint::admission::{Idempotency, Outcome};
+use pinepoint::config::site::Site;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::{
+    Arrival, Caller, CoreInput, Engine, OpenSockets, Reconfiguration, Reply, RunResult, Store,
+};
+use pinepoint::server::core::{Core, CoreDependencies};
+use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::{CoreState, Observer, ProcessEvent, Protocol, RequestEvent, RequestEventKind};
 
@@ -31,36 +33,36 @@
 }
 
 impl Engine for Seen {
-    fn run(&self, rid: &str, class: &str, _: &[u8]) {
+    fn start_run(&self, attempt_id: &str, class: &str, _: &[u8]) {
         if self.keeps_classes.get() {
-            self.run_classes.borrow_mut().insert(rid.to_owned(), class.to_owned());
+            self.run_classes.borrow_mut().insert(attempt_id.to_owned(), class.to_owned());
         }
-        self.runs.borrow_mut().push(rid.to_owned());
+        self.runs.borrow_mut().push(attempt_id.to_owned());
     }
-    fn halt(&self, _: &str) {}
-    fn feed(&self, _: &str, reply: &[u8]) -> bool {
+    fn cancel_run(&self, _: &str) {}
+    fn deliver_reply(&self, _: &str, reply: &[u8]) -> bool {
         self.feeds.borrow_mut().push(reply.to_vec());
         true
     }
-    fn skip(&self, _: &str, _: u64) -> bool {
+    fn skip_call(&self, _: &str, _: u64) -> bool {
         true
     }
-    fn stat(&self, tag: u64) {
+    fn request_gauges(&self, tag: u64) {
         self.asked.set(tag);
     }
 }
 
 impl Store for Seen {
-    fn call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
+    fn start_call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
         self.calls.borrow_mut().push(call);
     }
-    fn drop_call(&self, call: u64) {
+    fn cancel_call(&self, call: u64) {
         self.calls.borrow_mut().retain(|c| *c != call);
     }
 }
 
-impl Doors for Seen {
-    fn open(&self) -> usize {
+impl OpenSockets for Seen {
+    fn listeners(&self) -> usize {
         0
     }
     fn connections(&self) -> usize {
@@ -86,11 +88,11 @@
     fn id(&self) -> u64 {
         self.0
     }
-    fn answer(&self, ticket: u64, reply: &Reply) {
-        self.1.answers.borrow_mut().entry((self.0, ticket)).or_default().push(reply.clone());
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        self.1.answers.borrow_mut().entry((self.0, correlation_id)).or_default().push(reply.clone());
     }
-    fn leave(&self) {}
-    fn leave_if_idle(&self, _: f64) {}
+    fn go_away(&self) {}
+    fn go_away_if_idle(&self, _: f64) {}
 }
 
 /// One of a list, if there is one.
@@ -100,11 +102,11 @@
 }
 
 /// An end of a run: of four, two are results.
-pub fn run_end(how: u8) -> RunEnd {
+pub fn run_end(how: u8) -> RunResult {
     match how % 4 {
-        0 | 1 => RunEnd::Complete(vec![how; 200].as_slice().into()),
-        2 => RunEnd::Error,
-        _ => RunEnd::Unknown,
+        0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
+        2 => RunResult::Error,
+        _ => RunResult::Unknown,
     }
 }
 
@@ -126,20 +128,30 @@
     /// for many requests brings a share of calls.
     pub fn with_room(memory_mb: f64, memory_kb: f64) -> Self {
         let mut site = Site::default();
-        site.listed_by_health = true;
-        site.settings = pinepoint::Settings {
+        site.registry_follows_health = true;
+        site.settings = pinepoint::admission::Settings {
             cores: 2.0,
             memory_kb,
-            calls_share: if memory_kb > 10_000.0 { 8.0 } else { 0.0 },
-            calls_over_ms: if memory_kb > 10_000.0 { 5000.0 } else { 0.0 },
-            run_factor: 4.0,
+            call_quota: if memory_kb > 10_000.0 { 8.0 } else { 0.0 },
+            call_quota_window_ms: if memory_kb > 10_000.0 { 5000.0 } else { 0.0 },
+            running_memory_factor: 4.0,
             ..Default::default()
         };
-        let class =
-            pinepoint::Class { deadline_ms: 3000.0, aim_ms: 900.0, calls: true, ..Default::default() };
-        let keyed = pinepoint::Class { effect: Effect::Keyed, key_window_ms: 5000.0, ..class.clone() };
-        site.settings.classes = vec![pinepoint::Class { worth_without: 0.3, ..class }, keyed];
-        site.settings.gauges = vec![pinepoint::Gauge::BusyShare, pinepoint::Gauge::Runnable];
+        let class = pinepoint::admission::Class {
+            timeout_ms: 3000.0,
+            latency_objective_ms: 900.0,
+            calls: true,
+            ..Default::default()
+        };
+        let keyed = pinepoint::admission::Class {
+            idempotency: Idempotency::Keyed,
+            dedup_window_ms: 5000.0,
+            ..class.clone()
+        };
+        site.settings.classes =
+            vec![pinepoint::admission::Class { weight_without_call: 0.3, ..class }, keyed];
+        site.settings.gauges =
+            vec![pinepoint::admission::Gauge::BusyShare, pinepoint::admission::Gauge::Runnable];
         site.settings.rules.answer_slack_ms = 100.0;
         site.settings.rules.drain_grace_ms = 1000.0;
         Bench::with_site(site, memory_mb, 2000.0)
@@ -149,7 +161,7 @@
     pub fn with_site(site: Site, memory_mb: f64, stop_ms: f64) -> Self {
         let seen = Rc::new(Seen::default());
         let classes = site.settings.classes.len();
-        let parts = Parts {
+        let parts = CoreDependencies {
             site: Rc::new(site),
             seed: 5,
             stop_ms,
@@ -160,15 +172,15 @@
             observer: seen.clone(),
             engine: seen.clone(),
             store: seen.clone(),
-            doors: seen.clone(),
+            open_sockets: seen.clone(),
             handover: None,
         };
         Bench { core: Core::new(parts), seen, now: 1_000_000.0, tickets: 0, notices: 0, classes }
     }
 
-    pub fn tell(&mut self, input: Input) {
-        self.core.take(self.now, input);
-        self.core.settle(self.now);
+    pub fn tell(&mut self, input: CoreInput) {
+        self.core.handle(self.now, input);
+        self.core.process_batch(self.now);
     }
 
     pub fn arrive(&mut self, class: usize, key: u8, body: u8, age_ms: f64) {
@@ -178,7 +190,7 @@
     /// Puts these settings in force, which must be a successor of those before.
     pub fn reload(&mut self, site: Rc<Site>, memory_mb: f64, stop_ms: f64) {
         self.classes = site.settings.classes.len();
-        self.tell(Input::Settings(NewSettings { site, stop_ms, memory_mb }));
+        self.tell(CoreInput::Reconfigure(Reconfiguration { site, stop_ms, memory_mb }));
     }
 
     pub fn arrive_from(&mut self, caller: u64, class: usize, key: String, body: u8, age_ms: f64) {
@@ -187,13 +199,13 @@
 
     pub fn arrive_as(&mut self, caller: u64, class: usize, token: Option<String>, body: u8, age_ms: f64) {
         self.tickets += 1;
-        self.tell(Input::Request(Box::new(Arrival {
+        self.tell(CoreInput::RequestReceived(Box::new(Arrival {
             caller: Rc::new(Client(caller, self.seen.clone())),
             front: Protocol::Rpc,
-            ticket: self.tickets,
-            rid: format!("r{}", self.tickets),
+            correlation_id: self.tickets,
+            attempt_id: format!("r{}", self.tickets),
             class,
-            t0: self.now - age_ms,
+            arrived_ms: self.now - age_ms,
             again: body.is_multiple_of(2),
             est_ms: Some(100.0),
             mem_kb: 40.0,
@@ -211,29 +223,29 @@
             turns += 1;
             assert!(f64::from(turns) < 1000.0 + ms, "{turns} turns in {ms} ms: it does not wait");
             self.now = self.now.max(due);
-            self.core.settle(self.now);
+            self.core.process_batch(self.now);
             let tag = self.seen.asked.get();
-            self.tell(Input::Stats(tag, vec![busy, busy * 2.0]));
+            self.tell(CoreInput::Gauges { tag, values: vec![busy, busy * 2.0] });
         }
         self.now = until;
-        self.core.settle(until);
+        self.core.process_batch(until);
     }
 
     pub fn run(&mut self, step: &Step) {
         match *step {
-            Step::Up => self.tell(Input::EngineUp { cold: false, ms: 9000.0 }),
-            Step::Down => self.tell(Input::EngineDown),
+            Step::Up => self.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 }),
+            Step::Down => self.tell(CoreInput::EngineDetached),
             Step::Arrive { class, key, body, age } => self.arrive(class, key, body, f64::from(age)),
             Step::Pass { ms, busy } => self.pass(f64::from(ms), f64::from(busy) / 100.0),
             Step::End { run, how } => {
-                if let Some(rid) = picked(&self.seen.runs, run) {
-                    self.tell(Input::Done(rid, run_end(how)));
+                if let Some(attempt_id) = picked(&self.seen.runs, run) {
+                    self.tell(CoreInput::RunEnded { attempt_id, result: run_end(how) });
                 }
             }
             Step::Need { run } => {
                 self.notices += 1;
-                if let Some(rid) = picked(&self.seen.runs, run) {
-                    self.tell(Input::Need(rid, self.notices, vec![1]));
+                if let Some(attempt_id) = picked(&self.seen.runs, run) {
+                    self.tell(CoreInput::CallNeeded { attempt_id, notice: self.notices, body: vec![1] });
                 }
             }
             Step::CallOver { call, how } => {
@@ -241,22 +253,24 @@
                     self.seen.calls.borrow_mut().retain(|c| *c != call);
                     let (outcome, reply) = match how % 4 {
                         0 | 1 => (Outcome::Done, Some(vec![how])),
-                        2 => (Outcome::Declined, None),
+                        2 => (Outcome::Rejected, None),
                         _ => (Outcome::Reset, None),
                     };
-                    self.tell(Input::CallEnded(call, outcome, reply));
+                    self.tell(CoreInput::CallEnded { call, outcome, reply });
                 }
             }
-            Step::Gone { ticket } => {
-                let ticket = u64::from(ticket) % (self.tickets + 1);
+            Step::Gone { correlation_id } => {
+                let correlation_id = u64::from(correlation_id) % (self.tickets + 1);
                 for caller in 0..3 {
-                    self.tell(Input::Gone(caller, ticket));
+                    self.tell(CoreInput::CallerGone { caller, correlation_id });
                 }
             }
-            Step::Closed { caller } => self.tell(Input::Closed(u64::from(caller % 3))),
+            Step::Closed { caller } => {
+                self.tell(CoreInput::ConnectionClosed { caller: u64::from(caller % 3) })
+            }
             Step::Leave => {
-                self.core.leave(self.now, self.now);
-                self.core.settle(self.now);
+                self.core.start_drain(self.now, self.now);
+                self.core.process_batch(self.now);
             }
         }
     }
@@ -288,7 +302,7 @@
     End { run: u8, how: u8 },
     Need { run: u8 },
     CallOver { call: u8, how: u8 },
-    Gone { ticket: u8 },
+    Gone { correlation_id: u8 },
     Closed { caller: u8 },
     Leave,
 }
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -6,13 +6,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pinepoint::Effect;
-use pinepoint::node::core::{Core, HandoverParts, HandoverState, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::lifecycle::Phase as Life;
-use pinepoint::node::port::{Arrival, HandoverPort, Input, NewSettings, PeerInbox, PeerInput, Reply, RunEnd};
-use pinepoint::node::status::Status;
-use pinepoint::settings::Site;
+use pinepoint::admission::Idempotency;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::lifecycle::Phase as Life;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::{
+    Arrival, CoreInput, HandoverTransport, PeerEvent, PeerInbox, Reconfiguration, Reply, RunResult,
+};
+use pinepoint::server::core::{Core, CoreDependencies, HandoverDependencies, HandoverState};
+use pinepoint::server::observability::counters::Counters;
 use pinepoint_clock::Clock;
 use pinepoint_events::Protocol;
 use pinepoint_handover::message::Message;
@@ -55,14 +57,14 @@
 pub fn site(classes: &[ClassSpec]) -> Site {
     let services: Vec<Value> = classes
         .iter()
-        .map(|(name, effect)| {
-            json!({"name": name, "effect": effect, "promiseMs": 900, "deadlineMs": DEADLINE_MS, "worth": 1,
+        .map(|(name, idempotency)| {
+            json!({"name": name, "effect": idempotency, "promiseMs": 900, "deadlineMs": DEADLINE_MS, "worth": 1,
                 "keyTtlMs": WINDOW_MS})
         })
         .collect();
     let info = json!({"services": services, "contract": {"answerSlackMs": 100, "drainGraceMs": 1000},
         "specifics": {"cores": 2, "heapKb": 100_000, "gauges": ["cpu_busy", "runnable"], "runFactor": 2}});
-    Site::read(&info).expect("the settings of the test can be read")
+    Site::from_json(&info).expect("the settings of the test can be read")
 }
 
 /// What a core wants of its links, carried out by the world behind each turn.
@@ -92,7 +94,7 @@
     }
 }
 
-impl HandoverPort for Port {
+impl HandoverTransport for Port {
     fn send_to_predecessor(&self, message: &Message) {
         self.send(Side::Predecessor, message);
     }
@@ -137,9 +139,9 @@
 
 /// A request that a process read.
 pub struct Read {
-    pub ticket: u64,
+    pub correlation_id: u64,
     pub read_ms: f64,
-    pub due_ms: f64,
+    pub deadline_ms: f64,
     /// It was given up, or its connection was closed, by its caller.
     pub given_up: bool,
     caller: u64,
@@ -149,11 +151,11 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     pub process: usize,
-    pub rid: String,
+    pub attempt_id: String,
     pub over: bool,
     /// The token of a keyed run.
     key: Option<String>,
-    t0: f64,
+    arrived_ms: f64,
     until_ms: f64,
     never_ran: bool,
 }
@@ -232,13 +234,13 @@
         let clock = Clock::fixed(self.now);
         let rules = Rules { longest_window_ms: WINDOW_MS + 1000.0, ..Rules::default() };
         status.accepting.set(false);
-        let handover = HandoverParts {
-            port: port.clone(),
+        let handover = HandoverDependencies {
+            transport: port.clone(),
             inbox: inbox.clone(),
             rules,
-            listeners: vec!["rpc".to_owned()],
+            listener_names: vec!["rpc".to_owned()],
         };
-        let core = Core::new(Parts {
+        let core = Core::new(CoreDependencies {
             site: site.clone(),
             seed: 5,
             stop_ms: STOP_MS,
@@ -249,7 +251,7 @@
             observer: seen.clone(),
             engine: seen.clone(),
             store: seen.clone(),
-            doors: seen.clone(),
+            open_sockets: seen.clone(),
             handover: Some(handover),
         });
         let index = self.processes.len();
@@ -277,7 +279,7 @@
     }
 
     pub fn engine_up(&mut self, index: usize) {
-        self.turn(index, |core, now| core.take(now, Input::EngineUp { cold: false, ms: 9000.0 }));
+        self.turn(index, |core, now| core.handle(now, CoreInput::EngineAttached { cold: false, ms: 9000.0 }));
     }
 
     pub fn life(&self, index: usize) -> Life {
@@ -285,7 +287,7 @@
     }
 
     pub fn serves(&self, index: usize) -> bool {
-        self.processes[index].alive && matches!(self.life(index), Life::Serving | Life::Drained)
+        self.processes[index].alive && matches!(self.life(index), Life::Serving | Life::LameDuck)
     }
 
     pub fn handover_state(&self, index: usize) -> HandoverState {
@@ -304,20 +306,20 @@
     ) -> Option<String> {
         let process = &self.processes[index];
         let class_index = process.site.class_of(class, self.now)?;
-        let keyed = process.site.settings.classes[class_index].effect == Effect::Keyed;
+        let keyed = process.site.settings.classes[class_index].idempotency == Idempotency::Keyed;
         self.tickets += 1;
-        let ticket = self.tickets;
-        let rid = format!("r{ticket}");
-        let t0 = self.now - age_ms;
+        let correlation_id = self.tickets;
+        let attempt_id = format!("r{correlation_id}");
+        let arrived_ms = self.now - age_ms;
         let token = keyed.then(|| format!("k{token}"));
-        self.names.insert(rid.clone(), (class.to_owned(), token.clone(), t0));
+        self.names.insert(attempt_id.clone(), (class.to_owned(), token.clone(), arrived_ms));
         let arrival = Arrival {
             caller: Rc::new(Client(caller, process.seen.clone())),
             front: Protocol::Rpc,
-            ticket,
-            rid: rid.clone(),
+            correlation_id,
+            attempt_id: attempt_id.clone(),
             class: class_index,
-            t0,
+            arrived_ms,
             again: false,
             est_ms: Some(100.0),
             mem_kb: 40.0,
@@ -326,56 +328,64 @@
             subject: None,
             tenant: None,
         };
-        let read = Read { ticket, read_ms: self.now, due_ms: t0 + DEADLINE_MS, given_up: false, caller };
+        let read = Read {
+            correlation_id,
+            read_ms: self.now,
+            deadline_ms: arrived_ms + DEADLINE_MS,
+            given_up: false,
+            caller,
+        };
         self.processes[index].reads.push(read);
-        self.turn(index, |core, now| core.take(now, Input::Request(Box::new(arrival))));
-        Some(rid)
+        self.turn(index, |core, now| core.handle(now, CoreInput::RequestReceived(Box::new(arrival))));
+        Some(attempt_id)
     }
 
     /// The caller gives up one of its requests at this process.
     pub fn give_up(&mut self, index: usize, pick: usize) {
         let open: Vec<(u64, u64)> = self.open_reads(index);
-        let Some(&(caller, ticket)) = open.get(pick.checked_rem(open.len()).unwrap_or(0)) else { return };
+        let Some(&(caller, correlation_id)) = open.get(pick.checked_rem(open.len()).unwrap_or(0)) else {
+            return;
+        };
         let reads = self.processes[index].reads.iter_mut();
-        reads.filter(|read| read.ticket == ticket).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, Input::Gone(caller, ticket)));
+        reads.filter(|read| read.correlation_id == correlation_id).for_each(|read| read.given_up = true);
+        self.turn(index, |core, now| core.handle(now, CoreInput::CallerGone { caller, correlation_id }));
     }
 
     /// A connection to this process is closed by its caller.
     pub fn close(&mut self, index: usize, caller: u64) {
         let reads = self.processes[index].reads.iter_mut();
         reads.filter(|read| read.caller == caller).for_each(|read| read.given_up = true);
-        self.turn(index, |core, now| core.take(now, Input::Closed(caller)));
+        self.turn(index, |core, now| core.handle(now, CoreInput::ConnectionClosed { caller }));
     }
 
     /// Caller and ticket of each request without an answer.
     fn open_reads(&self, index: usize) -> Vec<(u64, u64)> {
         let process = &self.processes[index];
         let open = process.reads.iter().filter(|read| !read.given_up && process.answers(read).is_empty());
-        open.map(|read| (read.caller, read.ticket)).collect()
+        open.map(|read| (read.caller, read.correlation_id)).collect()
     }
 
     /// The answers to the request of this name.
-    pub fn answers(&self, index: usize, rid: &str) -> Vec<Reply> {
+    pub fn answers(&self, index: usize, attempt_id: &str) -> Vec<Reply> {
         let process = &self.processes[index];
-        let read = process.reads.iter().find(|read| format!("r{}", read.ticket) == rid);
+        let read = process.reads.iter().find(|read| format!("r{}", read.correlation_id) == attempt_id);
         read.map_or(Vec::new(), |read| process.answers(read))
     }
 
     /// How many times the request of this name was begun on an engine.
-    pub fn times_run(&self, rid: &str) -> usize {
-        self.runs.iter().filter(|run| run.rid == rid).count()
+    pub fn times_run(&self, attempt_id: &str) -> usize {
+        self.runs.iter().filter(|run| run.attempt_id == attempt_id).count()
     }
 
     /// Ends a run that is under way, one of those of living processes.
-    pub fn end_run(&mut self, pick: usize, end: RunEnd) {
+    pub fn end_run(&mut self, pick: usize, end: RunResult) {
         let running = |run: &Run| !run.over && self.processes[run.process].alive;
         let running: Vec<usize> = (0..self.runs.len()).filter(|at| running(&self.runs[*at])).collect();
         let Some(&at) = running.get(pick.checked_rem(running.len()).unwrap_or(0)) else { return };
         let run = &mut self.runs[at];
-        (run.over, run.never_ran) = (true, end == RunEnd::Unknown);
-        let (index, rid) = (run.process, run.rid.clone());
-        self.turn(index, |core, now| core.take(now, Input::Done(rid, end)));
+        (run.over, run.never_ran) = (true, end == RunResult::Unknown);
+        let (index, attempt_id) = (run.process, run.attempt_id.clone());
+        self.turn(index, |core, now| core.handle(now, CoreInput::RunEnded { attempt_id, result: end }));
     }
 
     pub fn set_drained(&mut self, index: usize, drained: bool) {
@@ -393,7 +403,7 @@
             process.notice_ms = Some(now);
             process.had_successor_at_notice = has_successor;
             process.kill_ms = Some(now + KILL_AFTER_MS);
-            self.turn(index, |core, now| core.leave(now, now));
+            self.turn(index, |core, now| core.start_drain(now, now));
         }
     }
 
@@ -402,8 +412,8 @@
         let merged = self.processes[index].site.merged_with(site(classes), self.now);
         let site = Rc::new(merged.expect("there is room for a few classes"));
         self.processes[index].site = site.clone();
-        let settings = NewSettings { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
-        self.turn(index, |core, now| core.take(now, Input::Settings(settings)));
+        let settings = Reconfiguration { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
+        self.turn(index, |core, now| core.handle(now, CoreInput::Reconfigure(settings)));
     }
 
     /// SIGKILL. Of what it has sent, so many messages still arrive.
@@ -488,7 +498,9 @@
             self.turn(index, |_, _| ());
             let tag = self.processes[index].seen.asked.replace(0);
             if tag > 0 && self.processes[index].alive {
-                self.turn(index, |core, now| core.take(now, Input::Stats(tag, vec![0.1, 0.2])));
+                self.turn(index, |core, now| {
+                    core.handle(now, CoreInput::Gauges { tag, values: vec![0.1, 0.2] })
+                });
             }
         }
     }
@@ -502,13 +514,13 @@
         let now = self.now;
         let process = &mut self.processes[index];
         process.clock.set(now);
-        process.core.take_peer_inputs(now);
+        process.core.handle_peer_events(now);
         input(&mut process.core, now);
-        process.core.settle(now);
+        process.core.process_batch(now);
         self.carry_out(index);
         self.note_runs(index);
         self.check(index);
-        if self.life(index) == Life::Gone {
+        if self.life(index) == Life::Terminated {
             self.end_process(index, usize::MAX);
         }
     }
@@ -516,7 +528,7 @@
     // ---- links ----
 
     fn find_predecessor(&mut self, index: usize) {
-        let why = match self.listening {
+        let reason = match self.listening {
             None => NoPredecessor::NoSocket,
             Some(older) if older == index || !self.processes[older].alive => NoPredecessor::Refused,
             Some(older) if self.processes[older].is_released => NoPredecessor::BadListeners,
@@ -526,13 +538,13 @@
                     LinkEnd::new(index, Side::Predecessor, true),
                     LinkEnd::new(older, Side::Successor, false),
                 ]));
-                self.processes[older].inbox.push(PeerInput::SuccessorFound);
+                self.processes[older].inbox.push(PeerEvent::SuccessorFound);
                 self.turn(older, |_, _| ());
                 return;
             }
         };
         self.processes[index].has_looked = true;
-        self.processes[index].inbox.push(PeerInput::NoPredecessor(why));
+        self.processes[index].inbox.push(PeerEvent::NoPredecessor(reason));
     }
 
     /// The link of a process to that side, by its place and the place of the end.
@@ -556,10 +568,10 @@
                         (Side::Predecessor, Message::Hello(hello)) if end.awaits_hello => {
                             end.awaits_hello = false;
                             process.has_looked = true;
-                            PeerInput::PredecessorFound(hello)
+                            PeerEvent::PredecessorFound(hello)
                         }
-                        (Side::Predecessor, message) => PeerInput::FromPredecessor(message),
-                        (Side::Successor, message) => PeerInput::FromSuccessor(message),
+                        (Side::Predecessor, message) => PeerEvent::FromPredecessor(message),
+                        (Side::Successor, message) => PeerEvent::FromSuccessor(message),
                     });
                 }
             }
@@ -568,10 +580,10 @@
                 process.inbox.push(match end.side {
                     Side::Predecessor if end.awaits_hello => {
                         process.has_looked = true;
-                        PeerInput::NoPredecessor(NoPredecessor::Closed)
+                        PeerEvent::NoPredecessor(NoPredecessor::Closed)
                     }
-                    Side::Predecessor => PeerInput::PredecessorLost,
-                    Side::Successor => PeerInput::SuccessorLost,
+                    Side::Predecessor => PeerEvent::PredecessorLost,
+                    Side::Successor => PeerEvent::SuccessorLost,
                 });
             }
         }
@@ -610,21 +622,29 @@
             process.runs_seen = runs.len();
             begun
         };
-        for rid in begun {
+        for attempt_id in begun {
             // Under whatever class its tries come: the token names the request.
-            let (_, key, t0) = self.names[&rid].clone();
+            let (_, key, arrived_ms) = self.names[&attempt_id].clone();
             if key.is_some() {
                 let same = self.runs.iter().filter(|run| run.key == key && !run.never_ran);
                 for earlier in same {
                     assert!(
-                        t0 >= earlier.until_ms,
-                        "key {key:?} runs as {rid} in process {index} at {}, t0 {t0}, and ran as {earlier:?}",
+                        arrived_ms >= earlier.until_ms,
+                        "key {key:?} runs as {attempt_id} in process {index} at {}, t0 {arrived_ms}, and ran as {earlier:?}",
                         self.now
                     );
                 }
             }
-            let until_ms = t0 + WINDOW_MS + WINDOW_MORE_MS;
-            self.runs.push(Run { process: index, rid, over: false, key, t0, until_ms, never_ran: false });
+            let until_ms = arrived_ms + WINDOW_MS + WINDOW_MORE_MS;
+            self.runs.push(Run {
+                process: index,
+                attempt_id,
+                over: false,
+                key,
+                arrived_ms,
+                until_ms,
+                never_ran: false,
+            });
         }
     }
 
@@ -640,13 +660,13 @@
         }
         for read in &process.reads {
             let answers = process.answers(read).len();
-            assert!(answers <= 1, "{} answered {answers} times by process {index}", read.ticket);
-            let late = now > read.due_ms.max(read.read_ms) + ANSWER_SLACK_MS;
+            assert!(answers <= 1, "{} answered {answers} times by process {index}", read.correlation_id);
+            let late = now > read.deadline_ms.max(read.read_ms) + ANSWER_SLACK_MS;
             assert!(
                 answers == 1 || read.given_up || !late,
                 "{} of process {index}, due at {}, read at {}, is not answered at {now}",
-                read.ticket,
-                read.due_ms,
+                read.correlation_id,
+                read.deadline_ms,
                 read.read_ms
             );
         }
@@ -659,7 +679,7 @@
             if !self.runs.iter().any(|run| !run.over && self.processes[run.process].alive) {
                 break;
             }
-            self.end_run(0, RunEnd::Complete([1].as_slice().into()));
+            self.end_run(0, RunResult::Complete([1].as_slice().into()));
         }
         self.pass(3000.0);
         for index in 0..self.processes.len() {
@@ -668,7 +688,7 @@
                 continue;
             }
             let state = process.core.handover_state(self.now);
-            assert_eq!(state.remote_tries, 0, "remote tries of process {index} once all runs are over");
+            assert_eq!(state.remote_attempts, 0, "remote tries of process {index} once all runs are over");
             assert_eq!(state.waiting.iter().sum::<u64>(), 0, "claims of process {index} once all is quiet");
         }
         self.check_lists();
@@ -682,9 +702,9 @@
         if !handed_over || !self.serves(1) {
             return;
         }
-        assert_eq!(old.status.listed.get(), None, "the old process says nothing any more");
-        let drained = self.life(1) == Life::Drained;
-        assert_eq!(new.status.listed.get(), Some(!drained));
+        assert_eq!(old.status.registered.get(), None, "the old process says nothing any more");
+        let drained = self.life(1) == Life::LameDuck;
+        assert_eq!(new.status.registered.get(), Some(!drained));
     }
 
     fn check_drains(&self) {
@@ -696,7 +716,7 @@
 
 impl Process {
     fn answers(&self, read: &Read) -> Vec<Reply> {
-        self.seen.answers.borrow().get(&(read.caller, read.ticket)).cloned().unwrap_or_default()
+        self.seen.answers.borrow().get(&(read.caller, read.correlation_id)).cloned().unwrap_or_default()
     }
 }
 
@@ -736,10 +756,10 @@
 }
 
 /// The ends of runs.
-pub fn run_end(how: u8) -> RunEnd {
+pub fn run_end(how: u8) -> RunResult {
     match how % 4 {
-        0 | 1 => RunEnd::Complete(vec![how; 200].as_slice().into()),
-        2 => RunEnd::Error,
-        _ => RunEnd::Unknown,
+        0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
+        2 => RunResult::Error,
+        _ => RunResult::Unknown,
     }
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,19 +9,20 @@
 use std::rc::Rc;
 
 use bench::Bench;
-use pinepoint::configuration::{Config, FileError};
-use pinepoint::node::port::{Input, Reply, RunEnd};
-use pinepoint::settings::{CLASSES_MOST, RETIRED_GRACE_MS, Site, SiteError, TENANTS_MOST};
-use pinepoint::{
-    Action, Class, Controller, Effect, Event, FailureReason, Gauge, Request, Settings, SettingsError, Tenant,
+use pinepoint::admission::{
+    Action, AdmissionController, Class, Event, FailureReason, Gauge, Idempotency, Request, Settings,
+    SettingsError, Tenant,
 };
+use pinepoint::config::site::{MAX_CLASSES, MAX_TENANTS, RETIRED_GRACE_MS, Site, SiteError};
+use pinepoint::config::{Config, FileError};
+use pinepoint::server::core::api::{CoreInput, Reply, RunResult};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use scenario::World;
 use serde_json::{Value, json};
 
-fn service(name: &str, effect: &str) -> Value {
-    json!({"name": name, "effect": effect, "promiseMs": 900, "deadlineMs": 3000, "worth": 1, "lateWorth": 0.2,
+fn service(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "effect": idempotency, "promiseMs": 900, "deadlineMs": 3000, "worth": 1, "lateWorth": 0.2,
         "keyTtlMs": 5000})
 }
 
@@ -64,15 +65,15 @@
 }
 
 fn site(classes: &[(&str, &str)]) -> Site {
-    let classes: Vec<Value> = classes.iter().map(|(name, effect)| service(name, effect)).collect();
+    let classes: Vec<Value> = classes.iter().map(|(name, idempotency)| service(name, idempotency)).collect();
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 2, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::read(&settings).expect("well formed")
+    Site::from_json(&settings).expect("well formed")
 }
 
 const READ: &str = "read_like";
-const KEYED: &str = "idempotency_key";
+const ANY_KEYED_CLASS: &str = "idempotency_key";
 
 // ---- which files are taken ----
 
@@ -81,7 +82,7 @@
     let first = parse(&document());
     let again = next(&first, &document()).expect("taken");
     assert_eq!(again.site.settings, first.site.settings);
-    assert!(first.fixed_differences(&again).is_empty());
+    assert!(first.restart_only_differences(&again).is_empty());
 }
 
 #[test]
@@ -90,7 +91,7 @@
     for text in [document().to_string(), serde_json::to_string_pretty(&document()).expect("text")] {
         for cut in 0..text.len() {
             let error = first.next(Path::new("c.json"), &text[..cut], 0.0).expect_err("turned down");
-            assert!(error.at.is_some(), "cut at {cut}: {error}");
+            assert!(error.position.is_some(), "cut at {cut}: {error}");
         }
         assert!(first.next(Path::new("c.json"), &text, 0.0).is_ok());
     }
@@ -134,7 +135,7 @@
                 assert!(!optional.contains(&pointer.as_str()), "{error}");
                 let key = pointer.rsplit('/').next().expect("a key");
                 assert!(error.to_string().contains(key), "without {pointer}: {error}");
-                assert!(error.at.is_some(), "without {pointer}: {error}");
+                assert!(error.position.is_some(), "without {pointer}: {error}");
             }
         }
     }
@@ -147,10 +148,10 @@
     let text = serde_json::to_string_pretty(&lacks).expect("text");
     let error = first.next(Path::new("c.json"), &text, 0.0).expect_err("turned down");
     assert_eq!(error.field, "settings.services[1].worth");
-    let (line, _) = error.at.expect("a place");
+    let line = error.position.expect("a place").line;
     let told = text.lines().nth(line - 1).expect("a line");
     assert!(told.contains('{'), "the entry that lacks it begins on line {line}: {told}");
-    assert!(error.wrong.contains("is missing"), "{error}");
+    assert!(error.problem.contains("is missing"), "{error}");
 }
 
 #[test]
@@ -187,7 +188,7 @@
             services(&mut bad)[class]["deadlineMs"] = wrong.clone();
             let error = next(&first, &bad).expect_err("turned down");
             assert_eq!(error.field, format!("settings.services[{class}].deadlineMs"), "{wrong}");
-            assert!(error.at.is_some());
+            assert!(error.position.is_some());
         }
     }
     assert_eq!(first.engine, "127.0.0.1:2".parse().expect("an address"), "nothing of it was taken");
@@ -201,7 +202,7 @@
     other["limits"]["sockets"] = json!(128);
     other["limits"]["memory_mb"] = json!(16);
     let second = next(&first, &other).expect("taken");
-    assert_eq!(first.fixed_differences(&second), ["name", "limits.sockets"]);
+    assert_eq!(first.restart_only_differences(&second), ["name", "limits.sockets"]);
     assert_eq!(second.memory_mb, 16.0);
 }
 
@@ -231,16 +232,17 @@
 
 #[test]
 fn a_class_that_comes_back_takes_its_index_if_its_effect_is_the_same() {
-    let first = site(&[("look", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let dropped = first.merged_with(site(&[("look", READ)]), 1000.0).expect("taken");
-    let back = dropped.merged_with(site(&[("write", KEYED), ("look", READ)]), 9000.0).expect("taken");
+    let back =
+        dropped.merged_with(site(&[("write", ANY_KEYED_CLASS), ("look", READ)]), 9000.0).expect("taken");
     assert_eq!((back.class_of("write", 1e9), back.class_of("look", 1e9)), (Some(1), Some(0)));
     assert!(!back.is_retired(1));
 
     let other =
         dropped.merged_with(site(&[("look", READ), ("write", "non_idempotent")]), 9000.0).expect("taken");
     assert_eq!(other.class_of("write", 1e9), Some(2), "keys of the old one stay under the old index");
-    assert_eq!(other.settings.classes[1].effect, Effect::Keyed);
+    assert_eq!(other.settings.classes[1].idempotency, Idempotency::Keyed);
     assert!(other.is_retired(1) && !other.is_retired(2));
 
     let again = other.merged_with(first.clone(), 10_000.0).expect("taken");
@@ -250,16 +252,16 @@
 
 #[test]
 fn a_class_whose_effect_changes_while_it_lives_gets_a_new_index() {
-    let first = site(&[("look", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let changed = first.merged_with(site(&[("look", READ), ("write", READ)]), 1000.0).expect("taken");
     assert_eq!(changed.class_of("write", 1000.0), Some(2));
-    assert_eq!(changed.settings.classes[1].effect, Effect::Keyed);
+    assert_eq!(changed.settings.classes[1].idempotency, Idempotency::Keyed);
     assert_eq!((changed.class_name(1), changed.class_name(2)), ("write", "write"));
 }
 
 #[test]
 fn a_class_that_is_dropped_twice_is_accepted_from_its_last_drop_on() {
-    let (both, one) = (site(&[("look", READ), ("write", KEYED)]), site(&[("look", READ)]));
+    let (both, one) = (site(&[("look", READ), ("write", ANY_KEYED_CLASS)]), site(&[("look", READ)]));
     let dropped = both.merged_with(one.clone(), 1000.0).expect("taken");
     let still = dropped.merged_with(one.clone(), 3000.0).expect("taken");
     assert_eq!(still.class_of("write", 4000.0), None, "a further reload without it does not renew its time");
@@ -278,10 +280,7 @@
     assert_eq!((index("a"), index("b"), index("c"), index("d")), (Some(0), Some(1), Some(2), None));
     assert_eq!(site.tenant_of("a", 1000.0 + RETIRED_GRACE_MS), None);
     let wanted = [(10.0, true), (25.0, false), (5.0, false)];
-    assert_eq!(
-        site.settings.tenants,
-        wanted.map(|(allowance_per_s, retired)| Tenant { allowance_per_s, retired })
-    );
+    assert_eq!(site.settings.tenants, wanted.map(|(quota_per_s, retired)| Tenant { quota_per_s, retired }));
 }
 
 #[test]
@@ -291,25 +290,26 @@
         site(&names.iter().map(|name| (name.as_str(), READ)).collect::<Vec<_>>())
     };
     let full = named(0, 100).merged_with(named(100, 100), 0.0).expect("taken");
-    let full = full.merged_with(named(200, CLASSES_MOST - 200), 0.0).expect("as many as there may be");
-    let error = full.merged_with(named(CLASSES_MOST, 1), 0.0).expect_err("one more");
-    assert_eq!(error, SiteError::Full { field: "services", most: CLASSES_MOST });
+    let full = full.merged_with(named(200, MAX_CLASSES - 200), 0.0).expect("as many as there may be");
+    let error = full.merged_with(named(MAX_CLASSES, 1), 0.0).expect_err("one more");
+    assert_eq!(error, SiteError::TooManyNames { field: "services", max: MAX_CLASSES });
     assert!(error.to_string().contains("restart"), "{error}");
-    assert!(full.merged_with(named(0, CLASSES_MOST), 0.0).is_ok(), "those that are known fit for ever");
+    assert!(full.merged_with(named(0, MAX_CLASSES), 0.0).is_ok(), "those that are known fit for ever");
 
     let tenants = |from: usize, n: usize| {
         let tenants: Vec<Value> = (from..from + n).map(|n| json!({"name": format!("t{n}")})).collect();
-        Site::read(&json!({"services": [service("look", READ)], "projects": tenants})).expect("well formed")
+        Site::from_json(&json!({"services": [service("look", READ)], "projects": tenants}))
+            .expect("well formed")
     };
-    let full = tenants(0, TENANTS_MOST);
-    assert!(full.merged_with(tenants(TENANTS_MOST, 1), 0.0).is_err());
+    let full = tenants(0, MAX_TENANTS);
+    assert!(full.merged_with(tenants(MAX_TENANTS, 1), 0.0).is_err());
     assert!(full.merged_with(tenants(0, 10), 0.0).is_ok());
 }
 
 // ---- the decision module ----
 
 fn settings(classes: &[f64]) -> Settings {
-    let class = |deadline_ms: &f64| Class { deadline_ms: *deadline_ms, ..Class::default() };
+    let class = |timeout_ms: &f64| Class { timeout_ms: *timeout_ms, ..Class::default() };
     Settings {
         classes: classes.iter().map(class).collect(),
         gauges: vec![Gauge::BusyShare, Gauge::Runnable],
@@ -319,8 +319,8 @@
 
 #[test]
 fn the_module_refuses_settings_that_take_an_index_away() {
-    let mut controller = Controller::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
-    assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::Removed));
+    let mut controller = AdmissionController::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
+    assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::IndexRemoved));
     let bad = Settings { cores: 0.0, ..settings(&[3000.0; 2]) };
     assert_eq!(controller.reconfigure(bad), Err(SettingsError::NoCores));
     assert_eq!(controller.reconfigure(settings(&[3000.0; 3])), Ok(()));
@@ -328,61 +328,74 @@
 
 #[test]
 fn the_module_keeps_the_due_time_of_what_is_open() {
-    let mut controller = Controller::new(settings(&[3000.0]), 1).expect("sound");
+    let mut controller = AdmissionController::new(settings(&[3000.0]), 1).expect("sound");
     let (mut out, mut now) = (Vec::new(), 0.0);
-    controller.handle(now, Event::Begin, &mut out);
+    controller.handle(now, Event::Started, &mut out);
     // The first runs on the one core, the second is held.
     for id in [1, 2] {
-        controller.handle(now, Event::Arrived(Request { id, mem_kb: 1.0, ..Request::default() }), &mut out);
+        controller.handle(
+            now,
+            Event::RequestArrived(Request { id, mem_kb: 1.0, ..Request::default() }),
+            &mut out,
+        );
     }
-    controller.handle(now, Event::Settled, &mut out);
+    controller.handle(now, Event::BatchEnded, &mut out);
     controller.reconfigure(settings(&[400.0])).expect("sound");
     out.clear();
     while now < 2500.0 {
         now += 20.0;
-        controller.handle(now, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-        controller.handle(now, Event::Settled, &mut out);
+        controller.handle(now, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
+        controller.handle(now, Event::BatchEnded, &mut out);
         // A core that gets something done is not taken for one that hangs.
-        controller.handle(now, Event::Finished { id: 99, outcome: pinepoint::Outcome::Done }, &mut out);
+        controller.handle(
+            now,
+            Event::RunEnded { id: 99, outcome: pinepoint::admission::Outcome::Done },
+            &mut out,
+        );
     }
     let ended = |action: &Action| matches!(action, Action::Fail { .. });
     assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
-    controller.handle(3200.0, Event::Timer { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
-    assert!(out.contains(&Action::Fail { id: 1, why: FailureReason::Late }), "{out:?}");
+    controller.handle(3200.0, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
+    assert!(out.contains(&Action::Fail { id: 1, reason: FailureReason::DeadlineExceeded }), "{out:?}");
 }
 
 #[test]
 fn unchanged_settings_change_no_decision() {
     let run = |reload: bool| {
-        let mut controller = Controller::new(settings(&[900.0, 3000.0]), 3).expect("sound");
+        let mut controller = AdmissionController::new(settings(&[900.0, 3000.0]), 3).expect("sound");
         let (mut log, mut out, mut running) = (Vec::new(), Vec::new(), Vec::new());
-        controller.handle(0.0, Event::Begin, &mut out);
+        controller.handle(0.0, Event::Started, &mut out);
         for step in 0..4000_u32 {
             let now = f64::from(step) * 5.0;
             if step % 3 != 0 {
                 let class = (step % 2) as usize;
                 let request = Request { id: step + 1, class, mem_kb: 1.0, ..Request::default() };
-                controller.handle(now, Event::Arrived(request), &mut out);
+                controller.handle(now, Event::RequestArrived(request), &mut out);
             }
             if step % 4 == 0 {
-                controller.handle(now, Event::Timer { token: 0, gauges: vec![1.0, 2.0] }, &mut out);
+                controller.handle(now, Event::TimerFired { token: 0, gauges: vec![1.0, 2.0] }, &mut out);
             }
             if step % 11 == 0 && !running.is_empty() {
                 let id = running.remove(0);
-                controller.handle(now, Event::Finished { id, outcome: pinepoint::Outcome::Done }, &mut out);
+                controller.handle(
+                    now,
+                    Event::RunEnded { id, outcome: pinepoint::admission::Outcome::Done },
+                    &mut out,
+                );
             }
             if reload && step % 50 == 0 {
                 controller.reconfigure(settings(&[900.0, 3000.0])).expect("sound");
             }
-            controller.handle(now, Event::Settled, &mut out);
-            let started = |action: &Action| if let Action::Start { id } = action { Some(*id) } else { None };
+            controller.handle(now, Event::BatchEnded, &mut out);
+            let started =
+                |action: &Action| if let Action::StartRun { id } = action { Some(*id) } else { None };
             running.extend(out.iter().filter_map(started));
             log.append(&mut out);
         }
         log
     };
     let (with, without) = (run(true), run(false));
-    assert!(without.iter().filter(|a| matches!(a, Action::Start { .. })).count() > 100);
+    assert!(without.iter().filter(|a| matches!(a, Action::StartRun { .. })).count() > 100);
     assert_eq!(with, without);
 }
 
@@ -392,7 +405,7 @@
 fn serving(site: &Site) -> Bench {
     let mut bench = Bench::with_site(site.clone(), 1.0, 2000.0);
     bench.seen.keeps_classes.set(true);
-    bench.tell(Input::EngineUp { cold: false, ms: 9000.0 });
+    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
     bench
 }
 
@@ -400,20 +413,23 @@
     bench.seen.answers.borrow().values().flatten().cloned().collect()
 }
 
-fn complete(bench: &mut Bench, rid: &str, body: &[u8]) {
-    bench.tell(Input::Done(rid.into(), RunEnd::Complete(body.into())));
+fn complete(bench: &mut Bench, attempt_id: &str, body: &[u8]) {
+    bench.tell(CoreInput::RunEnded {
+        attempt_id: attempt_id.into(),
+        result: RunResult::Complete(body.into()),
+    });
 }
 
 #[test]
 fn a_keyed_request_that_is_open_over_a_reload_keeps_its_key_and_its_window() {
-    let first = site(&[("look", READ), ("brief", READ), ("write", KEYED)]);
+    let first = site(&[("look", READ), ("brief", READ), ("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&first);
-    let t0 = bench.now;
+    let arrived_ms = bench.now;
     bench.arrive_as(1, 2, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.run_classes.borrow()["r1"], "write");
     // One before it is dropped, and its window shrinks to nothing.
-    let mut changed = site(&[("look", READ), ("write", KEYED), ("more", KEYED)]);
-    changed.settings.classes[1].key_window_ms = 1.0;
+    let mut changed = site(&[("look", READ), ("write", ANY_KEYED_CLASS), ("more", ANY_KEYED_CLASS)]);
+    changed.settings.classes[1].dedup_window_ms = 1.0;
     let changed = Rc::new(first.merged_with(changed, bench.now).expect("taken"));
     bench.reload(changed.clone(), 1.0, 2000.0);
     let write = changed.class_of("write", bench.now).expect("known");
@@ -430,21 +446,21 @@
     bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         bench.seen.answers.borrow()[&(1, 4)],
-        [Reply::Failed { late: false, why: pinepoint::FailureReason::OtherBody }]
+        [Reply::Failed { late: false, reason: pinepoint::admission::FailureReason::BodyMismatch }]
     );
     // Within the window that the run was begun with.
-    bench.pass(t0 + 4900.0 - bench.now, 0.5);
+    bench.pass(arrived_ms + 4900.0 - bench.now, 0.5);
     bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1"], "the repeat is not run again");
     assert_eq!(bench.seen.answers.borrow()[&(0, 5)], [served(b"receipt")]);
-    bench.pass(t0 + 5100.0 - bench.now, 0.5);
+    bench.pass(arrived_ms + 5100.0 - bench.now, 0.5);
     bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
     assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1", "r6"], "after it the key is free");
 }
 
 #[test]
 fn a_dropped_class_that_returns_with_its_effect_still_knows_its_keys() {
-    let both = site(&[("look", READ), ("write", KEYED)]);
+    let both = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&both);
     bench.arrive_as(1, 1, Some("k".into()), 7, 0.0);
     complete(&mut bench, "r1", b"receipt");
@@ -479,7 +495,7 @@
     let mut bench = serving(&first);
     bench.arrive_as(1, 0, None, 7, 0.0);
     let mut shorter = first.clone();
-    shorter.settings.classes[0].deadline_ms = 600.0;
+    shorter.settings.classes[0].timeout_ms = 600.0;
     bench.reload(Rc::new(first.merged_with(shorter, bench.now).expect("taken")), 1.0, 2000.0);
     bench.arrive_as(1, 0, None, 8, 0.0);
     bench.pass(800.0, 0.5);
@@ -489,7 +505,10 @@
     );
     assert_eq!(of_first, None, "it waits for its own time");
     assert!(
-        matches!(of_second.as_deref(), Some([Reply::Failed { late: true, why: FailureReason::Late }])),
+        matches!(
+            of_second.as_deref(),
+            Some([Reply::Failed { late: true, reason: FailureReason::DeadlineExceeded }])
+        ),
         "{of_second:?}"
     );
     bench.pass(2400.0, 0.5);
@@ -503,14 +522,14 @@
     bench.seen.keeps_classes.set(true);
     let more = first.merged_with(site(&[("look", READ), ("more", READ)]), bench.now).expect("taken");
     bench.reload(Rc::new(more), 1.0, 2000.0);
-    bench.tell(Input::EngineUp { cold: false, ms: 9000.0 });
+    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
     bench.arrive_as(1, 1, None, 7, 0.0);
     assert_eq!(bench.seen.run_classes.borrow()["r1"], "more");
 }
 
 #[test]
 fn less_memory_holds_for_results_that_come_after() {
-    let first = site(&[("write", KEYED)]);
+    let first = site(&[("write", ANY_KEYED_CLASS)]);
     let mut bench = serving(&first);
     bench.reload(Rc::new(first.merged_with(first.clone(), bench.now).expect("taken")), 0.0001, 2000.0);
     bench.arrive_as(1, 0, Some("k".into()), 7, 0.0);
@@ -540,7 +559,7 @@
 }
 
 const NAMES: [&str; 5] = ["one", "two", "three", "four", "five"];
-const EFFECTS: [&str; 3] = [READ, KEYED, "non_idempotent"];
+const EFFECTS: [&str; 3] = [READ, ANY_KEYED_CLASS, "non_idempotent"];
 
 fn step() -> impl Strategy<Value = Step> {
     let class = (
@@ -562,8 +581,8 @@
     let unique: BTreeMap<usize, _> = classes.iter().map(|class| (class.0, class)).collect();
     let mut classes: Vec<Value> = unique
         .into_values()
-        .map(|(name, effect, deadline, window)| {
-            let mut class = service(NAMES[*name], EFFECTS[*effect]);
+        .map(|(name, idempotency, deadline, window)| {
+            let mut class = service(NAMES[*name], EFFECTS[*idempotency]);
             (class["deadlineMs"], class["keyTtlMs"]) = (json!(deadline), json!(window));
             class
         })
@@ -572,7 +591,7 @@
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 3, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::read(&settings).expect("well formed")
+    Site::from_json(&settings).expect("well formed")
 }
 
 /// What a request came with.
@@ -581,8 +600,8 @@
     class: usize,
     name: &'static str,
     key: Option<(usize, String)>,
-    t0: f64,
-    due_ms: f64,
+    arrived_ms: f64,
+    deadline_ms: f64,
 }
 
 proptest! {
@@ -611,7 +630,7 @@
                     for class in 0..before.settings.classes.len() {
                         prop_assert_eq!(site.class_name(class), before.class_name(class));
                         prop_assert_eq!(
-                            site.settings.classes[class].effect, before.settings.classes[class].effect
+                            site.settings.classes[class].idempotency, before.settings.classes[class].idempotency
                         );
                     }
                     bench.reload(site.clone(), 1.0, 2000.0);
@@ -619,13 +638,13 @@
                 Step::Arrive { name, token } => {
                     if let Some(class) = site.class_of(NAMES[*name], bench.now) {
                         let settings = &site.settings.classes[class];
-                        let token = (settings.effect == Effect::Keyed).then(|| format!("k{token}"));
+                        let token = (settings.idempotency == Idempotency::Keyed).then(|| format!("k{token}"));
                         came.push(Came {
                             class,
                             name: NAMES[*name],
                             key: token.clone().map(|token| (class, token)),
-                            t0: bench.now,
-                            due_ms: bench.now + settings.deadline_ms,
+                            arrived_ms: bench.now,
+                            deadline_ms: bench.now + settings.timeout_ms,
                         });
                         bench.arrive_as(1, class, token, 7, 0.0);
                     }
@@ -633,30 +652,30 @@
                 Step::Pass(ms) => bench.pass(f64::from(*ms), 0.6),
                 Step::End { run, good } => {
                     let runs = bench.seen.runs.borrow().clone();
-                    if let Some(rid) = runs.get(usize::from(*run) % runs.len().max(1)) {
-                        let end = if *good { RunEnd::Complete(rid.as_bytes().into()) } else { RunEnd::Error };
-                        bench.tell(Input::Done(rid.clone(), end));
+                    if let Some(attempt_id) = runs.get(usize::from(*run) % runs.len().max(1)) {
+                        let end = if *good { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
+                        bench.tell(CoreInput::RunEnded { attempt_id: attempt_id.clone(), result: end });
                     }
                 }
-                Step::Gone(ticket) => {
-                    let ticket = u64::from(*ticket) % (bench.tickets + 1);
-                    gone.insert(ticket);
-                    bench.tell(Input::Gone(1, ticket));
+                Step::Gone(correlation_id) => {
+                    let correlation_id = u64::from(*correlation_id) % (bench.tickets + 1);
+                    gone.insert(correlation_id);
+                    bench.tell(CoreInput::CallerGone { caller: 1, correlation_id });
                 }
             }
             let runs = bench.seen.runs.borrow().clone();
-            for rid in &runs[runs_seen..] {
-                let number: usize = rid[1..].parse().expect("a number");
+            for attempt_id in &runs[runs_seen..] {
+                let number: usize = attempt_id[1..].parse().expect("a number");
                 let request = &came[number - 1];
-                prop_assert_eq!(&bench.seen.run_classes.borrow()[rid], request.name);
+                prop_assert_eq!(&bench.seen.run_classes.borrow()[attempt_id], request.name);
                 if let Some(key) = &request.key {
-                    let window_ms = site.settings.classes[request.class].key_window_ms;
-                    let until = windows.insert(key.clone(), request.t0 + window_ms);
-                    prop_assert!(until.is_none_or(|until| request.t0 >= until), "{:?} ran twice: {}", key, rid);
+                    let window_ms = site.settings.classes[request.class].dedup_window_ms;
+                    let until = windows.insert(key.clone(), request.arrived_ms + window_ms);
+                    prop_assert!(until.is_none_or(|until| request.arrived_ms >= until), "{:?} ran twice: {}", key, attempt_id);
                 }
             }
             runs_seen = runs.len();
-            bench.tell(Input::Look);
+            bench.tell(CoreInput::ReportState);
             let open = bench.seen.state.borrow().open.clone();
             prop_assert_eq!(open.len(), site.settings.classes.len());
             for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
@@ -665,21 +684,21 @@
                 prop_assert_eq!(read, sent, "class {}", class);
             }
             for (number, request) in came.iter().enumerate() {
-                let ticket = number as u64 + 1;
-                let answered = bench.seen.answers.borrow().contains_key(&(1, ticket));
+                let correlation_id = number as u64 + 1;
+                let answered = bench.seen.answers.borrow().contains_key(&(1, correlation_id));
                 prop_assert!(
-                    answered || gone.contains(&ticket) || bench.now < request.due_ms + 200.0,
-                    "{} of {:?} is open at {}", ticket, request, bench.now
+                    answered || gone.contains(&correlation_id) || bench.now < request.deadline_ms + 200.0,
+                    "{} of {:?} is open at {}", correlation_id, request, bench.now
                 );
             }
         }
         bench.pass(5000.0, 0.2);
-        bench.tell(Input::Look);
+        bench.tell(CoreInput::ReportState);
         prop_assert_eq!(bench.seen.state.borrow().open.iter().sum::<u64>(), 0);
         let answers = bench.seen.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
         // The module knows of each class: it gave the answers that were due, and the core none in its place.
-        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { why: FailureReason::Overdue, .. });
+        let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { reason: FailureReason::Overdue, .. });
         prop_assert!(!answers.values().flatten().any(is_overdue), "{:?}", answers);
     }
 }
