--- a/crates/pinepoint-membership/src/io/view_client.rs
+++ b/crates/pinepoint-membership/src/io/view_client.rs
@@ -34,22 +34,22 @@
     page_count: u16,
 }
 
-/// Queries the member at this address for its view, as JSON. Each page is requested up to `tries` times, and waited for
-/// for `wait` each time.
+/// Queries the member at this address for its view, as JSON. Each page is requested up to `attempts` times, with `timeout`
+/// for each attempt.
 pub fn query_view(
-    fleet: &str,
-    at: SocketAddr,
-    tries: u32,
-    wait: Duration,
+    fleet_name: &str,
+    address: SocketAddr,
+    attempts: u32,
+    timeout: Duration,
 ) -> Result<serde_json::Value, QueryError> {
-    let codec = Codec::new(fleet);
-    let socket = super::connected_socket(at)?;
-    socket.set_read_timeout(Some(wait))?;
+    let codec = Codec::new(fleet_name);
+    let socket = super::connected_socket(address)?;
+    socket.set_read_timeout(Some(timeout))?;
     let snapshot_id = RandomState::new().hash_one((std::process::id(), socket.local_addr()?));
     let mut json = Vec::new();
     let mut page = 0;
     loop {
-        let Page { json: part, page_count } = query_page(&codec, &socket, snapshot_id, page, tries)?;
+        let Page { json: part, page_count } = query_page(&codec, &socket, snapshot_id, page, attempts)?;
         json.extend(part);
         page += 1;
         if page >= page_count {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program, and faults between them: what each comes to hold of the others. Each course is a script
-//! in the language of the laboratory's rig; each wait in it is for an event and has a deadline.
+//! Membership of real processes under faults: what each comes to believe of the others. Each course is a script in the
+//! language of the laboratory's rig; it waits for events only, each with a deadline.
 
 use std::net::UdpSocket;
 use std::rc::Rc;
@@ -10,49 +10,51 @@
 use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
 use pinepoint_membership::wire::{Codec, Message, Packet, PacketBody, SenderState};
 
-/// Courses at once: a process that is not run looks dead, and these are to be stopped by scripts only.
-const AT_ONCE: usize = 3;
-static FREE: (Mutex<usize>, Condvar) = (Mutex::new(AT_ONCE), Condvar::new());
+/// Courses that run at once: a process that gets no time on a core looks dead, and only scripts are to pause processes.
+const MAX_CONCURRENT_COURSES: usize = 3;
+static FREE_PERMITS: (Mutex<usize>, Condvar) = (Mutex::new(MAX_CONCURRENT_COURSES), Condvar::new());
 
+/// A rig of processes, which holds a permit to run.
 struct Course {
     rig: Rig,
-    _turn: Turn,
+    _permit: Permit,
 }
 
-struct Turn;
+/// The permit for one of the concurrent courses; it is returned when dropped.
+struct Permit;
 
-impl Turn {
-    fn wait() -> Turn {
-        let mut free = FREE.0.lock().unwrap_or_else(PoisonError::into_inner);
+impl Permit {
+    fn acquire() -> Permit {
+        let mut free = FREE_PERMITS.0.lock().unwrap_or_else(PoisonError::into_inner);
         while *free == 0 {
-            free = FREE.1.wait(free).unwrap_or_else(PoisonError::into_inner);
+            free = FREE_PERMITS.1.wait(free).unwrap_or_else(PoisonError::into_inner);
         }
         *free -= 1;
-        Turn
+        Permit
     }
 }
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
-        *FREE.0.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        FREE.1.notify_one();
+        *FREE_PERMITS.0.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        FREE_PERMITS.1.notify_one();
     }
 }
 
 /// Processes in zones, with a period short enough for a test.
 fn course(name: &str, members: usize, zones: usize) -> Course {
-    bounded(name, members, zones, "")
+    course_with_settings(name, members, zones, "")
 }
 
-/// The same with more lines in the section of the fleet.
-fn bounded(name: &str, members: usize, zones: usize, fleet: &str) -> Course {
-    let turn = Turn::wait();
+/// The same with further lines in the `[fleet]` section.
+fn course_with_settings(name: &str, members: usize, zones: usize, fleet: &str) -> Course {
+    let permit = Permit::acquire();
     let folder = std::env::temp_dir().join(format!("pinepoint-membership-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_pinepoint").into();
     let fleet = fleet.to_owned();
     let options =
         Options { program, folder, members, zones, period_ms: 150, seed: 5, fleet, ..Options::default() };
-    Course { rig: Rig::prepare(options).expect("a rig"), _turn: turn }
+    Course { rig: Rig::prepare(options).expect("a rig"), _permit: permit }
 }
 
 impl Course {
@@ -74,7 +76,7 @@
 
 impl Drop for Course {
     fn drop(&mut self) {
-        // What a failed course leaves is worth a look.
+        // The files of a failed course are kept for inspection.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(self.rig.folder());
         }
@@ -423,7 +425,7 @@
 
 #[test]
 fn more_members_than_may_be_known_are_not_taken_and_that_is_told() {
-    let mut course = bounded("bound", 6, 1, "members = 4");
+    let mut course = course_with_settings("bound", 6, 1, "members = 4");
     course.run(
         "all start
          n1 wait log fleet-disbelieved *reason=full*",
@@ -451,7 +453,7 @@
     );
 }
 
-/// What one that goes by this name and generation would send.
+/// A ping from a process of this name and generation.
 fn message(
     name: &str,
     generation: u64,
