--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -6,25 +6,28 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use pinepoint::deployment::Deployment;
-use pinepoint::node::core::{Core, HandoverParts, Parts};
-use pinepoint::node::counters::Counters;
-use pinepoint::node::front::Front;
-use pinepoint::node::listen::{self, Door};
-use pinepoint::node::management::{self, Management};
-use pinepoint::node::port::Input;
-use pinepoint::node::reload::Reloader;
-use pinepoint::node::room::Room;
-use pinepoint::node::status::Status;
-use pinepoint::node::{ajp, fleet, handover, links, rpc, telemetry};
-use pinepoint::settings::Site;
+use pinepoint::config::active::ActiveSettings;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::handover;
+use pinepoint::server::control::management::{self, Management};
+use pinepoint::server::control::reload::Reloader;
+use pinepoint::server::control::status::Status;
+use pinepoint::server::core::api::CoreInput;
+use pinepoint::server::core::{Core, CoreDependencies, HandoverDependencies};
+use pinepoint::server::frontend::context::FrontendContext;
+use pinepoint::server::frontend::limiter::ConnectionLimiter;
+use pinepoint::server::frontend::listener::{self, Listener};
+use pinepoint::server::frontend::{ajp, rpc};
+use pinepoint::server::observability::counters::Counters;
+use pinepoint::server::observability::{membership, telemetry};
+use pinepoint::server::upstream;
 use pinepoint_clock::Clock;
 use pinepoint_events::{NoopObserver, Observer};
 use pinepoint_membership::io::MembershipService;
 use pinepoint_telemetry::Telemetry;
 
 use crate::bind::{Bound, bind};
-use crate::config::{self, Config, Edge};
+use crate::edge_config::{self, Config, Edge};
 use crate::environment::{management_address, named_config};
 use crate::limits::ConnectionLimits;
 use crate::reload::Reload;
@@ -62,19 +65,19 @@
     }
     let telemetry = process.start_telemetry(&edge);
     let Watched { observer, member } = process.join_fleet(&edge, observer_of(telemetry.as_ref()))?;
-    let front = process.front(observer, Room::new(limits.callers, config.memory_mb));
+    let front = process.front(observer, ConnectionLimiter::new(limits.callers, config.memory_mb));
     if let Some(options) = edge.ajp {
         let opened = upgrade::open(&mut upgrade, "ajp", options.listen, &mut signs, &process.clock)?;
         let Some(bound) = opened else { return process.ended() };
         process.listen_for_ajp(bound, options, limits.ajp, &front);
     }
-    let (handover_links, handover) = upgrade.map(|upgrade| process.link_to(upgrade, &front.room)).unzip();
+    let (handover_links, handover) = upgrade.map(|upgrade| process.link_to(upgrade, &front.limiter)).unzip();
     let core = process.core(&config, &front, &service_links, handover);
     let reloader = process.reloader(config, &front, &service_links, telemetry.clone())?;
     let reload = Reload { reloader, telemetry: telemetry.clone(), edge: edge_file };
     process.handle_signals(signs, reload);
     process.connect(service_links);
-    process.listen_for_rpc(Door::new(rpc_listener, &front.room), limits.callers, front);
+    process.listen_for_rpc(Listener::new(rpc_listener, &front.limiter), limits.callers, front);
     tracing::info!(name = process.name, listen = %rpc_address, "started");
     let last_ms = edge.telemetry.last_ms.get() as f64;
     let ending = Ending { handover_links, member, telemetry, last_ms };
@@ -99,22 +102,23 @@
 
 /// The links to engine, store and membership service.
 struct ServiceLinks {
-    peers: Rc<links::Peers>,
-    engine: Rc<links::EngineLink>,
-    store: Rc<links::StoreLink>,
+    addresses: Rc<upstream::UpstreamAddresses>,
+    engine: Rc<upstream::EngineLink>,
+    store: Rc<upstream::StoreLink>,
 }
 
 impl ServiceLinks {
     fn new(config: &Config, process: &Process) -> Self {
-        let peers = Rc::new(links::Peers::new(config.engine, config.store, config.members));
-        let store = links::StoreLink::new(
-            peers.clone(),
+        let addresses =
+            Rc::new(upstream::UpstreamAddresses::new(config.engine, config.store, config.registry));
+        let store = upstream::StoreLink::new(
+            addresses.clone(),
             process.queue.clone(),
             process.clock.clone(),
             process.counters.clone(),
             process.executor.clone(),
         );
-        ServiceLinks { peers, engine: Rc::new(links::EngineLink::default()), store: Rc::new(store) }
+        ServiceLinks { addresses, engine: Rc::new(upstream::EngineLink::default()), store: Rc::new(store) }
     }
 }
 
@@ -126,7 +130,7 @@
 
 /// What is told to others after the core has ended.
 struct Ending {
-    handover_links: Option<Rc<handover::Links>>,
+    handover_links: Option<Rc<handover::HandoverLinks>>,
     member: Option<Rc<MembershipService>>,
     telemetry: Option<Rc<Telemetry>>,
     /// Time for the last delivery of telemetry, ms.
@@ -153,21 +157,21 @@
     name: String,
     site: Rc<Site>,
     seed: u64,
-    deployment: Rc<Deployment>,
+    active_settings: Rc<ActiveSettings>,
     clock: Clock,
     status: Rc<Status>,
     counters: Rc<Counters>,
-    queue: Sender<Input>,
+    queue: Sender<CoreInput>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Process {
-    fn new(config: &Config, queue: Sender<Input>) -> Self {
+    fn new(config: &Config, queue: Sender<CoreInput>) -> Self {
         Process {
             name: config.name.clone(),
             site: config.site.clone(),
             seed: config.seed,
-            deployment: Rc::new(Deployment::new(config.site.clone())),
+            active_settings: Rc::new(ActiveSettings::new(config.site.clone())),
             clock: Clock::system(),
             status: Rc::new(Status::default()),
             counters: Rc::new(Counters::default()),
@@ -185,7 +189,7 @@
     fn listen_for_operators(&self, (listener, address): Bound, most: usize) {
         tracing::info!(listen = %address, "management");
         let management = Management {
-            deployment: self.deployment.clone(),
+            active_settings: self.active_settings.clone(),
             status: self.status.clone(),
             counters: self.counters.clone(),
             clock: self.clock.clone(),
@@ -200,7 +204,7 @@
         if setup.is_off() {
             return None;
         }
-        let host = telemetry::Host {
+        let host = telemetry::TelemetryContext {
             name: self.name.clone(),
             site: self.site.clone(),
             seed: self.seed,
@@ -217,7 +221,7 @@
         let Some(config) = &edge.fleet else { return Ok(Watched { observer, member: None }) };
         let settings = &self.site.settings;
         let keys_most = settings.memory_kb / settings.key_kb;
-        let watch = Rc::new(fleet::Watch::new(
+        let watch = Rc::new(membership::MembershipObserver::new(
             observer,
             self.status.clone(),
             self.clock.clone(),
@@ -239,50 +243,54 @@
     }
 
     /// What the connections of all fronts share.
-    fn front(&self, observer: Rc<dyn Observer>, room: Room) -> Rc<Front> {
-        Rc::new(Front {
-            deployment: self.deployment.clone(),
+    fn front(&self, observer: Rc<dyn Observer>, limiter: ConnectionLimiter) -> Rc<FrontendContext> {
+        Rc::new(FrontendContext {
+            active_settings: self.active_settings.clone(),
             status: self.status.clone(),
             counters: self.counters.clone(),
             observer,
             clock: self.clock.clone(),
             queue: self.queue.clone(),
-            room: Rc::new(room),
+            limiter: Rc::new(limiter),
         })
     }
 
     fn listen_for_ajp(
         &self,
         (listener, address): Bound,
-        options: config::Ajp,
+        options: edge_config::Ajp,
         most: usize,
-        front: &Rc<Front>,
+        front: &Rc<FrontendContext>,
     ) {
         tracing::info!(listen = %address, "ajp");
-        let config::Ajp { secret, mem_kb, .. } = options;
+        let edge_config::Ajp { secret, mem_kb, .. } = options;
         let options = Rc::new(ajp::Options { secret, mem_kb: mem_kb.0, seed: self.seed });
         let own = front.clone();
-        let serve = move |stream, guest| ajp::serve(stream, guest, own.clone(), options.clone());
-        let door = Door::new(listener, &front.room);
-        let listen = listen::listen("ajp", door, most, front.clone(), self.executor.clone(), serve);
+        let serve = move |stream, state| ajp::serve(stream, state, own.clone(), options.clone());
+        let door = Listener::new(listener, &front.limiter);
+        let listen = listener::listen("ajp", door, most, front.clone(), self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
-    fn listen_for_rpc(&self, door: Door, most: usize, front: Rc<Front>) {
+    fn listen_for_rpc(&self, door: Listener, most: usize, front: Rc<FrontendContext>) {
         let own = front.clone();
-        let serve = move |stream, guest| rpc::serve(stream, guest, own.clone());
-        let listen = listen::listen("rpc", door, most, front, self.executor.clone(), serve);
+        let serve = move |stream, state| rpc::serve(stream, state, own.clone());
+        let listen = listener::listen("rpc", door, most, front, self.executor.clone(), serve);
         self.executor.spawn(listen).detach();
     }
 
     /// The links to the other process of this server, and what the core needs of them.
-    fn link_to(&self, upgrade: Upgrade, room: &Rc<Room>) -> (Rc<handover::Links>, HandoverParts) {
-        upgrade.link(&self.site, |path, inbox| handover::Host {
+    fn link_to(
+        &self,
+        upgrade: Upgrade,
+        limiter: &Rc<ConnectionLimiter>,
+    ) -> (Rc<handover::HandoverLinks>, HandoverDependencies) {
+        upgrade.link(&self.site, |path, inbox| handover::HandoverContext {
             path,
             executor: self.executor.clone(),
             clock: self.clock.clone(),
             status: self.status.clone(),
-            room: room.clone(),
+            limiter: limiter.clone(),
             inbox,
         })
     }
@@ -290,11 +298,11 @@
     fn core(
         &self,
         config: &Config,
-        front: &Front,
+        front: &FrontendContext,
         service_links: &ServiceLinks,
-        handover: Option<HandoverParts>,
+        handover: Option<HandoverDependencies>,
     ) -> Core {
-        Core::new(Parts {
+        Core::new(CoreDependencies {
             site: self.site.clone(),
             seed: self.seed,
             stop_ms: config.stop_ms,
@@ -305,7 +313,7 @@
             observer: front.observer.clone(),
             engine: service_links.engine.clone(),
             store: service_links.store.clone(),
-            doors: front.room.clone(),
+            open_sockets: front.limiter.clone(),
             handover,
         })
     }
@@ -313,16 +321,16 @@
     fn reloader(
         &self,
         config: Config,
-        front: &Front,
+        front: &FrontendContext,
         service_links: &ServiceLinks,
         telemetry: Option<Rc<Telemetry>>,
     ) -> Result<Reloader, StartError> {
         Ok(Reloader {
             file: named_config().ok_or(StartError::NoConfig)?,
             config,
-            deployment: self.deployment.clone(),
-            peers: service_links.peers.clone(),
-            room: front.room.clone(),
+            active_settings: self.active_settings.clone(),
+            addresses: service_links.addresses.clone(),
+            limiter: front.limiter.clone(),
             telemetry,
             counters: self.counters.clone(),
             clock: self.clock.clone(),
@@ -341,11 +349,16 @@
     }
 
     /// Keeps the links to the engine and to the membership service up; the store is connected for each call.
-    fn connect(&self, ServiceLinks { peers, engine, .. }: ServiceLinks) {
-        let engine = links::engine(peers.clone(), engine, self.queue.clone(), self.clock.clone());
+    fn connect(&self, ServiceLinks { addresses, engine, .. }: ServiceLinks) {
+        let engine = upstream::engine::maintain_link(
+            addresses.clone(),
+            engine,
+            self.queue.clone(),
+            self.clock.clone(),
+        );
         self.executor.spawn(engine).detach();
-        let members = links::members(
-            peers,
+        let members = upstream::registry::send_reports(
+            addresses,
             self.name.clone(),
             self.status.clone(),
             self.clock.clone(),
@@ -355,7 +368,7 @@
     }
 
     /// Runs everything until the core has ended and the last of it is told.
-    fn run(&self, core: Core, inputs: Receiver<Input>, ending: &Ending) {
+    fn run(&self, core: Core, inputs: Receiver<CoreInput>, ending: &Ending) {
         async_io::block_on(self.executor.run(async {
             let kill_ms = core.run(inputs).await;
             ending.finish(kill_ms, &self.clock).await;
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use pinepoint::node::core::{HandoverParts, longest_window_ms};
-use pinepoint::node::handover::{Host, Links};
-use pinepoint::node::listen::bind_shared;
-use pinepoint::node::port::{PeerInbox, PeerInput};
-use pinepoint::settings::Site;
+use pinepoint::config::site::Site;
+use pinepoint::server::control::handover::{HandoverContext, HandoverLinks};
+use pinepoint::server::core::api::{PeerEvent, PeerInbox};
+use pinepoint::server::core::{HandoverDependencies, longest_dedup_window_ms};
+use pinepoint::server::frontend::listener::bind_shared;
 use pinepoint_clock::Clock;
 use pinepoint_handover::io::{Connected, connect, socket_path};
 use pinepoint_handover::ownership::{NoPredecessor, Rules};
@@ -73,22 +73,27 @@
     pub fn link(
         self,
         site: &Site,
-        host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> Host,
-    ) -> (Rc<Links>, HandoverParts) {
+        host: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
+    ) -> (Rc<HandoverLinks>, HandoverDependencies) {
         let inbox = Rc::new(PeerInbox::default());
         let (names, listeners) = self.opened.into_iter().unzip();
         let link = match self.found {
             Ok(Connected { hello, link, task, .. }) => {
-                inbox.push(PeerInput::PredecessorFound(hello));
+                inbox.push(PeerEvent::PredecessorFound(hello));
                 Some((link, task))
             }
             Err(why) => {
-                inbox.push(PeerInput::NoPredecessor(why));
+                inbox.push(PeerEvent::NoPredecessor(why));
                 None
             }
         };
-        let links = Links::new(host(self.path, inbox.clone()), listeners, link);
-        let parts = HandoverParts { port: links.clone(), inbox, rules: rules(site), listeners: names };
+        let links = HandoverLinks::new(host(self.path, inbox.clone()), listeners, link);
+        let parts = HandoverDependencies {
+            transport: links.clone(),
+            inbox,
+            rules: rules(site),
+            listener_names: names,
+        };
         (links, parts)
     }
 }
@@ -99,7 +104,7 @@
 }
 
 fn rules(site: &Site) -> Rules {
-    Rules { longest_window_ms: longest_window_ms(site), ..Rules::default() }
+    Rules { longest_window_ms: longest_dedup_window_ms(site), ..Rules::default() }
 }
 
 /// The listening socket of this name, in a process that may be part of an upgrade or not.
--- a/src/node/handover.rs
+++ b/src/server/control/handover.rs
@@ -13,10 +13,10 @@
 use pinepoint_handover::message::Message;
 use pinepoint_handover::successor::RECONNECT_MS;
 
-use super::port::{HandoverPort, PeerInbox, PeerInput};
-use super::room::Room;
-use super::status::Status;
-use super::sync::Signal;
+use crate::server::control::status::Status;
+use crate::server::core::api::{HandoverTransport, PeerEvent, PeerInbox};
+use crate::server::frontend::limiter::ConnectionLimiter;
+use crate::server::sync::Notify;
 
 /// Descriptors that the other process holds beside the connections of its callers.
 const OTHER_DESCRIPTORS: usize = 20;
@@ -24,7 +24,7 @@
 const ACCEPTED_MOST: usize = 4;
 
 /// What the links need of the process.
-pub struct Host {
+pub struct HandoverContext {
     /// The socket that both processes know.
     pub path: PathBuf,
     /// Where tasks run.
@@ -34,7 +34,7 @@
     /// Wakes the core.
     pub status: Rc<Status>,
     /// Room for connections, which both processes share.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
     /// What the core is told.
     pub inbox: Rc<PeerInbox>,
 }
@@ -47,25 +47,25 @@
 }
 
 impl Side {
-    fn message(self, message: Message) -> PeerInput {
+    fn message(self, message: Message) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerInput::FromPredecessor(message),
-            Side::Successor => PeerInput::FromSuccessor(message),
+            Side::Predecessor => PeerEvent::FromPredecessor(message),
+            Side::Successor => PeerEvent::FromSuccessor(message),
         }
     }
 
-    fn lost(self) -> PeerInput {
+    fn lost(self) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerInput::PredecessorLost,
-            Side::Successor => PeerInput::SuccessorLost,
+            Side::Predecessor => PeerEvent::PredecessorLost,
+            Side::Successor => PeerEvent::SuccessorLost,
         }
     }
 }
 
 /// The links.
-pub struct Links {
-    host: Host,
-    this: Weak<Links>,
+pub struct HandoverLinks {
+    host: HandoverContext,
+    this: Weak<HandoverLinks>,
     predecessor: RefCell<Option<Link>>,
     successor: RefCell<Option<Link>>,
     listeners: RefCell<Vec<TcpListener>>,
@@ -74,14 +74,18 @@
     next_number: Cell<u64>,
     /// Links whose tasks run.
     running: Cell<usize>,
-    ended: Signal,
+    ended: Notify,
 }
 
-impl Links {
+impl HandoverLinks {
     /// Without any link but that to the predecessor which was `found` at the start. `listeners` are the listening sockets, passed
     /// to a successor in this order.
-    pub fn new(host: Host, listeners: Vec<TcpListener>, found: Option<(Link, LinkTask)>) -> Rc<Links> {
-        let links = Rc::new_cyclic(|this| Links {
+    pub fn new(
+        host: HandoverContext,
+        listeners: Vec<TcpListener>,
+        found: Option<(Link, LinkTask)>,
+    ) -> Rc<HandoverLinks> {
+        let links = Rc::new_cyclic(|this| HandoverLinks {
             host,
             this: this.clone(),
             predecessor: RefCell::default(),
@@ -90,7 +94,7 @@
             acceptor: RefCell::default(),
             next_number: Cell::new(1),
             running: Cell::new(0),
-            ended: Signal::default(),
+            ended: Notify::default(),
         });
         if let Some((link, task)) = found {
             links.attach(Side::Predecessor, link, task);
@@ -124,9 +128,9 @@
         self.current(side).borrow().as_ref().is_some_and(|link| link.number() == number)
     }
 
-    fn tell(&self, input: PeerInput) {
+    fn tell(&self, input: PeerEvent) {
         self.host.inbox.push(input);
-        self.host.status.notice.wake();
+        self.host.status.core_wakeup.wake();
     }
 
     fn number(&self) -> u64 {
@@ -183,14 +187,14 @@
                     continue;
                 }
                 self.attach(Side::Successor, link, task);
-                self.tell(PeerInput::SuccessorFound);
+                self.tell(PeerEvent::SuccessorFound);
             }
         };
         future::or(acceptor, take).await;
     }
 }
 
-impl HandoverPort for Links {
+impl HandoverTransport for HandoverLinks {
     fn send_to_predecessor(&self, message: &Message) {
         self.send(Side::Predecessor, message);
     }
@@ -215,9 +219,9 @@
                 // Its listening sockets are those that this process has already.
                 Ok(Connected { hello, listeners: _, link, task }) => {
                     this.attach(Side::Predecessor, link, task);
-                    this.tell(PeerInput::PredecessorFound(hello));
+                    this.tell(PeerEvent::PredecessorFound(hello));
                 }
-                Err(why) => this.tell(PeerInput::NoPredecessor(why)),
+                Err(why) => this.tell(PeerEvent::NoPredecessor(why)),
             }
         };
         self.host.executor.spawn(find).detach();
@@ -249,6 +253,6 @@
 
     fn set_peer_connections(&self, connections: usize) {
         let own = if self.predecessor.borrow().is_some() { OTHER_DESCRIPTORS } else { 0 };
-        self.host.room.set_others(connections + own);
+        self.host.limiter.set_peer_connections(connections + own);
     }
 }
--- a/src/node/management.rs
+++ b/src/server/control/management.rs
@@ -12,12 +12,12 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use pinepoint_clock::Clock;
 
-use super::connection::discard;
-use super::counters::{ClassCounters, Counters};
-use super::lifecycle::Phase;
-use super::status::Status;
-use super::sync::Signal;
-use crate::deployment::Deployment;
+use crate::config::active::ActiveSettings;
+use crate::server::control::lifecycle::Phase;
+use crate::server::control::status::Status;
+use crate::server::frontend::connection::discard;
+use crate::server::observability::counters::{ClassCounters, Counters};
+use crate::server::sync::Notify;
 
 /// Connections at a time, as a part of the descriptors and between two bounds. One that has not sent its line gives way to
 /// the next, the oldest first.
@@ -99,7 +99,7 @@
             Call::Info => Ok(()),
             Call::Ping if phase < Phase::Serving => Err(CallError::Starting),
             Call::Ping if phase >= Phase::Closing => Err(CallError::Leaving),
-            Call::Rejoin if phase >= Phase::Leaving => Err(CallError::Leaving),
+            Call::Rejoin if phase >= Phase::Draining => Err(CallError::Leaving),
             Call::Ping | Call::LameDuck | Call::Rejoin => Ok(()),
         }
     }
@@ -108,7 +108,7 @@
 /// What the port reads and sets.
 pub struct Management {
     /// The names of the classes.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// Where the process stands; a drain is asked for here.
     pub status: Rc<Status>,
     /// The figures.
@@ -121,7 +121,7 @@
     /// Where the process stands, a notice to leave that the core has not looked at yet included.
     fn phase(&self) -> Phase {
         let phase = self.status.phase.get();
-        if self.status.notice_ms.get().is_some() { phase.max(Phase::Leaving) } else { phase }
+        if self.status.termination_notice_ms.get().is_some() { phase.max(Phase::Draining) } else { phase }
     }
 
     /// Carries out a call, and gives its whole answer.
@@ -138,7 +138,7 @@
 
     /// The counters of each class that there was since the start. A name has several indexes where its kind has changed.
     fn by_name(&self) -> BTreeMap<String, ClassCounters> {
-        let site = self.deployment.site();
+        let site = self.active_settings.site();
         let mut by_name: BTreeMap<String, ClassCounters> = BTreeMap::new();
         for index in 0..site.settings.classes.len() {
             let counters = by_name.entry(site.class_name(index).to_owned()).or_default();
@@ -148,12 +148,12 @@
     }
 
     fn ask_drain(&self, drained: bool) -> String {
-        self.status.drain.set(Some(drained));
+        self.status.lame_duck_request.set(Some(drained));
         if drained {
             // In force with the answer: a health check may be read before the core has its turn.
             self.status.healthy.set(false);
         }
-        self.status.notice.wake();
+        self.status.core_wakeup.wake();
         "+OK\n".to_owned()
     }
 
@@ -180,13 +180,13 @@
 /// The connections that are open, each with the signal that asks it to give way.
 struct Connections {
     most: usize,
-    open: RefCell<BTreeMap<u64, Rc<Signal>>>,
+    open: RefCell<BTreeMap<u64, Rc<Notify>>>,
     last: Cell<u64>,
 }
 
 impl Connections {
     /// Enters a connection; the oldest is asked to give way where there are too many.
-    fn enter(&self) -> (u64, Rc<Signal>) {
+    fn enter(&self) -> (u64, Rc<Notify>) {
         let mut open = self.open.borrow_mut();
         if open.len() >= self.most
             && let Some((_, oldest)) = open.pop_first()
@@ -195,7 +195,7 @@
         }
         let id = self.last.get() + 1;
         self.last.set(id);
-        let give_way = Rc::new(Signal::default());
+        let give_way = Rc::new(Notify::default());
         open.insert(id, give_way.clone());
         (id, give_way)
     }
--- a/src/node/front.rs
+++ b/src/server/frontend/context.rs
@@ -6,16 +6,16 @@
 use pinepoint_clock::Clock;
 use pinepoint_events::Observer;
 
-use super::counters::Counters;
-use super::port::Input;
-use super::room::Room;
-use super::status::Status;
-use crate::deployment::Deployment;
+use crate::config::active::ActiveSettings;
+use crate::server::control::status::Status;
+use crate::server::core::api::CoreInput;
+use crate::server::frontend::limiter::ConnectionLimiter;
+use crate::server::observability::counters::Counters;
 
 /// What every connection of every front needs.
-pub struct Front {
+pub struct FrontendContext {
     /// Settings and names.
-    pub deployment: Rc<Deployment>,
+    pub active_settings: Rc<ActiveSettings>,
     /// What the core publishes.
     pub status: Rc<Status>,
     /// Counters.
@@ -25,14 +25,16 @@
     /// The clock.
     pub clock: Clock,
     /// The way to the core.
-    pub queue: Sender<Input>,
+    pub queue: Sender<CoreInput>,
     /// Room for connections.
-    pub room: Rc<Room>,
+    pub limiter: Rc<ConnectionLimiter>,
 }
 
-impl Front {
+impl FrontendContext {
     /// Time after which callers close idle connections, ms. Not told, it is left to them and to the want of room.
-    pub fn idle_ms(&self) -> f64 {
-        Some(self.deployment.site().settings.idle_ms).filter(|ms| *ms > 0.0).unwrap_or(f64::INFINITY)
+    pub fn caller_idle_timeout_ms(&self) -> f64 {
+        Some(self.active_settings.site().settings.caller_idle_timeout_ms)
+            .filter(|ms| *ms > 0.0)
+            .unwrap_or(f64::INFINITY)
     }
 }
