--- a/crates/pinepoint-membership/src/io/view_client.rs
+++ b/crates/pinepoint-membership/src/io/view_client.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The system does not give a socket, or does not send.
-    #[error("{0}")]
+    #[error(transparent)]
     System(#[from] io::Error),
     /// Nobody answered: no member runs there, its fleet has another name, or it may not be queried from here.
     #[error(
@@ -25,7 +25,7 @@
     NoAnswer,
     /// The answer is not JSON.
     #[error("what came is no view: {0}")]
-    NotAView(serde_json::Error),
+    NotAView(#[source] serde_json::Error),
 }
 
 /// One page of a snapshot.
--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -17,33 +17,49 @@
 //! the edge file. Only [`io`] does I/O and reads a clock.
 //!
 //! ```
-//! use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings};
+//! use std::net::SocketAddr;
+//!
 //! use pinepoint_membership::member::Identity;
+//! use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings};
+//! use pinepoint_membership::wire::Packet;
+//!
+//! fn address(number: u8) -> SocketAddr {
+//!     ([127, 0, 0, number], 7000).into()
+//! }
 //!
-//! let member = |n: u8, seeds: &[u8]| {
-//!     let at = |n| ([127, 0, 0, n], 7000).into();
+//! fn member(number: u8, seeds: Vec<SocketAddr>) -> Membership {
 //!     let identity = Identity {
-//!         name: format!("n{n}"), zone: "a".into(), address: at(n), cores: 2, instance: u32::from(n),
+//!         name: format!("n{number}"),
+//!         zone: "a".into(),
+//!         address: address(number),
+//!         cores: 2,
+//!         instance: u32::from(number),
 //!     };
-//!     Membership::new(MembershipSettings::default(), 0.0, identity, seeds.iter().map(|n| at(*n)).collect(), u64::from(n))
-//! };
-//! let (mut a, mut b) = (member(1, &[]), member(2, &[1]));
-//! let mut out = Vec::new();
-//! while b.table().is_empty() {
-//!     let now = b.next_due();
-//!     b.handle(now, Event::Tick, &mut out);
-//!     for action in std::mem::take(&mut out) {
-//!         let Action::Send(_, packet) = action else { continue };
-//!         let mut answers = Vec::new();
-//!         a.handle(now, Event::PacketReceived(packet), &mut answers);
-//!         for answer in answers {
-//!             if let Action::Send(_, packet) = answer {
-//!                 b.handle(now, Event::PacketReceived(packet), &mut Vec::new());
-//!             }
+//!     Membership::new(MembershipSettings::default(), 0.0, identity, seeds, u64::from(number))
+//! }
+//!
+//! /// Lets a member handle an event, and returns the packets that it sends.
+//! fn handle(member: &mut Membership, now: f64, event: Event) -> Vec<Packet> {
+//!     let mut actions = Vec::new();
+//!     member.handle(now, event, &mut actions);
+//!     let packets = actions.into_iter().filter_map(|action| match action {
+//!         Action::Send(_, packet) => Some(packet),
+//!         Action::Notify(_) => None,
+//!     });
+//!     packets.collect()
+//! }
+//!
+//! let mut first = member(1, Vec::new());
+//! let mut second = member(2, vec![address(1)]);
+//! while second.table().is_empty() {
+//!     let now = second.next_due();
+//!     for packet in handle(&mut second, now, Event::Tick) {
+//!         for answer in handle(&mut first, now, Event::PacketReceived(packet)) {
+//!             handle(&mut second, now, Event::PacketReceived(answer));
 //!         }
 //!     }
 //! }
-//! assert_eq!((a.table().len(), b.table().len()), (1, 1));
+//! assert_eq!((first.table().len(), second.table().len()), (1, 1));
 //! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/pinepoint-membership/src/membership.rs
+++ b/crates/pinepoint-membership/src/membership.rs
@@ -71,8 +71,8 @@
 }
 
 impl Membership {
-    /// A member that starts now and knows nobody. Its generation is the time, Unix ms, unless others know a later one. All
-    /// random choices follow from `random_seed`.
+    /// A member that starts at this time, Unix ms, and knows nobody. Its generation is that time, unless others know a later
+    /// one. `seeds` are the addresses to contact first; all random choices follow from `random_seed`.
     pub fn new(
         settings: MembershipSettings,
         now: f64,
@@ -141,7 +141,8 @@
         self.diagnosis.verdicts()
     }
 
-    /// Handles one event and appends the actions that follow from it.
+    /// Handles one event at this time, Unix ms, and appends the actions that follow from it. Time may jump in either
+    /// direction, which a member takes for a stall of its own if it is forward.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock_horizon_ms = self.clock_horizon_ms.max(now);
         self.detect_stall(now, actions);
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -1,23 +1,27 @@
-//! Every course of three members with one crash, leaving or pause, one restart, and one datagram lost or late, in steps of
-//! a fifth of a period: no view keeps a wrong state. The search is our own: the machine's state holds times and random numbers,
-//! of which a checker that enumerates states would see a new one at each step; what is enumerated here are the choices, each
-//! course running the deciding code itself to its end. Two faults that are built in have to be found by it.
+//! An exhaustive search: every course of three members with one crash, leave or pause, at most one restart, and at most one
+//! datagram that is lost or late, in steps of a fifth of a period. No course may leave a view wrong, and two injected faults
+//! have to be found.
+//!
+//! What is enumerated are the choices, and each course runs the protocol itself to its end. A model checker that enumerates
+//! states would see a new state at each step, as states hold times and random numbers.
 
 mod sim;
 
 use pinepoint_membership::membership::{InjectedFault, MembershipSettings};
 use sim::{DatagramFault, Simulation};
 
-/// Moments at which it happens, in fifths of a period, and datagrams that may be touched.
+/// Moments of a disturbance, in fifths of a period.
 const MOMENTS: u64 = 5;
+/// Periods from a disturbance to a restart.
 const RESTARTS: [f64; 4] = [0.0, 0.4, 3.0, 9.0];
+/// Datagrams that may be lost or late, from the first after the start of the course.
 const DATAGRAMS: u64 = 40;
 
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
     Crash,
     Leave,
-    /// Till the others hold it lost.
+    /// Until the others declare it lost.
     Pause,
 }
 
@@ -30,17 +34,23 @@
     seed: u64,
 }
 
+fn restarts() -> impl Iterator<Item = Option<f64>> {
+    std::iter::once(None).chain(RESTARTS.map(Some))
+}
+
+fn datagram_faults() -> impl Iterator<Item = Option<(u64, DatagramFault)>> {
+    let faults_of = |number| [(number, DatagramFault::Dropped), (number, DatagramFault::Delayed(4.0))];
+    let faults = (1..=DATAGRAMS).flat_map(faults_of).map(Some);
+    std::iter::once(None).chain(faults)
+}
+
 fn courses() -> Vec<Course> {
     let mut all = Vec::new();
     for seed in 0..2 {
         for disturbance in [Disturbance::Crash, Disturbance::Leave, Disturbance::Pause] {
             for moment in 0..MOMENTS {
-                for restart in std::iter::once(None).chain(RESTARTS.map(Some)) {
-                    let touched = (1..=DATAGRAMS).flat_map(|n| {
-                        [Some((n, DatagramFault::Dropped)), Some((n, DatagramFault::Delayed(4.0)))]
-                    });
-                    let datagram_faults = std::iter::once(None).chain(touched);
-                    all.extend(datagram_faults.map(|datagram_fault| Course {
+                for restart in restarts() {
+                    all.extend(datagram_faults().map(|datagram_fault| Course {
                         disturbance,
                         moment,
                         restart,
@@ -54,7 +64,7 @@
     all
 }
 
-/// Runs one; tells what is wrong for ever, if anything.
+/// Runs a course; returns what stays wrong, if anything does.
 fn run(settings: MembershipSettings, course: Course) -> Option<String> {
     let mut simulation = Simulation::settled(3, 2, settings, course.seed);
     simulation.net.datagram_fault = course.datagram_fault;
