--- /dev/null
+++ b/src/server/core/arrivals.rs
@@ -0,0 +1,181 @@
+//! Admission: the checks that a request passes before the controller gets to see it, each with its own answer.
+
+use pinepoint_events::{FailureReason, RejectReason};
+use pinepoint_handover::ownership::UnknownKey;
+
+use crate::admission::{Event, Idempotency, Request};
+use crate::server::control::lifecycle::Phase as LifecyclePhase;
+use crate::server::core::Core;
+use crate::server::core::api::{Arrival, Reply};
+use crate::server::core::events::received_event;
+use crate::server::core::keys::IdempotencyKey;
+use crate::server::core::requests::{OpenRequest, RequestIdentity};
+use crate::server::observability::counters::count;
+
+/// How far ahead of the clock a request may say that it arrived, ms.
+///
+/// A request that claims more, or to have lain unread for longer than [`max_read_delay_ms`], did not come from a router. It
+/// would stretch deadlines and deduplication windows without bound, or be taken for a backlog that nobody could have read.
+const MAX_CLOCK_AHEAD_MS: f64 = 1000.0;
+/// How long a request may lie unread: this many times the timeout of its class, and [`READ_DELAY_MARGIN_MS`].
+const MAX_READ_DELAY_FACTOR: f64 = 2.0;
+const READ_DELAY_MARGIN_MS: f64 = 1000.0;
+
+/// How long a request with this timeout may have lain unread, ms.
+pub(super) fn max_read_delay_ms(timeout_ms: f64) -> f64 {
+    timeout_ms * MAX_READ_DELAY_FACTOR + READ_DELAY_MARGIN_MS
+}
+
+/// Whether the other process of this server has granted this one the key of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum KeyClaim {
+    /// It was not asked.
+    NotClaimed,
+    /// It has.
+    Granted,
+}
+
+impl Core {
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        self.dependencies.counters.count_class(arrival.class, |class| &class.requests);
+        self.admit(arrival, KeyClaim::NotClaimed);
+    }
+
+    /// Queues a request and passes it to the controller, unless it is answered or has to wait for a claim before that.
+    pub(super) fn admit(&mut self, arrival: Arrival, claim: KeyClaim) {
+        if let Err(reply) = self.check_arrival(&arrival) {
+            self.answer_unadmitted(&arrival, &reply);
+            return;
+        }
+        let key = self.key_of_arrival(&arrival);
+        if let Some(key) = &key {
+            self.separate_from_batch(key);
+        }
+        let identity = match self.identify(&arrival, key) {
+            Ok(identity) => identity,
+            Err(reply) => return self.answer_unadmitted(&arrival, &reply),
+        };
+        if claim == KeyClaim::NotClaimed
+            && let Some(key) = self.new_idempotency_key(&arrival, &identity)
+        {
+            match self.unknown_key_policy() {
+                UnknownKey::Run => {}
+                UnknownKey::Fail => {
+                    let reply = Reply::Failed { late: false, reason: FailureReason::KeyStateUnknown };
+                    return self.answer_unadmitted(&arrival, &reply);
+                }
+                UnknownKey::Claim => return self.claim_key(key, identity.digest, arrival),
+            }
+        }
+        self.queue_request(arrival, identity);
+    }
+
+    /// The checks that need no key.
+    fn check_arrival(&self, arrival: &Arrival) -> Result<(), Reply> {
+        self.check_lifecycle()?;
+        self.check_attempt_id(arrival)?;
+        self.check_arrival_time(arrival)
+    }
+
+    fn check_lifecycle(&self) -> Result<(), Reply> {
+        // All that was read before has its answer, and the process ends in a moment.
+        if self.lifecycle.phase() >= LifecyclePhase::Finishing {
+            return Err(Reply::Failed { late: true, reason: FailureReason::Shutdown });
+        }
+        if self.controller.is_none() {
+            return Err(rejected(RejectReason::NotReady));
+        }
+        Ok(())
+    }
+
+    /// An attempt id in use would confuse two runs. This attempt has not run, but the other may have an effect.
+    fn check_attempt_id(&self, arrival: &Arrival) -> Result<(), Reply> {
+        if self.requests.by_attempt_id(&arrival.attempt_id).is_none() {
+            return Ok(());
+        }
+        Err(match self.class(arrival.class).idempotency {
+            Idempotency::ReadOnly => rejected(RejectReason::AttemptIdInUse),
+            Idempotency::Keyed | Idempotency::NonIdempotent => {
+                Reply::Failed { late: false, reason: FailureReason::AttemptIdInUse }
+            }
+        })
+    }
+
+    fn check_arrival_time(&self, arrival: &Arrival) -> Result<(), Reply> {
+        let max_delay_ms = max_read_delay_ms(self.class(arrival.class).timeout_ms);
+        if (-MAX_CLOCK_AHEAD_MS..=max_delay_ms).contains(&(self.now_ms - arrival.arrived_ms)) {
+            return Ok(());
+        }
+        count(&self.dependencies.counters.bad_times);
+        Err(Reply::Failed { late: false, reason: FailureReason::InvalidArrivalTime })
+    }
+
+    /// The key by which duplicates of a request are known, if it has one: reads have one where they share results.
+    fn key_of_arrival(&self, arrival: &Arrival) -> Option<IdempotencyKey> {
+        let reads_share_results = self.dependencies.site.settings.read_result_ttl_ms > 0.0;
+        match self.class(arrival.class).idempotency {
+            Idempotency::Keyed => arrival.token.clone().map(IdempotencyKey::of_keyed_classes),
+            Idempotency::ReadOnly if reads_share_results => {
+                arrival.subject.clone().map(|subject| IdempotencyKey::of_class(arrival.class, subject))
+            }
+            Idempotency::ReadOnly | Idempotency::NonIdempotent => None,
+        }
+    }
+
+    /// Of two attempts of one key in one batch, the first is decided on before the second is read, so that the second can
+    /// name it as its original.
+    fn separate_from_batch(&mut self, key: &IdempotencyKey) {
+        if self.batch.keys.contains(key) {
+            self.process_batch(self.now_ms);
+        }
+        self.batch.keys.push(key.clone());
+    }
+
+    /// Compares a request with what is known of its key. Under a known key, another body is another request: its sender must
+    /// neither get the result of the first nor have it run.
+    fn identify(&self, arrival: &Arrival, key: Option<IdempotencyKey>) -> Result<RequestIdentity, Reply> {
+        let digest = self.keys.digest(&arrival.body);
+        let Some(key) = key else { return Ok(RequestIdentity { key: None, digest, duplicate_of: None }) };
+        if self.keys.has_other_body(&key, arrival.arrived_ms, digest) {
+            count(&self.dependencies.counters.refused_bodies);
+            return Err(Reply::Failed { late: false, reason: FailureReason::BodyMismatch });
+        }
+        let duplicate_of = self.keys.original_of(&key, arrival.arrived_ms);
+        Ok(RequestIdentity { key: Some(key), digest, duplicate_of })
+    }
+
+    /// The key of a request that has an effect and duplicates nothing known to this process.
+    fn new_idempotency_key(&self, arrival: &Arrival, identity: &RequestIdentity) -> Option<IdempotencyKey> {
+        let is_keyed = self.class(arrival.class).idempotency == Idempotency::Keyed;
+        if is_keyed && identity.duplicate_of.is_none() { identity.key.clone() } else { None }
+    }
+
+    fn queue_request(&mut self, arrival: Arrival, identity: RequestIdentity) {
+        if identity.duplicate_of.is_some() {
+            count(&self.dependencies.counters.repeats);
+        }
+        let class = arrival.class;
+        let received = received_event(self.now_ms, &arrival);
+        let request = Request {
+            id: 0,
+            class,
+            tenant: arrival.tenant,
+            deadline_ms: None,
+            work_hint_ms: arrival.est_ms,
+            mem_kb: arrival.mem_kb,
+            retry: arrival.again,
+            queued_ms: (self.now_ms - arrival.arrived_ms).max(0.0),
+            duplicate_of: identity.duplicate_of,
+            has_subject: arrival.subject.is_some(),
+        };
+        let deadline_ms = arrival.arrived_ms + self.class(class).timeout_ms;
+        let id = self.requests.insert(OpenRequest::new(arrival, identity, deadline_ms, self.now_ms));
+        self.emit(id, class, received);
+        self.dispatch(Event::RequestArrived(Request { id, ..request }));
+    }
+}
+
+/// A rejection without advice on when or where to retry.
+fn rejected(reason: RejectReason) -> Reply {
+    Reply::Rejected { retry_after_ms: 0.0, last: false, reason }
+}
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -1,86 +1,136 @@
-//! The table of open requests: each from its reading until it is answered and its run is over, by its number, by
-//! the name of its try and by the caller's own name for it. It owns where a request stands; it must never answer
-//! one, command a run or decide.
+//! The table of open requests: each from its reading until it is answered and its run has ended, by its number, by the
+//! id of its attempt, by the caller's correlation id, and by the number of its call.
+//!
+//! It owns the state of each request. It answers none, commands no run and decides nothing. All times are Unix ms.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use crate::server::core::api::Caller;
+use crate::server::core::api::{Arrival, Caller};
 use crate::server::core::keys::IdempotencyKey;
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
     /// Read, not started.
     Queued,
-    /// Waits for the try that it repeats.
+    /// A duplicate that waits for the result of the attempt it duplicates.
     AwaitingResult,
-    /// Runs on the engine.
+    /// Running on the engine.
     Running,
-    /// Its run stands before a call.
+    /// Its run waits until a call is started.
     AwaitingCall,
-    /// Its call is under way.
+    /// Its run waits for a call in flight.
     InCall,
 }
 
-/// What a run that waits for a call goes on with.
+/// The call that a run asked for.
+#[derive(Clone, Debug, Default)]
+pub struct CallRequest {
+    /// Number of the engine's notice, by which the engine knows the call.
+    pub notice: u64,
+    /// What the call carries.
+    pub body: Vec<u8>,
+}
+
+/// What a run that waits for a call is resumed with.
 pub enum CallResult {
     /// The reply of the store.
     Reply(Vec<u8>),
-    /// Nothing: the call is left out.
-    Nothing,
+    /// Nothing: the call is skipped.
+    Skipped,
+}
+
+/// What tells a request from others, and what it duplicates.
+pub struct RequestIdentity {
+    /// Its idempotency key, or the subject by which reads share a result.
+    pub key: Option<IdempotencyKey>,
+    /// Digest of its body.
+    pub digest: u64,
+    /// The attempt whose result it asks for.
+    pub duplicate_of: Option<u32>,
 }
 
-/// A request from its reading until it is answered and its run is over.
+/// A request from its reading until it is answered and its run has ended.
 pub struct OpenRequest {
-    /// Where the answer goes, while one is owed.
+    /// Where the answer goes; nothing once it was given or the caller is gone.
     pub caller: Option<Rc<dyn Caller>>,
-    /// Whose it is.
+    /// [`Caller::id`] of the caller.
     pub caller_id: u64,
-    /// The caller's name for it.
+    /// The caller's own name for the request.
     pub correlation_id: u64,
-    /// The name that engine and store know it by.
+    /// The name by which engine and store know the attempt.
     pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
-    /// When it reached the machine, ms.
+    /// When it reached the machine.
     pub arrived_ms: f64,
-    /// When it was read, ms.
+    /// When it was read.
     pub read_ms: f64,
-    /// When its run was begun, ms.
+    /// When its run was started.
     pub run_started_ms: f64,
-    /// Work hint, ms.
+    /// Estimate of its work, ms on one core.
     pub work_hint_ms: Option<f64>,
-    /// Its run went on without a call.
+    /// Its run was resumed without a call that it asked for.
     pub degraded: bool,
-    /// When its caller stops waiting, ms.
+    /// When its caller stops waiting.
     pub deadline_ms: f64,
-    /// Its key, or the subject that reads share.
-    pub key: Option<IdempotencyKey>,
-    /// The work.
+    /// Its key, digest and original.
+    pub identity: RequestIdentity,
+    /// The work, passed to the engine unchanged.
     pub body: Vec<u8>,
-    /// Digest of the body, for tries of one key.
-    pub digest: u64,
-    /// Where it stands.
+    /// Its state.
     pub state: RequestState,
-    /// The kept try whose result it asks for.
-    pub duplicate_of: Option<u32>,
-    /// The notice that asked for the call, and what the call is to carry.
-    pub need: (u64, Vec<u8>),
-    /// What the run goes on with after its last call, until a later notice shows that the engine has it.
+    /// The last call that its run asked for.
+    pub call_request: CallRequest,
+    /// What the run is resumed with after its last call, until a later notice proves that the engine has it.
     pub resume_with: Option<CallResult>,
-    /// How many times gauges had been asked for when that was written; nothing there if it was not.
+    /// Tag of the last gauge request when that was written to the engine; nothing if it was not written.
     pub resume_tag: Option<u64>,
-    /// The number of its last call.
+    /// Number of its last call.
     pub call_id: u64,
-    /// When that was made, ms.
+    /// When that call was started.
     pub call_started_ms: f64,
-    /// How many times gauges had been asked for when the last command about it was written.
+    /// Tag of the last gauge request when the last command about the request was written to the engine.
     pub command_tag: u64,
-    /// The engine was told to stop it.
+    /// The engine was told to cancel its run.
     pub cancelled: bool,
 }
 
+impl OpenRequest {
+    /// A request that was read now and is queued.
+    pub fn new(arrival: Arrival, identity: RequestIdentity, deadline_ms: f64, now_ms: f64) -> Self {
+        OpenRequest {
+            caller_id: arrival.caller.id(),
+            caller: Some(arrival.caller),
+            correlation_id: arrival.correlation_id,
+            attempt_id: arrival.attempt_id,
+            class: arrival.class,
+            arrived_ms: arrival.arrived_ms,
+            read_ms: now_ms,
+            run_started_ms: now_ms,
+            work_hint_ms: arrival.est_ms,
+            degraded: false,
+            deadline_ms,
+            identity,
+            body: arrival.body,
+            state: RequestState::Queued,
+            call_request: CallRequest::default(),
+            resume_with: None,
+            resume_tag: None,
+            call_id: 0,
+            call_started_ms: 0.0,
+            command_tag: 0,
+            cancelled: false,
+        }
+    }
+
+    /// Whether it was never started on the engine.
+    pub fn is_unstarted(&self) -> bool {
+        matches!(self.state, RequestState::Queued | RequestState::AwaitingResult)
+    }
+}
+
 /// The table.
 #[derive(Default)]
 pub struct RequestTable {
@@ -88,71 +138,78 @@
     by_attempt_id: HashMap<String, u32>,
     by_correlation_id: BTreeMap<(u64, u64), u32>,
     by_call: HashMap<u64, u32>,
-    last: u32,
-    calls: u64,
+    last_id: u32,
+    last_call: u64,
 }
 
 impl RequestTable {
-    /// Enters a request under a number never used before.
+    /// Inserts a request under a number that was never used before.
     pub fn insert(&mut self, open: OpenRequest) -> u32 {
-        self.last += 1;
-        self.by_attempt_id.insert(open.attempt_id.clone(), self.last);
-        self.by_correlation_id.insert((open.caller_id, open.correlation_id), self.last);
-        self.open.insert(self.last, open);
-        self.last
+        let id = self.allocate_id();
+        self.by_attempt_id.insert(open.attempt_id.clone(), id);
+        self.by_correlation_id.insert((open.caller_id, open.correlation_id), id);
+        self.open.insert(id, open);
+        id
     }
 
-    /// A number never used before, for a request that is not in the table: it is in another process.
+    /// A number that was never used before, as for an attempt in flight in another process.
     pub fn allocate_id(&mut self) -> u32 {
-        self.last += 1;
-        self.last
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// The request of this number.
+    /// The request with this number.
     pub fn get(&self, id: u32) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    /// The same, to be changed.
+    /// The request with this number, to be changed.
     pub fn get_mut(&mut self, id: u32) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    /// The same, if it stands there.
+    /// The request with this number, if it is in this state.
     pub fn get_in_state(&mut self, id: u32, state: RequestState) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id).filter(|open| open.state == state)
     }
 
-    /// The number of the try of this name.
+    /// The request with this attempt id.
     pub fn by_attempt_id(&self, attempt_id: &str) -> Option<u32> {
         self.by_attempt_id.get(attempt_id).copied()
     }
 
-    /// The number of the request that this caller named so, while an answer is owed.
+    /// The unanswered request to which this caller gave this correlation id.
     pub fn by_correlation_id(&self, caller: u64, correlation_id: u64) -> Option<u32> {
         self.by_correlation_id.get(&(caller, correlation_id)).copied()
     }
 
-    /// Notes that a call is made for a request, under a number never used before.
-    pub fn start_call(&mut self, id: u32, now: f64) -> Option<u64> {
+    /// Records that a call is started for a request; returns the call's number, which was never used before.
+    pub fn start_call(&mut self, id: u32, now_ms: f64) -> Option<u64> {
         let open = self.open.get_mut(&id)?;
-        self.calls += 1;
-        (open.call_id, open.call_started_ms, open.state) = (self.calls, now, RequestState::InCall);
-        self.by_call.insert(self.calls, id);
-        Some(self.calls)
+        self.last_call += 1;
+        open.call_id = self.last_call;
+        open.call_started_ms = now_ms;
+        open.state = RequestState::InCall;
+        self.by_call.insert(self.last_call, id);
+        Some(self.last_call)
     }
 
-    /// The request whose call of this number is over or given up; nothing if that is known already.
+    /// Records that a call has ended or was cancelled; returns its request, or nothing if that was recorded before.
     pub fn end_call(&mut self, call: u64) -> Option<u32> {
         self.by_call.remove(&call)
     }
 
-    /// The requests for which an answer is owed to this caller.
+    /// The unanswered requests of this caller.
     pub fn unanswered_of(&self, caller: u64) -> Vec<u32> {
         self.by_correlation_id.range((caller, 0)..=(caller, u64::MAX)).map(|(_, id)| *id).collect()
     }
 
-    /// Whether no answer is owed to anyone.
+    /// All unanswered requests, in the order in which they were read.
+    pub fn unanswered(&self) -> impl Iterator<Item = (u32, &OpenRequest)> {
+        self.iter().filter(|(_, open)| open.caller.is_some())
+    }
+
+    /// Whether no request is unanswered.
     pub fn all_answered(&self) -> bool {
         self.by_correlation_id.is_empty()
     }
@@ -167,17 +224,17 @@
         self.open.len()
     }
 
-    /// All of them, in the order of their reading.
+    /// All requests, in the order in which they were read.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &OpenRequest)> {
         self.open.iter().map(|(id, open)| (*id, open))
     }
 
-    /// The same, to be changed.
+    /// All requests in that order, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest> {
         self.open.values_mut()
     }
 
-    /// Takes the caller to whom an answer is owed; from here on none is.
+    /// Takes the caller of an unanswered request; from then on it counts as answered.
     pub fn take_caller(&mut self, id: u32) -> Option<Rc<dyn Caller>> {
         let open = self.open.get_mut(&id)?;
         let caller = open.caller.take()?;
