--- a/src/server/core/actions.rs
+++ b/src/server/core/actions.rs
@@ -85,7 +85,7 @@
                 self.lifecycle.set_healthy(good);
                 self.publish();
             }
-            Action::ReportLoad { value } => self.dependencies.status.hint.set(Some(value)),
+            Action::ReportLoad { value } => self.dependencies.status.load_report.set(Some(value)),
             Action::CloseIdleConnections { after_ms } => self.caller_idle_timeout_ms = Some(after_ms),
             Action::SetTimer { after_ms, token } => self.timers.set(self.now_ms + after_ms, token),
             Action::Log { text } => tracing::info!(text, "module"),
--- a/src/server/core/drain.rs
+++ b/src/server/core/drain.rs
@@ -35,7 +35,7 @@
 
     /// Starts the drain of a process that has no successor.
     pub(super) fn drain_without_successor(&mut self, notice_ms: f64) {
-        if !self.lifecycle.notice(notice_ms) {
+        if !self.lifecycle.begin_drain(notice_ms) {
             return;
         }
         let (open, connections) = (self.requests.len(), self.callers.len());
@@ -53,7 +53,7 @@
 
     /// Starts the drain of a process whose successor serves. Callers are asked to go at once: the successor is there for them.
     pub(super) fn drain_after_handover(&mut self, notice_ms: f64) {
-        if !self.lifecycle.hand_over(notice_ms) {
+        if !self.lifecycle.mark_handed_over(notice_ms) {
             return;
         }
         let (open, connections) = (self.requests.len(), self.callers.len());
@@ -74,7 +74,7 @@
 
     /// Drains this process or takes it back into service, as an operator or another process of the server asks.
     pub(super) fn apply_drained(&mut self, drained: bool) {
-        let done = self.lifecycle.set_drained(drained);
+        let done = self.lifecycle.set_lame_duck(drained);
         tracing::info!(drained, done, phase = ?self.lifecycle.phase(), "drain");
         self.publish();
     }
@@ -84,8 +84,8 @@
         let (published, status) = (self.lifecycle.published(), &self.dependencies.status);
         status.phase.set(self.lifecycle.phase());
         status.healthy.set(published.healthy);
-        if status.listed.replace(published.listed) != published.listed {
-            status.report.wake();
+        if status.registered.replace(published.registered) != published.registered {
+            status.registry_wakeup.wake();
         }
     }
 
@@ -93,7 +93,7 @@
     fn close_listeners(&self) {
         self.send_go_away();
         self.release_listeners();
-        self.dependencies.status.shut.open();
+        self.dependencies.status.stop_accepting.open();
     }
 
     /// Moves through the phases of the lifecycle as far as time and outstanding work allow.
@@ -111,7 +111,7 @@
         Outstanding {
             listeners: open_sockets.listeners(),
             connections: open_sockets.connections(),
-            owed: !self.requests.all_answered() || self.has_waiting_claims(),
+            answers_pending: !self.requests.all_answered() || self.has_waiting_claims(),
         }
     }
 
--- a/src/server/core/events.rs
+++ b/src/server/core/events.rs
@@ -38,7 +38,8 @@
         state.keys = keys as u64;
         state.results_bytes = result_bytes as u64;
         state.connections = self.callers.len() as u64;
-        state.module = self.controller.iter().flat_map(|controller| controller.view().figures()).collect();
+        state.module =
+            self.controller.iter().flat_map(|controller| controller.snapshot().figures()).collect();
         state
     }
 }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -153,7 +153,7 @@
     async fn next_input(&self, queue: &Receiver<CoreInput>) -> Option<CoreInput> {
         let input = async { queue.recv().await.ok() };
         let notice = async {
-            self.dependencies.status.notice.wait().await;
+            self.dependencies.status.core_wakeup.wait().await;
             None
         };
         let due_ms = self.next_due();
@@ -170,10 +170,10 @@
     /// Handles what an operator or the platform asked for through [`Status`], past the queue.
     fn handle_notices(&mut self, now_ms: f64) {
         let status = self.dependencies.status.clone();
-        if let Some(notice_ms) = status.notice_ms.take() {
+        if let Some(notice_ms) = status.termination_notice_ms.take() {
             self.start_drain(now_ms, notice_ms);
         }
-        if let Some(drained) = status.drain.take() {
+        if let Some(drained) = status.lame_duck_request.take() {
             self.set_drained(now_ms, drained);
         }
     }
@@ -191,7 +191,7 @@
             .next_due()
             .into_iter()
             .chain(watchdog)
-            .chain(self.lifecycle.next_due())
+            .chain(self.lifecycle.next_deadline_ms())
             .chain(self.handover_due())
             .min_by(f64::total_cmp)
     }
--- a/src/server/core/reconfigure.rs
+++ b/src/server/core/reconfigure.rs
@@ -17,7 +17,7 @@
         let (old, new) = (&self.dependencies.site.settings, &site.settings);
         // What the controller reported under the old settings had another meaning; it reports anew.
         if old.load_report != new.load_report {
-            self.dependencies.status.hint.set(None);
+            self.dependencies.status.load_report.set(None);
         }
         if old.caller_idle_timeout_ms != new.caller_idle_timeout_ms {
             self.caller_idle_timeout_ms = None;
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -64,7 +64,7 @@
         .collect();
     let info = json!({"services": services, "contract": {"answerSlackMs": 100, "drainGraceMs": 1000},
         "specifics": {"cores": 2, "heapKb": 100_000, "gauges": ["cpu_busy", "runnable"], "runFactor": 2}});
-    Site::read(&info).expect("the settings of the test can be read")
+    Site::from_json(&info).expect("the settings of the test can be read")
 }
 
 /// What a core wants of its links, carried out by the world behind each turn.
@@ -702,9 +702,9 @@
         if !handed_over || !self.serves(1) {
             return;
         }
-        assert_eq!(old.status.listed.get(), None, "the old process says nothing any more");
+        assert_eq!(old.status.registered.get(), None, "the old process says nothing any more");
         let drained = self.life(1) == Life::LameDuck;
-        assert_eq!(new.status.listed.get(), Some(!drained));
+        assert_eq!(new.status.registered.get(), Some(!drained));
     }
 
     fn check_drains(&self) {
