--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -13,20 +13,20 @@
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
 use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
-use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_TIMEOUT_MS};
 use crate::server::frontend::context::FrontendContext;
-use crate::server::frontend::rpc::{BODY_MOST, EST_MOST, REQUEST_MEMORY_LIMIT_KB};
+use crate::server::frontend::rpc::{MAX_BODY_BYTES, MAX_WORK_HINT_MULTIPLE, REQUEST_MEMORY_LIMIT_KB};
 use crate::server::observability::counters::count;
 use crate::server::sync::Notify;
 
 /// Longest packet with its head of four bytes, bytes.
-const PACKET_MOST: usize = 8192;
-const HEAD: usize = 4;
+const MAX_PACKET_BYTES: usize = 8192;
+const PACKET_HEADER_BYTES: usize = 4;
 /// Most bytes of a body in one packet to the front end: its head, its code and a length take the rest.
-const CHUNK_MOST: usize = PACKET_MOST - HEAD - 3;
+const MAX_BODY_CHUNK_BYTES: usize = MAX_PACKET_BYTES - PACKET_HEADER_BYTES - 3;
 /// Most headers of a request, and longest header value that the core gets to see, bytes.
-const HEADERS_MOST: usize = 128;
-const WORD_MOST: usize = 64;
+const MAX_HEADERS: usize = 128;
+const MAX_TOKEN_BYTES: usize = 64;
 
 const FORWARD_REQUEST: u8 = 2;
 const SEND_BODY_CHUNK: u8 = 3;
@@ -83,12 +83,12 @@
     if !input.starts_with(&[0x12, 0x34][..input.len().min(2)]) {
         return Err(PacketError::Mark);
     }
-    let Some(head) = input.get(..HEAD) else { return Ok(None) };
-    let end = HEAD + usize::from(u16::from_be_bytes([head[2], head[3]]));
-    if end > PACKET_MOST {
+    let Some(head) = input.get(..PACKET_HEADER_BYTES) else { return Ok(None) };
+    let end = PACKET_HEADER_BYTES + usize::from(u16::from_be_bytes([head[2], head[3]]));
+    if end > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
     }
-    let Some(payload) = input.get(HEAD..end) else { return Ok(None) };
+    let Some(payload) = input.get(PACKET_HEADER_BYTES..end) else { return Ok(None) };
     let payload = payload.to_vec();
     input.drain(..end);
     Ok(Some(payload))
@@ -180,7 +180,7 @@
     let _port = reader.integer()?;
     let _is_ssl = reader.byte()?;
     let count = usize::from(reader.integer()?);
-    if count > HEADERS_MOST {
+    if count > MAX_HEADERS {
         return Err(PacketError::TooLong);
     }
     let mut headers = Vec::new();
@@ -249,7 +249,8 @@
 
     fn word(&self, name: &str) -> Result<Option<&str>, Status> {
         let word = self.header(name)?;
-        let fits = |w: &str| (1..=WORD_MOST).contains(&w.len()) && w.bytes().all(|b| b.is_ascii_graphic());
+        let fits =
+            |w: &str| (1..=MAX_TOKEN_BYTES).contains(&w.len()) && w.bytes().all(|b| b.is_ascii_graphic());
         if word.is_none_or(fits) { Ok(word) } else { Err(Status(400)) }
     }
 
@@ -282,7 +283,7 @@
         }
         let est_ms = self.number("est")?;
         let mem_kb = self.number("mem")?;
-        let est_below = site.settings.classes[class].timeout_ms * EST_MOST;
+        let est_below = site.settings.classes[class].timeout_ms * MAX_WORK_HINT_MULTIPLE;
         // As strict as the other front: what is out of range is not clamped, it is nobody's figure.
         let out_of = |value: Option<f64>, below: f64| value.is_some_and(|v| v <= 0.0 || v >= below);
         if out_of(est_ms, est_below) || out_of(mem_kb, REQUEST_MEMORY_LIMIT_KB) {
@@ -314,8 +315,8 @@
     let start = out.len();
     out.extend_from_slice(&[0x41, 0x42, 0, 0]);
     fill(out);
-    let length = (out.len() - start - HEAD) as u16;
-    out[start + 2..start + HEAD].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - start - PACKET_HEADER_BYTES) as u16;
+    out[start + 2..start + PACKET_HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
 fn text(out: &mut Vec<u8>, text: &str) {
@@ -353,7 +354,7 @@
             text(out, value);
         }
     });
-    for chunk in body.chunks(CHUNK_MOST) {
+    for chunk in body.chunks(MAX_BODY_CHUNK_BYTES) {
         packet(out, |out| {
             out.push(SEND_BODY_CHUNK);
             out.extend_from_slice(&(chunk.len() as u16).to_be_bytes());
@@ -367,7 +368,7 @@
 
 struct Connection {
     state: Rc<ConnectionState>,
-    front: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
     writer: WriteHalf,
     /// The request that waits for its answer, if one does.
     open: Cell<Option<u64>>,
@@ -376,8 +377,8 @@
 
 impl Connection {
     fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: bool) {
-        headers.extend(self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
-        self.state.used_ms.set(self.front.clock.now());
+        headers.extend(self.context.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
+        self.state.last_active_ms.set(self.context.clock.now());
         self.writer.push(|out| response(out, status, &headers, body, reuse));
     }
 }
@@ -393,7 +394,7 @@
         }
         self.open.set(None);
         self.state.answered.set(self.state.answered.get() + 1);
-        let reuse = !self.state.told();
+        let reuse = !self.state.is_going_away();
         match reply {
             Reply::Served(result) => {
                 let kind = vec![("Content-Type", "application/octet-stream".to_owned())];
@@ -413,11 +414,11 @@
     fn go_away(&self) {
         // An idle connection goes now; the front end opens another elsewhere. A request whose body is on its
         // way was not read and holds up nothing, but is given the time to become one.
-        self.state.tell_at_once(self.front.clock.now());
+        self.state.mark_going_away_unannounced(self.context.clock.now());
     }
 
     fn go_away_if_idle(&self, since_ms: f64) {
-        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
+        if self.state.last_active_ms.get() < since_ms && !self.state.request_in_flight.get() {
             self.go_away();
         }
     }
@@ -427,72 +428,72 @@
 pub async fn serve(
     stream: Rc<Async<TcpStream>>,
     state: Rc<ConnectionState>,
-    front: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
     options: Rc<Options>,
 ) -> &'static str {
     let connection = Rc::new(Connection {
         state,
-        front: front.clone(),
-        writer: WriteHalf::new(front.clone()),
+        context: context.clone(),
+        writer: WriteHalf::new(context.clone()),
         open: Cell::new(None),
         answered: Notify::default(),
     });
-    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let _ = context.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
     let mut input =
-        Input13 { intake: ReadHalf::new(stream.clone(), connection.state.clone(), front.clone()) };
+        PacketReader { reader: ReadHalf::new(stream.clone(), connection.state.clone(), context.clone()) };
     let reading = converse(&mut input, &connection, &options);
     let nothing_open = || connection.open.get().is_none();
-    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &context, &connection.writer, reading, nothing_open).await
 }
 
 /// The reading half: packets as they are whole.
-struct Input13 {
-    intake: ReadHalf,
+struct PacketReader {
+    reader: ReadHalf,
 }
 
-impl Input13 {
+impl PacketReader {
     /// The next packet. One that has begun must be whole in time; with `until` the wait for it ends too.
     async fn packet(&mut self, connection: &Connection, until: Option<f64>) -> Result<Vec<u8>, CloseReason> {
         let mut until = until;
         loop {
-            let bytes = &mut self.intake.bytes;
-            if let Some(payload) = take_packet(bytes).map_err(|e| CloseReason::Spoilt(e.code()))? {
+            let bytes = &mut self.reader.bytes;
+            if let Some(payload) = take_packet(bytes).map_err(|e| CloseReason::ProtocolError(e.code()))? {
                 return Ok(payload);
             }
             if until.is_none() && !bytes.is_empty() {
-                until = Some(connection.front.clock.now() + MESSAGE_MS);
+                until = Some(connection.context.clock.now() + MESSAGE_TIMEOUT_MS);
             }
-            self.intake.more(&connection.writer, until).await?;
+            self.reader.read_more(&connection.writer, until).await?;
         }
     }
 }
 
-async fn converse(input: &mut Input13, connection: &Rc<Connection>, options: &Options) -> CloseReason {
-    let front = &connection.front;
+async fn converse(input: &mut PacketReader, connection: &Rc<Connection>, options: &Options) -> CloseReason {
+    let context = &connection.context;
     loop {
         let payload = match input.packet(connection, None).await {
             Ok(payload) => payload,
             Err(stop) => return stop,
         };
-        connection.state.heard(front.clock.now());
+        connection.state.message_received(context.clock.now());
         match payload.first() {
             Some(&CPING) if payload.len() == 1 => {
-                count(&front.counters.pings);
+                count(&context.counters.pings);
                 connection.writer.push(|out| packet(out, |out| out.push(CPONG)));
             }
             // Anyone who can connect could send it; SIGTERM is the way to stop this process.
             Some(&SHUTDOWN) => {}
             Some(&FORWARD_REQUEST) => {
-                connection.state.busy.set(true);
+                connection.state.request_in_flight.set(true);
                 let end = request(input, connection, options, &payload).await;
-                connection.state.busy.set(false);
+                connection.state.request_in_flight.set(false);
                 match end {
-                    Ok(()) if connection.state.told() => return CloseReason::Orderly("drained"),
+                    Ok(()) if connection.state.is_going_away() => return CloseReason::Graceful("drained"),
                     Ok(()) => {}
                     Err(stop) => return stop,
                 }
             }
-            _ => return CloseReason::Spoilt("bad-code"),
+            _ => return CloseReason::ProtocolError("bad-code"),
         }
         connection.writer.ready().await;
         future::yield_now().await;
@@ -501,64 +502,65 @@
 
 /// One request from its head to its answer.
 async fn request(
-    input: &mut Input13,
+    input: &mut PacketReader,
     connection: &Rc<Connection>,
     options: &Options,
     payload: &[u8],
 ) -> Result<(), CloseReason> {
-    let front = &connection.front;
-    let arrived_ms = front.clock.now();
+    let context = &connection.context;
+    let arrived_ms = context.clock.now();
     let correlation_id = connection.state.read.get() + 1;
     connection.state.read.set(correlation_id);
     let bad = |status: u16, reuse: bool| {
-        count(&front.counters.bad_requests);
+        count(&context.counters.bad_requests);
         connection.state.answered.set(connection.state.answered.get() + 1);
-        connection.respond(status, Vec::new(), b"", reuse && !connection.state.told());
+        connection.respond(status, Vec::new(), b"", reuse && !connection.state.is_going_away());
         // Without reuse the rest of the body may be under way, and nothing after it can be made out.
-        if reuse { Ok(()) } else { Err(CloseReason::Orderly("bad-request")) }
+        if reuse { Ok(()) } else { Err(CloseReason::Graceful("bad-request")) }
     };
-    let forward = forward(payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
+    let forward = forward(payload).map_err(|e| CloseReason::ProtocolError(e.code()))?;
     let length = match forward.body_length() {
         Ok(length) => length,
         Err(Status(status)) => return bad(status, false),
     };
-    let site = front.active_settings.site();
+    let site = context.active_settings.site();
     let head = match forward.request(&site, arrived_ms, options.secret.as_deref()) {
         Ok(head) => head,
         Err(Status(status)) => return bad(status, length == BodyLength::Known(0) && status != 403),
     };
     let until = arrived_ms + site.settings.classes[head.class].timeout_ms;
     let mut body = Vec::new();
-    let wanted = match length {
-        BodyLength::Known(n) if n > BODY_MOST => return bad(413, false),
+    let body_length = match length {
+        BodyLength::Known(n) if n > MAX_BODY_BYTES => return bad(413, false),
         BodyLength::Known(n) => n,
         BodyLength::Open => usize::MAX,
     };
-    let mut unasked = wanted != usize::MAX;
-    while body.len() < wanted {
+    let mut unasked = body_length != usize::MAX;
+    while body.len() < body_length {
         if !std::mem::take(&mut unasked) {
-            let most = wanted.saturating_sub(body.len()).min(BODY_MOST + 1) as u16;
+            let max_bytes = body_length.saturating_sub(body.len()).min(MAX_BODY_BYTES + 1) as u16;
             connection.writer.push(|out| {
                 packet(out, |out| {
                     out.push(GET_BODY_CHUNK);
-                    out.extend_from_slice(&most.to_be_bytes());
+                    out.extend_from_slice(&max_bytes.to_be_bytes());
                 });
             });
         }
-        let payload = input.packet(connection, Some(until.min(front.clock.now() + MESSAGE_MS))).await?;
-        let data = body_data(&payload).map_err(|e| CloseReason::Spoilt(e.code()))?;
+        let payload =
+            input.packet(connection, Some(until.min(context.clock.now() + MESSAGE_TIMEOUT_MS))).await?;
+        let data = body_data(&payload).map_err(|e| CloseReason::ProtocolError(e.code()))?;
         if data.is_empty() {
-            if wanted == usize::MAX {
+            if body_length == usize::MAX {
                 break;
             }
             // The front end's own client broke off: what there is of the request is not the request.
             return bad(400, false);
         }
         body.extend_from_slice(data);
-        if body.len() > wanted {
-            return Err(CloseReason::Spoilt("bad-length"));
+        if body.len() > body_length {
+            return Err(CloseReason::ProtocolError("bad-length"));
         }
-        if body.len() > BODY_MOST {
+        if body.len() > MAX_BODY_BYTES {
             return bad(413, false);
         }
     }
@@ -578,28 +580,28 @@
         tenant: None,
         body,
     };
-    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
+    let _ = context.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
     while connection.open.get().is_some() {
         let answered = async {
             connection.answered.wait().await;
             Ok(())
         };
         // Read on only to hear of a front end that leaves: it has nothing to say before the answer.
-        match future::or(answered, input.intake.more(&connection.writer, None)).await {
+        match future::or(answered, input.reader.read_more(&connection.writer, None)).await {
             Ok(()) => {}
             // Nothing more is taken in; what was read is still answered.
             Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
             Err(stop) => {
                 connection.open.set(None);
-                let _ = front
+                let _ = context
                     .queue
                     .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id })
                     .await;
                 return Err(stop);
             }
         }
-        if input.intake.bytes.len() > PACKET_MOST {
-            return Err(CloseReason::Spoilt("unasked-data"));
+        if input.reader.bytes.len() > MAX_PACKET_BYTES {
+            return Err(CloseReason::ProtocolError("unasked-data"));
         }
     }
     Ok(())
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -23,103 +23,111 @@
 const PAUSE_READING_AT_BYTES: usize = 64 * 1024;
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Time without progress of a writer that has something to write, ms.
-const STALL_MS: f64 = 15_000.0;
+const WRITE_STALL_TIMEOUT_MS: f64 = 15_000.0;
 /// Between two looks at a queue that is too long, ms.
-const LOOK_MS: f64 = 20.0;
+const BACKLOG_POLL_MS: f64 = 20.0;
 /// How long, ms, and for how many bytes, what comes after the writing half was shut is read and thrown away. A close
 /// over unread bytes is a reset, and takes answers along that the other side has not read yet.
 const LINGER_MS: f64 = 1000.0;
 /// The same where the process is about to end, ms: within what the core leaves between the last answers and the end.
-const LAST_LINGER_MS: f64 = 60.0;
-const LINGER_BYTES: usize = 256 * 1024;
+const FINAL_LINGER_MS: f64 = 60.0;
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
 /// Why nothing more is taken in on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// What was read is answered; then it ends in order.
-    Orderly(&'static str),
+    Graceful(&'static str),
     /// The same, as the other side says nothing more.
     PeerClosed,
     /// The same, as the process is about to end.
     Finishing,
     /// What came is no message of its wire. What was read before it is failed at once, and it ends in order.
-    Spoilt(&'static str),
+    ProtocolError(&'static str),
     /// Nothing was under way, nothing unread, and its writing half is shut already.
-    Shut(&'static str),
+    WriteClosed(&'static str),
     /// Nobody is there to be answered.
-    Abandoned(&'static str),
+    PeerGone(&'static str),
 }
 
 /// The reading half: bytes as they come.
 pub struct ReadHalf {
     stream: Rc<Async<TcpStream>>,
     state: Rc<ConnectionState>,
-    front: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
     /// What was read and no message was made of yet.
     pub bytes: Vec<u8>,
     /// Waits from one reading to the next: its timers are set anew only where its time has changed.
-    guard: Pin<Box<dyn Future<Output = Event>>>,
+    close_signal: Pin<Box<dyn Future<Output = ReadEvent>>>,
 }
 
-enum Event {
+enum ReadEvent {
     Read(io::Result<usize>),
-    Late,
-    ShouldGo(&'static str),
+    TimedOut,
+    CloseDue(&'static str),
     Finishing,
 }
 
 /// Completes when the connection should go, or all that is left was answered.
-fn guard(state: Rc<ConnectionState>, front: Rc<FrontendContext>) -> Pin<Box<dyn Future<Output = Event>>> {
+fn close_signal(
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+) -> Pin<Box<dyn Future<Output = ReadEvent>>> {
     Box::pin(async move {
-        let should_go =
-            async { Event::ShouldGo(state.should_go(&front.clock, front.caller_idle_timeout_ms()).await) };
+        let close_due = async {
+            ReadEvent::CloseDue(state.close_due(&context.clock, context.caller_idle_timeout_ms()).await)
+        };
         let finishing = async {
-            front.status.finishing.passed().await;
-            Event::Finishing
+            context.status.finishing.passed().await;
+            ReadEvent::Finishing
         };
-        future::or(finishing, should_go).await
+        future::or(finishing, close_due).await
     })
 }
 
 impl ReadHalf {
     /// Of a connection of which nothing was read.
-    pub fn new(stream: Rc<Async<TcpStream>>, state: Rc<ConnectionState>, front: Rc<FrontendContext>) -> Self {
-        let guard = guard(state.clone(), front.clone());
-        ReadHalf { stream, state, front, bytes: Vec::new(), guard }
+    pub fn new(
+        stream: Rc<Async<TcpStream>>,
+        state: Rc<ConnectionState>,
+        context: Rc<FrontendContext>,
+    ) -> Self {
+        let close_signal = close_signal(state.clone(), context.clone());
+        ReadHalf { stream, state, context, bytes: Vec::new(), close_signal }
     }
 
     /// Reads more bytes. With `until` the wait for them has an end: something has begun that must be whole by then.
     /// Whatever brings the end, what had come before it is read first.
-    pub async fn more(&mut self, writer: &WriteHalf, until: Option<f64>) -> Result<(), CloseReason> {
-        self.state.part.set(!self.bytes.is_empty());
+    pub async fn read_more(&mut self, writer: &WriteHalf, until: Option<f64>) -> Result<(), CloseReason> {
+        self.state.partial_message.set(!self.bytes.is_empty());
         if self.bytes.is_empty() {
             // A buffer that keeps its peak is memory for as long as the connection stays.
             self.bytes = Vec::new();
         }
         let mut chunk = [0; 4096];
         loop {
-            let late = async {
+            let timed_out = async {
                 match until {
-                    Some(at) => self.front.clock.until(at).await,
+                    Some(at) => self.context.clock.until(at).await,
                     None => future::pending().await,
                 }
-                Event::Late
+                ReadEvent::TimedOut
             };
             let mut stream = &*self.stream;
             // Reading comes first: it tries the socket at each turn.
-            let read = async { Event::Read(stream.read(&mut chunk).await) };
-            match future::or(read, future::or(late, &mut self.guard)).await {
-                Event::Read(Ok(0)) => return Err(CloseReason::PeerClosed),
-                Event::Read(Ok(n)) => {
+            let read = async { ReadEvent::Read(stream.read(&mut chunk).await) };
+            match future::or(read, future::or(timed_out, &mut self.close_signal)).await {
+                ReadEvent::Read(Ok(0)) => return Err(CloseReason::PeerClosed),
+                ReadEvent::Read(Ok(n)) => {
                     self.bytes.extend_from_slice(&chunk[..n]);
                     return Ok(());
                 }
-                Event::Read(Err(_)) => return Err(CloseReason::Abandoned("peer-reset")),
-                Event::Late => return Err(CloseReason::Orderly("sender-stalled")),
-                Event::Finishing => return Err(CloseReason::Finishing),
-                Event::ShouldGo(reason) => {
-                    self.guard = guard(self.state.clone(), self.front.clone());
-                    if let Some(stop) = self.shut_if_quiet(reason, writer).await {
+                ReadEvent::Read(Err(_)) => return Err(CloseReason::PeerGone("peer-reset")),
+                ReadEvent::TimedOut => return Err(CloseReason::Graceful("sender-stalled")),
+                ReadEvent::Finishing => return Err(CloseReason::Finishing),
+                ReadEvent::CloseDue(reason) => {
+                    self.close_signal = close_signal(self.state.clone(), self.context.clone());
+                    if let Some(stop) = self.shut_down_if_quiet(reason, writer).await {
                         return Err(stop);
                     }
                 }
@@ -130,85 +138,85 @@
     /// Shuts the writing half unless something came meanwhile. Between the look at the socket and the shutdown nothing
     /// else happens: what the other side wrote before it is read, what it writes after it finds the connection shut and is
     /// sent again elsewhere.
-    async fn shut_if_quiet(&self, reason: &'static str, writer: &WriteHalf) -> Option<CloseReason> {
+    async fn shut_down_if_quiet(&self, reason: &'static str, writer: &WriteHalf) -> Option<CloseReason> {
         writer.flushed().await;
         let socket = self.stream.get_ref();
         match socket.peek(&mut [0]) {
             Ok(0) => Some(CloseReason::PeerClosed),
             Ok(_) => {
-                self.state.keep();
+                self.state.cancel_eviction();
                 None
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 let _ = socket.shutdown(Shutdown::Write);
-                Some(CloseReason::Shut(reason))
+                Some(CloseReason::WriteClosed(reason))
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => None,
-            Err(_) => Some(CloseReason::Abandoned("peer-reset")),
+            Err(_) => Some(CloseReason::PeerGone("peer-reset")),
         }
     }
 }
 
 /// The writing half: its bounded queue, and its end.
 pub struct WriteHalf {
-    outbox: WriteBuffer,
-    front: Rc<FrontendContext>,
-    accounted: Cell<usize>,
-    too_slow: Latch,
+    buffer: WriteBuffer,
+    context: Rc<FrontendContext>,
+    accounted_bytes: Cell<usize>,
+    reader_too_slow: Latch,
     flushed: Notify,
-    ending: Cell<Option<&'static str>>,
+    end_reason: Cell<Option<&'static str>>,
 }
 
 impl WriteHalf {
     /// A writer with an empty queue.
-    pub fn new(front: Rc<FrontendContext>) -> Self {
+    pub fn new(context: Rc<FrontendContext>) -> Self {
         WriteHalf {
-            outbox: WriteBuffer::default(),
-            front,
-            accounted: Cell::new(0),
-            too_slow: Latch::default(),
+            buffer: WriteBuffer::default(),
+            context,
+            accounted_bytes: Cell::new(0),
+            reader_too_slow: Latch::default(),
             flushed: Notify::default(),
-            ending: Cell::new(None),
+            end_reason: Cell::new(None),
         }
     }
 
     /// Queues bytes, and marks the connection for its end if nobody reads what is queued.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
-        let backlog = self.outbox.backlog();
-        if backlog > MAX_QUEUED_BYTES || self.front.limiter.is_queued_full(backlog) {
-            if self.too_slow.open() {
-                let front = &self.front;
-                front
+        let backlog = self.buffer.backlog();
+        if backlog > MAX_QUEUED_BYTES || self.context.limiter.exceeds_queue_share(backlog) {
+            if self.reader_too_slow.open() {
+                let context = &self.context;
+                context
                     .observer
-                    .process_event(front.clock.now(), ProcessEvent::LimitReached(ResourceLimit::Unread));
+                    .process_event(context.clock.now(), ProcessEvent::LimitReached(ResourceLimit::Unread));
             }
             return;
         }
-        self.outbox.push(fill);
-        self.account(self.outbox.backlog());
+        self.buffer.push(fill);
+        self.account(self.buffer.backlog());
     }
 
     /// Ends the connection, for this reason, once nothing is open and all is written.
     fn end(&self, reason: &'static str) {
-        self.ending.set(self.ending.get().or(Some(reason)));
-        self.outbox.wake();
+        self.end_reason.set(self.end_reason.get().or(Some(reason)));
+        self.buffer.wake();
     }
 
     /// Books the bytes that are queued here in the sum over all connections.
     fn account(&self, queued: usize) {
-        self.front.limiter.account(self.accounted.replace(queued), queued);
+        self.context.limiter.account(self.accounted_bytes.replace(queued), queued);
     }
 
     /// Completes when the queue is short enough for more to be read.
     pub async fn ready(&self) {
-        while self.outbox.backlog() > PAUSE_READING_AT_BYTES {
-            self.front.clock.pause(LOOK_MS).await;
+        while self.buffer.backlog() > PAUSE_READING_AT_BYTES {
+            self.context.clock.pause(BACKLOG_POLL_MS).await;
         }
     }
 
     /// Completes when all that was queued is with the system. One whose reader stalls is ended by the writer's own task.
     async fn flushed(&self) {
-        while self.outbox.backlog() > 0 {
+        while self.buffer.backlog() > 0 {
             self.flushed.wait().await;
         }
     }
@@ -221,27 +229,29 @@
     ) -> Result<&'static str, &'static str> {
         loop {
             let stalled = async {
-                let mut left = self.outbox.backlog();
+                let mut previous = self.buffer.backlog();
                 loop {
-                    self.front.clock.pause(STALL_MS).await;
-                    let now = self.outbox.backlog();
-                    if left > 0 && now >= left {
+                    self.context.clock.pause(WRITE_STALL_TIMEOUT_MS).await;
+                    let now = self.buffer.backlog();
+                    if previous > 0 && now >= previous {
                         return Err("reader-stalled");
                     }
-                    left = now;
+                    previous = now;
                 }
             };
             // A write that nobody reads never returns: what ends the connection must not wait for it, or its
             // requests would go on being read and their answers dropped.
-            let too_slow = async {
-                self.too_slow.passed().await;
+            let reader_too_slow = async {
+                self.reader_too_slow.passed().await;
                 Err("reader-too-slow")
             };
-            let flushed = async { self.outbox.flush(stream).await.map_err(|_| "peer-reset") };
-            future::or(too_slow, future::or(flushed, stalled)).await?;
-            self.account(self.outbox.backlog());
+            let flushed = async { self.buffer.flush(stream).await.map_err(|_| "peer-reset") };
+            future::or(reader_too_slow, future::or(flushed, stalled)).await?;
+            self.account(self.buffer.backlog());
             self.flushed.wake();
-            if let Some(reason) = self.ending.get().filter(|_| nothing_open() && self.outbox.backlog() == 0) {
+            if let Some(reason) =
+                self.end_reason.get().filter(|_| nothing_open() && self.buffer.backlog() == 0)
+            {
                 return Ok(reason);
             }
         }
@@ -259,31 +269,31 @@
 pub async fn run(
     stream: &Async<TcpStream>,
     state: &ConnectionState,
-    front: &FrontendContext,
+    context: &FrontendContext,
     writer: &WriteHalf,
     reading: impl Future<Output = CloseReason>,
     nothing_open: impl Fn() -> bool,
 ) -> &'static str {
     let reading = async {
         match reading.await {
-            CloseReason::Orderly(reason) => writer.end(reason),
-            CloseReason::PeerClosed if state.part.get() => writer.end("cut-off"),
-            CloseReason::PeerClosed if state.told() => writer.end("drained"),
+            CloseReason::Graceful(reason) => writer.end(reason),
+            CloseReason::PeerClosed if state.partial_message.get() => writer.end("cut-off"),
+            CloseReason::PeerClosed if state.is_going_away() => writer.end("drained"),
             CloseReason::PeerClosed => writer.end("peer-closed"),
             CloseReason::Finishing => writer.end("stopping"),
-            CloseReason::Spoilt(reason) => {
-                let _ = front.queue.send(CoreInput::ProtocolError { caller: state.id }).await;
+            CloseReason::ProtocolError(reason) => {
+                let _ = context.queue.send(CoreInput::ProtocolError { caller: state.id }).await;
                 writer.end(reason);
             }
-            CloseReason::Shut(reason) => return Ok(reason),
-            CloseReason::Abandoned(reason) => return Err(reason),
+            CloseReason::WriteClosed(reason) => return Ok(reason),
+            CloseReason::PeerGone(reason) => return Err(reason),
         }
         future::pending().await
     };
     let ended = future::or(reading, writer.run(stream, nothing_open)).await;
     match ended {
         Ok(reason) => {
-            linger(stream, state, front).await;
+            linger(stream, state, context).await;
             reason
         }
         // What it was owed nobody reads.
@@ -292,24 +302,24 @@
 }
 
 /// Shuts the writing half and throws away what still comes, until the other side closes or a bound is reached.
-async fn linger(stream: &Async<TcpStream>, state: &ConnectionState, front: &FrontendContext) {
+async fn linger(stream: &Async<TcpStream>, state: &ConnectionState, context: &FrontendContext) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     state.set_lingering();
     let finishing = async {
-        front.status.finishing.passed().await;
-        front.clock.pause(LAST_LINGER_MS).await;
+        context.status.finishing.passed().await;
+        context.clock.pause(FINAL_LINGER_MS).await;
     };
-    let bound = future::or(front.clock.pause(LINGER_MS), future::or(state.is_to_make_way(), finishing));
-    future::or(discard(stream, LINGER_BYTES), bound).await;
+    let bound = future::or(context.clock.pause(LINGER_MS), future::or(state.eviction_request(), finishing));
+    future::or(discard(stream, MAX_LINGER_BYTES), bound).await;
 }
 
 /// Reads and throws away what comes, until the other side closes or has sent so many bytes.
-pub async fn discard(mut stream: &Async<TcpStream>, most: usize) {
-    let (mut chunk, mut left) = ([0; 4096], most);
+pub async fn discard(mut stream: &Async<TcpStream>, max_bytes: usize) {
+    let (mut chunk, mut remaining) = ([0; 4096], max_bytes);
     while let Ok(read) = stream.read(&mut chunk).await
-        && (1..left).contains(&read)
+        && (1..remaining).contains(&read)
     {
-        left -= read;
+        remaining -= read;
         future::yield_now().await;
     }
 }
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -10,12 +10,12 @@
 
 /// Time in which a new connection has to bring its first whole message, and any the rest of one that has begun,
 /// ms. A router connects when it has something to say; what says nothing is owed an end within 3 s.
-pub const MESSAGE_MS: f64 = 1500.0;
+pub const MESSAGE_TIMEOUT_MS: f64 = 1500.0;
 /// Time after the notice to go in which a connection without open requests is closed from here, ms. A router
 /// that heard the notice closes first; what stays would hold its descriptor for good.
-const TOLD_MS: f64 = 1000.0;
+const GO_AWAY_TIMEOUT_MS: f64 = 1000.0;
 /// Least wait of a guard between two looks, ms: whatever the settings say, none may turn without a pause.
-const GUARD_LEAST_MS: f64 = 5.0;
+const MIN_CHECK_INTERVAL_MS: f64 = 5.0;
 
 /// What the guards know of one connection.
 #[derive(Debug)]
@@ -27,19 +27,19 @@
     /// Requests answered.
     pub answered: Cell<u64>,
     /// When it last carried something whole, ms.
-    pub used_ms: Cell<f64>,
+    pub last_active_ms: Cell<f64>,
     /// It brought a whole message.
-    pub spoke: Cell<bool>,
+    pub received_message: Cell<bool>,
     /// Something is under way on it: an answer is owed, or a body was asked for.
-    pub busy: Cell<bool>,
+    pub request_in_flight: Cell<bool>,
     /// The first part of a message came, and not yet the rest.
-    pub part: Cell<bool>,
+    pub partial_message: Cell<bool>,
     /// It was asked to go, and is closed from here after so long without anything under way, ms.
-    told_ms: Cell<Option<f64>>,
+    go_away_timeout_ms: Cell<Option<f64>>,
     /// Its place is wanted for another.
-    wanted: Cell<bool>,
+    eviction_requested: Cell<bool>,
     /// Its writing half is shut; it only waits for the other side to close.
-    lingers: Cell<bool>,
+    lingering: Cell<bool>,
     changed: Notify,
 }
 
@@ -50,78 +50,78 @@
             id,
             read: Cell::new(0),
             answered: Cell::new(0),
-            used_ms: Cell::new(now),
-            spoke: Cell::new(false),
-            busy: Cell::new(false),
-            part: Cell::new(false),
-            told_ms: Cell::new(None),
-            wanted: Cell::new(false),
-            lingers: Cell::new(false),
+            last_active_ms: Cell::new(now),
+            received_message: Cell::new(false),
+            request_in_flight: Cell::new(false),
+            partial_message: Cell::new(false),
+            go_away_timeout_ms: Cell::new(None),
+            eviction_requested: Cell::new(false),
+            lingering: Cell::new(false),
             changed: Notify::default(),
         }
     }
 
     /// Notes that a whole message was read: that shows why it stays.
-    pub fn heard(&self, now: f64) {
-        self.spoke.set(true);
-        self.used_ms.set(now);
-        self.wanted.set(false);
+    pub fn message_received(&self, now: f64) {
+        self.received_message.set(true);
+        self.last_active_ms.set(now);
+        self.eviction_requested.set(false);
     }
 
     /// It was asked to go.
-    pub fn told(&self) -> bool {
-        self.told_ms.get().is_some()
+    pub fn is_going_away(&self) -> bool {
+        self.go_away_timeout_ms.get().is_some()
     }
 
     /// Notes that it was asked to go; tells whether that is new. It is closed from here if it stays.
-    pub fn tell(&self, now: f64) -> bool {
-        self.tell_for(now, TOLD_MS)
+    pub fn mark_go_away_sent(&self, now: f64) -> bool {
+        self.mark_going_away(now, GO_AWAY_TIMEOUT_MS)
     }
 
     /// The same where nobody is told that a notice came: it is closed as soon as nothing is under way.
-    pub fn tell_at_once(&self, now: f64) -> bool {
-        self.tell_for(now, 0.0)
+    pub fn mark_going_away_unannounced(&self, now: f64) -> bool {
+        self.mark_going_away(now, 0.0)
     }
 
-    fn tell_for(&self, now: f64, stays_ms: f64) -> bool {
-        if self.told() {
+    fn mark_going_away(&self, now: f64, timeout_ms: f64) -> bool {
+        if self.is_going_away() {
             return false;
         }
-        self.told_ms.set(Some(stays_ms));
-        self.used_ms.set(now);
+        self.go_away_timeout_ms.set(Some(timeout_ms));
+        self.last_active_ms.set(now);
         self.changed.wake();
         true
     }
 
     /// Notes that its writing half is shut.
     pub fn set_lingering(&self) {
-        self.lingers.set(true);
+        self.lingering.set(true);
     }
 
     /// Its writing half is shut.
-    pub fn lingers(&self) -> bool {
-        self.lingers.get()
+    pub fn is_lingering(&self) -> bool {
+        self.lingering.get()
     }
 
     /// It was asked to make way, and has neither gone nor shown why it stays.
-    pub fn is_wanted(&self) -> bool {
-        self.wanted.get()
+    pub fn is_eviction_requested(&self) -> bool {
+        self.eviction_requested.get()
     }
 
     /// Asks it to make way for another.
-    pub fn want(&self) {
-        self.wanted.set(true);
+    pub fn request_eviction(&self) {
+        self.eviction_requested.set(true);
         self.changed.wake();
     }
 
     /// Takes back that its place is wanted: it has something to say.
-    pub fn keep(&self) {
-        self.wanted.set(false);
+    pub fn cancel_eviction(&self) {
+        self.eviction_requested.set(false);
     }
 
     /// Completes when its place is wanted.
-    pub async fn is_to_make_way(&self) {
-        while !self.wanted.get() {
+    pub async fn eviction_request(&self) {
+        while !self.eviction_requested.get() {
             self.changed.wait().await;
         }
     }
@@ -129,26 +129,30 @@
     /// Completes, with the reason, when the connection should go: nothing is under way on it, and it made way or said
     /// nothing for too long. `caller_idle_timeout_ms` is the time after which routers close idle ones themselves: what is left after it
     /// belongs to none that lives.
-    pub async fn should_go(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
+    pub async fn close_due(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
         loop {
-            let (limit_ms, reason) = match (self.spoke.get(), self.told_ms.get()) {
-                (false, _) => (MESSAGE_MS, "silent"),
-                (true, Some(stays_ms)) => (stays_ms, "told-to-go"),
+            let (limit_ms, reason) = match (self.received_message.get(), self.go_away_timeout_ms.get()) {
+                (false, _) => (MESSAGE_TIMEOUT_MS, "silent"),
+                (true, Some(timeout_ms)) => (timeout_ms, "told-to-go"),
                 (true, None) => (caller_idle_timeout_ms, "idle"),
             };
             let now = clock.now();
-            let at = self.used_ms.get() + limit_ms;
-            if !self.busy.get() {
-                if self.wanted.get() {
+            let at = self.last_active_ms.get() + limit_ms;
+            if !self.request_in_flight.get() {
+                if self.eviction_requested.get() {
                     return "gave-way";
                 }
                 // Half a message has a bound of its own; it must not be taken for silence of one that spoke before.
-                if now >= at && !(self.spoke.get() && self.part.get()) {
+                if now >= at && !(self.received_message.get() && self.partial_message.get()) {
                     return reason;
                 }
             }
             let wait_ms = if at > now { at - now } else { limit_ms };
-            future::or(self.changed.wait(), clock.pause(wait_ms.clamp(GUARD_LEAST_MS, TOLD_MS))).await;
+            future::or(
+                self.changed.wait(),
+                clock.pause(wait_ms.clamp(MIN_CHECK_INTERVAL_MS, GO_AWAY_TIMEOUT_MS)),
+            )
+            .await;
         }
     }
 }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -19,10 +19,10 @@
 use crate::server::observability::counters::count;
 
 /// Wait before another look for a free descriptor, ms.
-const FULL_MS: f64 = 20.0;
+const FULL_RETRY_MS: f64 = 20.0;
 /// Connections that may wait to be accepted: hundreds come at once, and one that finds no place there comes
 /// again only after a second.
-const BACKLOG: i32 = 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
 
 /// A listening socket. While it is there, someone may stand before it.
 pub struct Listener {
@@ -45,7 +45,7 @@
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
     rustix::net::bind(&socket, &address)?;
-    rustix::net::listen(&socket, BACKLOG)?;
+    rustix::net::listen(&socket, ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -59,28 +59,28 @@
     Shut,
 }
 
-/// Accepts connections until the core shuts the doors and nobody stands before this one; `serve` has each, of `most` at
+/// Accepts connections until the core shuts the doors and nobody stands before this one; `serve` has each, of `max_connections` at
 /// a time. What it returns is the reason code of the end.
 pub async fn listen<F: Future<Output = &'static str> + 'static>(
     name: &'static str,
     Listener { listener, limiter: _open }: Listener,
-    most: usize,
-    front: Rc<FrontendContext>,
+    max_connections: usize,
+    context: Rc<FrontendContext>,
     executor: Rc<LocalExecutor<'static>>,
     serve: impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
 ) {
-    let mine = Rc::new(Cell::new(0));
-    if let Err(error) = rustix::net::listen(&listener, BACKLOG) {
+    let open_connections = Rc::new(Cell::new(0));
+    if let Err(error) = rustix::net::listen(&listener, ACCEPT_BACKLOG) {
         tracing::warn!(%error, "backlog-not-set");
     }
     loop {
         let shut = async {
-            front.status.shut.passed().await;
+            context.status.shut.passed().await;
             Next::Shut
         };
-        if !front.status.accepting.is_on() {
+        if !context.status.accepting.is_on() {
             let resumed = async {
-                front.status.accepting.until(true).await;
+                context.status.accepting.until(true).await;
                 Next::Changed
             };
             match future::or(resumed, shut).await {
@@ -88,12 +88,12 @@
                 _ => continue,
             }
         }
-        if front.limiter.is_full() || mine.get() >= most {
+        if context.limiter.is_full() || open_connections.get() >= max_connections {
             // Descriptors are kept for the links; those that knock wait in the backlog until one gives way.
             // Nobody is asked to go before one knocks, or all are to go anyhow.
             let knocks = async { listener.readable().await.is_ok() };
-            let freed = async {
-                front.limiter.freed().await;
+            let capacity_change = async {
+                context.limiter.capacity_change().await;
                 false
             };
             // Whoever waits in the backlog then still has a turn, a moment later.
@@ -101,50 +101,50 @@
                 shut.await;
                 true
             };
-            if future::or(knocks, future::or(freed, shut)).await {
-                if front.limiter.is_full() {
-                    front.limiter.make_way(front.clock.now());
-                    front.observer.process_event(
-                        front.clock.now(),
+            if future::or(knocks, future::or(capacity_change, shut)).await {
+                if context.limiter.is_full() {
+                    context.limiter.evict_one(context.clock.now());
+                    context.observer.process_event(
+                        context.clock.now(),
                         ProcessEvent::LimitReached(ResourceLimit::Connections),
                     );
                 }
-                future::or(front.limiter.freed(), front.clock.pause(FULL_MS)).await;
+                future::or(context.limiter.capacity_change(), context.clock.pause(FULL_RETRY_MS)).await;
             }
             continue;
         }
         // Those in the backlog come before the end: dropped with the listener, they would be lost.
         let accepted = async { Next::Accepted(listener.accept().await.map(|(stream, _)| stream)) };
         let paused = async {
-            front.status.accepting.until(false).await;
+            context.status.accepting.until(false).await;
             Next::Changed
         };
         match future::or(paused, future::or(accepted, shut)).await {
             Next::Changed => {}
             Next::Accepted(Ok(stream)) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                count(&front.counters.connections);
-                let began = front.clock.now();
-                let state = front.limiter.enter(began);
-                mine.set(mine.get() + 1);
+                count(&context.counters.connections);
+                let began = context.clock.now();
+                let state = context.limiter.register(began);
+                open_connections.set(open_connections.get() + 1);
                 let served = serve(Rc::new(stream), state.clone());
-                let (front, mine) = (front.clone(), mine.clone());
+                let (context, open_connections) = (context.clone(), open_connections.clone());
                 let connection = async move {
                     // With it the socket is closed.
                     let reason = served.await;
-                    front.limiter.left(state.id);
-                    mine.set(mine.get() - 1);
-                    count(&front.counters.connections_ended);
+                    context.limiter.unregister(state.id);
+                    open_connections.set(open_connections.get() - 1);
+                    count(&context.counters.connections_ended);
                     tracing::info!(
                         conn = state.id,
                         front = name,
                         reason,
                         read = state.read.get(),
                         answered = state.answered.get(),
-                        after_ms = (front.clock.now() - began).round(),
+                        after_ms = (context.clock.now() - began).round(),
                         "conn-ended"
                     );
-                    let _ = front.queue.send(CoreInput::ConnectionClosed { caller: state.id }).await;
+                    let _ = context.queue.send(CoreInput::ConnectionClosed { caller: state.id }).await;
                 };
                 executor.spawn(connection).detach();
                 // Each gets to read before another is asked to make way.
@@ -153,7 +153,7 @@
             Next::Accepted(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted => {}
             Next::Accepted(Err(error)) => {
                 tracing::warn!(%error, "accept-failed");
-                front.clock.pause(FULL_MS).await;
+                context.clock.pause(FULL_RETRY_MS).await;
             }
             Next::Shut => break,
         }
--- a/src/server/frontend/rpc.rs
+++ b/src/server/frontend/rpc.rs
@@ -13,22 +13,22 @@
 use crate::config::site::Site;
 use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
 use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
-use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_MS};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_TIMEOUT_MS};
 use crate::server::frontend::context::FrontendContext;
 use crate::server::observability::counters::count;
 
 /// Longest body of a request, bytes.
-pub const BODY_MOST: usize = 2048;
+pub const MAX_BODY_BYTES: usize = 2048;
 /// Longest message, bytes: the longest body and ample fields.
-const MESSAGE_MOST: usize = BODY_MOST + 4096;
+const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 4096;
 /// Nesting of a message: itself, its parameters, its fields, their names.
-const DEPTH_MOST: u32 = 4;
+const MAX_NESTING_DEPTH: u32 = 4;
 /// Memory that no request may book while it is held, kB.
 pub const REQUEST_MEMORY_LIMIT_KB: f64 = 2000.0;
 /// Largest hint of work that is believed, as a multiple of the time its caller waits.
-pub const EST_MOST: f64 = 100.0;
+pub const MAX_WORK_HINT_MULTIPLE: f64 = 100.0;
 /// Requests that may be open on one connection.
-const OPEN_MOST: usize = 32;
+const MAX_IN_FLIGHT_REQUESTS: usize = 32;
 
 // ---- MessagePack ----
 
@@ -39,7 +39,7 @@
     Nil,
     /// True or false.
     Bool(bool),
-    /// A number of 0 or more.
+    /// An unsigned integer.
     Uint(u64),
     /// Text.
     Str(&'a str),
@@ -90,7 +90,7 @@
 
 impl<'a> Reader<'a> {
     fn bytes(&mut self, n: usize) -> Result<&'a [u8], FrameError> {
-        if n > MESSAGE_MOST {
+        if n > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong);
         }
         let (head, rest) = self.0.split_at_checked(n).ok_or(FrameError::Short)?;
@@ -145,7 +145,7 @@
 
     // A count is believed only as far as bytes are there for it: each value takes one at the least.
     fn array(&mut self, n: usize, depth: u32) -> Result<Value<'a>, FrameError> {
-        if n > MESSAGE_MOST {
+        if n > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong);
         }
         let mut row = Vec::new();
@@ -156,7 +156,7 @@
     }
 
     fn map(&mut self, n: usize, depth: u32) -> Result<Value<'a>, FrameError> {
-        if n > MESSAGE_MOST {
+        if n > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong);
         }
         let mut pairs = Vec::new();
@@ -170,11 +170,11 @@
 /// Reads one value off the front of `input`: it and its length, or nothing if it is not all there.
 pub fn read_value(input: &[u8]) -> Result<Option<(Value<'_>, usize)>, FrameError> {
     let mut reader = Reader(input);
-    match reader.value(DEPTH_MOST) {
-        Ok(value) if input.len() - reader.0.len() <= MESSAGE_MOST => {
+    match reader.value(MAX_NESTING_DEPTH) {
+        Ok(value) if input.len() - reader.0.len() <= MAX_MESSAGE_BYTES => {
             Ok(Some((value, input.len() - reader.0.len())))
         }
-        Err(FrameError::Short) if input.len() <= MESSAGE_MOST => Ok(None),
+        Err(FrameError::Short) if input.len() <= MAX_MESSAGE_BYTES => Ok(None),
         Ok(_) | Err(FrameError::Short) => Err(FrameError::TooLong),
         Err(error) => Err(error),
     }
@@ -302,7 +302,7 @@
     now_ms: f64,
 ) -> Result<Fields, &'static str> {
     let class = site.class_of(method, now_ms).ok_or("NoMethod")?;
-    if body.len() > BODY_MOST {
+    if body.len() > MAX_BODY_BYTES {
         return Err("TooLarge");
     }
     let text = |name: &str| {
@@ -334,7 +334,7 @@
     if keyed && token.is_none() || !fits(token) || !fits(subject) || again.is_some_and(|word| word != "1") {
         return Err("BadField");
     }
-    let est_ms = within("est", f64::MIN_POSITIVE, settings.timeout_ms * EST_MOST)?;
+    let est_ms = within("est", f64::MIN_POSITIVE, settings.timeout_ms * MAX_WORK_HINT_MULTIPLE)?;
     let mem_kb = within("mem", f64::MIN_POSITIVE, REQUEST_MEMORY_LIMIT_KB)?.unwrap_or(0.0);
     within("prio", 0.0, 1.0)?;
     within("peer", 0.0, f64::INFINITY)?;
@@ -356,7 +356,7 @@
 
 struct Connection {
     state: Rc<ConnectionState>,
-    front: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
     writer: WriteHalf,
     open: RefCell<BTreeSet<u64>>,
     last_id: Cell<u64>,
@@ -365,19 +365,19 @@
 impl Connection {
     /// The fields that go with every answer.
     fn hint(&self) -> Vec<(&'static str, String)> {
-        self.front.status.hint.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
+        self.context.status.hint.get().map(|value| ("hint", format!("{value:.4}"))).into_iter().collect()
     }
 
     /// Takes a request off those that are open; tells whether it was.
     fn close(&self, id: u64) -> bool {
         let was_open = self.open.borrow_mut().remove(&id);
-        self.state.busy.set(!self.open.borrow().is_empty());
+        self.state.request_in_flight.set(!self.open.borrow().is_empty());
         was_open
     }
 
-    fn error(&self, id: u64, name: &str, more: Vec<(&'static str, String)>) {
+    fn error(&self, id: u64, name: &str, extra: Vec<(&'static str, String)>) {
         let mut fields = self.hint();
-        fields.extend(more);
+        fields.extend(extra);
         self.writer.push(|out| {
             write_head(out, id);
             out.push(0x92);
@@ -398,7 +398,7 @@
         if !self.close(correlation_id) {
             return;
         }
-        self.state.used_ms.set(self.front.clock.now());
+        self.state.last_active_ms.set(self.context.clock.now());
         self.state.answered.set(self.state.answered.get() + 1);
         match reply {
             Reply::Served(result) => {
@@ -411,21 +411,21 @@
                 });
             }
             Reply::Rejected { retry_after_ms, last, .. } => {
-                let mut more = Vec::new();
+                let mut extra = Vec::new();
                 if *retry_after_ms > 0.0 {
-                    more.push(("backoff", format!("{:.0}", retry_after_ms.ceil())));
+                    extra.push(("backoff", format!("{:.0}", retry_after_ms.ceil())));
                 }
                 if *last {
-                    more.push(("final", "1".to_owned()));
+                    extra.push(("final", "1".to_owned()));
                 }
-                self.error(correlation_id, "Busy", more);
+                self.error(correlation_id, "Busy", extra);
             }
             Reply::Failed { .. } => self.error(correlation_id, "Failed", Vec::new()),
         }
     }
 
     fn go_away(&self) {
-        if self.state.tell(self.front.clock.now()) {
+        if self.state.mark_go_away_sent(self.context.clock.now()) {
             self.writer.push(|out| {
                 out.extend_from_slice(&[0x93, 0x02]);
                 write_str(out, "goaway");
@@ -435,7 +435,7 @@
     }
 
     fn go_away_if_idle(&self, since_ms: f64) {
-        if self.state.used_ms.get() < since_ms && !self.state.busy.get() {
+        if self.state.last_active_ms.get() < since_ms && !self.state.request_in_flight.get() {
             self.go_away();
         }
     }
@@ -445,56 +445,57 @@
 pub async fn serve(
     stream: Rc<Async<TcpStream>>,
     state: Rc<ConnectionState>,
-    front: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
 ) -> &'static str {
     let connection = Rc::new(Connection {
         state,
-        front: front.clone(),
-        writer: WriteHalf::new(front.clone()),
+        context: context.clone(),
+        writer: WriteHalf::new(context.clone()),
         open: RefCell::new(BTreeSet::new()),
         last_id: Cell::new(0),
     });
-    let _ = front.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
-    let mut intake = ReadHalf::new(stream.clone(), connection.state.clone(), front.clone());
-    let reading = read(&mut intake, &connection);
+    let _ = context.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let mut reader = ReadHalf::new(stream.clone(), connection.state.clone(), context.clone());
+    let reading = read(&mut reader, &connection);
     let nothing_open = || connection.open.borrow().is_empty();
-    connection::run(&stream, &connection.state, &front, &connection.writer, reading, nothing_open).await
+    connection::run(&stream, &connection.state, &context, &connection.writer, reading, nothing_open).await
 }
 
-async fn read(intake: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
-    let front = &connection.front;
+async fn read(reader: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
+    let context = &connection.context;
     // When the message began whose first part is all there is.
     let mut part_ms = None;
     loop {
-        if let Err(stop) = intake.more(&connection.writer, part_ms.map(|began: f64| began + MESSAGE_MS)).await
+        if let Err(stop) =
+            reader.read_more(&connection.writer, part_ms.map(|began: f64| began + MESSAGE_TIMEOUT_MS)).await
         {
             return stop;
         }
         loop {
-            match take_message(&mut intake.bytes, &front.active_settings.site(), front.clock.now()) {
+            match take_message(&mut reader.bytes, &context.active_settings.site(), context.clock.now()) {
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     part_ms = None;
-                    connection.state.heard(front.clock.now());
+                    connection.state.message_received(context.clock.now());
                     if let Err(error) = handle(message, connection).await {
-                        return CloseReason::Spoilt(error.code());
+                        return CloseReason::ProtocolError(error.code());
                     }
                 }
-                Err(error) => return CloseReason::Spoilt(error.code()),
+                Err(error) => return CloseReason::ProtocolError(error.code()),
             }
         }
-        part_ms = (!intake.bytes.is_empty()).then(|| part_ms.unwrap_or(front.clock.now()));
+        part_ms = (!reader.bytes.is_empty()).then(|| part_ms.unwrap_or(context.clock.now()));
         connection.writer.ready().await;
         future::yield_now().await;
     }
 }
 
 async fn handle(message: Message, connection: &Rc<Connection>) -> Result<(), FrameError> {
-    let front = &connection.front;
+    let context = &connection.context;
     match message {
         Message::Abort(id) => {
             if connection.close(id) {
-                let _ = front
+                let _ = context
                     .queue
                     .send(CoreInput::CallerGone { caller: connection.state.id, correlation_id: id })
                     .await;
@@ -502,9 +503,9 @@
         }
         Message::Ping(id) => {
             next_id(connection, id)?;
-            count(&front.counters.pings);
+            count(&context.counters.pings);
             let fields = connection.hint();
-            let good = front.status.healthy.get();
+            let good = context.status.healthy.get();
             connection.writer.push(|out| {
                 write_head(out, id);
                 out.extend_from_slice(&[0xc0, 0x92, if good { 0xc3 } else { 0xc2 }]);
@@ -515,15 +516,15 @@
             next_id(connection, id)?;
             match fields {
                 Err(name) => {
-                    count(&front.counters.bad_requests);
+                    count(&context.counters.bad_requests);
                     connection.error(id, name, Vec::new());
                 }
                 Ok(fields) => {
-                    if connection.open.borrow().len() >= OPEN_MOST {
+                    if connection.open.borrow().len() >= MAX_IN_FLIGHT_REQUESTS {
                         return Err(FrameError::TooManyOpen);
                     }
                     connection.open.borrow_mut().insert(id);
-                    connection.state.busy.set(true);
+                    connection.state.request_in_flight.set(true);
                     let arrival = Arrival {
                         caller: connection.clone(),
                         front: pinepoint_events::Protocol::Rpc,
@@ -539,7 +540,7 @@
                         tenant: fields.tenant,
                         body: fields.body,
                     };
-                    let _ = front.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
+                    let _ = context.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
                 }
             }
         }
