--- a/crates/pinepoint-store/tests/drive/mod.rs
+++ b/crates/pinepoint-store/tests/drive/mod.rs
@@ -2,57 +2,61 @@
 
 use std::path::Path;
 
-use pinepoint_store::files::{Files, OpenError};
-use pinepoint_store::log::Change;
-use pinepoint_store::store::{Action, Durability, Event, Rules, Store};
+use pinepoint_store::directory::{OpenError, SegmentDirectory};
+use pinepoint_store::format::Change;
+use pinepoint_store::store::{Action, Durability, Event, Options, Store};
 
-pub struct Open {
+pub struct OpenStore {
     pub store: Store,
     /// What it did beside asking the disk.
-    pub told: Vec<Action>,
-    files: Files,
+    pub actions: Vec<Action>,
+    directory: SegmentDirectory,
     now: f64,
 }
 
-impl Open {
+impl OpenStore {
     /// Opens a directory as soon as whoever had it has let it go; the store is told this time throughout.
-    pub fn new(dir: &Path, rules: Rules, now: f64) -> Open {
-        let files = loop {
-            match Files::open(dir) {
-                Ok(files) => break files,
+    pub fn new(dir: &Path, options: Options, now: f64) -> OpenStore {
+        let directory = loop {
+            match SegmentDirectory::open(dir) {
+                Ok(directory) => break directory,
                 Err(OpenError::InUse(_)) => std::thread::yield_now(),
                 Err(error) => panic!("{error}"),
             }
         };
         let mut out = Vec::new();
-        let store = Store::open(rules, 0.0, &mut out);
-        let mut open = Open { store, told: Vec::new(), files, now };
-        open.carry_out(out);
+        let store = Store::open(options, 0.0, &mut out);
+        let mut open = OpenStore { store, actions: Vec::new(), directory, now };
+        open.execute(out);
         open
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) {
+    fn execute(&mut self, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
                 let Action::Disk(request) = action else {
-                    self.told.push(action);
+                    self.actions.push(action);
                     continue;
                 };
-                self.files.requests.send_blocking(request).expect("the thread runs");
-                let answer = self.files.answers.recv_blocking().expect("the thread answers");
-                self.store.handle(self.now, Event::Disk(answer), &mut next);
+                self.directory.requests.send_blocking(request).expect("the thread runs");
+                let answer = self.directory.responses.recv_blocking().expect("the thread answers");
+                self.store.handle(self.now, Event::DiskCompleted(answer), &mut next);
             }
             actions = next;
         }
     }
 
-    /// Writes these durably, each a batch of its own under its number, all of which wait at once.
-    pub fn put(&mut self, batches: impl Iterator<Item = (u64, Change)>) {
+    /// Writes these durably, each under its ticket; all of them are queued at once.
+    pub fn put(&mut self, batches: impl Iterator<Item = (u64, Vec<Change>)>) {
         let mut out = Vec::new();
-        for (ticket, change) in batches {
-            self.store.handle(self.now, Event::Write(ticket, vec![change], Durability::Durable), &mut out);
+        for (ticket, changes) in batches {
+            self.store.handle(
+                self.now,
+                Event::Write { ticket, changes, durability: Durability::Durable },
+                &mut out,
+            );
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 }
--- a/src/server/frontend/ajp.rs
+++ b/src/server/frontend/ajp.rs
@@ -377,7 +377,7 @@
 
 impl Connection {
     fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: bool) {
-        headers.extend(self.context.status.hint.get().map(|value| ("hint", format!("{value:.4}"))));
+        headers.extend(self.context.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))));
         self.state.last_active_ms.set(self.context.clock.now());
         self.writer.push(|out| response(out, status, &headers, body, reuse));
     }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -75,7 +75,7 @@
     }
     loop {
         let shut = async {
-            context.status.shut.passed().await;
+            context.status.stop_accepting.passed().await;
             Next::Shut
         };
         if !context.status.accepting.is_on() {
