--- a/src/bin/pinepoint/process.rs
+++ b/src/bin/pinepoint/process.rs
@@ -12,7 +12,7 @@
 use pinepoint::server::control::reload::Reloader;
 use pinepoint::server::control::status::Status;
 use pinepoint::server::core::api::CoreInput;
-use pinepoint::server::core::{Core, HandoverParts, Parts};
+use pinepoint::server::core::{Core, CoreDependencies, HandoverDependencies};
 use pinepoint::server::frontend::context::FrontendContext;
 use pinepoint::server::frontend::limiter::ConnectionLimiter;
 use pinepoint::server::frontend::listener::{self, Listener};
@@ -234,7 +234,7 @@
         &self,
         upgrade: Upgrade,
         limiter: &Rc<ConnectionLimiter>,
-    ) -> (Rc<HandoverLinks>, HandoverParts) {
+    ) -> (Rc<HandoverLinks>, HandoverDependencies) {
         upgrade.into_links(&self.site, |path, inbox| HandoverContext {
             path,
             executor: self.executor.clone(),
@@ -251,9 +251,9 @@
         config: &Config,
         frontend: &FrontendContext,
         upstreams: &Upstreams,
-        handover: Option<HandoverParts>,
+        handover: Option<HandoverDependencies>,
     ) -> Core {
-        Core::new(Parts {
+        Core::new(CoreDependencies {
             site: self.site.clone(),
             seed: self.seed,
             stop_ms: config.stop_ms,
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -86,8 +86,8 @@
 
         let upstreams = process.upstreams(&config);
         let handover = upgrade.map(|upgrade| process.handover_links(upgrade, &frontend.limiter));
-        let (handover_links, handover_parts) = handover.unzip();
-        let core = process.core(&config, &frontend, &upstreams, handover_parts);
+        let (handover_links, handover_dependencies) = handover.unzip();
+        let core = process.core(&config, &frontend, &upstreams, handover_dependencies);
 
         let reloader = process.reloader(config, &frontend, &upstreams, telemetry.clone())?;
         process.handle_signals(signals, Reload { reloader, telemetry: telemetry.clone(), edge_file });
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -8,7 +8,7 @@
 use pinepoint::config::site::Site;
 use pinepoint::server::control::handover::{HandoverContext, HandoverLinks};
 use pinepoint::server::core::api::{PeerEvent, PeerInbox};
-use pinepoint::server::core::{HandoverParts, longest_window_ms};
+use pinepoint::server::core::{HandoverDependencies, longest_dedup_window_ms};
 use pinepoint::server::frontend::listener::bind_shared;
 use pinepoint_clock::Clock;
 use pinepoint_handover::io::{Connected, connect, socket_path};
@@ -78,7 +78,7 @@
         self,
         site: &Site,
         context: impl FnOnce(PathBuf, Rc<PeerInbox>) -> HandoverContext,
-    ) -> (Rc<HandoverLinks>, HandoverParts) {
+    ) -> (Rc<HandoverLinks>, HandoverDependencies) {
         let inbox = Rc::new(PeerInbox::default());
         let (names, listeners) = self.opened.into_iter().unzip();
         let link = match self.predecessor {
@@ -92,9 +92,10 @@
             }
         };
         let links = HandoverLinks::new(context(self.path, inbox.clone()), listeners, link);
-        let rules = Rules { longest_window_ms: longest_window_ms(site), ..Rules::default() };
-        let parts = HandoverParts { port: links.clone(), inbox, rules, listeners: names };
-        (links, parts)
+        let rules = Rules { longest_window_ms: longest_dedup_window_ms(site), ..Rules::default() };
+        let transport = links.clone();
+        let dependencies = HandoverDependencies { transport, inbox, rules, listener_names: names };
+        (links, dependencies)
     }
 }
 
