--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -1,5 +1,5 @@
-//! Carries out what the core decides in a handover: the links to the other process of this server, and the socket on which a
-//! successor is awaited. It owns their tasks; it must never decide which process serves or owns a key.
+//! The transport of a handover: the links to the other process of this server, and the socket on which a successor is
+//! awaited. It owns their tasks. The core decides which process serves and which one owns a key.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpListener;
@@ -18,14 +18,14 @@
 use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::sync::Notify;
 
-/// Descriptors that the other process holds beside the connections of its callers.
-const OTHER_DESCRIPTORS: usize = 20;
-/// Successors that have connected and wait to be looked at.
-const ACCEPTED_MOST: usize = 4;
+/// Descriptors that the other process holds beside its client connections.
+const PEER_RESERVED_DESCRIPTORS: usize = 20;
+/// Successors that may have connected and wait to be taken.
+const MAX_PENDING_SUCCESSORS: usize = 4;
 
-/// What the links need of the process.
+/// What the links share with the rest of the process.
 pub struct HandoverContext {
-    /// The socket that both processes know.
+    /// The path of the socket on which a process awaits its successor.
     pub path: PathBuf,
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
@@ -33,60 +33,64 @@
     pub clock: Clock,
     /// Wakes the core.
     pub status: Rc<Status>,
-    /// Room for connections, which both processes share.
+    /// The limit of connections, which both processes share.
     pub limiter: Rc<ConnectionLimiter>,
-    /// What the core is told.
+    /// Where the core receives the events of the links.
     pub inbox: Rc<PeerInbox>,
 }
 
-/// Which of the two other processes a link leads to.
+/// Which other process a link leads to. The variants' names are words of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Side {
+enum Peer {
     Predecessor,
     Successor,
 }
 
-impl Side {
+impl Peer {
     fn message(self, message: Message) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerEvent::FromPredecessor(message),
-            Side::Successor => PeerEvent::FromSuccessor(message),
+            Peer::Predecessor => PeerEvent::FromPredecessor(message),
+            Peer::Successor => PeerEvent::FromSuccessor(message),
         }
     }
 
     fn lost(self) -> PeerEvent {
         match self {
-            Side::Predecessor => PeerEvent::PredecessorLost,
-            Side::Successor => PeerEvent::SuccessorLost,
+            Peer::Predecessor => PeerEvent::PredecessorLost,
+            Peer::Successor => PeerEvent::SuccessorLost,
         }
     }
 }
 
-/// The links.
+/// The links to the other process, at most one to a predecessor and one to a successor.
 pub struct HandoverLinks {
-    host: HandoverContext,
+    context: HandoverContext,
+    /// For the tasks of the links, which keep this value alive.
     this: Weak<HandoverLinks>,
     predecessor: RefCell<Option<Link>>,
     successor: RefCell<Option<Link>>,
+    /// The listening sockets that a successor is passed.
     listeners: RefCell<Vec<TcpListener>>,
+    /// The socket on which a successor is awaited, with its task.
     acceptor: RefCell<Option<(Rc<Acceptor>, Task<()>)>>,
-    /// Names the next link.
+    /// The number of the next link.
     next_number: Cell<u64>,
-    /// Links whose tasks run.
+    /// Links whose tasks are running.
     running: Cell<usize>,
-    ended: Notify,
+    /// A task of a link has ended.
+    link_ended: Notify,
 }
 
 impl HandoverLinks {
-    /// Without any link but that to the predecessor which was `found` at the start. `listeners` are the listening sockets, passed
-    /// to a successor in this order.
+    /// Begins with the link to the predecessor that was found at the start, if any. A successor is passed `listeners` in this
+    /// order.
     pub fn new(
-        host: HandoverContext,
+        context: HandoverContext,
         listeners: Vec<TcpListener>,
-        found: Option<(Link, LinkTask)>,
+        predecessor: Option<(Link, LinkTask)>,
     ) -> Rc<HandoverLinks> {
         let links = Rc::new_cyclic(|this| HandoverLinks {
-            host,
+            context,
             this: this.clone(),
             predecessor: RefCell::default(),
             successor: RefCell::default(),
@@ -94,152 +98,153 @@
             acceptor: RefCell::default(),
             next_number: Cell::new(1),
             running: Cell::new(0),
-            ended: Notify::default(),
+            link_ended: Notify::default(),
         });
-        if let Some((link, task)) = found {
-            links.attach(Side::Predecessor, link, task);
+        if let Some((link, task)) = predecessor {
+            links.attach(Peer::Predecessor, link, task);
         }
         links
     }
 
-    /// Sends what waits and ends the links, within this time.
-    pub async fn finish(&self, within_ms: f64) {
-        for side in [Side::Predecessor, Side::Successor] {
-            if let Some(link) = &*self.current(side).borrow() {
+    /// Sends what is queued and ends the links, within `timeout_ms`.
+    pub async fn finish(&self, timeout_ms: f64) {
+        for peer in [Peer::Predecessor, Peer::Successor] {
+            if let Some(link) = &*self.current(peer).borrow() {
                 link.finish();
             }
         }
-        let ended = async {
+        let all_ended = async {
             while self.running.get() > 0 {
-                self.ended.wait().await;
+                self.link_ended.wait().await;
             }
         };
-        future::or(ended, self.host.clock.pause(within_ms)).await;
+        future::or(all_ended, self.context.clock.pause(timeout_ms)).await;
     }
 
-    fn current(&self, side: Side) -> &RefCell<Option<Link>> {
-        match side {
-            Side::Predecessor => &self.predecessor,
-            Side::Successor => &self.successor,
+    fn current(&self, peer: Peer) -> &RefCell<Option<Link>> {
+        match peer {
+            Peer::Predecessor => &self.predecessor,
+            Peer::Successor => &self.successor,
         }
     }
 
-    fn is_current(&self, side: Side, number: u64) -> bool {
-        self.current(side).borrow().as_ref().is_some_and(|link| link.number() == number)
+    fn is_current(&self, peer: Peer, number: u64) -> bool {
+        self.current(peer).borrow().as_ref().is_some_and(|link| link.number() == number)
     }
 
-    fn tell(&self, input: PeerEvent) {
-        self.host.inbox.push(input);
-        self.host.status.core_wakeup.wake();
+    /// Passes an event on to the core.
+    fn notify_core(&self, event: PeerEvent) {
+        self.context.inbox.push(event);
+        self.context.status.core_wakeup.wake();
     }
 
-    fn number(&self) -> u64 {
+    fn take_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Makes this the link to that side, and runs it.
-    fn attach(&self, side: Side, link: Link, task: LinkTask) {
+    /// Makes this the current link to that process, and runs it.
+    fn attach(&self, peer: Peer, link: Link, task: LinkTask) {
         let Some(this) = self.this.upgrade() else { return };
         let number = link.number();
-        *self.current(side).borrow_mut() = Some(link);
+        *self.current(peer).borrow_mut() = Some(link);
         self.running.set(self.running.get() + 1);
         let run = async move {
             let deliver = |message| {
-                if this.is_current(side, number) {
-                    this.tell(side.message(message));
+                if this.is_current(peer, number) {
+                    this.notify_core(peer.message(message));
                 }
             };
             let end = task.run(deliver).await;
-            tracing::info!(?side, reason = %end, "handover-link-ended");
-            if this.is_current(side, number) {
-                *this.current(side).borrow_mut() = None;
-                this.tell(side.lost());
+            tracing::info!(side = ?peer, reason = %end, "handover-link-ended");
+            if this.is_current(peer, number) {
+                *this.current(peer).borrow_mut() = None;
+                this.notify_core(peer.lost());
             }
             this.running.set(this.running.get() - 1);
-            this.ended.wake();
+            this.link_ended.wake();
         };
-        self.host.executor.spawn(run).detach();
+        self.context.executor.spawn(run).detach();
     }
 
-    fn drop_link(&self, side: Side) {
-        if let Some(link) = self.current(side).borrow_mut().take() {
+    fn drop_link(&self, peer: Peer) {
+        if let Some(link) = self.current(peer).borrow_mut().take() {
             link.close();
         }
     }
 
-    fn send(&self, side: Side, message: &Message) {
-        if let Some(link) = &*self.current(side).borrow() {
+    fn send(&self, peer: Peer, message: &Message) {
+        if let Some(link) = &*self.current(peer).borrow() {
             link.send(message);
         }
     }
 
-    /// Hands on those who connect, one at a time.
+    /// Takes one successor at a time.
     async fn accept(self: Rc<Self>, acceptor: Rc<Acceptor>) {
-        let (accepted, peers) = async_channel::bounded(ACCEPTED_MOST);
-        // Links are told apart by their numbers: those of an acceptor are its own.
-        let first_number = self.number() << 32;
-        let acceptor = acceptor.run(first_number, self.host.executor.clone(), accepted);
+        let (accepted, successors) = async_channel::bounded(MAX_PENDING_SUCCESSORS);
+        // Each link has a number of its own: an acceptor numbers its links from here on.
+        let first_number = self.take_number() << 32;
+        let accept = acceptor.run(first_number, self.context.executor.clone(), accepted);
         let take = async {
-            while let Ok(Accepted { link, task }) = peers.recv().await {
+            while let Ok(Accepted { link, task }) = successors.recv().await {
                 if self.successor.borrow().is_some() {
                     tracing::warn!("second-successor-refused");
                     link.close();
                     continue;
                 }
-                self.attach(Side::Successor, link, task);
-                self.tell(PeerEvent::SuccessorFound);
+                self.attach(Peer::Successor, link, task);
+                self.notify_core(PeerEvent::SuccessorFound);
             }
         };
-        future::or(acceptor, take).await;
+        future::or(accept, take).await;
     }
 }
 
 impl HandoverTransport for HandoverLinks {
     fn send_to_predecessor(&self, message: &Message) {
-        self.send(Side::Predecessor, message);
+        self.send(Peer::Predecessor, message);
     }
 
     fn send_to_successor(&self, message: &Message) {
-        self.send(Side::Successor, message);
+        self.send(Peer::Successor, message);
     }
 
     fn drop_predecessor(&self) {
-        self.drop_link(Side::Predecessor);
+        self.drop_link(Peer::Predecessor);
     }
 
     fn drop_successor(&self) {
-        self.drop_link(Side::Successor);
+        self.drop_link(Peer::Successor);
     }
 
     fn find_predecessor(&self) {
         let Some(this) = self.this.upgrade() else { return };
         let find = async move {
-            this.host.clock.pause(RECONNECT_MS).await;
-            match connect(&this.host.path, this.number()).await {
+            this.context.clock.pause(RECONNECT_MS).await;
+            match connect(&this.context.path, this.take_number()).await {
                 // Its listening sockets are those that this process has already.
                 Ok(Connected { hello, listeners: _, link, task }) => {
-                    this.attach(Side::Predecessor, link, task);
-                    this.tell(PeerEvent::PredecessorFound(hello));
+                    this.attach(Peer::Predecessor, link, task);
+                    this.notify_core(PeerEvent::PredecessorFound(hello));
                 }
-                Err(why) => this.tell(PeerEvent::NoPredecessor(why)),
+                Err(why) => this.notify_core(PeerEvent::NoPredecessor(why)),
             }
         };
-        self.host.executor.spawn(find).detach();
+        self.context.executor.spawn(find).detach();
     }
 
     fn listen_for_successor(&self) {
         let Some(this) = self.this.upgrade() else { return };
         let listeners = self.listeners.borrow();
         let listeners: Vec<&TcpListener> = listeners.iter().collect();
-        match Acceptor::bind(&self.host.path, &listeners) {
+        match Acceptor::bind(&self.context.path, &listeners) {
             Ok(acceptor) => {
                 let acceptor = Rc::new(acceptor);
-                let task = self.host.executor.spawn(this.accept(acceptor.clone()));
+                let task = self.context.executor.spawn(this.accept(acceptor.clone()));
                 *self.acceptor.borrow_mut() = Some((acceptor, task));
             }
-            // An upgrade will not be handed over; nothing else depends on it.
+            // The next upgrade will have no handover; nothing else depends on this socket.
             Err(error) => {
-                tracing::warn!(path = %self.host.path.display(), %error, "handover-off");
+                tracing::warn!(path = %self.context.path.display(), %error, "handover-off");
             }
         }
     }
@@ -252,7 +257,7 @@
     }
 
     fn set_peer_connections(&self, connections: usize) {
-        let own = if self.predecessor.borrow().is_some() { OTHER_DESCRIPTORS } else { 0 };
-        self.host.limiter.set_others(connections + own);
+        let own = if self.predecessor.borrow().is_some() { PEER_RESERVED_DESCRIPTORS } else { 0 };
+        self.context.limiter.set_others(connections + own);
     }
 }
--- a/src/server/control/mod.rs
+++ b/src/server/control/mod.rs
@@ -1,6 +1,9 @@
-//! The life of the process: [`lifecycle`] has its phases and [`status`] what all parts see of them, [`management`] is the
-//! operators' port, [`reload`] puts a changed configuration in force, and [`handover`] connects to the other process of
-//! this server during an upgrade.
+//! Control of the process, beside the way of the requests.
+//!
+//! - [`lifecycle`] is its phases as a state machine, [`status`] what the core publishes for the other tasks.
+//! - [`management`] is the operators' port.
+//! - [`reload`] applies a changed configuration.
+//! - [`handover`] connects to the other process of this server during an upgrade.
 
 pub mod handover;
 pub mod lifecycle;
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -1,5 +1,5 @@
-//! Puts a configuration that was read again in force, in the order that keeps all parts in step. It owns which
-//! configuration that is; it must never take a part of a file, touch a request, or wait for anything but the core's queue.
+//! Reads the configuration again and applies it, in the order that keeps all parts consistent. It owns the configuration in
+//! force. It never applies a part of a file, touches no request, and waits for nothing but the core's queue.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -16,35 +16,35 @@
 use crate::server::observability::telemetry;
 use crate::server::upstream::UpstreamAddresses;
 
-/// Reads the configuration again when it is told to.
+/// Reads the configuration again at each call of [`Reloader::reload`].
 pub struct Reloader {
     /// The file.
     pub file: PathBuf,
-    /// What is in force.
+    /// The configuration in force.
     pub config: Config,
-    /// What the fronts go by.
+    /// The settings that the frontends read.
     pub active_settings: Rc<ActiveSettings>,
-    /// Where the links go.
+    /// The addresses that the upstream connections use.
     pub addresses: Rc<UpstreamAddresses>,
-    /// Room for connections.
+    /// The limit of connections, which depends on the memory.
     pub limiter: Rc<ConnectionLimiter>,
-    /// What counts by class, if it is on.
+    /// Telemetry, which counts by class, if it is on.
     pub telemetry: Option<Rc<Telemetry>>,
     /// Counters.
     pub counters: Rc<Counters>,
     /// The clock.
     pub clock: Clock,
-    /// The way to the core.
+    /// The core's queue.
     pub queue: Sender<CoreInput>,
 }
 
 impl Reloader {
-    /// Reads the file and puts it in force. One that cannot be used changes nothing: it may be half written, or meant
-    /// for another process, and then its addresses are no better than its settings.
+    /// Reads the file and applies it. A file that cannot be used changes nothing: it may be half written, or meant for another
+    /// process, and then its addresses are no better than its settings.
     pub async fn reload(&mut self) {
         match self.config.read_next(&self.file, self.clock.now()) {
             Ok(config) => {
-                self.put_in_force(config).await;
+                self.apply(config).await;
                 count(&self.counters.reloads);
             }
             Err(error) => {
@@ -54,19 +54,16 @@
         }
     }
 
-    async fn put_in_force(&mut self, config: Config) {
-        for field in self.config.restart_only_differences(&config) {
+    /// Applies a configuration to all parts.
+    async fn apply(&mut self, new: Config) {
+        for field in self.config.restart_only_differences(&new) {
             tracing::warn!(field, "needs-a-new-start");
         }
-        let mut config = config;
-        if config.management != self.config.management {
-            // Written for a process that is started beside this one: its engine is not this one's.
-            (config.engine, config.management) = (self.config.engine, self.config.management);
-            tracing::warn!(engine = %config.engine, "engine-kept-as-the-file-is-for-another-process");
-        }
+        let config = self.without_settings_of_another_process(new);
         let Config { engine, store, registry, memory_mb, stop_ms, .. } = config;
         let settings = Reconfiguration { site: config.site.clone(), stop_ms, memory_mb };
-        // Telemetry before any fact about a new class, and the core before the fronts: a request of a new class, read once the fronts know it, comes behind this in the queue.
+        // Telemetry first, before any event of a new class. The core before the frontends: a request of a new class, which they
+        // accept once they know it, comes behind this in the queue.
         if let Some(telemetry) = &self.telemetry {
             telemetry::set_classes(telemetry, &config.site);
         }
@@ -78,4 +75,15 @@
         tracing::info!(%engine, %store, members = %registry, classes, "reloaded");
         self.config = config;
     }
+
+    /// A file with another management address was written for a process that is started beside this one: its engine is not
+    /// this one's.
+    fn without_settings_of_another_process(&self, mut config: Config) -> Config {
+        if config.management != self.config.management {
+            config.engine = self.config.engine;
+            config.management = self.config.management;
+            tracing::warn!(engine = %config.engine, "engine-kept-as-the-file-is-for-another-process");
+        }
+        config
+    }
 }
