--- a/crates/pinepoint-lab/src/cluster/member.rs
+++ b/crates/pinepoint-lab/src/cluster/member.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{Command, ExitStatus, Stdio};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 use super::{ENGINE_CORES, Options, ScriptError};
-use crate::process::PlatformConfig;
+use crate::process::{ChildGuard, PlatformConfig};
 use crate::script::matches;
 use crate::simulated_engine::EngineControl;
 use crate::stub_services::ServiceAddresses;
@@ -106,10 +106,11 @@
     pub(super) services: ServiceAddresses,
     pub(super) engine: EngineControl,
     pub(super) files: MemberFiles,
-    pub(super) child: Option<Child>,
     /// A script has stopped it.
     pub(super) is_stopped: bool,
+    // Dropped before the child, so that no signal goes to a process that has ended.
     throttle: Option<Throttle>,
+    child: Option<ChildGuard>,
 }
 
 /// Where a member is reached and what it reaches.
@@ -140,9 +141,9 @@
             rpc,
             services,
             engine,
-            child: None,
             is_stopped: false,
             throttle: None,
+            child: None,
         }
     }
 
@@ -169,7 +170,7 @@
             .stdin(Stdio::null())
             .stderr(log)
             .spawn()?;
-        self.child = Some(child);
+        self.child = Some(ChildGuard::new(child));
         self.is_stopped = false;
         Ok(())
     }
@@ -231,13 +232,3 @@
         messages.into_iter().find(|message| matches(pattern, message)).map(str::to_owned)
     }
 }
-
-impl Drop for Member {
-    fn drop(&mut self) {
-        self.stop_throttle();
-        if let Some(child) = &mut self.child {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
-    }
-}
--- a/crates/pinepoint-lab/src/process.rs
+++ b/crates/pinepoint-lab/src/process.rs
@@ -3,6 +3,7 @@
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
+use std::ops::{Deref, DerefMut};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
@@ -78,6 +79,37 @@
     }
 }
 
+/// A child process; killed when dropped.
+#[derive(Debug)]
+pub(crate) struct ChildGuard(Child);
+
+impl ChildGuard {
+    pub(crate) fn new(child: Child) -> ChildGuard {
+        ChildGuard(child)
+    }
+}
+
+impl Deref for ChildGuard {
+    type Target = Child;
+
+    fn deref(&self) -> &Child {
+        &self.0
+    }
+}
+
+impl DerefMut for ChildGuard {
+    fn deref_mut(&mut self) -> &mut Child {
+        &mut self.0
+    }
+}
+
+impl Drop for ChildGuard {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
 /// How the program is started.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions<'a> {
@@ -97,7 +129,7 @@
 
 impl LaunchOptions<'_> {
     /// Writes the files, and starts the program with its standard error piped.
-    fn spawn(&self) -> io::Result<Child> {
+    fn spawn(&self) -> io::Result<ChildGuard> {
         let platform = PlatformConfig {
             name: "n1",
             listen: ([127, 0, 0, 1], 0).into(),
@@ -112,7 +144,7 @@
         if let Some(edge) = &self.edge {
             command.arg("--edge").arg(self.write("edge.toml", edge)?);
         }
-        let child = command.spawn()?;
+        let child = ChildGuard::new(command.spawn()?);
         if let Some(cpu) = self.cpu {
             pin_to_cpu(&child, cpu)?;
         }
@@ -129,7 +161,7 @@
 /// The running program. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
-    child: Child,
+    child: ChildGuard,
     /// Where it takes MessagePack-RPC.
     pub rpc: SocketAddr,
     /// Where it takes AJP, if it does.
@@ -183,13 +215,6 @@
     }
 }
 
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
 /// Reads a log on a thread of its own until it ends or nobody listens.
 fn read_log(stderr: ChildStderr) -> Receiver<String> {
     let log = BufReader::new(stderr);
--- a/crates/pinepoint-lab/src/telemetry.rs
+++ b/crates/pinepoint-lab/src/telemetry.rs
@@ -89,6 +89,22 @@
         condition != Condition::Off && !self.legacy_config
     }
 
+    fn start_process(
+        &self,
+        folder: &TempDir,
+        addresses: ServiceAddresses,
+        edge: String,
+    ) -> io::Result<Process> {
+        Process::start(&LaunchOptions {
+            program: &self.program,
+            folder: &folder.0,
+            addresses,
+            cores: ENGINE_CORES,
+            edge: Some(edge),
+            cpu: self.cpu,
+        })
+    }
+
     fn edge_file(&self, condition: Condition, graphite: &Graphite, collectd: &str) -> String {
         let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\nmem_kb = 40.0\n";
         let (address, every) = (graphite.address(), self.interval_s);
@@ -203,14 +219,8 @@
 ) -> io::Result<Trial> {
     let folder = TempDir::new(&format!("telemetry-{seed}"))?;
     let receivers = Receivers::start(condition, seed)?;
-    let process = Process::start(&LaunchOptions {
-        program: &options.program,
-        folder: &folder.0,
-        addresses,
-        cores: ENGINE_CORES,
-        edge: Some(options.edge_file(condition, &receivers.graphite, &receivers.collectd_address)),
-        cpu: options.cpu,
-    })?;
+    let edge = options.edge_file(condition, &receivers.graphite, &receivers.collectd_address);
+    let process = options.start_process(&folder, addresses, edge)?;
     Timer::after(WARM_UP).await;
     let before = process.usage();
     let workload = options.workload(seed);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,6 +1,6 @@
 //! The node's scenarios, and the stubs they speak through: a program under test ([`World`]), stub services around it
 //! ([`stubs`]), and clients of its two fronts ([`rpc`], [`ajp`]). A scenario is lines of `ACTOR VERB WORDS` (the language is
-//! the laboratory's, `pinepoint_lab::script`); every actor has an inbox of text lines.
+//! that of `pinepoint_lab::script`); every actor has an inbox of text lines.
 //!
 //! | verb | meaning |
 //! | --- | --- |
@@ -12,7 +12,7 @@
 //! | `never` | no line of the inbox matches the words: for a process that has ended |
 //!
 //! Actors: `node` (the program: `send TERM` is a signal, `send config=...` replaces its configuration, `send clock=N` sets
-//! its clock N ms ahead; its log lines from the message on, `exit N`), `engine`, `store`, `members` (stand-ins for the services), `engine2`,
+//! its clock N ms ahead; its log lines from the message on, `exit N`), `engine`, `store`, `members` (the stub services), `engine2`,
 //! `store2`, `members2` (where `config=moved` puts them), and any name that begins with `rpc` or `ajp` (a client
 //! that connects when it is first named; its last line is `closed`, or `reset` if answers may have been lost). `engine` and `store` send the words as a line, on the connection where
 //! its first word was named; `|` parts off a body, whose length is added.
--- a/tests/scenario/options.rs
+++ b/tests/scenario/options.rs
@@ -11,7 +11,7 @@
     pub memory_mb: f64,
     /// Sections of the edge file beside that of AJP.
     pub edge: String,
-    /// The comparer's name, as JSON has it.
+    /// The name of the process, as JSON has it.
     pub name: String,
     /// As the platform starts it: without an edge file.
     pub bare: bool,
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -128,8 +128,7 @@
         let folder = TempDir::new();
         let (config, edge) = (folder.0.join("config.json"), folder.0.join("edge.toml"));
         if options.early.is_some() {
-            // Whoever reads a pipe waits for what is written to it.
-            assert!(Command::new("mkfifo").arg(&config).status().is_ok_and(|status| status.success()));
+            make_pipe(&config);
         } else {
             std::fs::write(&config, &configs["first"]).expect("written");
         }
@@ -322,6 +321,11 @@
     }
 }
 
+/// Makes a named pipe: the program waits for what is written to it.
+fn make_pipe(path: &Path) {
+    assert!(Command::new("mkfifo").arg(path).status().is_ok_and(|status| status.success()));
+}
+
 /// Starts the program; returns it with its log.
 fn spawn_program(
     options: &Options,
