--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -74,24 +74,23 @@
 
     /// Answers the requests that cannot wait for the next sample.
     pub(super) fn answer_due(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let kill_ms = self.drain.as_ref().map_or(f64::INFINITY, |drain| drain.kill_ms - KILL_MARGIN_MS);
+        let kill_ms = self.drain.map_or(f64::INFINITY, |drain| drain.kill_ms - KILL_MARGIN_MS);
         let next_sample_ms = now_ms + self.sample_period_ms();
         let killed = next_sample_ms >= kill_ms;
-        let decided = || self.requests.open.values().filter(|open| !self.requests.may_repeat_a_run(open));
-        let owed = || decided().filter(|open| open.answer_owed);
-        let id = |open: &OpenRequest| open.request.id;
-        let queued = owed().filter(|open| open.state == RequestState::Queued);
-        let hopeless = queued.filter(|open| {
-            killed
-                || next_sample_ms >= open.deadline_ms
-                || self.stall.stalled
-                || self.score(open, now_ms) <= 0.0
-        });
-        let hopeless: Vec<u32> = hopeless.map(id).collect();
-        let slack_ms = self.settings.rules.answer_slack_ms * USED_SLACK_PART;
-        let started = owed().filter(|open| open.state != RequestState::Queued);
-        let overdue = started.filter(|open| killed || next_sample_ms >= open.deadline_ms + slack_ms);
-        let overdue: Vec<u32> = overdue.map(id).collect();
+        let mut hopeless = Vec::new();
+        let mut overdue = Vec::new();
+        for (id, open) in &self.requests.open {
+            if !open.answer_owed || self.requests.may_repeat_a_run(open) {
+                continue;
+            }
+            if open.state == RequestState::Queued {
+                if killed || self.is_hopeless(open, now_ms, next_sample_ms) {
+                    hopeless.push(*id);
+                }
+            } else if killed || self.is_overdue(open, next_sample_ms) {
+                overdue.push(*id);
+            }
+        }
         for id in hopeless {
             self.reject(id, RejectReason::QueueTimeout, actions);
         }
@@ -102,6 +101,17 @@
         }
     }
 
+    /// Whether a queued request can no longer be answered usefully.
+    fn is_hopeless(&self, open: &OpenRequest, now_ms: f64, next_sample_ms: f64) -> bool {
+        next_sample_ms >= open.deadline_ms || self.stall.stalled || self.score(open, now_ms) <= 0.0
+    }
+
+    /// Whether an answer to a started request at the next sample would no longer count.
+    fn is_overdue(&self, open: &OpenRequest, next_sample_ms: f64) -> bool {
+        let slack_ms = self.settings.rules.answer_slack_ms * USED_SLACK_PART;
+        next_sample_ms >= open.deadline_ms + slack_ms
+    }
+
     /// The caller of a request no longer waits.
     pub(super) fn caller_gone(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -52,8 +52,7 @@
     fn arrival_limits(&self, arrival: &OpenRequest) -> ArrivalLimits {
         // What reached the machine after the grace of a drain is never run, whatever else holds.
         let grace_ms = self.settings.rules.drain_grace_ms;
-        let drained =
-            self.drain.as_ref().is_some_and(|drain| arrival.arrived_ms > drain.started_ms + grace_ms);
+        let drained = self.drain.is_some_and(|drain| arrival.arrived_ms > drain.started_ms + grace_ms);
         let keyed = self.class_of(arrival).idempotency == Idempotency::Keyed;
         let key_kb = if keyed { self.settings.key_kb } else { 0.0 };
         let memory_full = self.reserved_memory_kb() + key_kb > QUEUE_MEMORY_PART * self.settings.memory_kb;
