--- a/src/bin/pinepoint-adapter/main.rs
+++ b/src/bin/pinepoint-adapter/main.rs
@@ -1,17 +1,31 @@
-//! Hosts one controller per server and speaks the line protocol on standard input and output.
+//! Hosts one admission controller per simulated server and speaks the simulator's line protocol on standard
+//! input and output.
+//!
+//! Each line is one JSON object. The simulator sends a batch of messages, from `Round` to `YourTurn`; the
+//! adapter answers with the actions of all servers, ended by `Yield`. It translates and decides nothing.
+//! The spelling of message names and fields is fixed by the protocol.
 
-mod wire;
+mod error;
+mod fields;
+mod input;
+mod output;
+mod session;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+use session::Session;
+
+/// Size of the buffers of input and output, bytes.
+const BUFFER_BYTES: usize = 1 << 18;
+
 fn main() -> ExitCode {
-    let stdin = BufReader::with_capacity(1 << 18, io::stdin().lock());
-    let stdout = BufWriter::with_capacity(1 << 18, io::stdout().lock());
-    match wire::serve(stdin, stdout) {
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    match Session::new(input, output).run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("pinepoint-adapter: {fault}");
+        Err(error) => {
+            eprintln!("pinepoint-adapter: {error}");
             ExitCode::FAILURE
         }
     }
