--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,15 +1,20 @@
-//! A server around one controller: carries out its actions far enough to check the rules.
+//! A host around one controller: it keeps the time, the timers and a log of all actions.
 #![allow(dead_code)]
 
 use pinepoint::admission::*;
 
-pub struct Bench {
+/// One server under test.
+pub struct TestServer {
     pub controller: AdmissionController,
+    /// Time, ms.
     pub now: f64,
+    /// All actions so far.
     pub log: Vec<Action>,
+    /// Pending timers: when they fire, ms, and their token.
     pub timers: Vec<(f64, u32)>,
 }
 
+/// Two cores, a class of reads and a class of keyed requests.
 pub fn settings() -> Settings {
     Settings {
         cores: 2.0,
@@ -38,53 +43,53 @@
     Request { id, class, mem_kb: 20.0, deadline_ms: None, ..Request::default() }
 }
 
-impl Bench {
+impl TestServer {
     pub fn new(settings: Settings) -> Self {
-        let mut bench = Bench {
+        let mut server = TestServer {
             controller: AdmissionController::new(settings, 1).expect("sound settings"),
             now: 0.0,
             log: vec![],
             timers: vec![],
         };
-        bench.tell(Event::Started);
-        bench
+        server.handle(Event::Started);
+        server
     }
 
     /// One event, then the end of its batch; returns the actions that came of it.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.controller.handle(self.now, event, &mut out);
-        self.controller.handle(self.now, Event::BatchEnded, &mut out);
-        self.note(&out);
-        out
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.controller.handle(self.now, event, &mut actions);
+        self.controller.handle(self.now, Event::BatchEnded, &mut actions);
+        self.record(&actions);
+        actions
     }
 
     /// Several events of one batch.
     pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         for event in events {
-            self.controller.handle(self.now, event, &mut out);
+            self.controller.handle(self.now, event, &mut actions);
         }
-        self.controller.handle(self.now, Event::BatchEnded, &mut out);
-        self.note(&out);
-        out
+        self.controller.handle(self.now, Event::BatchEnded, &mut actions);
+        self.record(&actions);
+        actions
     }
 
-    fn note(&mut self, out: &[Action]) {
-        for action in out {
+    fn record(&mut self, actions: &[Action]) {
+        for action in actions {
             if let Action::SetTimer { after_ms, token } = action {
                 self.timers.push((self.now + after_ms, *token));
             }
         }
-        self.log.extend_from_slice(out);
+        self.log.extend_from_slice(actions);
     }
 
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::RequestArrived(request))
+        self.handle(Event::RequestArrived(request))
     }
 
-    /// Lets time pass; timers go off with these gauges.
-    pub fn pass(&mut self, ms: f64, busy: f64, runnable: f64) -> Vec<Action> {
+    /// Lets time pass; timers fire with these gauges.
+    pub fn advance(&mut self, ms: f64, busy: f64, runnable: f64) -> Vec<Action> {
         let until = self.now + ms;
         let mut all = Vec::new();
         while let Some(at) = self.timers.iter().map(|t| t.0).min_by(f64::total_cmp) {
@@ -94,7 +99,7 @@
             let index = self.timers.iter().position(|t| t.0 == at).expect("just found");
             let (_, token) = self.timers.remove(index);
             self.now = at;
-            all.extend(self.tell(Event::TimerFired { token, gauges: vec![busy, runnable] }));
+            all.extend(self.handle(Event::TimerFired { token, gauges: vec![busy, runnable] }));
         }
         self.now = until;
         all
@@ -105,7 +110,7 @@
     actions.contains(&Action::StartRun { id })
 }
 
-pub fn refused(actions: &[Action], id: u32) -> bool {
+pub fn rejected(actions: &[Action], id: u32) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
--- a/tests/failures/call_budget.rs
+++ b/tests/failures/call_budget.rs
@@ -5,13 +5,13 @@
 use crate::common::*;
 
 fn calling() -> Settings {
-    let mut set = settings();
-    set.call_quota = 4.0;
-    set.call_linger_ms = 200.0;
-    set.call_quota_window_ms = 5000.0;
-    set.classes[0].calls = true;
-    set.classes[1].calls = true;
-    set
+    let mut config = settings();
+    config.call_quota = 4.0;
+    config.call_linger_ms = 200.0;
+    config.call_quota_window_ms = 5000.0;
+    config.classes[0].calls = true;
+    config.classes[1].calls = true;
+    config
 }
 
 fn calls(actions: &[Action]) -> usize {
@@ -20,31 +20,31 @@
 
 #[test]
 fn a_call_is_made_only_from_call_time_earned() {
-    let mut bench = Bench::new(calling());
-    bench.arrive(request(1, 0));
-    bench.arrive(request(2, 0));
-    let out = bench.batch(vec![Event::CallNeeded { id: 1 }, Event::CallNeeded { id: 2 }]);
-    assert_eq!(calls(&out), 1);
+    let mut server = TestServer::new(calling());
+    server.arrive(request(1, 0));
+    server.arrive(request(2, 0));
+    let actions = server.batch(vec![Event::CallNeeded { id: 1 }, Event::CallNeeded { id: 2 }]);
+    assert_eq!(calls(&actions), 1);
 }
 
 /// Calls made over a minute of endless demand, each taking this long.
 fn call_time_spent(share: f64, each_ms: f64) -> f64 {
-    let mut bench = Bench::new(Settings { call_quota: share, ..calling() });
+    let mut server = TestServer::new(Settings { call_quota: share, ..calling() });
     let (mut open, mut spent, mut id) = (Vec::new(), 0.0, 0);
-    while bench.now < 60_000.0 {
+    while server.now < 60_000.0 {
         id += 1;
-        bench.arrive(Request { deadline_ms: Some(bench.now + 400.0), ..request(id, 0) });
-        let mut out = bench.tell(Event::CallNeeded { id });
-        out.extend(bench.pass(100.0, 0.1, 0.0));
-        open.extend(out.iter().filter_map(|a| match a {
-            Action::StartCall { id, .. } => Some((*id, bench.now)),
+        server.arrive(Request { deadline_ms: Some(server.now + 400.0), ..request(id, 0) });
+        let mut actions = server.handle(Event::CallNeeded { id });
+        actions.extend(server.advance(100.0, 0.1, 0.0));
+        open.extend(actions.iter().filter_map(|a| match a {
+            Action::StartCall { id, .. } => Some((*id, server.now)),
             _ => None,
         }));
-        while open.first().is_some_and(|(_, since)| since + each_ms <= bench.now) {
+        while open.first().is_some_and(|(_, since)| since + each_ms <= server.now) {
             let (id, _) = open.remove(0);
             spent += each_ms;
-            bench.tell(Event::CallEnded { id, outcome: Outcome::Done, took_ms: each_ms });
-            bench.tell(Event::RunEnded { id, outcome: Outcome::Done });
+            server.handle(Event::CallEnded { id, outcome: Outcome::Done, took_ms: each_ms });
+            server.handle(Event::RunEnded { id, outcome: Outcome::Done });
         }
     }
     spent
@@ -59,104 +59,104 @@
 
 #[test]
 fn the_slow_time_of_calls_is_forgotten_when_none_are_made() {
-    let mut set = calling();
-    set.call_quota = 0.2;
-    let mut bench = Bench::new(set);
-    bench.arrive(request(1, 0));
-    bench.tell(Event::CallNeeded { id: 1 });
-    bench.pass(2500.0, 0.1, 0.0);
-    bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 2500.0 });
-    bench.tell(Event::RunEnded { id: 1, outcome: Outcome::Done });
-    assert!(refused(&bench.arrive(request(2, 0)), 2), "what was spent has to be earned first");
-    bench.pass(60_000.0, 0.1, 0.0);
-    assert!(started(&bench.arrive(request(3, 0)), 3), "no one would ever call again");
+    let mut config = calling();
+    config.call_quota = 0.2;
+    let mut server = TestServer::new(config);
+    server.arrive(request(1, 0));
+    server.handle(Event::CallNeeded { id: 1 });
+    server.advance(2500.0, 0.1, 0.0);
+    server.handle(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 2500.0 });
+    server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
+    assert!(rejected(&server.arrive(request(2, 0)), 2), "what was spent has to be earned first");
+    server.advance(60_000.0, 0.1, 0.0);
+    assert!(started(&server.arrive(request(3, 0)), 3), "no one would ever call again");
 }
 
 #[test]
 fn a_refused_call_is_not_repeated_at_once() {
-    let mut bench = Bench::new(calling());
-    bench.arrive(request(1, 1));
-    assert_eq!(calls(&bench.tell(Event::CallNeeded { id: 1 })), 1);
-    let out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Unreachable, took_ms: 1.0 });
-    assert_eq!(calls(&out), 0, "an unreachable dependency would be hammered");
-    assert_eq!(calls(&bench.pass(200.0, 0.1, 0.0)), 1, "proved not to have run: it may be made again");
+    let mut server = TestServer::new(calling());
+    server.arrive(request(1, 1));
+    assert_eq!(calls(&server.handle(Event::CallNeeded { id: 1 })), 1);
+    let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Unreachable, took_ms: 1.0 });
+    assert_eq!(calls(&actions), 0, "an unreachable dependency would be hammered");
+    assert_eq!(calls(&server.advance(200.0, 0.1, 0.0)), 1, "proved not to have run: it may be made again");
 }
 
 #[test]
 fn a_reply_that_is_lost_is_not_waited_for_until_the_due_time() {
-    let mut bench = Bench::new(calling());
-    bench.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
-    let out = bench.tell(Event::CallNeeded { id: 1 });
-    let patience = out.iter().find_map(|a| match a {
+    let mut server = TestServer::new(calling());
+    server.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
+    let actions = server.handle(Event::CallNeeded { id: 1 });
+    let patience = actions.iter().find_map(|a| match a {
         Action::StartCall { call_timeout_ms, .. } => Some(*call_timeout_ms),
         _ => None,
     });
     assert!(patience.is_some_and(|ms| ms < 6000.0), "a tenth of what its caller waits: {patience:?}");
-    let out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, took_ms: 150.0 });
-    assert_eq!(calls(&out), 0, "it may be under way below, and its time has to be earned again");
-    assert_eq!(calls(&bench.pass(3000.0, 0.1, 0.0)), 1, "a read may call again");
+    let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, took_ms: 150.0 });
+    assert_eq!(calls(&actions), 0, "it may be under way below, and its time has to be earned again");
+    assert_eq!(calls(&server.advance(3000.0, 0.1, 0.0)), 1, "a read may call again");
 }
 
 /// The actions of a run that needs a call while none can be made, until it has an answer or goes on without.
 fn with_no_call(weight_without_call: f64) -> (Vec<Action>, f64) {
-    let mut set = calling();
-    set.classes[0].weight_without_call = weight_without_call;
-    let mut bench = Bench::new(set);
-    bench.arrive(request(1, 0));
-    bench.pass(60.0, 0.5, 1.0);
-    let mut out = bench.tell(Event::CallNeeded { id: 1 });
-    while bench.now < 1500.0
-        && !out.iter().any(|a| matches!(a, Action::SkipCall { .. } | Action::Fail { .. }))
+    let mut config = calling();
+    config.classes[0].weight_without_call = weight_without_call;
+    let mut server = TestServer::new(config);
+    server.arrive(request(1, 0));
+    server.advance(60.0, 0.5, 1.0);
+    let mut actions = server.handle(Event::CallNeeded { id: 1 });
+    while server.now < 1500.0
+        && !actions.iter().any(|a| matches!(a, Action::SkipCall { .. } | Action::Fail { .. }))
     {
-        if calls(&out) > 0 {
-            out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Unreachable, took_ms: 1.0 });
+        if calls(&actions) > 0 {
+            actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Unreachable, took_ms: 1.0 });
         } else {
-            out = bench.pass(5.0, 0.5, 0.0);
+            actions = server.advance(5.0, 0.5, 0.0);
         }
     }
-    (out, bench.now)
+    (actions, server.now)
 }
 
 #[test]
 fn without_its_call_a_read_goes_on_as_late_as_it_can() {
-    let (out, at) = with_no_call(0.3);
-    assert!(out.contains(&Action::SkipCall { id: 1 }), "its caller would get nothing: {out:?}");
+    let (actions, at) = with_no_call(0.3);
+    assert!(actions.contains(&Action::SkipCall { id: 1 }), "its caller would get nothing: {actions:?}");
     assert!((600.0..1000.0).contains(&at), "the dependency may be back before, and its aim is at 1000: {at}");
-    let (out, _) = with_no_call(0.0);
-    assert!(failed(&out, 1), "an answer without the call is worth nothing: {out:?}");
+    let (actions, _) = with_no_call(0.0);
+    assert!(failed(&actions, 1), "an answer without the call is worth nothing: {actions:?}");
 }
 
 #[test]
 fn what_can_go_on_without_a_call_leaves_it_to_what_cannot() {
-    let mut set = calling();
-    set.call_quota = 0.4;
-    set.classes[0].weight_without_call = 0.3;
-    let mut bench = Bench::new(set);
+    let mut config = calling();
+    config.call_quota = 0.4;
+    config.classes[0].weight_without_call = 0.3;
+    let mut server = TestServer::new(config);
     for id in 1..=8 {
-        bench.arrive(request(id, 0));
-        bench.tell(Event::CallNeeded { id });
+        server.arrive(request(id, 0));
+        server.handle(Event::CallNeeded { id });
     }
-    bench.pass(50.0, 0.5, 0.0);
-    bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 50.0 });
-    bench.tell(Event::RunEnded { id: 1, outcome: Outcome::Done });
+    server.advance(50.0, 0.5, 0.0);
+    server.handle(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 50.0 });
+    server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
     // A seventh of one call is earned: the others would use up all there is within its aim.
-    assert!(started(&bench.arrive(request(9, 1)), 9), "seven that can do without stand before it");
-    bench.pass(400.0, 0.5, 0.0);
-    assert_eq!(calls(&bench.log), 1, "the next is kept for it");
-    assert_eq!(calls(&bench.tell(Event::CallNeeded { id: 9 })), 1);
+    assert!(started(&server.arrive(request(9, 1)), 9), "seven that can do without stand before it");
+    server.advance(400.0, 0.5, 0.0);
+    assert_eq!(calls(&server.log), 1, "the next is kept for it");
+    assert_eq!(calls(&server.handle(Event::CallNeeded { id: 9 })), 1);
 }
 
 #[test]
 fn what_ran_until_the_call_tells_what_is_left() {
-    let mut bench = Bench::new(calling());
+    let mut server = TestServer::new(calling());
     let mut run = |id: u32, hint: f64, ms: f64| {
-        bench.arrive(Request { work_hint_ms: Some(hint), ..request(id, 0) });
-        bench.pass(ms * 0.6, 0.5, 1.0);
-        let out = bench.tell(Event::CallNeeded { id });
-        bench.tell(Event::CallEnded { id, outcome: Outcome::Done, took_ms: 5.0 });
-        bench.pass(ms * 0.4, 0.5, 1.0);
-        bench.tell(Event::RunEnded { id, outcome: Outcome::Done });
-        out
+        server.arrive(Request { work_hint_ms: Some(hint), ..request(id, 0) });
+        server.advance(ms * 0.6, 0.5, 1.0);
+        let actions = server.handle(Event::CallNeeded { id });
+        server.handle(Event::CallEnded { id, outcome: Outcome::Done, took_ms: 5.0 });
+        server.advance(ms * 0.4, 0.5, 1.0);
+        server.handle(Event::RunEnded { id, outcome: Outcome::Done });
+        actions
     };
     for id in 1..=40 {
         assert_eq!(calls(&run(id, 50.0, 50.0)), 1);
@@ -167,34 +167,34 @@
 
 #[test]
 fn one_call_cut_off_stops_no_other() {
-    let mut bench = Bench::new(calling());
-    bench.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
-    bench.tell(Event::CallNeeded { id: 1 });
-    let out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
-    assert_eq!(calls(&out), 1, "its reply was spoilt, and the next may not be");
-    let out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
-    assert_eq!(calls(&out), 0, "two in a row are no chance");
+    let mut server = TestServer::new(calling());
+    server.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
+    server.handle(Event::CallNeeded { id: 1 });
+    let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
+    assert_eq!(calls(&actions), 1, "its reply was spoilt, and the next may not be");
+    let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
+    assert_eq!(calls(&actions), 0, "two in a row are no chance");
 }
 
 /// A server with this share of calls in hand, after many quick calls and a while of saving.
-fn used_to_calls_of(ms: f64, share: f64) -> Bench {
-    let mut bench = Bench::new(Settings { call_quota: share, ..calling() });
+fn used_to_calls_of(ms: f64, share: f64) -> TestServer {
+    let mut server = TestServer::new(Settings { call_quota: share, ..calling() });
     for id in 1..=60 {
-        bench.arrive(request(id, 0));
-        bench.tell(Event::CallNeeded { id });
-        bench.pass(ms, 0.5, 0.0);
-        bench.tell(Event::CallEnded { id, outcome: Outcome::Done, took_ms: ms });
-        bench.tell(Event::RunEnded { id, outcome: Outcome::Done });
-        bench.pass(20.0, 0.0, 0.0);
+        server.arrive(request(id, 0));
+        server.handle(Event::CallNeeded { id });
+        server.advance(ms, 0.5, 0.0);
+        server.handle(Event::CallEnded { id, outcome: Outcome::Done, took_ms: ms });
+        server.handle(Event::RunEnded { id, outcome: Outcome::Done });
+        server.advance(20.0, 0.0, 0.0);
     }
-    bench
+    server
 }
 
 /// The time after which the call of this new request is given up, if it is made at once.
-fn patience(bench: &mut Bench, id: u32, class: usize) -> Option<f64> {
-    bench.arrive(Request { deadline_ms: Some(bench.now + 60_000.0), ..request(id, class) });
-    let out = bench.tell(Event::CallNeeded { id });
-    out.iter().find_map(|a| match a {
+fn patience(server: &mut TestServer, id: u32, class: usize) -> Option<f64> {
+    server.arrive(Request { deadline_ms: Some(server.now + 60_000.0), ..request(id, class) });
+    let actions = server.handle(Event::CallNeeded { id });
+    actions.iter().find_map(|a| match a {
         Action::StartCall { call_timeout_ms, .. } => Some(*call_timeout_ms),
         _ => None,
     })
@@ -202,23 +202,23 @@
 
 #[test]
 fn a_lost_reply_shuts_no_good_call_out() {
-    let mut bench = used_to_calls_of(10.0, 1.9);
-    let before = patience(&mut bench, 101, 0).expect("call time was saved");
-    bench.pass(before, 0.5, 0.0);
-    bench.tell(Event::CallEnded { id: 101, outcome: Outcome::TimedOut, took_ms: before });
-    bench.tell(Event::RunEnded { id: 101, outcome: Outcome::Failed });
-    bench.pass(60.0, 0.5, 0.0);
-    let after = patience(&mut bench, 102, 0).expect("a call waited for that long hardly lingers below");
+    let mut server = used_to_calls_of(10.0, 1.9);
+    let before = patience(&mut server, 101, 0).expect("call time was saved");
+    server.advance(before, 0.5, 0.0);
+    server.handle(Event::CallEnded { id: 101, outcome: Outcome::TimedOut, took_ms: before });
+    server.handle(Event::RunEnded { id: 101, outcome: Outcome::Failed });
+    server.advance(60.0, 0.5, 0.0);
+    let after = patience(&mut server, 102, 0).expect("a call waited for that long hardly lingers below");
     assert!(after < before * 1.05, "no call took longer than before: {before} {after}");
 }
 
 #[test]
 fn a_call_far_overdue_uses_up_no_more_call_time() {
-    let mut bench = used_to_calls_of(10.0, 2.0);
-    patience(&mut bench, 101, 1).expect("call time was saved");
-    bench.pass(3000.0, 0.5, 0.0);
-    assert!(patience(&mut bench, 102, 1).is_some(), "one lost reply would hold up all calls");
-    assert!(patience(&mut bench, 103, 1).is_none(), "the share itself holds whatever is lost");
+    let mut server = used_to_calls_of(10.0, 2.0);
+    patience(&mut server, 101, 1).expect("call time was saved");
+    server.advance(3000.0, 0.5, 0.0);
+    assert!(patience(&mut server, 102, 1).is_some(), "one lost reply would hold up all calls");
+    assert!(patience(&mut server, 103, 1).is_none(), "the share itself holds whatever is lost");
 }
 
 #[test]
@@ -230,45 +230,45 @@
 
 #[test]
 fn a_keyed_call_that_may_have_run_is_not_repeated() {
-    let mut bench = Bench::new(calling());
-    bench.arrive(request(1, 1));
-    bench.tell(Event::CallNeeded { id: 1 });
-    let out = bench.tell(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, took_ms: 900.0 });
-    assert!(failed(&out, 1));
-    assert_eq!(calls(&bench.pass(2000.0, 0.1, 0.0)), 0);
+    let mut server = TestServer::new(calling());
+    server.arrive(request(1, 1));
+    server.handle(Event::CallNeeded { id: 1 });
+    let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, took_ms: 900.0 });
+    assert!(failed(&actions, 1));
+    assert_eq!(calls(&server.advance(2000.0, 0.1, 0.0)), 0);
 }
 
 #[test]
 fn a_call_that_cannot_end_in_time_is_not_made() {
-    let mut bench = Bench::new(Settings { call_quota: 1.9, ..calling() });
-    bench.arrive(Request { deadline_ms: Some(400.0), ..request(1, 0) });
-    bench.arrive(Request { deadline_ms: Some(5000.0), ..request(2, 0) });
-    bench.tell(Event::CallNeeded { id: 2 });
-    bench.tell(Event::CallNeeded { id: 1 });
-    let mut out = bench.pass(370.0, 0.1, 0.0);
-    out.extend(bench.tell(Event::CallEnded { id: 2, outcome: Outcome::Done, took_ms: 370.0 }));
-    assert!(failed(&out, 1), "the first in line by due time would take the dependency and still be late");
-    assert_eq!(calls(&out), 0);
+    let mut server = TestServer::new(Settings { call_quota: 1.9, ..calling() });
+    server.arrive(Request { deadline_ms: Some(400.0), ..request(1, 0) });
+    server.arrive(Request { deadline_ms: Some(5000.0), ..request(2, 0) });
+    server.handle(Event::CallNeeded { id: 2 });
+    server.handle(Event::CallNeeded { id: 1 });
+    let mut actions = server.advance(370.0, 0.1, 0.0);
+    actions.extend(server.handle(Event::CallEnded { id: 2, outcome: Outcome::Done, took_ms: 370.0 }));
+    assert!(failed(&actions, 1), "the first in line by due time would take the dependency and still be late");
+    assert_eq!(calls(&actions), 0);
 }
 
 #[test]
 fn a_long_line_at_the_dependency_turns_away_only_those_who_need_it() {
-    let mut set = calling();
-    set.classes[1] = Class { calls: false, ..Class::default() };
-    set.classes[0].late_weight = 0.2;
-    let mut bench = Bench::new(set);
+    let mut config = calling();
+    config.classes[1] = Class { calls: false, ..Class::default() };
+    config.classes[0].late_weight = 0.2;
+    let mut server = TestServer::new(config);
     let mut id = 0;
     for _ in 0..8 {
         id += 1;
-        bench.arrive(Request { deadline_ms: Some(90_000.0), ..request(id, 0) });
-        bench.tell(Event::CallNeeded { id });
+        server.arrive(Request { deadline_ms: Some(90_000.0), ..request(id, 0) });
+        server.handle(Event::CallNeeded { id });
     }
     for _ in 0..20 {
-        bench.now += 900.0;
-        bench.tell(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 900.0 });
-        bench.tell(Event::CallNeeded { id: 1 });
+        server.now += 900.0;
+        server.handle(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 900.0 });
+        server.handle(Event::CallNeeded { id: 1 });
     }
-    bench.pass(20.0, 0.1, 0.0);
-    assert!(refused(&bench.arrive(request(50, 0)), 50));
-    assert!(started(&bench.arrive(request(51, 1)), 51));
+    server.advance(20.0, 0.1, 0.0);
+    assert!(rejected(&server.arrive(request(50, 0)), 50));
+    assert!(started(&server.arrive(request(51, 1)), 51));
 }
--- a/tests/failures/priority.rs
+++ b/tests/failures/priority.rs
@@ -6,19 +6,19 @@
 
 /// Two cores whose runs take half a second, an arrival every 25 ms; `make` gives class and retry mark by number.
 fn flood(make: impl Fn(u32) -> (usize, bool)) -> Vec<(u32, Action)> {
-    let mut bench = Bench::new(settings());
+    let mut server = TestServer::new(settings());
     let (mut running, mut seen) = (Vec::new(), Vec::new());
     for id in 1..=600 {
         let (class, retry) = make(id);
-        let mut out = bench.arrive(Request { retry, queued_ms: 10.0, ..request(id, class) });
-        out.extend(bench.pass(25.0, 1.0, 4.0));
+        let mut actions = server.arrive(Request { retry, queued_ms: 10.0, ..request(id, class) });
+        actions.extend(server.advance(25.0, 1.0, 4.0));
         if id % 10 == 0 && !running.is_empty() {
-            out.extend(bench.tell(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
+            actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
         }
         running.extend(
-            out.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None }),
+            actions.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None }),
         );
-        seen.extend(out.into_iter().map(|a| (id, a)));
+        seen.extend(actions.into_iter().map(|a| (id, a)));
     }
     seen
 }
@@ -44,24 +44,24 @@
 
 #[test]
 fn on_a_slow_server_the_tenant_that_floods_gives_way() {
-    let mut set = settings();
+    let mut config = settings();
     let tenant = Tenant { quota_per_s: 40.0, ..Tenant::default() };
-    set.tenants = vec![tenant; 2];
-    (set.servers, set.over_quota_weight) = (10.0, 0.05);
-    set.classes[0] = Class { latency_objective_ms: 4000.0, timeout_ms: 12_000.0, ..Class::default() };
-    let mut bench = Bench::new(set);
+    config.tenants = vec![tenant; 2];
+    (config.servers, config.over_quota_weight) = (10.0, 0.05);
+    config.classes[0] = Class { latency_objective_ms: 4000.0, timeout_ms: 12_000.0, ..Class::default() };
+    let mut server = TestServer::new(config);
     let (mut running, mut ran, mut came) = (Vec::new(), [0, 0], [0, 0]);
     // Two runs a second, far under an allowance of four a second and server for each.
     for id in 1..=1200u32 {
         let tenant = usize::from(id % 10 == 0);
         came[tenant] += 1;
-        let mut out = bench.arrive(Request { tenant: Some(tenant), queued_ms: 10.0, ..request(id, 0) });
-        out.extend(bench.pass(25.0, 1.0, 4.0));
+        let mut actions = server.arrive(Request { tenant: Some(tenant), queued_ms: 10.0, ..request(id, 0) });
+        actions.extend(server.advance(25.0, 1.0, 4.0));
         if id % 20 == 0 && !running.is_empty() {
-            out.extend(bench.tell(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
+            actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
         }
         for started in
-            out.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None })
+            actions.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None })
         {
             running.push(started);
             ran[usize::from(started % 10 == 0)] += 1;
