--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -1,5 +1,8 @@
-//! The core's ports: everything that reaches it, and the narrow traits through which it reaches fronts and
-//! links. It owns these types only; it must never hold state, know a wire or decide.
+//! The interface of the core: the inputs that reach it, and the traits through which it reaches callers, engine, store and the
+//! other processes of this server.
+//!
+//! These are plain types and traits. They hold no state of the core, know no wire format and decide nothing. All times are
+//! Unix ms, all durations ms.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,148 +15,152 @@
 use crate::admission::{FailureReason, Outcome, RejectReason};
 use crate::config::site::Site;
 
-/// One end of a connection on which requests came. The core answers through it and never waits for it.
+/// A connection on which requests come in. The core answers through it and never waits for it.
 pub trait Caller {
-    /// Tells callers apart, over all fronts.
+    /// Identifies the caller over all frontends.
     fn id(&self) -> u64;
-    /// Queues the one answer to the request that this caller named `correlation_id`.
+    /// Queues the one answer to the request with this correlation id.
     fn answer(&self, correlation_id: u64, reply: &Reply);
-    /// No new request should come on this connection; it may go once everything on it is answered.
+    /// Asks the caller to send no new request on this connection, which closes once all requests on it are answered.
     fn go_away(&self);
-    /// Leaves if nothing was carried since this time.
+    /// The same, if nothing was carried since this time, Unix ms.
     fn go_away_if_idle(&self, since_ms: f64);
 }
 
-/// The engine, as the core commands it. Commands are queued; while there is no link they are dropped.
+/// The engine, as the core commands it. Commands are queued; while there is no connection they are dropped.
 pub trait Engine {
-    /// Begins a run.
+    /// Starts a run; a run that is known already is left as it is.
     fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]);
-    /// Stops a run.
+    /// Cancels a run.
     fn cancel_run(&self, attempt_id: &str);
-    /// Hands a run the reply to its call; tells whether there is a link that it goes to.
+    /// Resumes a run with the reply to its call. Returns whether there is a connection that takes the command.
     fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool;
-    /// Lets a run go on without the call that this notice asked for; tells whether there is a link.
+    /// Resumes a run without the call that this notice asked for. Returns whether there is a connection that takes the
+    /// command.
     fn skip_call(&self, attempt_id: &str, notice: u64) -> bool;
-    /// Asks for the gauges.
+    /// Requests the gauges, which come as [`CoreInput::Gauges`] with this tag, behind the effect of all earlier commands.
     fn request_gauges(&self, tag: u64);
 }
 
-/// The store, as the core calls it: each call ends with one [`CoreInput::CallEnded`] unless it is dropped. Calls are told
-/// apart by numbers of the core's own: the name of the request may stand for a later call of it, or for another request.
+/// The store, as the core calls it. Each call ends with one [`CoreInput::CallEnded`], unless it is cancelled.
+///
+/// Calls have numbers of their own, because an attempt id may stand for a later call of the same request, or for another
+/// request.
 pub trait Store {
-    /// Makes a call for this request; `once` if it must not be made twice.
+    /// Starts a call for this attempt, which is given up after `call_timeout_ms`. With `once` it must not be retried, because
+    /// it may have an effect.
     fn start_call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
-    /// Gives a call up; nothing is told of its end.
+    /// Cancels a call; its end is not reported.
     fn cancel_call(&self, call: u64);
 }
 
-/// The other process of this server during an upgrade, as the core reaches it: the predecessor that it takes over from, or the
-/// successor that takes over from it. Nothing here waits.
+/// The connections to the other processes of this server during an upgrade: to the predecessor that this process takes over
+/// from, and to the successor that takes over from it. No method waits.
 pub trait HandoverTransport {
-    /// Sends to the predecessor; nothing is sent where there is none.
+    /// Sends a message to the predecessor, if there is one.
     fn send_to_predecessor(&self, message: &Message);
-    /// Sends to the successor; nothing is sent where there is none.
+    /// Sends a message to the successor, if there is one.
     fn send_to_successor(&self, message: &Message);
-    /// Ends the link to the predecessor; nothing is told of it any more.
+    /// Closes the connection to the predecessor; no event of it follows.
     fn drop_predecessor(&self);
-    /// Ends the link to the successor; nothing is told of it any more.
+    /// Closes the connection to the successor; no event of it follows.
     fn drop_successor(&self);
-    /// Looks for the predecessor again, which is told by [`PeerEvent`].
+    /// Looks for the predecessor again; the result comes as a [`PeerEvent`].
     fn find_predecessor(&self);
-    /// Listens for a successor, in place of whoever listened before.
+    /// Listens for a successor, in place of the process that listened before.
     fn listen_for_successor(&self);
-    /// Closes the listening sockets that were kept for a successor.
+    /// Closes the copies of the listening sockets that were kept for a successor.
     fn release_listeners(&self);
-    /// The other process holds so many connections of callers.
+    /// Reports how many connections of callers the other process holds.
     fn set_peer_connections(&self, connections: usize);
 }
 
-/// What the core is told of the other process of this server.
+/// An event of the connections to the other processes of this server.
 #[derive(Debug)]
 pub enum PeerEvent {
-    /// A predecessor was found, and said this.
+    /// A predecessor was found, and sent this greeting.
     PredecessorFound(Hello),
-    /// None was found.
+    /// No predecessor was found.
     NoPredecessor(NoPredecessor),
-    /// A message of the predecessor.
+    /// A message from the predecessor.
     FromPredecessor(Message),
-    /// The link to the predecessor is over.
+    /// The connection to the predecessor is lost.
     PredecessorLost,
     /// A successor has connected.
     SuccessorFound,
-    /// A message of the successor.
+    /// A message from the successor.
     FromSuccessor(Message),
-    /// The link to the successor is over.
+    /// The connection to the successor is lost.
     SuccessorLost,
 }
 
-/// What the other process has told and the core has not taken yet. It does not stand in line behind requests: it is bounded by
-/// what the other process may have on its way.
+/// Events that the core has not handled yet. They bypass the queue of requests; their number is bounded by what the other
+/// process may have in flight.
 #[derive(Debug, Default)]
 pub struct PeerInbox(RefCell<VecDeque<PeerEvent>>);
 
 impl PeerInbox {
-    /// Puts one in.
-    pub fn push(&self, input: PeerEvent) {
-        self.0.borrow_mut().push_back(input);
+    /// Appends an event.
+    pub fn push(&self, event: PeerEvent) {
+        self.0.borrow_mut().push_back(event);
     }
 
-    /// Takes the oldest out.
+    /// Removes the oldest event.
     pub fn pop(&self) -> Option<PeerEvent> {
         self.0.borrow_mut().pop_front()
     }
 }
 
-/// The doors of the process, as one that leaves looks at them.
+/// The sockets of the process, on whose closing a drain waits.
 pub trait OpenSockets {
-    /// Listening sockets that are open, or that someone stands before.
+    /// Listening sockets that are open, or have connections that are not accepted yet.
     fn listeners(&self) -> usize;
-    /// Connections of callers that are not closed, whether the core has heard of them or not.
+    /// Connections of callers that are not closed, including those that the core was not told of yet.
     fn connections(&self) -> usize;
 }
 
-/// A final answer.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The result that the engine made.
+    /// The result of a run.
     Served(Rc<[u8]>),
-    /// This try never ran. The caller should stay away for `retry_after_ms`, and not try elsewhere if `last`.
+    /// This attempt never ran.
     Rejected {
-        /// 0 for no advice.
+        /// The caller should not retry before this time, ms; 0 for no advice.
         retry_after_ms: f64,
-        /// Ask for no further try.
+        /// The caller should not retry at another server either.
         last: bool,
         /// Why.
         reason: RejectReason,
     },
-    /// It failed; nothing is promised. `late` if there was no time left.
+    /// The request failed; it may have had an effect.
     Failed {
-        /// It was out of time.
+        /// Its deadline has passed.
         late: bool,
         /// Why.
         reason: FailureReason,
     },
 }
 
-/// A request as a front has read it.
+/// A request as a frontend has read it.
 pub struct Arrival {
     /// Where the answer goes.
     pub caller: Rc<dyn Caller>,
-    /// The front that read it.
+    /// The frontend that read it.
     pub front: Protocol,
-    /// The caller's own name for it, not in use.
+    /// The caller's own name for the request; no open request of the caller has the same.
     pub correlation_id: u64,
-    /// The name that engine and store know it by, new with every try.
+    /// The name by which engine and store know the attempt; every retry has a new one.
     pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, Unix ms.
     pub arrived_ms: f64,
-    /// Marked as a further try.
+    /// It is marked as a retry.
     pub again: bool,
-    /// Work hint, ms.
+    /// Estimate of its work, ms on one core.
     pub est_ms: Option<f64>,
-    /// Memory while held, kB.
+    /// Memory that it takes while queued, kB.
     pub mem_kb: f64,
     /// The idempotency key, in keyed classes.
     pub token: Option<String>,
@@ -161,43 +168,43 @@
     pub subject: Option<String>,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// The work itself, passed on as it is.
+    /// The work, passed to the engine unchanged.
     pub body: Vec<u8>,
 }
 
-/// How the engine ended a run.
+/// How a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunResult {
     /// With this result.
     Complete(Rc<[u8]>),
     /// It failed.
     Error,
-    /// It was stopped.
+    /// It was cancelled.
     Cancelled,
-    /// Nothing was started.
+    /// The engine does not know it: it was never started.
     Unknown,
 }
 
 /// What a reload changes for the core.
 pub struct Reconfiguration {
-    /// Settings and names, with all indexes as they were.
+    /// Settings and names. Classes and tenants keep their indexes.
     pub site: Rc<Site>,
-    /// From the notice to leave to the kill, ms.
+    /// From the notice to terminate to the kill, ms.
     pub stop_ms: f64,
     /// Memory limit of the process, MB.
     pub memory_mb: f64,
 }
 
-/// What reaches the core.
+/// An input of the core.
 pub enum CoreInput {
     /// A connection was accepted.
     ConnectionOpened(Rc<dyn Caller>),
-    /// A connection has ended; nobody waits for what is still open on it.
+    /// A connection was closed: its open requests need no answer.
     ConnectionClosed {
         /// [`Caller::id`] of the connection.
         caller: u64,
     },
-    /// A request was read.
+    /// A request was received completely.
     RequestReceived(Box<Arrival>),
     /// The caller no longer waits for one request.
     CallerGone {
@@ -206,32 +213,32 @@
         /// The caller's own name for the request.
         correlation_id: u64,
     },
-    /// What came on a connection breaks its protocol: the requests that were read on it before fail.
+    /// Something came on a connection that violates its protocol: its open requests fail.
     ProtocolError {
         /// [`Caller::id`] of the connection.
         caller: u64,
     },
-    /// The engine accepted the connection to it.
+    /// The engine has accepted a connection.
     EngineAttached {
         /// The engine started cold.
         cold: bool,
-        /// Time since its start, ms.
+        /// Time since the engine's start, ms.
         ms: f64,
     },
     /// The connection to the engine is lost.
     EngineDetached,
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
         /// The attempt that ran.
         attempt_id: String,
         /// How it ended.
         result: RunResult,
     },
-    /// A run waits for the reply to a call.
+    /// A run needs a call, and waits for its reply.
     CallNeeded {
         /// The attempt that runs.
         attempt_id: String,
-        /// Number of the engine's notice, by which the call is named.
+        /// Number of the engine's notice, by which the engine knows the call.
         notice: u64,
         /// What the call carries.
         body: Vec<u8>,
@@ -245,12 +252,12 @@
     },
     /// The engine did not carry out a command.
     CommandRejected {
-        /// The command's word.
+        /// The word of the command on the wire.
         command: String,
         /// The attempt that it was for.
         attempt_id: String,
     },
-    /// A call is over.
+    /// A call has ended.
     CallEnded {
         /// The core's number of the call.
         call: u64,
@@ -259,8 +266,8 @@
         /// The reply, if it succeeded.
         reply: Option<Vec<u8>>,
     },
-    /// The observer is told the state of the core.
+    /// Asks for a report of the core's state to the observer.
     ReportState,
-    /// These settings are in force for everything that follows in the queue.
+    /// Settings that hold for everything that follows in the queue.
     Reconfigure(Reconfiguration),
 }
--- a/src/server/core/keys.rs
+++ b/src/server/core/keys/mod.rs
@@ -7,185 +7,23 @@
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
-use std::rc::Rc;
 
 use siphasher::sip::SipHasher13;
 
-/// How long an entry is kept after its window, ms, for attempts that arrived within the window and were read late: longer
-/// than any caller waits.
-const RETENTION_MARGIN_MS: f64 = 15_000.0;
+mod entry;
+mod types;
+
+use self::entry::Entry;
+pub use self::types::{
+    AlreadyRan, Attempt, AttemptEnd, AttemptRecord, AttemptResult, FinishedAttempt, IdempotencyKey,
+    JoinOutcome, KeyScope, OriginalState, Waiter,
+};
 
 /// The table shrinks when its capacity is more than this many times its length plus [`MIN_CAPACITY`].
 const MAX_CAPACITY_RATIO: usize = 4;
 /// Capacity that is never given back.
 const MIN_CAPACITY: usize = 64;
 
-/// The classes within which a key identifies a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum KeyScope {
-    /// One class, by index: the subject of a read, by which reads share a result.
-    Class(usize),
-    /// All keyed classes: an idempotency key. Attempts of one request may come under different classes, as a reload that
-    /// adds a class moves callers to it between two attempts.
-    KeyedClasses,
-}
-
-/// What identifies a request over all its attempts.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct IdempotencyKey {
-    /// Where the value counts.
-    pub scope: KeyScope,
-    /// The idempotency key of the caller, or the subject of a read.
-    pub value: String,
-}
-
-impl IdempotencyKey {
-    /// The idempotency key of a request of a keyed class.
-    pub fn of_keyed_classes(value: String) -> Self {
-        IdempotencyKey { scope: KeyScope::KeyedClasses, value }
-    }
-
-    /// The subject of a read of this class.
-    pub fn of_class(class: usize, subject: String) -> Self {
-        IdempotencyKey { scope: KeyScope::Class(class), value: subject }
-    }
-
-    /// Whether the key protects an effect, rather than letting reads share a result.
-    pub fn protects_effect(&self) -> bool {
-        self.scope == KeyScope::KeyedClasses
-    }
-}
-
-/// The result of the attempt that was started.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AttemptResult {
-    /// It is still in flight.
-    Pending,
-    /// It succeeded with this result.
-    Done(Rc<[u8]>),
-    /// It failed, or its result is no longer retained.
-    Failed,
-}
-
-/// How an attempt ended.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AttemptEnd {
-    /// It ran, or may have run.
-    Ran(AttemptResult),
-    /// It is proved not to have run: the next attempt is a first one.
-    NeverRan,
-}
-
-/// An attempt that stands for its key.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Attempt {
-    /// The request.
-    pub id: u32,
-    /// Digest of its body: all attempts of one request carry the same.
-    pub digest: u64,
-    /// Requests of the key that arrived before this time are its duplicates; Unix ms.
-    pub window_end_ms: f64,
-}
-
-/// What is retained of one key.
-#[derive(Debug)]
-struct Entry {
-    /// The attempt that the admission controller wants retained.
-    retained: Option<Attempt>,
-    /// The attempt that was started, in keyed classes; no other may be before its window ends.
-    started: Option<Attempt>,
-    /// The one that was started before that, past its window. Requests that arrived within that window may still be read,
-    /// and it counts again if the later attempt proves not to have run.
-    started_before: Option<Attempt>,
-    /// The attempt that `result` belongs to.
-    result_of: u32,
-    result: AttemptResult,
-    waiters: Vec<Waiter>,
-    /// The attempt that is in flight in another process of this server: it counts as one that was started.
-    remote: Option<u32>,
-}
-
-/// A duplicate that waits for the result of an attempt in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiter {
-    /// The duplicate.
-    pub id: u32,
-    /// The attempt whose result it waits for.
-    pub original: u32,
-}
-
-impl Entry {
-    fn new(id: u32) -> Self {
-        Entry {
-            retained: None,
-            started: None,
-            started_before: None,
-            result_of: id,
-            result: AttemptResult::Pending,
-            waiters: Vec::new(),
-            remote: None,
-        }
-    }
-
-    /// The attempt that a request which arrived at this time duplicates.
-    fn covering(&self, arrived_ms: f64) -> Option<Attempt> {
-        let covers = |attempt: &Attempt| arrived_ms < attempt.window_end_ms;
-        self.started.filter(covers).or(self.retained.filter(covers))
-    }
-
-    fn release(&mut self, id: u32) {
-        self.retained = self.retained.filter(|retained| retained.id != id);
-    }
-
-    /// Whether nothing is known of the key any more and no duplicate waits.
-    fn is_empty(&self) -> bool {
-        self.retained.is_none() && self.started.is_none() && self.waiters.is_empty()
-    }
-
-    /// Whether a request that arrived in time may still name the entry.
-    fn is_alive(&self, now_ms: f64) -> bool {
-        let alive = |attempt: Option<Attempt>| {
-            attempt.is_some_and(|attempt| attempt.window_end_ms + RETENTION_MARGIN_MS > now_ms)
-        };
-        alive(self.started) || alive(self.retained) || !self.waiters.is_empty()
-    }
-
-    fn result_bytes(&self) -> usize {
-        if let AttemptResult::Done(bytes) = &self.result { bytes.len() } else { 0 }
-    }
-}
-
-/// Another attempt of the key was started, and its window has not ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AlreadyRan;
-
-/// Whether the attempt that a duplicate names is still in flight, here or in another process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OriginalState {
-    /// It is.
-    InFlight,
-    /// It is not.
-    Ended,
-}
-
-/// What becomes of a duplicate.
-#[derive(Clone, Debug, PartialEq)]
-pub enum JoinOutcome {
-    /// It waits for the attempt in flight.
-    Waits,
-    /// That attempt has ended with this result.
-    Over(AttemptResult),
-}
-
-/// What follows from the end of an attempt.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FinishedAttempt {
-    /// The duplicates that waited for it, in the order in which they joined.
-    pub waiters: Vec<u32>,
-    /// Its result was dropped because the table may take no more bytes. The entry stays, so that no duplicate runs.
-    pub result_dropped: bool,
-}
-
 /// The table. Its results are bounded in bytes, its entries by the admission controller, which reserves memory for each.
 #[derive(Debug)]
 pub struct KeyTable {
@@ -197,17 +35,6 @@
     digest_key: [u8; 16],
 }
 
-/// What another process of this server is told of a key.
-#[derive(Clone, Debug, PartialEq)]
-pub struct AttemptRecord {
-    /// The attempt that stands for the key.
-    pub attempt: Attempt,
-    /// Whether it was started. One that was not may still be rejected.
-    pub started: bool,
-    /// Its result.
-    pub result: AttemptResult,
-}
-
 /// An unpredictable key for digests.
 fn random_digest_key() -> [u8; 16] {
     let mut key = [0; 16];
