--- a/src/server/core/drain.rs
+++ b/src/server/core/drain.rs
@@ -66,14 +66,14 @@
     }
 
     /// An operator drains the process, or takes it back into service.
-    pub fn set_drained(&mut self, now_ms: f64, drained: bool) {
+    pub fn set_lame_duck(&mut self, now_ms: f64, drained: bool) {
         self.now_ms = now_ms;
-        self.apply_drained(drained);
-        self.send_drained_to_peers(drained);
+        self.apply_lame_duck(drained);
+        self.send_lame_duck_to_peers(drained);
     }
 
     /// Drains this process or takes it back into service, as an operator or another process of the server asks.
-    pub(super) fn apply_drained(&mut self, drained: bool) {
+    pub(super) fn apply_lame_duck(&mut self, drained: bool) {
         let done = self.lifecycle.set_lame_duck(drained);
         tracing::info!(drained, done, phase = ?self.lifecycle.phase(), "drain");
         self.publish();
--- a/src/server/core/handover/actions.rs
+++ b/src/server/core/handover/actions.rs
@@ -28,7 +28,7 @@
             Action::KeysUnknownUntil(until_ms) => self.fail_unknown_keys_until(until_ms),
             Action::DecideClaim(claim) => self.decide_claim(claim),
             Action::SetDrained(drained) => {
-                self.apply_drained(drained);
+                self.apply_lame_duck(drained);
                 self.predecessor_event(predecessor::Event::DrainChanged(drained));
             }
             Action::PeerConnections(open) => transport.set_peer_connections(open as usize),
@@ -60,7 +60,7 @@
             Action::Grant(id) => self.admit_claimants(id),
             Action::Deny(id, reason) => self.fail_denied_claimants(id, reason),
             Action::SetDrained(drained) => {
-                self.apply_drained(drained);
+                self.apply_lame_duck(drained);
                 self.successor_event(successor::Event::DrainChanged(drained));
             }
             Action::KeysUnknownUntil(until_ms) => self.log_unknown_keys(until_ms),
--- a/src/server/core/handover/mod.rs
+++ b/src/server/core/handover/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// Tells the other processes that an operator drained this one, or took it back into service.
-    pub(super) fn send_drained_to_peers(&mut self, drained: bool) {
+    pub(super) fn send_lame_duck_to_peers(&mut self, drained: bool) {
         self.successor_event(successor::Event::DrainChanged(drained));
         self.predecessor_event(predecessor::Event::DrainChanged(drained));
     }
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -174,7 +174,7 @@
             self.start_drain(now_ms, notice_ms);
         }
         if let Some(drained) = status.lame_duck_request.take() {
-            self.set_drained(now_ms, drained);
+            self.set_lame_duck(now_ms, drained);
         }
     }
 
--- a/tests/bench/mod.rs
+++ b/tests/core_harness/mod.rs
@@ -1,4 +1,4 @@
-//! The core without a socket, among stand-ins that keep what they see.
+//! A harness of the core without a socket: its ports are test doubles that record every call.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -16,43 +16,44 @@
 use pinepoint_clock::Clock;
 use pinepoint_events::{CoreState, Observer, ProcessEvent, Protocol, RequestEvent, RequestEventKind};
 
-/// What the stand-ins saw, and what the observer was told.
+/// The ports of the core: engine, store, sockets and observer, each recording what it is called with.
 #[derive(Default)]
-pub struct Seen {
+pub struct RecordingPorts {
     pub runs: RefCell<Vec<String>>,
-    /// The class that each run was begun under, if it is to be kept: a long test would only grow by it.
-    pub keeps_classes: Cell<bool>,
+    /// Whether `run_classes` is recorded: in a long test it would only grow.
+    pub records_classes: Cell<bool>,
+    /// The class under which each run was started, by attempt id.
     pub run_classes: RefCell<BTreeMap<String, String>>,
     pub calls: RefCell<Vec<u64>>,
-    pub feeds: RefCell<Vec<Vec<u8>>>,
-    pub asked: Cell<u64>,
+    pub delivered_replies: RefCell<Vec<Vec<u8>>>,
+    pub last_gauge_tag: Cell<u64>,
     pub answers: RefCell<BTreeMap<(u64, u64), Vec<Reply>>>,
-    pub facts: RefCell<Vec<RequestEvent>>,
-    pub turns: RefCell<Vec<ProcessEvent>>,
+    pub request_events: RefCell<Vec<RequestEvent>>,
+    pub process_events: RefCell<Vec<ProcessEvent>>,
     pub state: RefCell<CoreState>,
 }
 
-impl Engine for Seen {
+impl Engine for RecordingPorts {
     fn start_run(&self, attempt_id: &str, class: &str, _: &[u8]) {
-        if self.keeps_classes.get() {
+        if self.records_classes.get() {
             self.run_classes.borrow_mut().insert(attempt_id.to_owned(), class.to_owned());
         }
         self.runs.borrow_mut().push(attempt_id.to_owned());
     }
     fn cancel_run(&self, _: &str) {}
     fn deliver_reply(&self, _: &str, reply: &[u8]) -> bool {
-        self.feeds.borrow_mut().push(reply.to_vec());
+        self.delivered_replies.borrow_mut().push(reply.to_vec());
         true
     }
     fn skip_call(&self, _: &str, _: u64) -> bool {
         true
     }
     fn request_gauges(&self, tag: u64) {
-        self.asked.set(tag);
+        self.last_gauge_tag.set(tag);
     }
 }
 
-impl Store for Seen {
+impl Store for RecordingPorts {
     fn start_call(self: Rc<Self>, call: u64, _: &str, _: f64, _: &[u8], _: bool) {
         self.calls.borrow_mut().push(call);
     }
@@ -61,7 +62,7 @@
     }
 }
 
-impl OpenSockets for Seen {
+impl OpenSockets for RecordingPorts {
     fn listeners(&self) -> usize {
         0
     }
@@ -70,21 +71,21 @@
     }
 }
 
-impl Observer for Seen {
-    fn request_event(&self, _: f64, fact: RequestEvent) {
-        self.facts.borrow_mut().push(fact);
+impl Observer for RecordingPorts {
+    fn request_event(&self, _: f64, event: RequestEvent) {
+        self.request_events.borrow_mut().push(event);
     }
-    fn process_event(&self, _: f64, turn: ProcessEvent) {
-        self.turns.borrow_mut().push(turn);
+    fn process_event(&self, _: f64, event: ProcessEvent) {
+        self.process_events.borrow_mut().push(event);
     }
     fn core_state(&self, _: f64, state: &CoreState) {
         *self.state.borrow_mut() = state.clone();
     }
 }
 
-pub struct Client(pub u64, pub Rc<Seen>);
+pub struct RecordingCaller(pub u64, pub Rc<RecordingPorts>);
 
-impl Caller for Client {
+impl Caller for RecordingCaller {
     fn id(&self) -> u64 {
         self.0
     }
@@ -95,13 +96,13 @@
     fn go_away_if_idle(&self, _: f64) {}
 }
 
-/// One of a list, if there is one.
+/// An element of a list, if it has any.
 fn picked<T: Clone>(list: &RefCell<Vec<T>>, n: u8) -> Option<T> {
     let list = list.borrow();
     list.get(usize::from(n).checked_rem(list.len())?).cloned()
 }
 
-/// An end of a run: of four, two are results.
+/// How a run ends: two of four values are results.
 pub fn run_end(how: u8) -> RunResult {
     match how % 4 {
         0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
@@ -110,23 +111,23 @@
     }
 }
 
-pub struct Bench {
+pub struct CoreHarness {
     pub core: Core,
-    pub seen: Rc<Seen>,
+    pub recorded: Rc<RecordingPorts>,
     pub now: f64,
-    pub tickets: u64,
-    pub notices: u64,
+    pub last_correlation_id: u64,
+    pub last_notice: u64,
     classes: usize,
 }
 
-impl Bench {
+impl CoreHarness {
     pub fn new() -> Self {
-        Bench::with_room(0.001, 2000.0)
+        CoreHarness::with_memory(0.001, 2000.0)
     }
 
-    /// With these limits of memory: of the process, MB, of which kept results get a part, and of requests, kB; room
-    /// for many requests brings a share of calls.
-    pub fn with_room(memory_mb: f64, memory_kb: f64) -> Self {
+    /// With these limits of memory: of the process, MB, of which retained results get a share, and of requests, kB. More
+    /// than 10,000 kB for requests comes with a quota of calls.
+    pub fn with_memory(memory_mb: f64, memory_kb: f64) -> Self {
         let mut site = Site::default();
         site.registry_follows_health = true;
         site.settings = pinepoint::admission::Settings {
@@ -154,12 +155,12 @@
             vec![pinepoint::admission::Gauge::BusyShare, pinepoint::admission::Gauge::Runnable];
         site.settings.rules.answer_slack_ms = 100.0;
         site.settings.rules.drain_grace_ms = 1000.0;
-        Bench::with_site(site, memory_mb, 2000.0)
+        CoreHarness::with_site(site, memory_mb, 2000.0)
     }
 
-    /// With a whole site, in a process that may take so much memory, MB, and is killed so long after the notice, ms.
+    /// With these settings, in a process that may take so much memory, MB, and is killed so long after the notice, ms.
     pub fn with_site(site: Site, memory_mb: f64, stop_ms: f64) -> Self {
-        let seen = Rc::new(Seen::default());
+        let recorded = Rc::new(RecordingPorts::default());
         let classes = site.settings.classes.len();
         let parts = CoreDependencies {
             site: Rc::new(site),
@@ -169,16 +170,23 @@
             clock: Clock::fixed(0.0),
             status: Rc::new(Status::default()),
             counters: Rc::new(Counters::default()),
-            observer: seen.clone(),
-            engine: seen.clone(),
-            store: seen.clone(),
-            open_sockets: seen.clone(),
+            observer: recorded.clone(),
+            engine: recorded.clone(),
+            store: recorded.clone(),
+            open_sockets: recorded.clone(),
             handover: None,
         };
-        Bench { core: Core::new(parts), seen, now: 1_000_000.0, tickets: 0, notices: 0, classes }
+        CoreHarness {
+            core: Core::new(parts),
+            recorded,
+            now: 1_000_000.0,
+            last_correlation_id: 0,
+            last_notice: 0,
+            classes,
+        }
     }
 
-    pub fn tell(&mut self, input: CoreInput) {
+    pub fn handle(&mut self, input: CoreInput) {
         self.core.handle(self.now, input);
         self.core.process_batch(self.now);
     }
@@ -187,10 +195,10 @@
         self.arrive_from(u64::from(key % 3), class, format!("k{key}"), body, age_ms);
     }
 
-    /// Puts these settings in force, which must be a successor of those before.
+    /// Puts these settings in force, which must be merged from those in force before.
     pub fn reload(&mut self, site: Rc<Site>, memory_mb: f64, stop_ms: f64) {
         self.classes = site.settings.classes.len();
-        self.tell(CoreInput::Reconfigure(Reconfiguration { site, stop_ms, memory_mb }));
+        self.handle(CoreInput::Reconfigure(Reconfiguration { site, stop_ms, memory_mb }));
     }
 
     pub fn arrive_from(&mut self, caller: u64, class: usize, key: String, body: u8, age_ms: f64) {
@@ -198,12 +206,12 @@
     }
 
     pub fn arrive_as(&mut self, caller: u64, class: usize, token: Option<String>, body: u8, age_ms: f64) {
-        self.tickets += 1;
-        self.tell(CoreInput::RequestReceived(Box::new(Arrival {
-            caller: Rc::new(Client(caller, self.seen.clone())),
+        self.last_correlation_id += 1;
+        self.handle(CoreInput::RequestReceived(Box::new(Arrival {
+            caller: Rc::new(RecordingCaller(caller, self.recorded.clone())),
             front: Protocol::Rpc,
-            correlation_id: self.tickets,
-            attempt_id: format!("r{}", self.tickets),
+            correlation_id: self.last_correlation_id,
+            attempt_id: format!("r{}", self.last_correlation_id),
             class,
             arrived_ms: self.now - age_ms,
             again: body.is_multiple_of(2),
@@ -216,93 +224,98 @@
         })));
     }
 
-    pub fn pass(&mut self, ms: f64, busy: f64) {
+    pub fn advance(&mut self, ms: f64, busy: f64) {
         let until = self.now + ms;
-        let mut turns = 0;
+        let mut batches = 0;
         while let Some(due) = self.core.next_due().filter(|due| *due <= until) {
-            turns += 1;
-            assert!(f64::from(turns) < 1000.0 + ms, "{turns} turns in {ms} ms: it does not wait");
+            batches += 1;
+            assert!(f64::from(batches) < 1000.0 + ms, "{batches} batches in {ms} ms: it does not wait");
             self.now = self.now.max(due);
             self.core.process_batch(self.now);
-            let tag = self.seen.asked.get();
-            self.tell(CoreInput::Gauges { tag, values: vec![busy, busy * 2.0] });
+            let tag = self.recorded.last_gauge_tag.get();
+            self.handle(CoreInput::Gauges { tag, values: vec![busy, busy * 2.0] });
         }
         self.now = until;
         self.core.process_batch(until);
     }
 
-    pub fn run(&mut self, step: &Step) {
+    pub fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Up => self.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 }),
-            Step::Down => self.tell(CoreInput::EngineDetached),
+            Step::AttachEngine => self.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 }),
+            Step::DetachEngine => self.handle(CoreInput::EngineDetached),
             Step::Arrive { class, key, body, age } => self.arrive(class, key, body, f64::from(age)),
-            Step::Pass { ms, busy } => self.pass(f64::from(ms), f64::from(busy) / 100.0),
-            Step::End { run, how } => {
-                if let Some(attempt_id) = picked(&self.seen.runs, run) {
-                    self.tell(CoreInput::RunEnded { attempt_id, result: run_end(how) });
+            Step::Advance { ms, busy } => self.advance(f64::from(ms), f64::from(busy) / 100.0),
+            Step::EndRun { run, how } => {
+                if let Some(attempt_id) = picked(&self.recorded.runs, run) {
+                    self.handle(CoreInput::RunEnded { attempt_id, result: run_end(how) });
                 }
             }
-            Step::Need { run } => {
-                self.notices += 1;
-                if let Some(attempt_id) = picked(&self.seen.runs, run) {
-                    self.tell(CoreInput::CallNeeded { attempt_id, notice: self.notices, body: vec![1] });
+            Step::NeedCall { run } => {
+                self.last_notice += 1;
+                if let Some(attempt_id) = picked(&self.recorded.runs, run) {
+                    self.handle(CoreInput::CallNeeded {
+                        attempt_id,
+                        notice: self.last_notice,
+                        body: vec![1],
+                    });
                 }
             }
-            Step::CallOver { call, how } => {
-                if let Some(call) = picked(&self.seen.calls, call) {
-                    self.seen.calls.borrow_mut().retain(|c| *c != call);
+            Step::EndCall { call, how } => {
+                if let Some(call) = picked(&self.recorded.calls, call) {
+                    self.recorded.calls.borrow_mut().retain(|c| *c != call);
                     let (outcome, reply) = match how % 4 {
                         0 | 1 => (Outcome::Done, Some(vec![how])),
                         2 => (Outcome::Rejected, None),
                         _ => (Outcome::Reset, None),
                     };
-                    self.tell(CoreInput::CallEnded { call, outcome, reply });
+                    self.handle(CoreInput::CallEnded { call, outcome, reply });
                 }
             }
-            Step::Gone { correlation_id } => {
-                let correlation_id = u64::from(correlation_id) % (self.tickets + 1);
+            Step::CallerGone { correlation_id } => {
+                let correlation_id = u64::from(correlation_id) % (self.last_correlation_id + 1);
                 for caller in 0..3 {
-                    self.tell(CoreInput::CallerGone { caller, correlation_id });
+                    self.handle(CoreInput::CallerGone { caller, correlation_id });
                 }
             }
-            Step::Closed { caller } => {
-                self.tell(CoreInput::ConnectionClosed { caller: u64::from(caller % 3) })
+            Step::CloseConnection { caller } => {
+                self.handle(CoreInput::ConnectionClosed { caller: u64::from(caller % 3) })
             }
-            Step::Leave => {
+            Step::StartDrain => {
                 self.core.start_drain(self.now, self.now);
                 self.core.process_batch(self.now);
             }
         }
     }
 
-    /// Per class: read, answered or expired, gone; and the numbers of requests with an end.
-    pub fn sums(&self) -> Vec<[u64; 3]> {
-        let mut sums = vec![[0; 3]; self.classes];
+    /// For each class, the numbers of requests that were received, answered, and left by their caller. Checks that no request
+    /// ends twice.
+    pub fn totals_by_class(&self) -> Vec<[u64; 3]> {
+        let mut totals_by_class = vec![[0; 3]; self.classes];
         let mut ended = BTreeSet::new();
-        for fact in self.seen.facts.borrow().iter() {
-            let at = match fact.kind {
+        for event in self.recorded.request_events.borrow().iter() {
+            let at = match event.kind {
                 RequestEventKind::Received { .. } => 0,
                 RequestEventKind::Answered { .. } | RequestEventKind::DeadlineExceeded { .. } => 1,
                 RequestEventKind::CallerGone { .. } => 2,
                 _ => continue,
             };
-            sums[fact.class][at] += 1;
-            assert!(at == 0 || fact.id == 0 || ended.insert(fact.id), "{} ends twice", fact.id);
+            totals_by_class[event.class][at] += 1;
+            assert!(at == 0 || event.id == 0 || ended.insert(event.id), "{} ends twice", event.id);
         }
-        sums
+        totals_by_class
     }
 }
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    Up,
-    Down,
+    AttachEngine,
+    DetachEngine,
     Arrive { class: usize, key: u8, body: u8, age: u16 },
-    Pass { ms: u16, busy: u8 },
-    End { run: u8, how: u8 },
-    Need { run: u8 },
-    CallOver { call: u8, how: u8 },
-    Gone { correlation_id: u8 },
-    Closed { caller: u8 },
-    Leave,
+    Advance { ms: u16, busy: u8 },
+    EndRun { run: u8, how: u8 },
+    NeedCall { run: u8 },
+    EndCall { call: u8, how: u8 },
+    CallerGone { correlation_id: u8 },
+    CloseConnection { caller: u8 },
+    StartDrain,
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,7 +1,7 @@
 //! Two processes of one server during an upgrade, with real cores: whatever comes in whatever order, no key runs twice in its
 //! window, each request read is answered once and in time, and all counters add up.
 
-mod bench;
+mod core_harness;
 #[path = "handover/mod.rs"]
 mod world;
 
@@ -93,7 +93,7 @@
             Step::Close { newer, caller } => world.close(at(newer), caller),
             Step::Pass { ms } => world.pass(f64::from(ms)),
             Step::Delay { ms } => world.delay_ms = f64::from(ms),
-            Step::Drain { newer, drained } => world.set_drained(at(newer), drained),
+            Step::Drain { newer, drained } => world.set_lame_duck(at(newer), drained),
             Step::Terminate => world.terminate(0),
             Step::Crash { newer, kept } => world.crash(at(newer), kept),
             Step::Cut { kept } => world.cut(kept),
--- a/tests/handover/mod.rs
+++ b/tests/handover/mod.rs
@@ -23,7 +23,7 @@
 use pinepoint_handover::wire;
 use serde_json::{Value, json};
 
-use crate::bench::{Client, Seen};
+use crate::core_harness::{RecordingCaller, RecordingPorts};
 
 /// From the notice to the kill of a process, ms.
 pub const STOP_MS: f64 = 8000.0;
@@ -162,7 +162,7 @@
 
 pub struct Process {
     pub core: Core,
-    pub seen: Rc<Seen>,
+    pub recorded: Rc<RecordingPorts>,
     pub status: Rc<Status>,
     pub site: Rc<Site>,
     pub reads: Vec<Read>,
@@ -200,7 +200,7 @@
     /// The core listening at the common path.
     pub listening: Option<usize>,
     links: Vec<Link>,
-    tickets: u64,
+    last_correlation_id: u64,
     names: BTreeMap<String, Names>,
 }
 
@@ -216,7 +216,7 @@
             crashes: 0,
             listening: None,
             links: Vec::new(),
-            tickets: 0,
+            last_correlation_id: 0,
             names: BTreeMap::new(),
         };
         let first = world.start(classes);
@@ -229,7 +229,8 @@
     /// Starts another process, which looks for the one that listens.
     pub fn start(&mut self, classes: &[ClassSpec]) -> usize {
         let site = Rc::new(site(classes));
-        let (seen, status, counters) = (Rc::new(Seen::default()), Rc::new(Status::default()), Rc::default());
+        let (recorded, status, counters) =
+            (Rc::new(RecordingPorts::default()), Rc::new(Status::default()), Rc::default());
         let (port, inbox): (Rc<Port>, Rc<PeerInbox>) = Default::default();
         let clock = Clock::fixed(self.now);
         let rules = Rules { longest_window_ms: WINDOW_MS + 1000.0, ..Rules::default() };
@@ -248,16 +249,16 @@
             clock: clock.clone(),
             status: status.clone(),
             counters: Rc::clone(&counters),
-            observer: seen.clone(),
-            engine: seen.clone(),
-            store: seen.clone(),
-            open_sockets: seen.clone(),
+            observer: recorded.clone(),
+            engine: recorded.clone(),
+            store: recorded.clone(),
+            open_sockets: recorded.clone(),
             handover: Some(handover),
         });
         let index = self.processes.len();
         self.processes.push(Process {
             core,
-            seen,
+            recorded,
             status,
             site,
             reads: Vec::new(),
@@ -307,14 +308,14 @@
         let process = &self.processes[index];
         let class_index = process.site.class_of(class, self.now)?;
         let keyed = process.site.settings.classes[class_index].idempotency == Idempotency::Keyed;
-        self.tickets += 1;
-        let correlation_id = self.tickets;
+        self.last_correlation_id += 1;
+        let correlation_id = self.last_correlation_id;
         let attempt_id = format!("r{correlation_id}");
         let arrived_ms = self.now - age_ms;
         let token = keyed.then(|| format!("k{token}"));
         self.names.insert(attempt_id.clone(), (class.to_owned(), token.clone(), arrived_ms));
         let arrival = Arrival {
-            caller: Rc::new(Client(caller, process.seen.clone())),
+            caller: Rc::new(RecordingCaller(caller, process.recorded.clone())),
             front: Protocol::Rpc,
             correlation_id,
             attempt_id: attempt_id.clone(),
@@ -388,8 +389,8 @@
         self.turn(index, |core, now| core.handle(now, CoreInput::RunEnded { attempt_id, result: end }));
     }
 
-    pub fn set_drained(&mut self, index: usize, drained: bool) {
-        self.turn(index, |core, now| core.set_drained(now, drained));
+    pub fn set_lame_duck(&mut self, index: usize, drained: bool) {
+        self.turn(index, |core, now| core.set_lame_duck(now, drained));
     }
 
     /// SIGTERM; the kill follows in its time.
@@ -496,7 +497,7 @@
                 self.find_predecessor(index);
             }
             self.turn(index, |_, _| ());
-            let tag = self.processes[index].seen.asked.replace(0);
+            let tag = self.processes[index].recorded.last_gauge_tag.replace(0);
             if tag > 0 && self.processes[index].alive {
                 self.turn(index, |core, now| {
                     core.handle(now, CoreInput::Gauges { tag, values: vec![0.1, 0.2] })
@@ -617,7 +618,7 @@
     fn note_runs(&mut self, index: usize) {
         let begun: Vec<String> = {
             let process = &mut self.processes[index];
-            let runs = process.seen.runs.borrow();
+            let runs = process.recorded.runs.borrow();
             let begun = runs[process.runs_seen..].to_vec();
             process.runs_seen = runs.len();
             begun
@@ -716,7 +717,7 @@
 
 impl Process {
     fn answers(&self, read: &Read) -> Vec<Reply> {
-        self.seen.answers.borrow().get(&(read.caller, read.correlation_id)).cloned().unwrap_or_default()
+        self.recorded.answers.borrow().get(&(read.caller, read.correlation_id)).cloned().unwrap_or_default()
     }
 }
 
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,11 +1,11 @@
-//! The table of keys by itself: what runs once, what is told to repeats, and what it takes.
+//! The table of idempotency keys: what may run once, what duplicates get, and how much it retains.
 
 use pinepoint::server::core::keys::{
     AlreadyRan, Attempt, AttemptEnd, AttemptResult, FinishedAttempt, IdempotencyKey, JoinOutcome, KeyTable,
     OriginalState, Waiter,
 };
 
-/// What no try that comes in time can name any more is gone this much after its window, ms.
+/// An entry that no request which arrived in time can name is gone this long after its window, ms.
 const LONG_AFTER: f64 = 20_000.0;
 
 fn key() -> IdempotencyKey {
@@ -41,7 +41,11 @@
     keys.release(&key(), 1);
     keys.remove_waiter(&key(), 1);
     assert_eq!(start(&mut keys, &key(), 2, 99.0), Err(AlreadyRan));
-    assert_eq!(start(&mut keys, &key(), 2, 100.0), Ok(()), "the window counts from t0 of the try that ran");
+    assert_eq!(
+        start(&mut keys, &key(), 2, 100.0),
+        Ok(()),
+        "the window counts from the arrival of the attempt that ran"
+    );
 }
 
 #[test]
@@ -58,7 +62,7 @@
     assert_eq!(keys.size(), (0, 0));
 }
 
-/// Reads that share answers: each holder's result is its own, and takes no room after it.
+/// Reads that share results: the result of each retained attempt is its own, and takes no memory after it.
 #[test]
 fn the_result_of_an_earlier_holder_is_neither_told_nor_counted() {
     let mut keys = KeyTable::new(10.0);
@@ -74,7 +78,7 @@
     assert_eq!(keys.size(), (0, 0), "with the entry goes its result");
 }
 
-/// The window is over while the first try still runs, as one that is shorter than the deadline allows.
+/// The window ends while the first attempt still runs, as it may if it is shorter than the timeout.
 #[test]
 fn repeats_get_the_result_of_the_try_that_they_wait_for() {
     let mut keys = KeyTable::new(1000.0);
@@ -95,7 +99,7 @@
     assert_eq!(keys.size(), (1, 6));
 }
 
-/// A later try that is turned away unrun must not stand for the key.
+/// A later attempt that is rejected without having run must not stand for the key.
 #[test]
 fn one_that_left_the_hold_unrun_leaves_nothing_to_repeat() {
     let mut keys = KeyTable::new(1000.0);
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -1,13 +1,13 @@
-//! A long life in simulated time: after rounds of varied load, each with a quiet while at its end, every
-//! table is empty again, and the memory taken is what it was after the first of them. `GROWTH_SEED` replays another course.
+//! A long run in simulated time: after rounds of varied load, each followed by an idle period, every table is empty again,
+//! and the memory in use is what it was after the first rounds. `GROWTH_SEED` sets the seed.
 
-mod bench;
+mod core_harness;
 
 use std::alloc::System;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use bench::{Bench, Client, Step, run_end};
+use core_harness::{CoreHarness, RecordingCaller, Step, run_end};
 use pinepoint::admission::{AdmissionSnapshot, Outcome};
 use pinepoint::server::core::api::CoreInput;
 use pinepoint_telemetry::accounts::{Accounts, Class};
@@ -35,7 +35,7 @@
 
 /// The core, its clients and machine, and what telemetry keeps of it.
 struct Life {
-    bench: Bench,
+    harness: CoreHarness,
     random: Pcg64Mcg,
     accounts: Accounts,
     gauges: usize,
@@ -55,8 +55,8 @@
 
 impl Life {
     fn new(seed: u64) -> Life {
-        let mut bench = Bench::with_room(0.1, 40_000.0);
-        bench.run(&Step::Up);
+        let mut harness = CoreHarness::with_memory(0.1, 40_000.0);
+        harness.apply(&Step::AttachEngine);
         let schema = Rc::new(Schema::new(&["look".into(), "write".into()], &[], &AdmissionSnapshot::NAMES));
         let class =
             Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
@@ -64,7 +64,7 @@
         let bounds = Bounds { bytes: SPOOL_BYTES, age_ms: 86_400_000.0, window: 8 };
         let spool = Spool::new(bounds, vec![0.0; schema.counts()].into());
         let (random, gauges) = (Pcg64Mcg::seed_from_u64(seed), schema.gauges());
-        Life { bench, random, accounts, gauges, spool, keys: 0, callers: 0..0, most: (0, 0, 0) }
+        Life { harness, random, accounts, gauges, spool, keys: 0, callers: 0..0, most: (0, 0, 0) }
     }
 
     fn below(&mut self, n: u64) -> u64 {
@@ -73,46 +73,46 @@
 
     /// A connection comes, and of more than 40 the oldest goes.
     fn connect(&mut self) {
-        let client = Client(self.callers.end, self.bench.seen.clone());
+        let client = RecordingCaller(self.callers.end, self.harness.recorded.clone());
         self.callers.end += 1;
-        self.bench.tell(CoreInput::ConnectionOpened(Rc::new(client)));
+        self.harness.handle(CoreInput::ConnectionOpened(Rc::new(client)));
         if self.callers.end - self.callers.start > 40 {
-            self.bench.tell(CoreInput::ConnectionClosed { caller: self.callers.start });
+            self.harness.handle(CoreInput::ConnectionClosed { caller: self.callers.start });
             self.callers.start += 1;
         }
     }
 
     /// The engine ends one of its runs.
     fn end_run(&mut self, pick: usize, how: u8) {
-        if let Some(attempt_id) = taken_out(&self.bench.seen.runs, pick) {
-            self.bench.tell(CoreInput::RunEnded { attempt_id, result: run_end(how) });
+        if let Some(attempt_id) = taken_out(&self.harness.recorded.runs, pick) {
+            self.harness.handle(CoreInput::RunEnded { attempt_id, result: run_end(how) });
         }
     }
 
     /// The store ends one of its calls: most go well.
     fn end_call(&mut self, pick: usize, how: u8) {
-        let Some(call) = taken_out(&self.bench.seen.calls, pick) else { return };
+        let Some(call) = taken_out(&self.harness.recorded.calls, pick) else { return };
         let (outcome, reply) = match how % 16 {
             0 => (Outcome::Rejected, None),
             1 => (Outcome::Reset, None),
             _ => (Outcome::Done, Some(vec![how])),
         };
-        self.bench.tell(CoreInput::CallEnded { call, outcome, reply });
+        self.harness.handle(CoreInput::CallEnded { call, outcome, reply });
     }
 
     /// A step of the machine: its two cores end one run of 100 ms, after a call or without; calls end.
     fn step(&mut self) {
         let (a, b) = (self.below(256) as u8, self.below(256) as u8);
-        while !self.bench.seen.calls.borrow().is_empty() {
+        while !self.harness.recorded.calls.borrow().is_empty() {
             self.end_call(0, b);
         }
         if a < 100 {
-            self.bench.run(&Step::Need { run: 0 });
+            self.harness.apply(&Step::NeedCall { run: 0 });
         } else {
             self.end_run(0, if a < 230 { 0 } else { b });
         }
-        let runs = self.bench.seen.runs.borrow().len() as f64;
-        self.bench.pass(STEP_MS, (runs / 2.0).min(1.0));
+        let runs = self.harness.recorded.runs.borrow().len() as f64;
+        self.harness.advance(STEP_MS, (runs / 2.0).min(1.0));
     }
 
     /// One second with about this many arrivals.
@@ -126,10 +126,11 @@
                 self.keys = self.keys.max(key);
                 let (class, body) = ((key % 2) as usize, (key + u64::from(self.below(9) == 0)) as u8);
                 let age = if self.below(50) == 0 { 9000.0 } else { self.below(40) as f64 };
-                self.bench.arrive_from(caller, class, format!("k{key}"), body, age);
+                self.harness.arrive_from(caller, class, format!("k{key}"), body, age);
                 if self.below(12) == 0 {
-                    let correlation_id = self.bench.tickets - self.below(8.min(self.bench.tickets));
-                    self.bench.tell(CoreInput::CallerGone { caller, correlation_id });
+                    let correlation_id = self.harness.last_correlation_id
+                        - self.below(8.min(self.harness.last_correlation_id));
+                    self.harness.handle(CoreInput::CallerGone { caller, correlation_id });
                 }
                 if self.below(12) == 0 {
                     self.connect();
@@ -138,26 +139,26 @@
             self.step();
         }
         if self.below(300) == 0 {
-            self.bench.run(&Step::Down);
-            self.bench.run(&Step::Up);
+            self.harness.apply(&Step::DetachEngine);
+            self.harness.apply(&Step::AttachEngine);
             // The answer to what is asked behind the notices that come again.
-            let tag = self.bench.seen.asked.get();
-            self.bench.tell(CoreInput::Gauges { tag, values: vec![0.5, 1.0] });
+            let tag = self.harness.recorded.last_gauge_tag.get();
+            self.harness.handle(CoreInput::Gauges { tag, values: vec![0.5, 1.0] });
         }
-        let facts = std::mem::take(&mut *self.bench.seen.facts.borrow_mut());
+        let facts = std::mem::take(&mut *self.harness.recorded.request_events.borrow_mut());
         facts.iter().for_each(|fact| self.accounts.note(fact));
-        self.bench.seen.answers.borrow_mut().clear();
-        self.bench.seen.feeds.borrow_mut().clear();
-        self.bench.seen.turns.borrow_mut().clear();
-        let state = self.bench.core.state();
+        self.harness.recorded.answers.borrow_mut().clear();
+        self.harness.recorded.delivered_replies.borrow_mut().clear();
+        self.harness.recorded.process_events.borrow_mut().clear();
+        let state = self.harness.core.state();
         let open = state.open.iter().sum::<u64>() as usize;
         self.most =
             (self.most.0.max(state.keys), self.most.1.max(open), self.most.2.max(state.results_bytes));
     }
 
     fn interval(&mut self, slot_s: u64) {
-        let now = self.bench.now;
-        let state = self.bench.core.state();
+        let now = self.harness.now;
+        let state = self.harness.core.state();
         assert_eq!(self.accounts.law_off(&state), 0.0);
         let (totals, dists) = self.accounts.cut();
         let gauges = vec![0.0; self.gauges].into();
@@ -177,12 +178,12 @@
             let arrivals = if level == 0 { 0 } else { level / 2 + self.below(level) };
             if second > ROUND_S - 120 {
                 // Runs end; the connections close.
-                while !self.bench.seen.runs.borrow().is_empty() {
+                while !self.harness.recorded.runs.borrow().is_empty() {
                     self.end_run(0, 2);
                 }
                 let last = self.callers.end;
                 for caller in std::mem::replace(&mut self.callers, last..last) {
-                    self.bench.tell(CoreInput::ConnectionClosed { caller });
+                    self.harness.handle(CoreInput::ConnectionClosed { caller });
                 }
             }
             self.second(arrivals);
@@ -201,7 +202,7 @@
     let mut after = Vec::new();
     for number in 0..5 {
         life.round(number);
-        let state = life.bench.core.state();
+        let state = life.harness.core.state();
         assert!(state.open.iter().all(|open| *open == 0), "open after round {number}: {:?}", state.open);
         let left = [state.held, state.waiting, state.running, state.calls, state.keys, state.results_bytes];
         assert_eq!(
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,14 +1,14 @@
 //! A configuration that is read again: which successors are taken, what stays as it was under a new one, and that a file
 //! which is turned down changes nothing.
 
-mod bench;
+mod core_harness;
 mod scenario;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::rc::Rc;
 
-use bench::Bench;
+use core_harness::CoreHarness;
 use pinepoint::admission::{
     Action, AdmissionController, Class, Event, FailureReason, Gauge, Idempotency, Request, Settings,
     SettingsError, Tenant,
@@ -402,19 +402,19 @@
 // ---- the core ----
 
 /// A core that serves, with the settings it started with.
-fn serving(site: &Site) -> Bench {
-    let mut bench = Bench::with_site(site.clone(), 1.0, 2000.0);
-    bench.seen.keeps_classes.set(true);
-    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
-    bench
+fn serving(site: &Site) -> CoreHarness {
+    let mut harness = CoreHarness::with_site(site.clone(), 1.0, 2000.0);
+    harness.recorded.records_classes.set(true);
+    harness.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
+    harness
 }
 
-fn answers(bench: &Bench) -> Vec<Reply> {
-    bench.seen.answers.borrow().values().flatten().cloned().collect()
+fn answers(harness: &CoreHarness) -> Vec<Reply> {
+    harness.recorded.answers.borrow().values().flatten().cloned().collect()
 }
 
-fn complete(bench: &mut Bench, attempt_id: &str, body: &[u8]) {
-    bench.tell(CoreInput::RunEnded {
+fn complete(harness: &mut CoreHarness, attempt_id: &str, body: &[u8]) {
+    harness.handle(CoreInput::RunEnded {
         attempt_id: attempt_id.into(),
         result: RunResult::Complete(body.into()),
     });
@@ -423,85 +423,85 @@
 #[test]
 fn a_keyed_request_that_is_open_over_a_reload_keeps_its_key_and_its_window() {
     let first = site(&[("look", READ), ("brief", READ), ("write", ANY_KEYED_CLASS)]);
-    let mut bench = serving(&first);
-    let arrived_ms = bench.now;
-    bench.arrive_as(1, 2, Some("k".into()), 7, 0.0);
-    assert_eq!(bench.seen.run_classes.borrow()["r1"], "write");
+    let mut harness = serving(&first);
+    let arrived_ms = harness.now;
+    harness.arrive_as(1, 2, Some("k".into()), 7, 0.0);
+    assert_eq!(harness.recorded.run_classes.borrow()["r1"], "write");
     // One before it is dropped, and its window shrinks to nothing.
     let mut changed = site(&[("look", READ), ("write", ANY_KEYED_CLASS), ("more", ANY_KEYED_CLASS)]);
     changed.settings.classes[1].dedup_window_ms = 1.0;
-    let changed = Rc::new(first.merged_with(changed, bench.now).expect("taken"));
-    bench.reload(changed.clone(), 1.0, 2000.0);
-    let write = changed.class_of("write", bench.now).expect("known");
-    bench.pass(300.0, 0.5);
-    bench.arrive_as(2, write, Some("k".into()), 7, 0.0);
+    let changed = Rc::new(first.merged_with(changed, harness.now).expect("taken"));
+    harness.reload(changed.clone(), 1.0, 2000.0);
+    let write = changed.class_of("write", harness.now).expect("known");
+    harness.advance(300.0, 0.5);
+    harness.arrive_as(2, write, Some("k".into()), 7, 0.0);
     // Callers that a reload moves to a new class send the next try of a request under its name: it is no other request.
-    let more = changed.class_of("more", bench.now).expect("known");
-    bench.arrive_as(2, more, Some("k".into()), 7, 0.0);
-    assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1"]);
-    complete(&mut bench, "r1", b"receipt");
+    let more = changed.class_of("more", harness.now).expect("known");
+    harness.arrive_as(2, more, Some("k".into()), 7, 0.0);
+    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1"]);
+    complete(&mut harness, "r1", b"receipt");
     let served = |body: &[u8]| Reply::Served(body.into());
-    assert_eq!(answers(&bench), [served(b"receipt"), served(b"receipt"), served(b"receipt")]);
+    assert_eq!(answers(&harness), [served(b"receipt"), served(b"receipt"), served(b"receipt")]);
     // With another body it is another request, which must not get the result of the first.
-    bench.arrive_as(1, more, Some("k".into()), 8, 0.0);
+    harness.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
-        bench.seen.answers.borrow()[&(1, 4)],
+        harness.recorded.answers.borrow()[&(1, 4)],
         [Reply::Failed { late: false, reason: pinepoint::admission::FailureReason::BodyMismatch }]
     );
     // Within the window that the run was begun with.
-    bench.pass(arrived_ms + 4900.0 - bench.now, 0.5);
-    bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
-    assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1"], "the repeat is not run again");
-    assert_eq!(bench.seen.answers.borrow()[&(0, 5)], [served(b"receipt")]);
-    bench.pass(arrived_ms + 5100.0 - bench.now, 0.5);
-    bench.arrive_as(0, write, Some("k".into()), 7, 0.0);
-    assert_eq!(bench.seen.runs.borrow().as_slice(), ["r1", "r6"], "after it the key is free");
+    harness.advance(arrived_ms + 4900.0 - harness.now, 0.5);
+    harness.arrive_as(0, write, Some("k".into()), 7, 0.0);
+    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1"], "the repeat is not run again");
+    assert_eq!(harness.recorded.answers.borrow()[&(0, 5)], [served(b"receipt")]);
+    harness.advance(arrived_ms + 5100.0 - harness.now, 0.5);
+    harness.arrive_as(0, write, Some("k".into()), 7, 0.0);
+    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1", "r6"], "after it the key is free");
 }
 
 #[test]
 fn a_dropped_class_that_returns_with_its_effect_still_knows_its_keys() {
     let both = site(&[("look", READ), ("write", ANY_KEYED_CLASS)]);
-    let mut bench = serving(&both);
-    bench.arrive_as(1, 1, Some("k".into()), 7, 0.0);
-    complete(&mut bench, "r1", b"receipt");
-    let dropped = both.merged_with(site(&[("look", READ)]), bench.now).expect("taken");
-    bench.reload(Rc::new(dropped.clone()), 1.0, 2000.0);
-    bench.pass(500.0, 0.1);
-    let back = Rc::new(dropped.merged_with(both, bench.now).expect("taken"));
-    bench.reload(back.clone(), 1.0, 2000.0);
-    bench.arrive_as(1, back.class_of("write", bench.now).expect("known"), Some("k".into()), 7, 0.0);
-    assert_eq!(bench.seen.runs.borrow().len(), 1);
-    assert_eq!(answers(&bench), [Reply::Served((*b"receipt").into()), Reply::Served((*b"receipt").into())]);
+    let mut harness = serving(&both);
+    harness.arrive_as(1, 1, Some("k".into()), 7, 0.0);
+    complete(&mut harness, "r1", b"receipt");
+    let dropped = both.merged_with(site(&[("look", READ)]), harness.now).expect("taken");
+    harness.reload(Rc::new(dropped.clone()), 1.0, 2000.0);
+    harness.advance(500.0, 0.1);
+    let back = Rc::new(dropped.merged_with(both, harness.now).expect("taken"));
+    harness.reload(back.clone(), 1.0, 2000.0);
+    harness.arrive_as(1, back.class_of("write", harness.now).expect("known"), Some("k".into()), 7, 0.0);
+    assert_eq!(harness.recorded.runs.borrow().len(), 1);
+    assert_eq!(answers(&harness), [Reply::Served((*b"receipt").into()), Reply::Served((*b"receipt").into())]);
 }
 
 #[test]
 fn what_is_held_while_its_class_is_dropped_runs_under_the_name_it_came_with() {
     let first = site(&[("look", READ), ("brief", READ)]);
-    let mut bench = serving(&first);
+    let mut harness = serving(&first);
     for _ in 0..3 {
-        bench.arrive_as(1, 1, None, 7, 0.0);
+        harness.arrive_as(1, 1, None, 7, 0.0);
     }
-    assert_eq!(bench.seen.runs.borrow().len(), 2, "two cores");
-    let dropped = first.merged_with(site(&[("look", READ)]), bench.now).expect("taken");
-    bench.reload(Rc::new(dropped), 1.0, 2000.0);
-    complete(&mut bench, "r1", b"one");
-    bench.pass(30.0, 0.5);
-    assert_eq!(bench.seen.run_classes.borrow().get("r3").map(String::as_str), Some("brief"));
+    assert_eq!(harness.recorded.runs.borrow().len(), 2, "two cores");
+    let dropped = first.merged_with(site(&[("look", READ)]), harness.now).expect("taken");
+    harness.reload(Rc::new(dropped), 1.0, 2000.0);
+    complete(&mut harness, "r1", b"one");
+    harness.advance(30.0, 0.5);
+    assert_eq!(harness.recorded.run_classes.borrow().get("r3").map(String::as_str), Some("brief"));
 }
 
 #[test]
 fn a_changed_deadline_holds_for_what_is_read_from_then_on() {
     let first = site(&[("look", READ)]);
-    let mut bench = serving(&first);
-    bench.arrive_as(1, 0, None, 7, 0.0);
+    let mut harness = serving(&first);
+    harness.arrive_as(1, 0, None, 7, 0.0);
     let mut shorter = first.clone();
     shorter.settings.classes[0].timeout_ms = 600.0;
-    bench.reload(Rc::new(first.merged_with(shorter, bench.now).expect("taken")), 1.0, 2000.0);
-    bench.arrive_as(1, 0, None, 8, 0.0);
-    bench.pass(800.0, 0.5);
+    harness.reload(Rc::new(first.merged_with(shorter, harness.now).expect("taken")), 1.0, 2000.0);
+    harness.arrive_as(1, 0, None, 8, 0.0);
+    harness.advance(800.0, 0.5);
     let (of_first, of_second) = (
-        bench.seen.answers.borrow().get(&(1, 1)).cloned(),
-        bench.seen.answers.borrow().get(&(1, 2)).cloned(),
+        harness.recorded.answers.borrow().get(&(1, 1)).cloned(),
+        harness.recorded.answers.borrow().get(&(1, 2)).cloned(),
     );
     assert_eq!(of_first, None, "it waits for its own time");
     assert!(
@@ -511,33 +511,33 @@
         ),
         "{of_second:?}"
     );
-    bench.pass(2400.0, 0.5);
-    assert!(matches!(answers(&bench).first(), Some(Reply::Failed { late: true, .. })));
+    harness.advance(2400.0, 0.5);
+    assert!(matches!(answers(&harness).first(), Some(Reply::Failed { late: true, .. })));
 }
 
 #[test]
 fn settings_that_come_before_the_engine_are_those_it_begins_with() {
     let first = site(&[("look", READ)]);
-    let mut bench = Bench::with_site(first.clone(), 1.0, 2000.0);
-    bench.seen.keeps_classes.set(true);
-    let more = first.merged_with(site(&[("look", READ), ("more", READ)]), bench.now).expect("taken");
-    bench.reload(Rc::new(more), 1.0, 2000.0);
-    bench.tell(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
-    bench.arrive_as(1, 1, None, 7, 0.0);
-    assert_eq!(bench.seen.run_classes.borrow()["r1"], "more");
+    let mut harness = CoreHarness::with_site(first.clone(), 1.0, 2000.0);
+    harness.recorded.records_classes.set(true);
+    let more = first.merged_with(site(&[("look", READ), ("more", READ)]), harness.now).expect("taken");
+    harness.reload(Rc::new(more), 1.0, 2000.0);
+    harness.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
+    harness.arrive_as(1, 1, None, 7, 0.0);
+    assert_eq!(harness.recorded.run_classes.borrow()["r1"], "more");
 }
 
 #[test]
 fn less_memory_holds_for_results_that_come_after() {
     let first = site(&[("write", ANY_KEYED_CLASS)]);
-    let mut bench = serving(&first);
-    bench.reload(Rc::new(first.merged_with(first.clone(), bench.now).expect("taken")), 0.0001, 2000.0);
-    bench.arrive_as(1, 0, Some("k".into()), 7, 0.0);
-    complete(&mut bench, "r1", &[1; 2000]);
-    bench.arrive_as(1, 0, Some("k".into()), 7, 0.0);
-    let last = answers(&bench).pop();
+    let mut harness = serving(&first);
+    harness.reload(Rc::new(first.merged_with(first.clone(), harness.now).expect("taken")), 0.0001, 2000.0);
+    harness.arrive_as(1, 0, Some("k".into()), 7, 0.0);
+    complete(&mut harness, "r1", &[1; 2000]);
+    harness.arrive_as(1, 0, Some("k".into()), 7, 0.0);
+    let last = answers(&harness).pop();
     assert!(matches!(last, Some(Reply::Failed { .. })), "its result was too large to keep: {last:?}");
-    assert_eq!(bench.seen.runs.borrow().len(), 1);
+    assert_eq!(harness.recorded.runs.borrow().len(), 1);
 }
 
 // ---- any sequence of settings ----
@@ -618,7 +618,7 @@
         steps in proptest::collection::vec(step(), 1..120),
     ) {
         let mut site = Rc::new(site_of(&first));
-        let mut bench = serving(&site);
+        let mut harness = serving(&site);
         let mut came: Vec<Came> = Vec::new();
         let mut windows: BTreeMap<(usize, String), f64> = BTreeMap::new();
         let (mut runs_seen, mut gone) = (0, BTreeSet::new());
@@ -626,48 +626,48 @@
             match step {
                 Step::Reload(classes) => {
                     let before = site.clone();
-                    site = Rc::new(site.merged_with(site_of(classes), bench.now).expect("few names"));
+                    site = Rc::new(site.merged_with(site_of(classes), harness.now).expect("few names"));
                     for class in 0..before.settings.classes.len() {
                         prop_assert_eq!(site.class_name(class), before.class_name(class));
                         prop_assert_eq!(
                             site.settings.classes[class].idempotency, before.settings.classes[class].idempotency
                         );
                     }
-                    bench.reload(site.clone(), 1.0, 2000.0);
+                    harness.reload(site.clone(), 1.0, 2000.0);
                 }
                 Step::Arrive { name, token } => {
-                    if let Some(class) = site.class_of(NAMES[*name], bench.now) {
+                    if let Some(class) = site.class_of(NAMES[*name], harness.now) {
                         let settings = &site.settings.classes[class];
                         let token = (settings.idempotency == Idempotency::Keyed).then(|| format!("k{token}"));
                         came.push(Came {
                             class,
                             name: NAMES[*name],
                             key: token.clone().map(|token| (class, token)),
-                            arrived_ms: bench.now,
-                            deadline_ms: bench.now + settings.timeout_ms,
+                            arrived_ms: harness.now,
+                            deadline_ms: harness.now + settings.timeout_ms,
                         });
-                        bench.arrive_as(1, class, token, 7, 0.0);
+                        harness.arrive_as(1, class, token, 7, 0.0);
                     }
                 }
-                Step::Pass(ms) => bench.pass(f64::from(*ms), 0.6),
+                Step::Pass(ms) => harness.advance(f64::from(*ms), 0.6),
                 Step::End { run, good } => {
-                    let runs = bench.seen.runs.borrow().clone();
+                    let runs = harness.recorded.runs.borrow().clone();
                     if let Some(attempt_id) = runs.get(usize::from(*run) % runs.len().max(1)) {
                         let end = if *good { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
-                        bench.tell(CoreInput::RunEnded { attempt_id: attempt_id.clone(), result: end });
+                        harness.handle(CoreInput::RunEnded { attempt_id: attempt_id.clone(), result: end });
                     }
                 }
                 Step::Gone(correlation_id) => {
-                    let correlation_id = u64::from(*correlation_id) % (bench.tickets + 1);
+                    let correlation_id = u64::from(*correlation_id) % (harness.last_correlation_id + 1);
                     gone.insert(correlation_id);
-                    bench.tell(CoreInput::CallerGone { caller: 1, correlation_id });
+                    harness.handle(CoreInput::CallerGone { caller: 1, correlation_id });
                 }
             }
-            let runs = bench.seen.runs.borrow().clone();
+            let runs = harness.recorded.runs.borrow().clone();
             for attempt_id in &runs[runs_seen..] {
                 let number: usize = attempt_id[1..].parse().expect("a number");
                 let request = &came[number - 1];
-                prop_assert_eq!(&bench.seen.run_classes.borrow()[attempt_id], request.name);
+                prop_assert_eq!(&harness.recorded.run_classes.borrow()[attempt_id], request.name);
                 if let Some(key) = &request.key {
                     let window_ms = site.settings.classes[request.class].dedup_window_ms;
                     let until = windows.insert(key.clone(), request.arrived_ms + window_ms);
@@ -675,27 +675,27 @@
                 }
             }
             runs_seen = runs.len();
-            bench.tell(CoreInput::ReportState);
-            let open = bench.seen.state.borrow().open.clone();
+            harness.handle(CoreInput::ReportState);
+            let open = harness.recorded.state.borrow().open.clone();
             prop_assert_eq!(open.len(), site.settings.classes.len());
-            for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
+            for (class, [read, answered, gone]) in harness.totals_by_class().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
                 let sent = came.iter().filter(|request| request.class == class).count() as u64;
                 prop_assert_eq!(read, sent, "class {}", class);
             }
             for (number, request) in came.iter().enumerate() {
                 let correlation_id = number as u64 + 1;
-                let answered = bench.seen.answers.borrow().contains_key(&(1, correlation_id));
+                let answered = harness.recorded.answers.borrow().contains_key(&(1, correlation_id));
                 prop_assert!(
-                    answered || gone.contains(&correlation_id) || bench.now < request.deadline_ms + 200.0,
-                    "{} of {:?} is open at {}", correlation_id, request, bench.now
+                    answered || gone.contains(&correlation_id) || harness.now < request.deadline_ms + 200.0,
+                    "{} of {:?} is open at {}", correlation_id, request, harness.now
                 );
             }
         }
-        bench.pass(5000.0, 0.2);
-        bench.tell(CoreInput::ReportState);
-        prop_assert_eq!(bench.seen.state.borrow().open.iter().sum::<u64>(), 0);
-        let answers = bench.seen.answers.borrow();
+        harness.advance(5000.0, 0.2);
+        harness.handle(CoreInput::ReportState);
+        prop_assert_eq!(harness.recorded.state.borrow().open.iter().sum::<u64>(), 0);
+        let answers = harness.recorded.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
         // The module knows of each class: it gave the answers that were due, and the core none in its place.
         let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { reason: FailureReason::Overdue, .. });
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of any deployment: those that pass the check start and serve, those that don't are refused with the field at
+//! Settings of any deployment: those that pass the check start and serve, those that don't are rejected with the field at
 //! fault.
 
-mod bench;
+mod core_harness;
 
-use bench::{Bench, Step};
+use core_harness::{CoreHarness, Step};
 use pinepoint::config::site::Site;
 use pinepoint::server::control::lifecycle::Phase;
 use pinepoint::server::core::api::CoreInput;
@@ -99,13 +99,13 @@
     prop_oneof![
         12 => (0..4usize, 0..6u8, 0..2u8, prop_oneof![6 => 0..50u16, 1 => Just(9000u16)])
             .prop_map(|(class, key, body, age)| Step::Arrive { class, key, body, age }),
-        6 => (1..900u16, 0..=100u8).prop_map(|(ms, busy)| Step::Pass { ms, busy }),
-        6 => (any::<u8>(), any::<u8>()).prop_map(|(run, how)| Step::End { run, how }),
-        4 => any::<u8>().prop_map(|run| Step::Need { run }),
-        4 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::CallOver { call, how }),
-        2 => any::<u8>().prop_map(|correlation_id| Step::Gone { correlation_id }),
-        1 => Just(Step::Down),
-        1 => Just(Step::Up),
+        6 => (1..900u16, 0..=100u8).prop_map(|(ms, busy)| Step::Advance { ms, busy }),
+        6 => (any::<u8>(), any::<u8>()).prop_map(|(run, how)| Step::EndRun { run, how }),
+        4 => any::<u8>().prop_map(|run| Step::NeedCall { run }),
+        4 => (any::<u8>(), any::<u8>()).prop_map(|(call, how)| Step::EndCall { call, how }),
+        2 => any::<u8>().prop_map(|correlation_id| Step::CallerGone { correlation_id }),
+        1 => Just(Step::DetachEngine),
+        1 => Just(Step::AttachEngine),
     ]
 }
 
@@ -132,28 +132,28 @@
         let checked = site.settings.check();
         prop_assert!(checked.is_ok(), "{checked:?} of {settings}");
         let classes = site.settings.classes.len();
-        let mut bench = Bench::with_site(site, 0.01, stop_ms);
-        bench.run(&Step::Up);
-        prop_assert!(bench.seen.turns.borrow().iter().any(|turn| matches!(turn, ProcessEvent::Started { .. })), "never ready");
+        let mut harness = CoreHarness::with_site(site, 0.01, stop_ms);
+        harness.apply(&Step::AttachEngine);
+        prop_assert!(harness.recorded.process_events.borrow().iter().any(|turn| matches!(turn, ProcessEvent::Started { .. })), "never ready");
         for step in &steps {
             match step {
                 Step::Arrive { class, key, body, age } => {
-                    bench.run(&Step::Arrive { class: class % classes, key: *key, body: *body, age: *age });
+                    harness.apply(&Step::Arrive { class: class % classes, key: *key, body: *body, age: *age });
                 }
-                step => bench.run(step),
+                step => harness.apply(step),
             }
-            bench.tell(CoreInput::ReportState);
-            let open = bench.seen.state.borrow().open.clone();
-            for (class, [read, answered, gone]) in bench.sums().into_iter().enumerate() {
+            harness.handle(CoreInput::ReportState);
+            let open = harness.recorded.state.borrow().open.clone();
+            for (class, [read, answered, gone]) in harness.totals_by_class().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
             }
         }
-        bench.run(&Step::Leave);
-        bench.pass(stop_ms + 200.0, 0.5);
-        prop_assert_eq!(bench.core.phase(), Phase::Terminated);
-        let unanswered = bench.sums().into_iter().map(|[read, answered, gone]| read - answered - gone).sum::<u64>();
+        harness.apply(&Step::StartDrain);
+        harness.advance(stop_ms + 200.0, 0.5);
+        prop_assert_eq!(harness.core.phase(), Phase::Terminated);
+        let unanswered = harness.totals_by_class().into_iter().map(|[read, answered, gone]| read - answered - gone).sum::<u64>();
         prop_assert_eq!(unanswered, 0, "all that was read is answered before the end");
-        prop_assert!(bench.seen.answers.borrow().values().all(|replies| replies.len() == 1));
+        prop_assert!(harness.recorded.answers.borrow().values().all(|replies| replies.len() == 1));
     }
 
     /// One figure that can't be, anywhere: refused, and the field is named.
