--- /dev/null
+++ b/tests/reload_program.rs
@@ -0,0 +1,94 @@
+//! A reload of the program among stub services: a file that is rejected changes nothing, and one that is accepted holds for
+//! what comes after it.
+
+mod scenario;
+
+use scenario::World;
+
+const UP: &str = "
+engine expect ATTACH 0
+engine send HELLO hot 5000
+members wait HB n1 UP";
+
+fn world() -> World {
+    let mut world = World::start(Box::new(scenario::idle_gauges), Box::new(|_| Vec::new()));
+    world.run(UP);
+    world
+}
+
+const SERVED: &str = "
+rpc send 1 look rid=a1|paper
+engine wait RUN 00000000000000a1 look|paper
+engine send DONE 1 00000000000000a1 complete 12|report
+rpc expect [1 1 nil [report *";
+
+#[test]
+fn at_a_signal_with_an_empty_file_it_goes_on_and_counts_the_failure() {
+    let mut world = world();
+    world.write_config("");
+    world.run(
+        "node send HUP\nnode wait reload-failed *c.json:1:0: EOF*".replace("c.json", "config.json").as_str(),
+    );
+    world.run(SERVED);
+    world.run("node send USR1\nnode wait counters * reloads=0 reloads_failed=1*");
+}
+
+#[test]
+fn a_bad_file_with_another_engine_in_it_moves_nothing() {
+    let mut world = world();
+    let bad = world.config("moved").replacen("\"deadlineMs\":9000", "\"deadlineMs\":-5", 1);
+    world.write_config(&bad);
+    world.run("node send HUP\nnode wait reload-failed *services[0].deadlineMs*");
+    world.run(SERVED);
+    world.run(
+        "node send USR1
+        node wait counters * reloads=0 reloads_failed=1*
+        engine2 never *",
+    );
+}
+
+#[test]
+fn classes_come_and_go_while_requests_are_open() {
+    let mut world = world();
+    let brief = r#" {"name":"brief","effect":"read_like","promiseMs":900,"deadlineMs":1500,"worth":1},"#;
+    let new = r#",{"name":"write_new","effect":"idempotency_key","keyTtlMs":20000,"promiseMs":3000,"deadlineMs":9000,"worth":3}],"#;
+    let first = world.config("first").to_owned();
+    assert!(first.contains(brief) && first.contains("\"worth\":3}],"), "{first}");
+    let changed = first
+        .replace(brief, "")
+        .replace("\"worth\":3}],", &format!("\"worth\":3}}{new}"))
+        .replace("[true,false,true]", "[true,true,true]");
+    world.run(
+        "rpc send 1 write rid=a1 token=k|paper
+        engine wait RUN 00000000000000a1 write|paper
+        rpc send 2 write_new rid=a2 token=k|paper
+        rpc expect [1 2 [NoMethod *",
+    );
+    world.write_config(&changed);
+    world.run(
+        "node send HUP
+        node wait reloaded *
+        rpc send 3 write_new rid=a3 token=m|paper
+        engine wait RUN 00000000000000a3 write_new|paper
+        rpc send 4 brief rid=a4|paper
+        engine wait RUN 00000000000000a4 brief|paper
+        engine send DONE 1 00000000000000a4 complete 12|short
+        rpc expect [1 4 nil [short *
+        ajp send /write_new secret=s3 token=j|paper
+        engine expect RUN $b write_new|paper
+        # A repeat of what was open over the reload is not run again, under whatever class it comes.
+        rpc2 send 1 write rid=a5 token=k again=1|paper
+        rpc2 send 2 write_new rid=a7 token=k again=1|paper
+        engine send DONE 2 00000000000000a1 complete 12|receipt
+        rpc expect [1 1 nil [receipt *
+        rpc2 wait [1 1 nil [receipt *
+        rpc2 wait [1 2 nil [receipt *
+        engine send DONE 3 00000000000000a3 complete 12|other
+        rpc expect [1 3 nil [other *
+        node send clock=3500
+        rpc send 5 brief rid=a6 t0=3500|paper
+        rpc expect [1 5 [NoMethod *
+        node send USR1
+        node wait counters * reloads=1 reloads_failed=0*",
+    );
+}
