--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,13 +2,12 @@
 //! window, each request read is answered once and in time, and all counters add up.
 
 mod core_harness;
-#[path = "handover/mod.rs"]
-mod world;
+mod handover_simulation;
 
-use pinepoint::server::control::lifecycle::Phase as Life;
+use handover_simulation::{ClassSpec, LOOK, PAY, Simulation, TIMEOUT_MS, WRITE, WRITE_AS_READ, run_end};
+use pinepoint::server::control::lifecycle::Phase as LifecyclePhase;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use world::*;
 
 const CASES: u32 = 400;
 /// Overrides the first byte of the seed, to look for more.
@@ -21,7 +20,7 @@
     EngineUp,
     Arrive { newer: bool, class: u8, token: u8, age: u16, caller: u64 },
     EndRun { pick: usize, how: u8 },
-    GiveUp { newer: bool, pick: usize },
+    Cancel { newer: bool, pick: usize },
     Close { newer: bool, caller: u64 },
     Pass { ms: u16 },
     Delay { ms: u16 },
@@ -45,7 +44,7 @@
             Step::Arrive { newer, class, token, age, caller }
         }),
         12 => (any::<usize>(), any::<u8>()).prop_map(|(pick, how)| Step::EndRun { pick, how }),
-        3 => (any::<bool>(), any::<usize>()).prop_map(|(newer, pick)| Step::GiveUp { newer, pick }),
+        3 => (any::<bool>(), any::<usize>()).prop_map(|(newer, pick)| Step::Cancel { newer, pick }),
         1 => (any::<bool>(), 0..3u64).prop_map(|(newer, caller)| Step::Close { newer, caller }),
         12 => ms.prop_map(|ms| Step::Pass { ms }),
         3 => delay.prop_map(|ms| Step::Delay { ms }),
@@ -58,50 +57,57 @@
 }
 
 /// Once the new process serves without a link to the old one, the platform ends the old one.
-fn end_old_if_alone(world: &mut World) {
-    let apart = world.processes.len() == 2 && world.serves(1) && !world.is_linked(0, 1);
-    if apart && world.processes[0].alive {
-        world.terminate(0);
+fn end_old_if_alone(simulation: &mut Simulation) {
+    let apart = simulation.processes.len() == 2 && simulation.serves(1) && !simulation.is_linked(0, 1);
+    if apart && simulation.processes[0].alive {
+        simulation.terminate(0);
     }
 }
 
 fn play(steps: &[Step]) {
-    let mut world = World::serving(FILES[0]);
+    let mut simulation = Simulation::serving(FILES[0]);
     for step in steps {
-        let newest = world.processes.len() - 1;
+        let newest = simulation.processes.len() - 1;
         let at = |newer: bool| if newer { newest } else { 0 };
         match *step {
             Step::Start { classes } => {
-                if world.processes.len() == 1 && world.processes[0].alive {
-                    world.start(FILES[classes]);
+                if simulation.processes.len() == 1 && simulation.processes[0].alive {
+                    simulation.start(FILES[classes]);
                 }
             }
             Step::EngineUp => {
-                if newest == 1 && matches!(world.life(1), Life::Starting | Life::StartingLameDuck) {
-                    world.engine_up(1);
+                if newest == 1
+                    && matches!(
+                        simulation.life(1),
+                        LifecyclePhase::Starting | LifecyclePhase::StartingLameDuck
+                    )
+                {
+                    simulation.engine_up(1);
                 }
             }
             Step::Arrive { newer, class, token, age, caller } => {
                 let index = at(newer);
                 let class = ["look", "write", "write", "pay"][usize::from(class)];
-                if Life::Serving <= world.life(index) && world.life(index) < Life::Finishing {
-                    world.arrive(index, class, token, f64::from(age), caller);
+                if LifecyclePhase::Serving <= simulation.life(index)
+                    && simulation.life(index) < LifecyclePhase::Finishing
+                {
+                    simulation.arrive(index, class, token, f64::from(age), caller);
                 }
             }
-            Step::EndRun { pick, how } => world.end_run(pick, run_end(how)),
-            Step::GiveUp { newer, pick } => world.give_up(at(newer), pick),
-            Step::Close { newer, caller } => world.close(at(newer), caller),
-            Step::Pass { ms } => world.pass(f64::from(ms)),
-            Step::Delay { ms } => world.delay_ms = f64::from(ms),
-            Step::Drain { newer, drained } => world.set_lame_duck(at(newer), drained),
-            Step::Terminate => world.terminate(0),
-            Step::Crash { newer, kept } => world.crash(at(newer), kept),
-            Step::Cut { kept } => world.cut(kept),
-            Step::Reload { newer, classes } => world.reload(at(newer), FILES[classes]),
+            Step::EndRun { pick, how } => simulation.end_run(pick, run_end(how)),
+            Step::Cancel { newer, pick } => simulation.cancel(at(newer), pick),
+            Step::Close { newer, caller } => simulation.close(at(newer), caller),
+            Step::Pass { ms } => simulation.pass(f64::from(ms)),
+            Step::Delay { ms } => simulation.delay_ms = f64::from(ms),
+            Step::Drain { newer, drained } => simulation.set_lame_duck(at(newer), drained),
+            Step::Terminate => simulation.terminate(0),
+            Step::Crash { newer, kept } => simulation.crash(at(newer), kept),
+            Step::Cut { kept } => simulation.cut(kept),
+            Step::Reload { newer, classes } => simulation.reload(at(newer), FILES[classes]),
         }
-        end_old_if_alone(&mut world);
+        end_old_if_alone(&mut simulation);
     }
-    world.settle_and_check();
+    simulation.finish_and_check();
 }
 
 #[test]
@@ -126,88 +132,88 @@
 // ---- named cases ----
 
 /// A first process, and a second one of these classes that has its keys and serves.
-fn handed_over(classes: &[ClassSpec]) -> World {
-    let mut world = World::serving(FILES[0]);
-    let new = world.start(classes);
-    world.engine_up(new);
-    world.pass(50.0);
-    assert!(world.serves(new) && world.is_linked(0, new));
-    world
+fn handed_over(classes: &[ClassSpec]) -> Simulation {
+    let mut simulation = Simulation::serving(FILES[0]);
+    let new = simulation.start(classes);
+    simulation.engine_up(new);
+    simulation.pass(50.0);
+    assert!(simulation.serves(new) && simulation.is_linked(0, new));
+    simulation
 }
 
 /// The second process learns the class only after its key ran in the first.
 #[test]
 fn a_key_of_a_class_that_a_reload_brings_does_not_run_again() {
-    let mut world = World::serving(FILES[0]);
-    let first = world.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
-    assert_eq!(world.times_run(&first), 1);
-    let new = world.start(&[LOOK]);
-    world.engine_up(new);
-    world.pass(50.0);
-    world.reload(new, FILES[0]);
-    let again = world.arrive(new, "write", 1, 0.0, 0).expect("the class is known");
-    world.end_run(0, run_end(0));
-    world.pass(50.0);
-    assert_eq!(world.times_run(&again), 0);
-    assert_eq!(world.answers(new, &again).len(), 1);
+    let mut simulation = Simulation::serving(FILES[0]);
+    let first = simulation.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
+    assert_eq!(simulation.times_run(&first), 1);
+    let new = simulation.start(&[LOOK]);
+    simulation.engine_up(new);
+    simulation.pass(50.0);
+    simulation.reload(new, FILES[0]);
+    let again = simulation.arrive(new, "write", 1, 0.0, 0).expect("the class is known");
+    simulation.end_run(0, run_end(0));
+    simulation.pass(50.0);
+    assert_eq!(simulation.times_run(&again), 0);
+    assert_eq!(simulation.answers(new, &again).len(), 1);
 }
 
 /// The name stands for a class of another kind in the second process when the keys come.
 #[test]
 fn a_key_is_kept_under_the_keyed_index_of_its_name() {
-    let mut world = World::serving(FILES[0]);
-    let new = world.start(FILES[0]);
-    world.reload(new, &[WRITE_AS_READ, LOOK]);
-    let first = world.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
-    assert_eq!(world.times_run(&first), 1);
-    world.engine_up(new);
-    world.pass(50.0);
-    world.reload(new, FILES[0]);
-    let again = world.arrive(new, "write", 1, 0.0, 0).expect("the class is known");
-    world.pass(50.0);
-    assert_eq!(world.times_run(&again), 0);
+    let mut simulation = Simulation::serving(FILES[0]);
+    let new = simulation.start(FILES[0]);
+    simulation.reload(new, &[WRITE_AS_READ, LOOK]);
+    let first = simulation.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
+    assert_eq!(simulation.times_run(&first), 1);
+    simulation.engine_up(new);
+    simulation.pass(50.0);
+    simulation.reload(new, FILES[0]);
+    let again = simulation.arrive(new, "write", 1, 0.0, 0).expect("the class is known");
+    simulation.pass(50.0);
+    assert_eq!(simulation.times_run(&again), 0);
 }
 
 #[test]
 fn a_claim_that_reaches_a_process_which_was_taken_over_itself_is_denied() {
-    let mut world = handed_over(FILES[0]);
-    let third = world.start(FILES[0]);
-    world.engine_up(third);
-    world.pass(50.0);
-    assert!(world.serves(third) && world.is_linked(1, third));
-    let at_third = world.arrive(third, "write", 1, 0.0, 0).expect("the class is known");
-    let at_first = world.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
-    world.pass(50.0);
-    assert_eq!((world.times_run(&at_third), world.times_run(&at_first)), (1, 0));
-    assert_eq!(world.answers(0, &at_first).len(), 1);
+    let mut simulation = handed_over(FILES[0]);
+    let third = simulation.start(FILES[0]);
+    simulation.engine_up(third);
+    simulation.pass(50.0);
+    assert!(simulation.serves(third) && simulation.is_linked(1, third));
+    let at_third = simulation.arrive(third, "write", 1, 0.0, 0).expect("the class is known");
+    let at_first = simulation.arrive(0, "write", 1, 0.0, 0).expect("the class is known");
+    simulation.pass(50.0);
+    assert_eq!((simulation.times_run(&at_third), simulation.times_run(&at_first)), (1, 0));
+    assert_eq!(simulation.answers(0, &at_first).len(), 1);
 }
 
 #[test]
 fn a_request_whose_caller_gives_up_while_it_waits_for_a_claim_is_not_run() {
     for closes in [false, true] {
-        let mut world = handed_over(FILES[0]);
-        world.delay_ms = 100.0;
-        let given_up = world.arrive(0, "write", 1, 0.0, 7).expect("the class is known");
-        assert_eq!(world.handover_state(0).waiting, [0, 1]);
+        let mut simulation = handed_over(FILES[0]);
+        simulation.delay_ms = 100.0;
+        let cancelled = simulation.arrive(0, "write", 1, 0.0, 7).expect("the class is known");
+        assert_eq!(simulation.handover_state(0).waiting, [0, 1]);
         if closes {
-            world.close(0, 7);
+            simulation.close(0, 7);
         } else {
-            world.give_up(0, 0);
+            simulation.cancel(0, 0);
         }
-        assert_eq!(world.handover_state(0).waiting, [0, 0]);
-        world.pass(400.0);
-        assert_eq!(world.times_run(&given_up), 0);
-        let next = world.arrive(1, "write", 1, 0.0, 0).expect("the class is known");
-        world.pass(10.0);
-        assert_eq!(world.times_run(&next), 1, "the claim was given back");
+        assert_eq!(simulation.handover_state(0).waiting, [0, 0]);
+        simulation.pass(400.0);
+        assert_eq!(simulation.times_run(&cancelled), 0);
+        let next = simulation.arrive(1, "write", 1, 0.0, 0).expect("the class is known");
+        simulation.pass(10.0);
+        assert_eq!(simulation.times_run(&next), 1, "the claim was given back");
     }
 }
 
 #[test]
 fn a_request_that_waits_for_a_claim_is_answered_by_its_due_time() {
-    let mut world = handed_over(FILES[0]);
-    world.delay_ms = 400.0;
-    let late = world.arrive(0, "write", 1, DEADLINE_MS - 50.0, 0).expect("the class is known");
-    world.pass(200.0);
-    assert_eq!(world.answers(0, &late).len(), 1);
+    let mut simulation = handed_over(FILES[0]);
+    simulation.delay_ms = 400.0;
+    let late = simulation.arrive(0, "write", 1, TIMEOUT_MS - 50.0, 0).expect("the class is known");
+    simulation.pass(200.0);
+    assert_eq!(simulation.answers(0, &late).len(), 1);
 }
