--- a/src/server/core/engine.rs
+++ b/src/server/core/engine.rs
@@ -136,7 +136,7 @@
             match command_to_resend(open, &self.engine) {
                 Some(Command::Resume) => {
                     let doubt = open.resume_tag.is_some();
-                    tracing::info!(attempt_id = open.attempt_id, doubt, "refeed");
+                    tracing::info!(attempt_id = open.attempt_id, doubt, "resume-resent");
                     send_resume(open, engine);
                     open.resume_tag = Some(last_tag);
                 }
