--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -93,6 +93,11 @@
         true
     }
 
+    /// Whether nothing was carried since this time, Unix ms, and nothing is in flight.
+    pub fn is_idle_since(&self, since_ms: f64) -> bool {
+        self.last_active_ms.get() < since_ms && !self.request_in_flight.get()
+    }
+
     /// Notes that its writing half is shut.
     pub fn set_lingering(&self) {
         self.lingering.set(true);
--- /dev/null
+++ b/src/server/frontend/rpc/connection.rs
@@ -0,0 +1,210 @@
+//! One router's connection: reads its messages in order, hands requests to the core and writes the answers. It owns the
+//! connection's requests in flight and its message ids.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+use async_io::Async;
+use futures_lite::future;
+use pinepoint_events::Protocol;
+
+use super::MAX_IN_FLIGHT_REQUESTS;
+use super::message::{Message, ProtocolError, Request, take_message};
+use super::response::{ResponseFields, write_error, write_go_away, write_pong, write_result};
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_TIMEOUT_MS};
+use crate::server::frontend::context::FrontendContext;
+use crate::server::observability::counters::count;
+
+/// Serves one connection to its end; returns the reason code of the end.
+pub async fn serve(
+    stream: Rc<Async<TcpStream>>,
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+) -> &'static str {
+    let connection = Rc::new(Connection {
+        state,
+        context: context.clone(),
+        writer: WriteHalf::new(context.clone()),
+        in_flight: RefCell::new(BTreeSet::new()),
+        last_message_id: Cell::new(0),
+    });
+    let _ = context.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let mut reader = ReadHalf::new(stream.clone(), connection.state.clone(), context.clone());
+    let reading = read_messages(&mut reader, &connection);
+    let is_idle = || connection.in_flight.borrow().is_empty();
+    connection::run(&stream, &connection.state, &context, &connection.writer, reading, is_idle).await
+}
+
+/// Reads messages until there is a reason to take in no more.
+async fn read_messages(reader: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
+    let clock = &connection.context.clock;
+    // When the message began of which only a part has come.
+    let mut partial_since_ms: Option<f64> = None;
+    loop {
+        let deadline_ms = partial_since_ms.map(|began_ms| began_ms + MESSAGE_TIMEOUT_MS);
+        if let Err(reason) = reader.read_more(&connection.writer, deadline_ms).await {
+            return reason;
+        }
+        match handle_buffered(reader, connection).await {
+            Ok(0) => {}
+            Ok(_) => partial_since_ms = None,
+            Err(error) => return CloseReason::ProtocolError(error.reason_code()),
+        }
+        let is_partial = !reader.bytes.is_empty();
+        partial_since_ms = is_partial.then(|| partial_since_ms.unwrap_or_else(|| clock.now()));
+        connection.writer.ready().await;
+        future::yield_now().await;
+    }
+}
+
+/// Handles each message that is complete, and returns their number.
+async fn handle_buffered(reader: &mut ReadHalf, connection: &Rc<Connection>) -> Result<usize, ProtocolError> {
+    let context = &connection.context;
+    let mut handled = 0;
+    loop {
+        let site = context.active_settings.site();
+        let Some(message) = take_message(&mut reader.bytes, &site, context.clock.now())? else {
+            return Ok(handled);
+        };
+        handled += 1;
+        connection.state.message_received(context.clock.now());
+        connection.handle(message).await?;
+    }
+}
+
+/// One router's connection.
+struct Connection {
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+    writer: WriteHalf,
+    /// Message ids of the requests that are not answered.
+    in_flight: RefCell<BTreeSet<u64>>,
+    last_message_id: Cell<u64>,
+}
+
+impl Connection {
+    async fn handle(self: &Rc<Self>, message: Message) -> Result<(), ProtocolError> {
+        match message {
+            Message::Cancel { id } => self.cancel(id).await,
+            Message::Ping { id } => {
+                self.accept_message_id(id)?;
+                self.answer_ping(id);
+            }
+            Message::Request { id, request: Ok(request) } => {
+                self.accept_message_id(id)?;
+                self.submit(id, *request).await?;
+            }
+            Message::Request { id, request: Err(error) } => {
+                self.accept_message_id(id)?;
+                count(&self.context.counters.bad_requests);
+                self.write_error(id, error.wire_name(), self.response_fields());
+            }
+        }
+        Ok(())
+    }
+
+    /// Message ids have to count upward.
+    fn accept_message_id(&self, id: u64) -> Result<(), ProtocolError> {
+        self.state.read.set(self.state.read.get() + 1);
+        if id <= self.last_message_id.replace(id) { Err(ProtocolError::MessageIdOrder) } else { Ok(()) }
+    }
+
+    async fn cancel(&self, id: u64) {
+        if self.finish(id) {
+            let gone = CoreInput::CallerGone { caller: self.state.id, correlation_id: id };
+            let _ = self.context.queue.send(gone).await;
+        }
+    }
+
+    fn answer_ping(&self, id: u64) {
+        count(&self.context.counters.pings);
+        let fields = self.response_fields();
+        let healthy = self.context.status.healthy.get();
+        self.writer.push(|out| write_pong(out, id, healthy, fields));
+    }
+
+    /// Hands a request to the core.
+    async fn submit(self: &Rc<Self>, id: u64, request: Request) -> Result<(), ProtocolError> {
+        if self.in_flight.borrow().len() >= MAX_IN_FLIGHT_REQUESTS {
+            return Err(ProtocolError::TooManyInFlight);
+        }
+        self.in_flight.borrow_mut().insert(id);
+        self.state.request_in_flight.set(true);
+        let arrival = Arrival {
+            caller: self.clone(),
+            front: Protocol::Rpc,
+            correlation_id: id,
+            attempt_id: request.attempt_id,
+            class: request.class,
+            arrived_ms: request.arrived_ms,
+            again: request.retry,
+            est_ms: request.work_hint_ms,
+            mem_kb: request.memory_kb,
+            token: request.idempotency_key,
+            subject: request.subject,
+            tenant: request.tenant,
+            body: request.body,
+        };
+        let _ = self.context.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
+        Ok(())
+    }
+
+    /// Takes a request off those in flight; tells whether it was one of them.
+    fn finish(&self, id: u64) -> bool {
+        let was_in_flight = self.in_flight.borrow_mut().remove(&id);
+        self.state.request_in_flight.set(!self.in_flight.borrow().is_empty());
+        was_in_flight
+    }
+
+    /// The fields that go with every response.
+    fn response_fields(&self) -> ResponseFields {
+        ResponseFields { hint: self.context.status.load_report.get(), ..ResponseFields::default() }
+    }
+
+    fn write_error(&self, id: u64, error: &str, fields: ResponseFields) {
+        self.writer.push(|out| write_error(out, id, error, fields));
+    }
+}
+
+impl Caller for Connection {
+    fn id(&self) -> u64 {
+        self.state.id
+    }
+
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        // A request that was cancelled gets no answer, and none gets two.
+        if !self.finish(correlation_id) {
+            return;
+        }
+        self.state.last_active_ms.set(self.context.clock.now());
+        self.state.answered.set(self.state.answered.get() + 1);
+        let fields = self.response_fields();
+        match reply {
+            Reply::Served(result) => {
+                self.writer.push(|out| write_result(out, correlation_id, result, fields));
+            }
+            Reply::Rejected { retry_after_ms, last, .. } => {
+                let retry_after_ms = Some(*retry_after_ms).filter(|ms| *ms > 0.0);
+                let fields = ResponseFields { retry_after_ms, is_final: *last, ..fields };
+                self.write_error(correlation_id, "Busy", fields);
+            }
+            Reply::Failed { .. } => self.write_error(correlation_id, "Failed", fields),
+        }
+    }
+
+    fn go_away(&self) {
+        if self.state.mark_go_away_sent(self.context.clock.now()) {
+            self.writer.push(write_go_away);
+        }
+    }
+
+    fn go_away_if_idle(&self, since_ms: f64) {
+        if self.state.is_idle_since(since_ms) {
+            self.go_away();
+        }
+    }
+}
