--- /dev/null
+++ b/src/server/frontend/ajp/connection.rs
@@ -0,0 +1,375 @@
+//! One web server's connection: one request at a time, from its head over its body to its answer. It owns the
+//! connection's packets and the request that waits for its answer.
+
+use std::cell::Cell;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+use async_io::Async;
+use futures_lite::future;
+use pinepoint_events::Protocol;
+
+use super::Options;
+use super::packet::{MAX_PACKET_BYTES, PacketError, body_data, code, take_packet};
+use super::request::{BodyLength, ForwardRequest, HttpStatus, RequestHead};
+use super::response::{Response, Reuse, write_cpong, write_get_body_chunk, write_response};
+use crate::server::core::api::{Arrival, Caller, CoreInput, Reply};
+use crate::server::frontend::connection::{self, CloseReason, ReadHalf, WriteHalf};
+use crate::server::frontend::connection_state::{ConnectionState, MESSAGE_TIMEOUT_MS};
+use crate::server::frontend::context::FrontendContext;
+use crate::server::frontend::rpc::MAX_BODY_BYTES;
+use crate::server::observability::counters::count;
+use crate::server::sync::Notify;
+
+/// Serves one connection to its end; returns the reason code of the end.
+pub async fn serve(
+    stream: Rc<Async<TcpStream>>,
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+    options: Rc<Options>,
+) -> &'static str {
+    let connection = Rc::new(Connection {
+        state,
+        context: context.clone(),
+        writer: WriteHalf::new(context.clone()),
+        in_flight: Cell::new(None),
+        answered: Notify::default(),
+    });
+    let _ = context.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
+    let reader = ReadHalf::new(stream.clone(), connection.state.clone(), context.clone());
+    let mut conversation = Conversation { reader, connection: connection.clone(), options };
+    let reading = conversation.run();
+    let is_idle = || connection.in_flight.get().is_none();
+    connection::run(&stream, &connection.state, &context, &connection.writer, reading, is_idle).await
+}
+
+/// A request whose head and body are complete.
+struct ReceivedRequest {
+    correlation_id: u64,
+    arrived_ms: f64,
+    head: RequestHead,
+    body: Vec<u8>,
+}
+
+/// Why a request does not reach the core.
+enum RequestError {
+    /// It is answered with this status. Unless the connection may be reused it ends, as the rest of the body may be on its
+    /// way and nothing after it could be made out.
+    Status(HttpStatus, Reuse),
+    /// The connection ends.
+    Close(CloseReason),
+}
+
+impl RequestError {
+    /// The status of a request after which the connection ends.
+    fn last(status: HttpStatus) -> Self {
+        RequestError::Status(status, Reuse::Denied)
+    }
+}
+
+impl From<CloseReason> for RequestError {
+    fn from(reason: CloseReason) -> Self {
+        RequestError::Close(reason)
+    }
+}
+
+impl From<PacketError> for RequestError {
+    fn from(error: PacketError) -> Self {
+        RequestError::Close(error.into())
+    }
+}
+
+impl From<PacketError> for CloseReason {
+    fn from(error: PacketError) -> Self {
+        CloseReason::ProtocolError(error.reason_code())
+    }
+}
+
+/// The reading side of a connection: takes packets in, one request after the other.
+struct Conversation {
+    reader: ReadHalf,
+    connection: Rc<Connection>,
+    options: Rc<Options>,
+}
+
+impl Conversation {
+    /// Reads packets until there is a reason to take in no more.
+    async fn run(&mut self) -> CloseReason {
+        loop {
+            if let Err(reason) = self.next().await {
+                return reason;
+            }
+            self.connection.writer.ready().await;
+            future::yield_now().await;
+        }
+    }
+
+    /// Handles one packet, and the request that it begins if it begins one.
+    async fn next(&mut self) -> Result<(), CloseReason> {
+        let payload = self.packet(None).await?;
+        let connection = self.connection.clone();
+        connection.state.message_received(connection.context.clock.now());
+        match payload.first() {
+            Some(&code::CPING) if payload.len() == 1 => {
+                count(&connection.context.counters.pings);
+                connection.writer.push(write_cpong);
+                Ok(())
+            }
+            // Anyone who can connect could send it; SIGTERM is the way to stop this process.
+            Some(&code::SHUTDOWN) => Ok(()),
+            Some(&code::FORWARD_REQUEST) => {
+                connection.state.request_in_flight.set(true);
+                let result = self.request(&payload).await;
+                connection.state.request_in_flight.set(false);
+                result?;
+                if connection.state.is_going_away() {
+                    return Err(CloseReason::Graceful("drained"));
+                }
+                Ok(())
+            }
+            _ => Err(PacketError::InvalidCode.into()),
+        }
+    }
+
+    /// The payload of the next packet. One that has begun must be complete in time; with `deadline_ms` the wait for it ends
+    /// then too.
+    async fn packet(&mut self, deadline_ms: Option<f64>) -> Result<Vec<u8>, CloseReason> {
+        let mut deadline_ms = deadline_ms;
+        loop {
+            if let Some(payload) = take_packet(&mut self.reader.bytes)? {
+                return Ok(payload);
+            }
+            if deadline_ms.is_none() && !self.reader.bytes.is_empty() {
+                deadline_ms = Some(self.connection.context.clock.now() + MESSAGE_TIMEOUT_MS);
+            }
+            self.reader.read_more(&self.connection.writer, deadline_ms).await?;
+        }
+    }
+
+    /// One request from its head to its answer.
+    async fn request(&mut self, payload: &[u8]) -> Result<(), CloseReason> {
+        match self.receive(payload).await {
+            Ok(request) => {
+                let correlation_id = request.correlation_id;
+                self.connection.submit(request, &self.options).await;
+                self.answer_written(correlation_id).await
+            }
+            Err(RequestError::Status(status, reuse)) => self.connection.reject(status, reuse),
+            Err(RequestError::Close(reason)) => Err(reason),
+        }
+    }
+
+    /// Parses the head of a request and reads its body.
+    async fn receive(&mut self, payload: &[u8]) -> Result<ReceivedRequest, RequestError> {
+        let context = self.connection.context.clone();
+        let arrived_ms = context.clock.now();
+        let correlation_id = self.connection.next_correlation_id();
+        let request = ForwardRequest::parse(payload)?;
+        let length = request.body_length().map_err(RequestError::last)?;
+        let site = context.active_settings.site();
+        let head = request
+            .head(&site, arrived_ms, self.options.secret.as_deref())
+            .map_err(|status| RequestError::Status(status, reuse_after(status, length)))?;
+        let deadline_ms = arrived_ms + site.settings.classes[head.class].timeout_ms;
+        let body = self.body(length, deadline_ms).await?;
+        Ok(ReceivedRequest { correlation_id, arrived_ms, head, body })
+    }
+
+    /// Reads a body, which has to be complete by `deadline_ms`.
+    async fn body(&mut self, length: BodyLength, deadline_ms: f64) -> Result<Vec<u8>, RequestError> {
+        let expected = match length {
+            BodyLength::Known(bytes) if bytes > MAX_BODY_BYTES => {
+                return Err(RequestError::last(HttpStatus::CONTENT_TOO_LARGE));
+            }
+            BodyLength::Known(bytes) => Some(bytes),
+            BodyLength::Chunked => None,
+        };
+        let mut body = Vec::new();
+        let mut comes_unasked = expected.is_some();
+        while expected.is_none_or(|bytes| body.len() < bytes) {
+            if !comes_unasked {
+                // One byte more than may come shows that a body is too long.
+                let missing = expected.map_or(usize::MAX, |bytes| bytes - body.len());
+                let max_bytes = missing.min(MAX_BODY_BYTES + 1) as u16;
+                self.connection.writer.push(|out| write_get_body_chunk(out, max_bytes));
+            }
+            comes_unasked = false;
+            let packet_deadline_ms = self.connection.context.clock.now() + MESSAGE_TIMEOUT_MS;
+            let payload = self.packet(Some(deadline_ms.min(packet_deadline_ms))).await?;
+            let data = body_data(&payload)?;
+            if data.is_empty() && expected.is_none() {
+                break;
+            }
+            if data.is_empty() {
+                // The web server's own client broke off: a part of a request is no request.
+                return Err(RequestError::last(HttpStatus::BAD_REQUEST));
+            }
+            body.extend_from_slice(data);
+            if expected.is_some_and(|bytes| body.len() > bytes) {
+                return Err(PacketError::InvalidLength.into());
+            }
+            if body.len() > MAX_BODY_BYTES {
+                return Err(RequestError::last(HttpStatus::CONTENT_TOO_LARGE));
+            }
+        }
+        Ok(body)
+    }
+
+    /// Completes when the core has answered. Reads on meanwhile, only to notice a web server that leaves: it has nothing to
+    /// send before the answer.
+    async fn answer_written(&mut self, correlation_id: u64) -> Result<(), CloseReason> {
+        let connection = self.connection.clone();
+        while connection.in_flight.get().is_some() {
+            let answered = async {
+                connection.answered.wait().await;
+                Ok(())
+            };
+            match future::or(answered, self.reader.read_more(&connection.writer, None)).await {
+                Ok(()) => {}
+                // Nothing more is taken in; what was read is still answered.
+                Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
+                Err(reason) => {
+                    connection.abandon(correlation_id).await;
+                    return Err(reason);
+                }
+            }
+            if self.reader.bytes.len() > MAX_PACKET_BYTES {
+                return Err(CloseReason::ProtocolError("unasked-data"));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Whether the connection may be reused after a request with an invalid head: not if a body follows, and not by a web
+/// server without the secret.
+fn reuse_after(status: HttpStatus, length: BodyLength) -> Reuse {
+    Reuse::allowed_if(length == BodyLength::Known(0) && status != HttpStatus::FORBIDDEN)
+}
+
+/// One web server's connection, as the core sees it.
+struct Connection {
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+    writer: WriteHalf,
+    /// The request that waits for its answer, if there is one.
+    in_flight: Cell<Option<u64>>,
+    answered: Notify,
+}
+
+impl Connection {
+    /// Counts a request that was read; its number on this connection.
+    fn next_correlation_id(&self) -> u64 {
+        let correlation_id = self.state.read.get() + 1;
+        self.state.read.set(correlation_id);
+        correlation_id
+    }
+
+    /// Hands a request to the core.
+    async fn submit(self: &Rc<Self>, request: ReceivedRequest, options: &Options) {
+        let ReceivedRequest { correlation_id, arrived_ms, head, body } = request;
+        self.in_flight.set(Some(correlation_id));
+        let arrival = Arrival {
+            caller: self.clone(),
+            front: Protocol::Ajp,
+            correlation_id,
+            attempt_id: attempt_id(options.seed, self.state.id, correlation_id),
+            class: head.class,
+            arrived_ms,
+            again: head.retry,
+            est_ms: head.work_hint_ms,
+            mem_kb: head.memory_kb.unwrap_or(options.mem_kb),
+            token: head.idempotency_key,
+            subject: head.subject,
+            tenant: None,
+            body,
+        };
+        let _ = self.context.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
+    }
+
+    /// Nobody waits for the answer any more.
+    async fn abandon(&self, correlation_id: u64) {
+        self.in_flight.set(None);
+        let gone = CoreInput::CallerGone { caller: self.state.id, correlation_id };
+        let _ = self.context.queue.send(gone).await;
+    }
+
+    /// Answers a request that does not reach the core; in `Err` if the connection ends.
+    fn reject(&self, status: HttpStatus, reuse: Reuse) -> Result<(), CloseReason> {
+        count(&self.context.counters.bad_requests);
+        self.count_answer();
+        let goes_on = reuse == Reuse::Allowed && !self.state.is_going_away();
+        self.respond(status.0, Vec::new(), b"", Reuse::allowed_if(goes_on));
+        match reuse {
+            Reuse::Allowed => Ok(()),
+            Reuse::Denied => Err(CloseReason::Graceful("bad-request")),
+        }
+    }
+
+    fn respond(&self, status: u16, mut headers: Vec<(&str, String)>, body: &[u8], reuse: Reuse) {
+        headers.extend(self.context.status.load_report.get().map(|value| ("hint", format!("{value:.4}"))));
+        self.state.last_active_ms.set(self.context.clock.now());
+        let response = Response { status, headers: &headers, body, reuse };
+        self.writer.push(|out| write_response(out, &response));
+    }
+
+    fn count_answer(&self) {
+        self.state.answered.set(self.state.answered.get() + 1);
+    }
+}
+
+impl Caller for Connection {
+    fn id(&self) -> u64 {
+        self.state.id
+    }
+
+    fn answer(&self, correlation_id: u64, reply: &Reply) {
+        if self.in_flight.get() != Some(correlation_id) {
+            return;
+        }
+        self.in_flight.set(None);
+        self.count_answer();
+        let reuse = Reuse::allowed_if(!self.state.is_going_away());
+        match reply {
+            Reply::Served(result) => {
+                let headers = vec![("Content-Type", "application/octet-stream".to_owned())];
+                self.respond(200, headers, result, reuse);
+            }
+            Reply::Rejected { retry_after_ms, last, .. } => {
+                self.respond(503, rejection_headers(*retry_after_ms, *last), b"", reuse);
+            }
+            Reply::Failed { late: true, .. } => self.respond(504, Vec::new(), b"", reuse),
+            Reply::Failed { late: false, .. } => self.respond(500, Vec::new(), b"", reuse),
+        }
+        self.answered.wake();
+    }
+
+    fn go_away(&self) {
+        // AJP13 has no message for it: an idle connection is closed now, and the web server opens another elsewhere. A
+        // request whose body is on its way was not read and holds up nothing, but is given the time to be complete.
+        self.state.mark_going_away_unannounced(self.context.clock.now());
+    }
+
+    fn go_away_if_idle(&self, since_ms: f64) {
+        if self.state.is_idle_since(since_ms) {
+            self.go_away();
+        }
+    }
+}
+
+/// The headers of a rejection: Retry-After in whole seconds, 1 at least, and whether no other server should be tried.
+fn rejection_headers(retry_after_ms: f64, is_final: bool) -> Vec<(&'static str, String)> {
+    let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
+    let mut headers = vec![("Retry-After", format!("{seconds:.0}"))];
+    headers.extend(is_final.then(|| ("final", "1".to_owned())));
+    headers
+}
+
+/// Names an attempt, unlike any other of this process: its connection and number, scrambled by a bijection.
+fn attempt_id(seed: u64, connection: u64, correlation_id: u64) -> String {
+    let mut x = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
+    for _ in 0..2 {
+        x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    }
+    format!("{:016x}", x ^ (x >> 29))
+}
--- /dev/null
+++ b/src/server/frontend/ajp/request.rs
@@ -0,0 +1,242 @@
+//! The head of an AJP13 request: parsing of a Forward Request packet, and what its headers say to the core. It knows
+//! nothing of connections and bodies.
+
+use super::packet::{PacketError, PayloadReader, code};
+use crate::admission::Idempotency;
+use crate::config::site::Site;
+use crate::server::frontend::rpc::{MAX_WORK_HINT_MULTIPLE, REQUEST_MEMORY_LIMIT_KB};
+
+/// Most headers of a request.
+const MAX_HEADERS: u16 = 128;
+/// Longest idempotency key or subject, bytes.
+const MAX_KEY_BYTES: usize = 64;
+
+/// Codes of the HTTP methods that are served.
+const METHOD_GET: u8 = 2;
+const METHOD_POST: u8 = 4;
+
+/// High byte of a header name that is sent as a code.
+const CODED_HEADER_NAME: u16 = 0xa0;
+/// The header names that have a code, from code 1 on.
+const CODED_HEADER_NAMES: [&str; 14] = [
+    "accept",
+    "accept-charset",
+    "accept-encoding",
+    "accept-language",
+    "authorization",
+    "connection",
+    "content-type",
+    "content-length",
+    "cookie",
+    "cookie2",
+    "host",
+    "pragma",
+    "referer",
+    "user-agent",
+];
+
+/// Codes of the attributes behind the headers.
+mod attribute {
+    /// A request attribute of the web server's own: a name and a value.
+    pub const REQUEST_ATTRIBUTE: u8 = 0x0a;
+    /// The one attribute whose value is a number.
+    pub const SSL_KEY_SIZE: u8 = 0x0b;
+    pub const SECRET: u8 = 0x0c;
+    /// The least and the greatest code of attributes with one string.
+    pub const FIRST: u8 = 0x01;
+    pub const LAST: u8 = 0x0d;
+    /// The end of a request's head.
+    pub const END: u8 = 0xff;
+}
+
+/// Names of the headers that the core gets to see.
+mod header {
+    pub const CONTENT_LENGTH: &str = "content-length";
+    pub const TRANSFER_ENCODING: &str = "transfer-encoding";
+    pub const RETRY: &str = "again";
+    pub const WORK_HINT_MS: &str = "est";
+    pub const MEMORY_KB: &str = "mem";
+    pub const IDEMPOTENCY_KEY: &str = "token";
+    pub const SUBJECT: &str = "obj";
+}
+
+/// The HTTP status of a well-framed request that does not reach the core.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HttpStatus(pub u16);
+
+impl HttpStatus {
+    pub const BAD_REQUEST: HttpStatus = HttpStatus(400);
+    pub const FORBIDDEN: HttpStatus = HttpStatus(403);
+    pub const NOT_FOUND: HttpStatus = HttpStatus(404);
+    pub const CONTENT_TOO_LARGE: HttpStatus = HttpStatus(413);
+}
+
+/// How much body follows a head.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyLength {
+    /// So many bytes; the first packet of them comes unasked.
+    Known(usize),
+    /// Until an empty packet; every packet is asked for.
+    Chunked,
+}
+
+/// A Forward Request, as far as it matters here.
+#[derive(Debug, Default, PartialEq)]
+pub struct ForwardRequest {
+    method: u8,
+    path: String,
+    /// Names in lower case, with their values.
+    headers: Vec<(String, String)>,
+    secret: Option<String>,
+}
+
+/// What the head of a request says to the core.
+pub struct RequestHead {
+    /// Index of the class.
+    pub class: usize,
+    /// Marked as a retry.
+    pub retry: bool,
+    /// The caller's estimate of the work, ms.
+    pub work_hint_ms: Option<f64>,
+    /// Memory while the request is held, kB.
+    pub memory_kb: Option<f64>,
+    /// The idempotency key, in classes that need one.
+    pub idempotency_key: Option<String>,
+    /// The subject of a read.
+    pub subject: Option<String>,
+}
+
+impl ForwardRequest {
+    /// Parses the payload of a Forward Request packet, its code included.
+    pub fn parse(payload: &[u8]) -> Result<Self, PacketError> {
+        let mut reader = PayloadReader::new(payload);
+        if reader.byte()? != code::FORWARD_REQUEST {
+            return Err(PacketError::InvalidCode);
+        }
+        let method = reader.byte()?;
+        let _protocol = reader.string()?;
+        let path = reader.string()?.to_owned();
+        let _remote_address = reader.string()?;
+        let _remote_host = reader.string()?;
+        let _server_name = reader.string()?;
+        let _server_port = reader.integer()?;
+        let _is_ssl = reader.byte()?;
+        let headers = parse_headers(&mut reader)?;
+        let secret = parse_attributes(&mut reader)?;
+        if reader.is_at_end() {
+            Ok(ForwardRequest { method, path, headers, secret })
+        } else {
+            Err(PacketError::InvalidLength)
+        }
+    }
+
+    /// How much body follows.
+    pub fn body_length(&self) -> Result<BodyLength, HttpStatus> {
+        match (self.header(header::CONTENT_LENGTH)?, self.header(header::TRANSFER_ENCODING)?) {
+            (Some(length), None) if length.bytes().all(|b| b.is_ascii_digit()) => {
+                length.parse().map(BodyLength::Known).map_err(|_| HttpStatus::BAD_REQUEST)
+            }
+            (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyLength::Chunked),
+            (None, None) => Ok(BodyLength::Known(0)),
+            _ => Err(HttpStatus::BAD_REQUEST),
+        }
+    }
+
+    /// What the head says to the core, if the request carries the secret that is asked for and is valid. What is out of
+    /// range is rejected and not clamped, as on the other frontend.
+    pub fn head(&self, site: &Site, now_ms: f64, secret: Option<&str>) -> Result<RequestHead, HttpStatus> {
+        if secret.is_some() && secret != self.secret.as_deref() {
+            return Err(HttpStatus::FORBIDDEN);
+        }
+        if !matches!(self.method, METHOD_GET | METHOD_POST) {
+            return Err(HttpStatus::BAD_REQUEST);
+        }
+        let class_name = self.path.strip_prefix('/').unwrap_or_default();
+        let class = site.class_of(class_name, now_ms).ok_or(HttpStatus::NOT_FOUND)?;
+        let settings = &site.settings.classes[class];
+        let idempotency_key = self.key(header::IDEMPOTENCY_KEY)?;
+        if settings.idempotency == Idempotency::Keyed && idempotency_key.is_none() {
+            return Err(HttpStatus::BAD_REQUEST);
+        }
+        let work_hint_limit_ms = settings.timeout_ms * MAX_WORK_HINT_MULTIPLE;
+        Ok(RequestHead {
+            class,
+            retry: self.header(header::RETRY)? == Some("1"),
+            work_hint_ms: self.positive_number(header::WORK_HINT_MS, work_hint_limit_ms)?,
+            memory_kb: self.positive_number(header::MEMORY_KB, REQUEST_MEMORY_LIMIT_KB)?,
+            idempotency_key: idempotency_key.map(str::to_owned),
+            subject: self.key(header::SUBJECT)?.map(str::to_owned),
+        })
+    }
+
+    /// The value of a header, if it is there. One that is given twice says nothing certain and is invalid.
+    fn header(&self, name: &str) -> Result<Option<&str>, HttpStatus> {
+        let mut found = self.headers.iter().filter(|(found_name, _)| found_name == name);
+        match (found.next(), found.next()) {
+            (Some((_, value)), None) => Ok(Some(value.as_str())),
+            (None, _) => Ok(None),
+            _ => Err(HttpStatus::BAD_REQUEST),
+        }
+    }
+
+    /// A number above 0 and below `limit` in decimal notation.
+    fn positive_number(&self, name: &str, limit: f64) -> Result<Option<f64>, HttpStatus> {
+        let Some(text) = self.header(name)? else { return Ok(None) };
+        let number = text.trim().parse::<f64>().ok().filter(|value| *value > 0.0 && *value < limit);
+        number.map(Some).ok_or(HttpStatus::BAD_REQUEST)
+    }
+
+    /// A string of 1 to 64 visible ASCII characters.
+    fn key(&self, name: &str) -> Result<Option<&str>, HttpStatus> {
+        let value = self.header(name)?;
+        let is_valid =
+            |key: &str| (1..=MAX_KEY_BYTES).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic());
+        if value.is_none_or(is_valid) { Ok(value) } else { Err(HttpStatus::BAD_REQUEST) }
+    }
+}
+
+fn parse_headers(reader: &mut PayloadReader<'_>) -> Result<Vec<(String, String)>, PacketError> {
+    let count = reader.integer()?;
+    if count > MAX_HEADERS {
+        return Err(PacketError::TooLong);
+    }
+    let mut headers = Vec::new();
+    for _ in 0..count {
+        let name = parse_header_name(reader)?;
+        headers.push((name, reader.string()?.to_owned()));
+    }
+    Ok(headers)
+}
+
+/// A name is a code or a string; the high byte of a string's length is never that of a code.
+fn parse_header_name(reader: &mut PayloadReader<'_>) -> Result<String, PacketError> {
+    let code_or_length = reader.integer()?;
+    if code_or_length >> 8 != CODED_HEADER_NAME {
+        return Ok(reader.string_of(code_or_length)?.to_ascii_lowercase());
+    }
+    let index = usize::from(code_or_length & 0xff).checked_sub(1);
+    let name = index.and_then(|index| CODED_HEADER_NAMES.get(index));
+    name.map(|name| (*name).to_owned()).ok_or(PacketError::InvalidCode)
+}
+
+/// Reads the attributes up to their end, and returns the secret among them.
+fn parse_attributes(reader: &mut PayloadReader<'_>) -> Result<Option<String>, PacketError> {
+    let mut secret = None;
+    loop {
+        match reader.byte()? {
+            attribute::END => return Ok(secret),
+            attribute::REQUEST_ATTRIBUTE => {
+                let _name = reader.string()?;
+                let _value = reader.string()?;
+            }
+            attribute::SSL_KEY_SIZE => {
+                reader.integer()?;
+            }
+            attribute::SECRET => secret = Some(reader.string()?.to_owned()),
+            attribute::FIRST..=attribute::LAST => {
+                reader.string()?;
+            }
+            _ => return Err(PacketError::InvalidCode),
+        }
+    }
+}
