--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -29,7 +29,13 @@
 }
 
 fn accounts() -> Accounts {
-    let class = Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
+    let class = Class {
+        latency_objective_ms: 900.0,
+        objective_per_work: 0.0,
+        weight: 1.0,
+        late_weight: 0.2,
+        weight_without_call: 0.3,
+    };
     Accounts::new(schema(), vec![class; 3], true)
 }
 
@@ -64,26 +70,26 @@
     let mut n = 0;
     bencher.bench_local(|| {
         n += 1;
-        request_events(n).iter().for_each(|event| accounts.note(black_box(event)));
+        request_events(n).iter().for_each(|event| accounts.record(black_box(event)));
     });
 }
 
 fn busy() -> Accounts {
     let mut accounts = accounts();
-    (0..3000).for_each(|n| request_events(n).iter().for_each(|event| accounts.note(event)));
+    (0..3000).for_each(|n| request_events(n).iter().for_each(|event| accounts.record(event)));
     accounts
 }
 
 /// A snapshot after 3,000 requests, the counting of which is not measured.
 #[divan::bench]
 fn cut_of_a_busy_interval(bencher: Bencher) {
-    bencher.with_inputs(busy).bench_local_values(|mut accounts| accounts.cut());
+    bencher.with_inputs(busy).bench_local_values(|mut accounts| accounts.end_interval());
 }
 
 fn snapshot(slot_s: u64) -> Snapshot {
-    let (totals, dists) = busy().cut();
+    let (totals, distributions) = busy().cut();
     let gauges = vec![1.5; schema().gauges()].into();
-    Snapshot { slot_s, slots: 1, span_ms: (0.0, 10_000.0), totals, gauges, dists }
+    Snapshot { slot_s, slots: 1, span_ms: (0.0, 10_000.0), totals, gauges, distributions }
 }
 
 fn interval() -> Interval {
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -13,15 +13,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// Latency objective, ms from the arrival at the machine.
-    pub aim_ms: f64,
+    pub latency_objective_ms: f64,
     /// Multiple of the work hint that is added to the latency objective.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// Priority weight of a request, or of a second of its work.
-    pub worth: f64,
+    pub weight: f64,
     /// Factor of the weight for an answer after the latency objective, 0 to 1.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Factor of the weight for a degraded answer, 0 to 1.
-    pub worth_without: f64,
+    pub weight_without_call: f64,
 }
 
 /// Counters and distributions of the process.
@@ -57,14 +57,14 @@
 }
 
 impl Accounts {
-    /// Nothing counted yet. `classes` are in the order of the schema; `by_work` if weights count by work, not
+    /// Nothing counted yet. `classes` are in the order of the schema; `weight_by_work` if weights count by work, not
     /// by request.
-    pub fn new(schema: Rc<Schema>, classes: Vec<Class>, by_work: bool) -> Self {
+    pub fn new(schema: Rc<Schema>, classes: Vec<Class>, weight_by_work: bool) -> Self {
         let hints = vec![HintMean::default(); classes.len()];
         let totals = vec![0.0; schema.counts()];
         let distributions = vec![DistributionRecorder::default(); schema.distributions()];
         let series = (0..classes.len()).collect();
-        Accounts { schema, classes, series, weight_by_work: by_work, hints, totals, distributions }
+        Accounts { schema, classes, series, weight_by_work: weight_by_work, hints, totals, distributions }
     }
 
     /// Continues with other classes, at least as many as before. `series` has the class of the schema for
@@ -74,7 +74,7 @@
         schema: Rc<Schema>,
         classes: Vec<Class>,
         series: Vec<usize>,
-        by_work: bool,
+        weight_by_work: bool,
     ) {
         self.totals = schema.widen(&self.schema, &self.totals);
         self.distributions.resize_with(schema.distributions(), DistributionRecorder::default);
@@ -82,11 +82,11 @@
         self.schema = schema;
         self.classes = classes;
         self.series = series;
-        self.weight_by_work = by_work;
+        self.weight_by_work = weight_by_work;
     }
 
     /// Open requests for each class of the schema.
-    pub fn open_by_series(&self, state: &CoreState) -> Vec<u64> {
+    pub fn open_by_class(&self, state: &CoreState) -> Vec<u64> {
         let mut open = vec![0; self.schema.classes().len()];
         for (series, count) in self.series.iter().zip(&state.open) {
             open[*series] += count;
@@ -95,7 +95,7 @@
     }
 
     /// Counts one event. An event of a class that does not exist is ignored.
-    pub fn note(&mut self, event: &RequestEvent) {
+    pub fn record(&mut self, event: &RequestEvent) {
         let Some(terms) = self.classes.get(event.class).copied() else { return };
         let class = self.series[event.class];
         match event.kind {
@@ -103,20 +103,20 @@
             RequestEventKind::Decided(_) => {}
             RequestEventKind::RunStarted { queue_wait_ms } => {
                 self.add(class, ClassCounter::RunsStarted, 1.0);
-                self.record(class, ClassDistribution::QueueWait, queue_wait_ms);
+                self.record_duration(class, ClassDistribution::QueueWait, queue_wait_ms);
             }
             RequestEventKind::RunEnded { end, ran_ms } => {
                 self.totals[self.schema.run(class, end)] += 1.0;
-                self.record(class, ClassDistribution::Run, ran_ms);
+                self.record_duration(class, ClassDistribution::Run, ran_ms);
             }
             RequestEventKind::CallStarted => self.add(class, ClassCounter::CallsStarted, 1.0),
             RequestEventKind::CallEnded { end, called_ms } => {
                 self.totals[self.schema.call(class, end)] += 1.0;
-                self.record(class, ClassDistribution::Call, called_ms);
+                self.record_duration(class, ClassDistribution::Call, called_ms);
             }
             RequestEventKind::CallSkipped => self.add(class, ClassCounter::CallsSkipped, 1.0),
             RequestEventKind::Answered { answer, hint_ms, took_ms } => {
-                self.record(class, ClassDistribution::Total, took_ms);
+                self.record_duration(class, ClassDistribution::Total, took_ms);
                 match answer {
                     Answer::Served { deduplicated, degraded } => {
                         self.served(class, terms, Served { deduplicated, degraded, hint_ms, took_ms });
@@ -126,7 +126,7 @@
                 }
             }
             RequestEventKind::DeadlineExceeded { took_ms, .. } => {
-                self.record(class, ClassDistribution::Total, took_ms);
+                self.record_duration(class, ClassDistribution::Total, took_ms);
                 self.add(class, ClassCounter::DeadlineExceeded, 1.0);
             }
             RequestEventKind::CallerGone { .. } => self.add(class, ClassCounter::CallerGone, 1.0),
@@ -141,22 +141,23 @@
             hints.sum_ms += hint_ms;
             hints.count += 1.0;
         }
-        let weight = terms.worth * self.weight_units(class, hint_ms);
+        let weight = terms.weight * self.weight_units(class, hint_ms);
         self.add(class, ClassCounter::WeightReceived, weight);
     }
 
     fn served(&mut self, class: usize, terms: Class, served: Served) {
-        let objective_ms = terms.aim_ms + terms.aim_stretch * served.hint_ms.unwrap_or(0.0);
+        let objective_ms =
+            terms.latency_objective_ms + terms.objective_per_work * served.hint_ms.unwrap_or(0.0);
         let (outcome, lateness_factor) = if served.took_ms <= objective_ms {
             (ClassCounter::ServedWithinObjective, 1.0)
         } else {
-            (ClassCounter::ServedLate, terms.late_worth)
+            (ClassCounter::ServedLate, terms.late_weight)
         };
         self.add(class, outcome, 1.0);
         self.add(class, ClassCounter::Deduplicated, f64::from(u8::from(served.deduplicated)));
         self.add(class, ClassCounter::Degraded, f64::from(u8::from(served.degraded)));
-        let degradation_factor = if served.degraded { terms.worth_without } else { 1.0 };
-        let weight = terms.worth * self.weight_units(class, served.hint_ms);
+        let degradation_factor = if served.degraded { terms.weight_without_call } else { 1.0 };
+        let weight = terms.weight * self.weight_units(class, served.hint_ms);
         self.add(class, ClassCounter::WeightServed, weight * lateness_factor * degradation_factor);
     }
 
@@ -175,7 +176,7 @@
         self.totals[self.schema.class_counter(class, counter)] += n;
     }
 
-    fn record(&mut self, class: usize, distribution: ClassDistribution, ms: f64) {
+    fn record_duration(&mut self, class: usize, distribution: ClassDistribution, ms: f64) {
         self.distributions[self.schema.distribution(class, distribution)].record(ms);
     }
 
@@ -189,12 +190,12 @@
     /// The accounting error: by how many requests `read = served + refused + failed + expired + gone + open`
     /// is off, summed over all classes. `open` is what the core counts in its own tables at this instant. 0
     /// unless an event was missed or reported twice.
-    pub fn law_off(&self, state: &CoreState) -> f64 {
-        let open = self.open_by_series(state);
-        open.iter().enumerate().map(|(class, open)| self.accounting_error(class, *open)).sum()
+    pub fn accounting_error(&self, state: &CoreState) -> f64 {
+        let open = self.open_by_class(state);
+        open.iter().enumerate().map(|(class, open)| self.class_accounting_error(class, *open)).sum()
     }
 
-    fn accounting_error(&self, class: usize, open: u64) -> f64 {
+    fn class_accounting_error(&self, class: usize, open: u64) -> f64 {
         let counter = |counter| self.totals[self.schema.class_counter(class, counter)];
         let rejected: f64 = self.totals[self.schema.rejections(class)].iter().sum();
         let failed: f64 = self.totals[self.schema.failures(class)].iter().sum();
@@ -206,7 +207,7 @@
 
     /// Ends an interval: returns the totals as they stand, and the distributions, which start again with
     /// nothing.
-    pub fn cut(&mut self) -> (Rc<[f64]>, Rc<[Distribution]>) {
+    pub fn end_interval(&mut self) -> (Rc<[f64]>, Rc<[Distribution]>) {
         let distributions = self.distributions.iter_mut().map(DistributionRecorder::take);
         (self.totals.as_slice().into(), distributions.collect())
     }
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -3,10 +3,16 @@
 use super::*;
 use crate::schema::Scope;
 
-fn accounts(by_work: bool) -> Accounts {
+fn accounts(weight_by_work: bool) -> Accounts {
     let schema = Schema::new(&["look".into(), "write".into()], &[], &[]);
-    let class = Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
-    Accounts::new(Rc::new(schema), vec![class, Class { worth: 3.0, ..class }], by_work)
+    let class = Class {
+        latency_objective_ms: 900.0,
+        objective_per_work: 0.0,
+        weight: 1.0,
+        late_weight: 0.2,
+        weight_without_call: 0.3,
+    };
+    Accounts::new(Rc::new(schema), vec![class, Class { weight: 3.0, ..class }], weight_by_work)
 }
 
 fn event(class: usize, kind: RequestEventKind) -> RequestEvent {
@@ -25,8 +31,8 @@
 fn worth_follows_aim_and_completeness() {
     let mut accounts = accounts(false);
     for kind in [served(900.0, false, None), served(901.0, false, None), served(5.0, true, None)] {
-        accounts.note(&event(1, read(None)));
-        accounts.note(&event(1, kind));
+        accounts.record(&event(1, read(None)));
+        accounts.record(&event(1, kind));
     }
     let at = |counter| accounts.totals[accounts.schema.class_counter(1, counter)];
     assert_eq!(
@@ -44,7 +50,7 @@
 fn where_worth_goes_by_work_one_without_a_hint_counts_like_the_mean() {
     let mut accounts = accounts(true);
     for hint in [Some(100.0), Some(300.0), None] {
-        accounts.note(&event(0, read(hint)));
+        accounts.record(&event(0, read(hint)));
     }
     let asked = accounts.totals[accounts.schema.class_counter(0, ClassCounter::WeightReceived)];
     assert!((asked - 0.6).abs() < 1e-9, "{asked}");
@@ -69,28 +75,28 @@
         RequestEventKind::CallerGone { took_ms: 1.0 },
     ];
     for kind in ends {
-        accounts.note(&event(0, read(None)));
-        accounts.note(&event(0, kind));
+        accounts.record(&event(0, read(None)));
+        accounts.record(&event(0, kind));
     }
-    accounts.note(&event(1, read(None)));
+    accounts.record(&event(1, read(None)));
     let state = CoreState { open: vec![0, 1], ..CoreState::default() };
-    assert_eq!(accounts.law_off(&state), 0.0);
+    assert_eq!(accounts.accounting_error(&state), 0.0);
     assert_eq!(
-        accounts.law_off(&CoreState { open: vec![0, 0], ..CoreState::default() }),
+        accounts.accounting_error(&CoreState { open: vec![0, 0], ..CoreState::default() }),
         1.0,
         "an end is missed"
     );
-    accounts.note(&event(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
-    assert_eq!(accounts.law_off(&state), 1.0, "it ended, and the core still has it");
-    accounts.note(&event(7, read(None)));
-    assert_eq!(accounts.law_off(&state), 1.0, "no such class");
+    accounts.record(&event(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
+    assert_eq!(accounts.accounting_error(&state), 1.0, "it ended, and the core still has it");
+    accounts.record(&event(7, read(None)));
+    assert_eq!(accounts.accounting_error(&state), 1.0, "no such class");
 }
 
 #[test]
 fn more_classes_move_no_count_and_those_of_one_name_share_their_series() {
     let mut accounts = accounts(false);
     let total = |accounts: &Accounts, name: &str, stat: &str| {
-        let (totals, _) = accounts.clone().cut();
+        let (totals, _) = accounts.clone().end_interval();
         let is_named = |point: &usize| {
             let metric = accounts.schema.describe(*point);
             let of_class =
@@ -99,34 +105,34 @@
         };
         totals[(0..accounts.schema.counts()).find(is_named).expect("a metric")]
     };
-    accounts.note(&event(0, read(None)));
-    accounts.note(&event(1, read(None)));
+    accounts.record(&event(0, read(None)));
+    accounts.record(&event(1, read(None)));
     accounts.set(accounts.schema.log_lines_left_out(), &[7]);
     let names = ["look".into(), "write".into(), "more".into()];
     let schema = Rc::new(accounts.schema.with_classes(&names));
     let class = accounts.classes[0];
-    let dearer = Class { worth: 5.0, ..class };
+    let dearer = Class { weight: 5.0, ..class };
     accounts.set_classes(schema, vec![class, class, dearer, dearer], vec![0, 1, 2, 1], false);
     for class in [0, 2, 2, 3] {
-        accounts.note(&event(class, read(None)));
-        accounts.note(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
+        accounts.record(&event(class, read(None)));
+        accounts.record(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
     }
     let reads = ["look", "write", "more"].map(|name| total(&accounts, name, "read"));
     assert_eq!(reads, [2.0, 2.0, 2.0]);
     assert_eq!(total(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
     assert_eq!(accounts.totals[accounts.schema.log_lines_left_out()], 7.0);
     let state = CoreState { open: vec![2, 1, 2, 1], ..CoreState::default() };
-    assert_eq!((accounts.open_by_series(&state), accounts.law_off(&state)), (vec![2, 2, 2], 0.0));
+    assert_eq!((accounts.open_by_class(&state), accounts.accounting_error(&state)), (vec![2, 2, 2], 0.0));
 }
 
 #[test]
 fn a_cut_keeps_totals_and_empties_distributions() {
     let mut accounts = accounts(false);
-    accounts.note(&event(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
-    let (totals, dists) = accounts.cut();
+    accounts.record(&event(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
+    let (totals, distributions) = accounts.end_interval();
     assert_eq!(totals[accounts.schema.class_counter(0, ClassCounter::RunsStarted)], 1.0);
-    assert_ne!(dists[0], Distribution::default());
-    let (totals, dists) = accounts.cut();
+    assert_ne!(distributions[0], Distribution::default());
+    let (totals, distributions) = accounts.end_interval();
     assert_eq!(totals[accounts.schema.class_counter(0, ClassCounter::RunsStarted)], 1.0);
-    assert_eq!(dists[0], Distribution::default());
+    assert_eq!(distributions[0], Distribution::default());
 }
--- a/crates/pinepoint-telemetry/src/graphite/tests.rs
+++ b/crates/pinepoint-telemetry/src/graphite/tests.rs
@@ -8,9 +8,16 @@
     let totals = (0..schema.counts()).map(|n| n as f64 * 3.0 + 0.25).collect();
     let previous_totals = (0..schema.counts()).map(|n| n as f64 + 0.25).collect();
     let gauges = (0..schema.gauges()).map(|n| n as f64 / 8.0).collect();
-    let dists = (0..schema.distributions()).map(|_| crate::distribution::Distribution::default()).collect();
-    let snapshot =
-        Snapshot { slot_s: 1_764_576_000, slots: 1, span_ms: (1000.0, 11_000.0), totals, gauges, dists };
+    let distributions =
+        (0..schema.distributions()).map(|_| crate::distribution::Distribution::default()).collect();
+    let snapshot = Snapshot {
+        slot_s: 1_764_576_000,
+        slots: 1,
+        span_ms: (1000.0, 11_000.0),
+        totals,
+        gauges,
+        distributions,
+    };
     Interval { snapshot, previous_totals }
 }
 
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -16,14 +16,14 @@
 //! use pinepoint_telemetry::schema::Schema;
 //!
 //! let schema = Rc::new(Schema::new(&["look".into()], &[], &[]));
-//! let class = Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
+//! let class = Class { latency_objective_ms: 900.0, objective_per_work: 0.0, weight: 1.0, late_weight: 0.2, weight_without_call: 0.3 };
 //! let mut accounts = Accounts::new(schema.clone(), vec![class], false);
 //! let event = |kind| RequestEvent { id: 1, class: 0, kind };
 //! let protocol = Protocol::Rpc;
-//! accounts.note(&event(RequestEventKind::Received { protocol, retry: false, hint_ms: None, read_delay_ms: 0.0 }));
+//! accounts.record(&event(RequestEventKind::Received { protocol, retry: false, hint_ms: None, read_delay_ms: 0.0 }));
 //! let answer = Answer::Served { deduplicated: false, degraded: false };
-//! accounts.note(&event(RequestEventKind::Answered { answer, hint_ms: None, took_ms: 12.0 }));
-//! let (totals, _) = accounts.cut();
+//! accounts.record(&event(RequestEventKind::Answered { answer, hint_ms: None, took_ms: 12.0 }));
+//! let (totals, _) = accounts.end_interval();
 //! let served = (0..schema.points()).find(|point| schema.describe(*point).stat == "served_in_aim");
 //! assert_eq!(totals[served.expect("a metric of this name")], 1.0);
 //! ```
--- a/crates/pinepoint-telemetry/src/schema/layout.rs
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -35,7 +35,7 @@
     pub(crate) core_state: usize,
     /// The gauges of the decision module.
     pub(crate) module: Range<usize>,
-    /// The accounting error, `law_off`; `span_s` comes after it.
+    /// The accounting error, `accounting_error`; `span_s` comes after it.
     pub(crate) accounting_error: usize,
 }
 
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -23,7 +23,7 @@
     /// Gauges at its end.
     pub gauges: Rc<[f64]>,
     /// Distributions of the values in it.
-    pub dists: Rc<[Distribution]>,
+    pub distributions: Rc<[Distribution]>,
 }
 
 /// Memory of a snapshot beside its rows, bytes.
@@ -36,21 +36,22 @@
     pub fn bytes(&self) -> usize {
         let of_distribution =
             |distribution: &Distribution| distribution.bytes() + DISTRIBUTION_OVERHEAD_BYTES;
-        let distributions: usize = self.dists.iter().map(of_distribution).sum();
+        let distributions: usize = self.distributions.iter().map(of_distribution).sum();
         let numbers = (self.totals.len() + self.gauges.len()) * size_of::<f64>();
         numbers + distributions + SNAPSHOT_OVERHEAD_BYTES
     }
 
     /// This snapshot and the next one as one: totals, gauges and timestamp are those of the later.
     pub fn merged(&self, later: &Snapshot) -> Snapshot {
-        let dists = self.dists.iter().zip(later.dists.iter()).map(|(a, b)| a.merged(b)).collect();
+        let distributions =
+            self.distributions.iter().zip(later.distributions.iter()).map(|(a, b)| a.merged(b)).collect();
         Snapshot {
             slot_s: later.slot_s,
             slots: self.slots.saturating_add(later.slots),
             span_ms: (self.span_ms.0, later.span_ms.1),
             totals: later.totals.clone(),
             gauges: later.gauges.clone(),
-            dists,
+            distributions,
         }
     }
 }
@@ -88,7 +89,7 @@
                 (snapshot.span_ms.1 - snapshot.span_ms.0) / 1000.0
             }
             ValueLocation::Gauge(at) => snapshot.gauges[at],
-            ValueLocation::Distribution(at, statistic) => snapshot.dists[at].statistic(statistic)?,
+            ValueLocation::Distribution(at, statistic) => snapshot.distributions[at].statistic(statistic)?,
         };
         value.is_finite().then_some(value)
     }
--- a/crates/pinepoint-telemetry/src/spool/tests.rs
+++ b/crates/pinepoint-telemetry/src/spool/tests.rs
@@ -9,7 +9,7 @@
         span_ms: (n as f64 * 10_000.0, (n + 1) as f64 * 10_000.0),
         totals: vec![(n + 1) as f64 * 7.0, (n * n) as f64].into(),
         gauges: vec![n as f64].into(),
-        dists: Vec::new().into(),
+        distributions: Vec::new().into(),
     }
 }
 
--- a/crates/pinepoint-telemetry/src/telemetry.rs
+++ b/crates/pinepoint-telemetry/src/telemetry.rs
@@ -73,10 +73,10 @@
 impl Telemetry {
     /// Starts to count, and to deliver to the destinations of the setup.
     pub fn start(setup: &Setup, parts: Parts) -> Rc<Self> {
-        let Parts { schema, classes, by_work, host, clock, executor, seed, source } = parts;
+        let Parts { schema, classes, weight_by_work, host, clock, executor, seed, source } = parts;
         let schedule = IntervalSchedule::new(clock.now(), setup.telemetry.every_s.get() as u64);
         let telemetry = Rc::new(Telemetry {
-            accounts: RefCell::new(Accounts::new(schema.clone(), classes, by_work)),
+            accounts: RefCell::new(Accounts::new(schema.clone(), classes, weight_by_work)),
             last_totals: RefCell::new(vec![0.0; schema.counts()].into()),
             schema: RefCell::new(schema),
             setup: setup.clone(),
@@ -120,7 +120,7 @@
     /// Continues with these request classes, given by index: their names and how their answers are valued.
     /// The first of them must be those there were. Classes of the same name share their metrics; a new name
     /// gets metrics of its own.
-    pub fn set_classes(&self, names: &[String], classes: Vec<Class>, by_work: bool) {
+    pub fn set_classes(&self, names: &[String], classes: Vec<Class>, weight_by_work: bool) {
         let schema_before = self.schema();
         let mut schema_classes = schema_before.classes().to_vec();
         let mut series = Vec::new();
@@ -137,7 +137,7 @@
         } else {
             schema_before.clone()
         };
-        self.accounts.borrow_mut().set_classes(schema.clone(), classes, series, by_work);
+        self.accounts.borrow_mut().set_classes(schema.clone(), classes, series, weight_by_work);
         if is_wider {
             let totals = schema.widen(&schema_before, &self.last_totals.borrow());
             *self.last_totals.borrow_mut() = totals.into();
--- a/crates/pinepoint-telemetry/src/telemetry/observer.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/observer.rs
@@ -10,7 +10,7 @@
 
 impl Observer for Telemetry {
     fn request_event(&self, _: f64, event: RequestEvent) {
-        self.accounts.borrow_mut().note(&event);
+        self.accounts.borrow_mut().record(&event);
     }
 
     fn process_event(&self, now: f64, event: ProcessEvent) {
--- a/crates/pinepoint-telemetry/src/telemetry/setup.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/setup.rs
@@ -58,7 +58,7 @@
     /// How answers are valued, in the order of the schema's classes.
     pub classes: Vec<Class>,
     /// Weights count by work, not by request.
-    pub by_work: bool,
+    pub weight_by_work: bool,
     /// The name of this host.
     pub host: String,
     /// The clock.
--- a/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
@@ -35,16 +35,16 @@
     /// Makes the snapshot of an interval that ended and hands it to the deliveries.
     pub(super) fn end_interval(&self, ended: EndedInterval, state: &CoreState) {
         let schema = self.schema();
-        let accounting_error = self.accounts.borrow().law_off(state);
+        let accounting_error = self.accounts.borrow().accounting_error(state);
         self.set_counters(&schema);
         let gauges = self.gauges(&schema, state, accounting_error);
-        let (totals, dists) = self.accounts.borrow_mut().cut();
+        let (totals, distributions) = self.accounts.borrow_mut().end_interval();
         *self.last_totals.borrow_mut() = totals.clone();
         let EndedInterval { slot_s, span_ms } = ended;
         if accounting_error != 0.0 {
             tracing::error!(law_off = accounting_error, slot_s, "counts-do-not-add-up");
         }
-        let snapshot = Snapshot { slot_s, slots: 1, span_ms, totals, gauges: gauges.into(), dists };
+        let snapshot = Snapshot { slot_s, slots: 1, span_ms, totals, gauges: gauges.into(), distributions };
         self.send_to_deliveries(&Event::IntervalEnded(snapshot));
     }
 
@@ -70,7 +70,7 @@
     fn gauges(&self, schema: &Schema, state: &CoreState, accounting_error: f64) -> Vec<f64> {
         let offsets = schema.gauge_offsets();
         let mut gauges = vec![0.0; schema.gauges()];
-        let open = self.accounts.borrow().open_by_series(state);
+        let open = self.accounts.borrow().open_by_class(state);
         copy_into(&mut gauges, open.iter().map(|count| *count as f64));
         let core_state = self.core_state_gauges(state);
         copy_into(&mut gauges[offsets.core_state..], core_state.iter().map(|value| *value as f64));
--- a/crates/pinepoint-telemetry/tests/sim/mod.rs
+++ b/crates/pinepoint-telemetry/tests/sim/mod.rs
@@ -261,7 +261,7 @@
             span_ms: (self.now - EVERY_MS, self.now),
             totals: state.totals.as_slice().into(),
             gauges: Vec::new().into(),
-            dists: Vec::new().into(),
+            distributions: Vec::new().into(),
         };
         self.handle(node, Event::IntervalEnded(snapshot));
     }
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -71,11 +71,11 @@
 /// Name and terms of each class, by index.
 fn classes_of(site: &Site) -> (Vec<String>, Vec<Class>) {
     let terms = |class: &crate::admission::Class| Class {
-        aim_ms: class.latency_objective_ms,
-        aim_stretch: class.objective_per_work,
-        worth: class.weight,
-        late_worth: class.late_weight,
-        worth_without: class.weight_without_call,
+        latency_objective_ms: class.latency_objective_ms,
+        objective_per_work: class.objective_per_work,
+        weight: class.weight,
+        late_weight: class.late_weight,
+        weight_without_call: class.weight_without_call,
     };
     let classes = site.settings.classes.iter();
     classes.enumerate().map(|(at, class)| (site.class_name(at).to_owned(), terms(class))).unzip()
@@ -90,7 +90,7 @@
     let parts = Parts {
         schema: Rc::new(Schema::new(&names, &node, &module)),
         classes,
-        by_work: site.settings.weight_by_work,
+        weight_by_work: site.settings.weight_by_work,
         host: name,
         clock,
         executor,
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -58,8 +58,13 @@
         let mut harness = CoreHarness::with_memory(0.1, 40_000.0);
         harness.apply(&Step::AttachEngine);
         let schema = Rc::new(Schema::new(&["look".into(), "write".into()], &[], &AdmissionSnapshot::NAMES));
-        let class =
-            Class { aim_ms: 900.0, aim_stretch: 0.0, worth: 1.0, late_worth: 0.2, worth_without: 0.3 };
+        let class = Class {
+            latency_objective_ms: 900.0,
+            objective_per_work: 0.0,
+            weight: 1.0,
+            late_weight: 0.2,
+            weight_without_call: 0.3,
+        };
         let accounts = Accounts::new(schema.clone(), vec![class; 2], false);
         let bounds = Bounds { bytes: SPOOL_BYTES, age_ms: 86_400_000.0, window: 8 };
         let spool = Spool::new(bounds, vec![0.0; schema.counts()].into());
@@ -146,7 +151,7 @@
             self.harness.handle(CoreInput::Gauges { tag, values: vec![0.5, 1.0] });
         }
         let facts = std::mem::take(&mut *self.harness.recorded.request_events.borrow_mut());
-        facts.iter().for_each(|fact| self.accounts.note(fact));
+        facts.iter().for_each(|fact| self.accounts.record(fact));
         self.harness.recorded.answers.borrow_mut().clear();
         self.harness.recorded.delivered_replies.borrow_mut().clear();
         self.harness.recorded.process_events.borrow_mut().clear();
@@ -159,11 +164,11 @@
     fn interval(&mut self, slot_s: u64) {
         let now = self.harness.now;
         let state = self.harness.core.state();
-        assert_eq!(self.accounts.law_off(&state), 0.0);
-        let (totals, dists) = self.accounts.cut();
+        assert_eq!(self.accounts.accounting_error(&state), 0.0);
+        let (totals, distributions) = self.accounts.end_interval();
         let gauges = vec![0.0; self.gauges].into();
         let span_ms = (now - f64::from(INTERVAL_S) * 1000.0, now);
-        self.spool.push(now, Snapshot { slot_s, slots: 1, span_ms, totals, gauges, dists });
+        self.spool.push(now, Snapshot { slot_s, slots: 1, span_ms, totals, gauges, distributions });
         assert!(self.spool.size().1 <= SPOOL_BYTES);
     }
 
