--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -87,7 +87,7 @@
 }
 
 fn snapshot(slot_s: u64) -> Snapshot {
-    let (totals, distributions) = busy().cut();
+    let (totals, distributions) = busy().end_interval();
     let gauges = vec![1.5; schema().gauges()].into();
     Snapshot { slot_s, slots: 1, span_ms: (0.0, 10_000.0), totals, gauges, distributions }
 }
