--- a/crates/pinepoint-membership/src/membership/refutation.rs
+++ b/crates/pinepoint-membership/src/membership/refutation.rs
@@ -11,6 +11,8 @@
 
 /// The local member.
 pub(super) struct LocalMember {
+    /// Key of its name, which never changes.
+    key: u64,
     pub(super) record: MemberRecord,
     pub(super) load: Load,
     pub(super) started_ms: f64,
@@ -27,11 +29,17 @@
             liveness: Liveness::Alive,
             accuser: 0,
         };
-        LocalMember { record, load: Load::default(), started_ms: now, phase_since_ms: now }
+        LocalMember {
+            key: record.identity.key(),
+            record,
+            load: Load::default(),
+            started_ms: now,
+            phase_since_ms: now,
+        }
     }
 
     pub(super) fn key(&self) -> u64 {
-        self.record.identity.key()
+        self.key
     }
 }
 
