--- a/crates/pinepoint-lab/src/collectd/received.rs
+++ b/crates/pinepoint-lab/src/collectd/received.rs
@@ -33,7 +33,7 @@
     pub rejected: u64,
     /// Values that were not newer than the last of their series.
     pub stale: u64,
-    /// Interval that senders told last, s.
+    /// Largest interval that senders have reported, s.
     pub interval_s: f64,
 }
 
--- a/crates/pinepoint-lab/src/fault_proxy/forward.rs
+++ b/crates/pinepoint-lab/src/fault_proxy/forward.rs
@@ -193,7 +193,7 @@
         let n = match read {
             Ok(n) if n > 0 => n,
             ended => {
-                // The receiver is told, and what it still has to send comes through.
+                // A half-close: the receiver sees the end, and may still send.
                 let _ = to.get_ref().shutdown(Shutdown::Write);
                 return ended.map(|_| ());
             }
--- a/crates/pinepoint-lab/src/graphite.rs
+++ b/crates/pinepoint-lab/src/graphite.rs
@@ -18,23 +18,30 @@
 /// Pause between two looks at the mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the receiver does.
+/// Attempts to bind the address again, one a [`POLL_INTERVAL`].
+const MAX_BIND_ATTEMPTS: u32 = 400;
+/// Receive buffer of a connection, bytes: what it does not read is not far from the sender.
+const RECEIVE_BUFFER_BYTES: usize = 4096;
+/// Longest datagram, bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+
+/// How the receiver behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// Reads all that comes.
+    /// Reads all that arrives.
     Normal,
-    /// Accepts and reads nothing.
+    /// Accepts connections and reads nothing.
     Stalled,
-    /// Reads so many bytes at a time, with a pause behind them.
+    /// Reads so many bytes at a time, with this pause before them.
     Drip(usize, Duration),
-    /// Reads so many bytes of each connection and resets it.
+    /// Reads so many bytes of each connection and then resets it.
     ResetAfter(usize),
 }
 
-/// The form of what comes.
+/// The protocol of a TCP receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// Lines.
+    /// Lines of text.
     Plaintext,
     /// Pickled batches.
     Pickle,
@@ -44,7 +51,7 @@
 struct Shared {
     protocol: Protocol,
     mode: Mutex<Mode>,
-    /// Connections and the listener of an earlier life end.
+    /// Counts stops; connections and listeners of an earlier generation end.
     generation: Mutex<u64>,
     points: Mutex<Points>,
 }
@@ -55,7 +62,7 @@
     }
 }
 
-/// The receiver. Its threads end with it.
+/// The receiver. Its threads end when it is dropped.
 #[derive(Debug)]
 pub struct Graphite {
     address: SocketAddr,
@@ -64,11 +71,17 @@
 
 impl Graphite {
     /// Listens at a free port of the loopback.
+    ///
+    /// # Errors
+    /// If no port can be bound.
     pub fn start(protocol: Protocol) -> io::Result<Self> {
         Graphite::start_at(([127, 0, 0, 1], 0).into(), protocol)
     }
 
-    /// Listens there.
+    /// Listens at this address.
+    ///
+    /// # Errors
+    /// If the address cannot be bound.
     pub fn start_at(address: SocketAddr, protocol: Protocol) -> io::Result<Self> {
         let (mode, generation, points) = (Mutex::new(Mode::Normal), Mutex::new(0), Mutex::default());
         let mut graphite =
@@ -77,29 +90,32 @@
         Ok(graphite)
     }
 
-    /// Where it listens, or listened.
+    /// Where it listens, or listened until it was stopped.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it does from now on.
+    /// Sets how it behaves from now on.
     pub fn set_mode(&self, mode: Mode) {
         *lock(&self.shared.mode) = mode;
     }
 
-    /// Ends: its connections break, and what it has not read is lost. What it has read stays.
+    /// Stops it: its connections break, and what it has not read is lost. What it has read stays.
     pub fn stop(&self) {
         *lock(&self.shared.generation) += 1;
     }
 
     /// Listens again at the same address after [`Graphite::stop`].
+    ///
+    /// # Errors
+    /// If the address cannot be bound.
     pub fn restart(&self) -> io::Result<()> {
-        // The old listener takes a moment to go.
-        let mut tries = 0;
+        // The old listener takes a moment to close.
+        let mut attempts = 0;
         loop {
             match self.listen() {
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && tries < 400 => {
-                    tries += 1;
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse && attempts < MAX_BIND_ATTEMPTS => {
+                    attempts += 1;
                     std::thread::sleep(POLL_INTERVAL);
                 }
                 result => return result.map(|_| ()),
@@ -114,8 +130,7 @@
 
     fn listen(&self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(self.address)?;
-        // A small window: what it does not read is not far from the sender.
-        let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 4096);
+        let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&listener, RECEIVE_BUFFER_BYTES);
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let (shared, generation) = (self.shared.clone(), *lock(&self.shared.generation));
@@ -147,7 +162,7 @@
     let (mut input, mut chunk, mut read) = (Vec::new(), [0; 4096], 0);
     while shared.is_current(generation) {
         let mode = *lock(&shared.mode);
-        let most = match mode {
+        let max_bytes = match mode {
             Mode::Normal => chunk.len(),
             Mode::Stalled => {
                 std::thread::sleep(POLL_INTERVAL);
@@ -163,7 +178,7 @@
             }
             Mode::ResetAfter(bytes) => (bytes - read).min(chunk.len()),
         };
-        match stream.read(&mut chunk[..most]) {
+        match stream.read(&mut chunk[..max_bytes]) {
             Ok(0) => return,
             Ok(n) => {
                 read += n;
@@ -185,15 +200,18 @@
 
 impl GraphiteUdp {
     /// Listens at a free port of the loopback.
+    ///
+    /// # Errors
+    /// If no port can be bound.
     pub fn start() -> io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let (address, points) = (socket.local_addr()?, Arc::<Mutex<Points>>::default());
-        let kept = points.clone();
+        let read = points.clone();
         std::thread::spawn(move || {
-            let mut packet = [0; 65_536];
+            let mut packet = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let Ok(n) = socket.recv(&mut packet) else { continue };
-                lock(&kept).read(Protocol::Plaintext, &mut packet[..n].to_vec());
+                lock(&read).read(Protocol::Plaintext, &mut packet[..n].to_vec());
             }
         });
         Ok(GraphiteUdp { address, points })
--- a/crates/pinepoint-lab/src/load/recorder.rs
+++ b/crates/pinepoint-lab/src/load/recorder.rs
@@ -9,7 +9,7 @@
 use super::request::Outcome;
 use super::{LoadSummary, OutcomeCounts};
 
-/// Longest latency that is told apart, us.
+/// Largest latency of the histogram, us.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
--- a/crates/pinepoint-lab/src/process.rs
+++ b/crates/pinepoint-lab/src/process.rs
@@ -119,7 +119,7 @@
     pub folder: &'a Path,
     /// The services below it.
     pub addresses: ServiceAddresses,
-    /// Cores of the engine, as the program is told.
+    /// Cores of the engine, as the program is configured.
     pub cores: f64,
     /// The edge file, if any.
     pub edge: Option<String>,
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -52,9 +52,9 @@
 /// What to do after an attempt.
 enum NextStep {
     Finish(Option<Outcome>),
-    /// Any member may be asked after this pause.
+    /// Retry at any member after this backoff.
     RetryAnywhere(Duration),
-    /// Another member may be asked at once; a request with an idempotency key goes to the same one.
+    /// Retry at once; a request with an idempotency key at the same member.
     Retry,
 }
 
@@ -98,7 +98,7 @@
         self.stats().record_violation(member, format!("n{}: a second answer to one try", member + 1));
     }
 
-    /// The members that this router may ask now.
+    /// The members that accept requests of this router now.
     fn available_members(&self, router: usize) -> Vec<usize> {
         let accepts = |connection: &Rc<Connection>| connection.accepts_requests();
         let connections = self.connections.borrow();
@@ -183,7 +183,7 @@
         self.record(request.class, &level, attempts, outcome, start.elapsed());
     }
 
-    /// A member that may be asked now. A request with an idempotency key stays at the member that may have run it.
+    /// A member that accepts requests now. A request with an idempotency key stays at the member that may have run it.
     fn choose_member(
         &self,
         router: usize,
@@ -207,7 +207,7 @@
                 if !may_retry {
                     return NextStep::Finish(Some(Outcome::Rejected));
                 }
-                // It was not run, so that another member may be asked.
+                // It was not run, so that another member may run it.
                 NextStep::RetryAnywhere(INITIAL_BACKOFF * 2_u32.pow(attempts - 1))
             }
             AttemptOutcome::Answered(outcome) => NextStep::Finish(Some(outcome)),
--- a/crates/pinepoint-lab/src/script.rs
+++ b/crates/pinepoint-lab/src/script.rs
@@ -20,7 +20,7 @@
 /// One line of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step<'a> {
-    /// The whole line.
+    /// The line as written.
     pub line: &'a str,
     /// Who acts.
     pub actor: &'a str,
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -528,7 +528,8 @@
     );
 }
 
-/// Where reads may share an answer: while it runs and for a moment after, and no longer; a failure is not shared.
+/// With `freshForMs`, reads share an answer while it is computed and for that time after; a failure is not
+/// shared.
 #[test]
 fn the_answer_to_a_read_serves_others_only_while_it_is_fresh() {
     let settings = vec![("\"keyKb\":5", "\"keyKb\":5,\"freshForMs\":150")];
--- a/tests/node_links.rs
+++ b/tests/node_links.rs
@@ -8,7 +8,7 @@
 
 use scenario::{ENGINE_UP, Options, World, idle_gauges};
 
-/// Due times hang on timers, and timers on gauges: an engine that tells none must not hold up an answer.
+/// Deadlines depend on timers, and timers on gauges: an engine that reports none must not delay an answer.
 #[test]
 fn a_silent_engine_holds_up_no_due_time() {
     let mut world = World::start(Box::new(|_| Vec::new()), Box::new(|_| Vec::new()));
@@ -22,7 +22,7 @@
     );
 }
 
-/// Reports get lost and an entry lapses 3 s after its last: half of that time has to hold several.
+/// Load reports get lost, and an entry expires 3 s after its last one: there have to be several in half of that time.
 #[test]
 fn reports_are_repeated_often_enough_for_some_to_be_lost() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
@@ -43,8 +43,8 @@
     assert!(during >= 4, "{during} reports in half the life of an entry");
 }
 
-/// An engine that answers no gauges on its first link proves nothing there; on the second it does, and with
-/// `proves` it does so on the first too, once it has a reply.
+/// An engine that answers no query of its gauges on its first link, and so acknowledges nothing there; on the second link
+/// it does, and with `proves` on the first too, once it has a reply.
 fn forgetful_engine(proves: bool) -> scenario::Answer {
     let (mut links, mut fed) = (0, 0);
     Box::new(move |text| {
@@ -70,7 +70,7 @@
 store send 00000000000000a1 OK|that
 engine expect FEED 00000000000000a1|that";
 
-/// A command written just before the link broke may be lost; the run would wait until its due time.
+/// A command that was written just before the link broke may be lost; without a retry the run would wait until its deadline.
 #[test]
 fn a_reply_that_may_be_lost_with_the_engine_link_is_fed_again() {
     let mut world = World::start(forgetful_engine(false), Box::new(|_| Vec::new()));
@@ -86,7 +86,7 @@
     );
 }
 
-/// Gauges that were asked for behind it prove that a reply was read: it is not fed again.
+/// An answer to a later query of the gauges acknowledges a reply: it is not fed again.
 #[test]
 fn a_reply_that_was_read_is_not_fed_again() {
     let mut world = World::start(forgetful_engine(true), Box::new(|_| Vec::new()));
@@ -102,7 +102,7 @@
     );
 }
 
-/// A refused connection proves that no call ran: a write is not failed for it, and its call is made later.
+/// A refused connection proves that no call was made: a write does not fail for it, and the call is retried.
 #[test]
 fn while_the_store_is_down_no_call_ran() {
     let (store, address) = scenario::down();
@@ -125,8 +125,8 @@
     assert!(call.starts_with("CALL 00000000000000a1 "), "{call}");
 }
 
-/// A run goes on without the call that cannot be made; the word for it may be lost with the link, and names its
-/// notice, so that it can be sent again.
+/// A run goes on without a call that cannot be made. The command for that may be lost with the link; it names the notice
+/// that it answers, so that it can be sent again.
 #[test]
 fn a_call_left_out_is_told_again_over_a_new_engine_link() {
     let down = scenario::down();
--- a/tests/node_load.rs
+++ b/tests/node_load.rs
@@ -17,7 +17,7 @@
 /// How often each body of a write was run.
 type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// An engine that counts the runs of writes. Eight runs end with each look at the gauges, and every third write stands at
+/// An engine that counts the runs of writes. Eight runs end with each query of the gauges, and every third write waits for
 /// a call first.
 fn counting_engine(writes: RunCounts) -> scenario::Answer {
     let (mut running, mut notice) = (Vec::<String>::new(), 0);
@@ -95,8 +95,8 @@
     (script, sent)
 }
 
-/// Both fronts past what the engine does, with AJP connections that break halfway through the body of a
-/// write while the same key comes by MessagePack-RPC, and comes again by both.
+/// Overload by both protocols, with AJP connections that break halfway through the body of a write while the same
+/// idempotency key arrives by MessagePack-RPC, and is repeated by both.
 #[test]
 fn at_full_load_over_both_fronts_nothing_runs_twice_and_nothing_stays_unanswered() {
     let writes = RunCounts::default();
@@ -120,53 +120,53 @@
     assert!(doubles.is_empty(), "run more than once: {doubles:?}");
 }
 
-/// Sends checks and reads no answer, until nothing more is taken. What the system keeps for it is little and does
-/// not grow: the first write that finds no room never ends.
-fn deafen(world: &World) -> TcpStream {
-    let mut deaf = TcpStream::connect(world.listen).expect("the program listens");
-    rustix::net::sockopt::set_socket_recv_buffer_size(&deaf, 4096).expect("a small buffer");
-    deaf.set_write_timeout(Some(Duration::from_secs(1))).expect("a time-out");
+/// A client that sends health checks and reads no answer, until the program reads no more of it. Its receive buffer is
+/// small and does not grow, so that a write that blocks stays blocked.
+fn connect_non_reading_client(world: &World) -> TcpStream {
+    let mut client = TcpStream::connect(world.listen).expect("the program listens");
+    rustix::net::sockopt::set_socket_recv_buffer_size(&client, 4096).expect("a small buffer");
+    client.set_write_timeout(Some(Duration::from_secs(1))).expect("a time-out");
     let mut ids = 1..=4_000_000_u32;
     let blocked = loop {
         let pings: Vec<u8> =
             ids.by_ref().take(2000).flat_map(|id| scenario::rpc_request(&format!("{id} ping"))).collect();
-        if pings.is_empty() || deaf.write_all(&pings).is_err() {
+        if pings.is_empty() || client.write_all(&pings).is_err() {
             break !pings.is_empty();
         }
     };
     assert!(blocked, "the program went on reading for a caller that reads nothing");
-    deaf
+    client
 }
 
-/// A router that sends and never reads is not read either once its answers pile up, and holds up no one else.
+/// Backpressure: a client that never reads its answers is not read either, and delays nobody else.
 #[test]
 fn one_that_never_reads_stalls_nobody() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
-    let deaf = deafen(&world);
+    let client = connect_non_reading_client(&world);
     world.run(
         "rpc send 1 look rid=a1|paper
          engine expect RUN 00000000000000a1 look|paper
          engine send DONE 1 00000000000000a1 complete 12|report
          rpc expect [1 1 nil [report *",
     );
-    drop(deaf);
+    drop(client);
     world.run("node wait conn-ended conn=1 front=rpc *");
 }
 
-/// What all those that read nothing leave unread stays within a part of the memory, however small that is: here
-/// less than what stops a connection from being read, and more than the answers to one read.
+/// Answers that are not read stay within a share of the memory, however small that is: here less than what stops a
+/// connection from being read, and more than the answers to one read.
 #[test]
 fn what_is_not_read_does_not_fill_the_memory() {
     let store = scenario::service(Box::new(|_| Vec::new()));
     let mut world =
         World::start_with(Box::new(idle_gauges), store, Options { memory_mb: 0.48, ..Options::default() });
     world.run(ENGINE_UP);
-    let _deaf = deafen(&world);
+    let _client = connect_non_reading_client(&world);
     world.run("node wait conn-ended conn=1 front=rpc reason=reader-too-slow *");
 }
 
-/// One that waited on full cores until no time was left is refused at once, and told when to come back.
+/// A request that waited for a core until it can no longer meet its deadline is rejected at once, with a Retry-After.
 #[test]
 fn given_up_after_a_wait_it_is_told_when_to_come_back() {
     let full = |text: &str| -> Vec<String> {
@@ -185,8 +185,8 @@
     );
 }
 
-/// Of 256 descriptors 64 are kept back. Beyond 192 connections those that never spoke give way first, and the one
-/// that was idle longest where all did; the links stay.
+/// Of 256 descriptors 64 are reserved. Beyond 192 connections, those that never sent anything are closed first, and then
+/// the one that was idle longest; the links to services stay.
 #[test]
 fn connections_stay_below_the_limit_on_descriptors_and_give_way() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
@@ -212,7 +212,7 @@
     );
 }
 
-/// What routers would have closed themselves belongs to none that lives.
+/// Routers close idle connections themselves: one that stays open for longer has no living owner.
 #[test]
 fn one_that_asked_once_and_stays_is_closed() {
     let store = scenario::service(Box::new(|_| Vec::new()));
