--- a/crates/pinepoint-lab/src/fleet.rs
+++ b/crates/pinepoint-lab/src/fleet.rs
@@ -33,8 +33,8 @@
 const ZONES: usize = 3;
 /// Period of the membership protocol, ms.
 const PERIOD_MS: u64 = 1000;
-/// Connections of MessagePack-RPC, and the most of AJP.
-const CONNECTIONS: (usize, usize) = (12, 0);
+/// Connections of MessagePack-RPC.
+const RPC_CONNECTIONS: usize = 12;
 /// Standard deviation of the logarithm of the work of requests.
 const WORK_SIGMA: f64 = 0.5;
 
@@ -146,9 +146,10 @@
     let workload = Workload {
         classes: request_classes(),
         rate: rate_at(options.load_factor),
-        ajp: 0.0,
+        ajp_share: 0.0,
         duration: options.duration,
-        connections: CONNECTIONS,
+        rpc_connections: RPC_CONNECTIONS,
+        max_ajp_connections: 0,
         work_sigma: WORK_SIGMA,
         seed,
     };
--- a/crates/pinepoint-lab/src/load.rs
+++ b/crates/pinepoint-lab/src/load.rs
@@ -54,11 +54,13 @@
     /// Requests a second.
     pub rate: f64,
     /// Share of the requests that is sent over AJP, from 0 to 1.
-    pub ajp: f64,
+    pub ajp_share: f64,
     /// For how long requests are sent.
     pub duration: Duration,
-    /// Connections of MessagePack-RPC, and the most of AJP.
-    pub connections: (usize, usize),
+    /// Connections of MessagePack-RPC.
+    pub rpc_connections: usize,
+    /// Connections of AJP at most.
+    pub max_ajp_connections: usize,
     /// Standard deviation of the logarithm of the work.
     pub work_sigma: f64,
     /// Seed of times and work.
@@ -123,15 +125,14 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<LoadSummary> {
     let recorder = Rc::new(Recorder::new());
-    let (rpc_connections, max_ajp_connections) = workload.connections;
     let mut clients = Clients {
         connections: Vec::new(),
         next: 0,
-        ajp: AjpPool::new(ajp, max_ajp_connections),
+        ajp: AjpPool::new(ajp, workload.max_ajp_connections),
         recorder: recorder.clone(),
         executor: executor.clone(),
     };
-    for _ in 0..rpc_connections {
+    for _ in 0..workload.rpc_connections {
         clients.connections.push(RpcConnection::connect(rpc, recorder.clone(), executor).await?);
     }
     send_all(workload, ajp.is_some(), &mut clients).await?;
@@ -156,7 +157,7 @@
         }
         number += 1;
         let request = draw_request(&workload.classes, workload.work_sigma, workload.seed, number, &mut rng)?;
-        let by_ajp = has_ajp && rng.random::<f64>() < workload.ajp;
+        let by_ajp = has_ajp && rng.random::<f64>() < workload.ajp_share;
         Timer::at(start + offset).await;
         if by_ajp {
             clients.ajp.send(request, &clients.recorder, &clients.executor).await;
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -128,9 +128,10 @@
         let workload = Workload {
             classes: vec![request_class(READ_CLASS, false), request_class(KEYED_CLASS, true)],
             rate: options.rate,
-            ajp: 0.0,
+            ajp_share: 0.0,
             duration: options.duration,
-            connections: (CONNECTIONS, 0),
+            rpc_connections: CONNECTIONS,
+            max_ajp_connections: 0,
             work_sigma: 0.5,
             seed,
         };
--- a/crates/pinepoint-lab/src/telemetry.rs
+++ b/crates/pinepoint-lab/src/telemetry.rs
@@ -45,8 +45,10 @@
 const READ_PAUSE: Duration = Duration::from_millis(100);
 /// Share of the requests that is sent over AJP.
 const AJP_SHARE: f64 = 0.25;
-/// Connections of MessagePack-RPC, and the most of AJP.
-const CONNECTIONS: (usize, usize) = (12, 60);
+/// Connections of MessagePack-RPC.
+const RPC_CONNECTIONS: usize = 12;
+/// Connections of AJP at most.
+const MAX_AJP_CONNECTIONS: usize = 60;
 /// Standard deviation of the logarithm of the work of requests.
 const WORK_SIGMA: f64 = 0.5;
 
@@ -76,9 +78,10 @@
         Workload {
             classes: request_classes(),
             rate: rate_at(self.load_factor),
-            ajp: AJP_SHARE,
+            ajp_share: AJP_SHARE,
             duration: self.duration,
-            connections: CONNECTIONS,
+            rpc_connections: RPC_CONNECTIONS,
+            max_ajp_connections: MAX_AJP_CONNECTIONS,
             work_sigma: WORK_SIGMA,
             seed,
         }
