--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -1,4 +1,4 @@
-//! Gives final answers: rejections with their Retry-After, failures, and what is due at a deadline.
+//! Gives final answers: rejections, failures, and what is due at a deadline.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,6 @@
 const REJECTIONS_PER_LOG_LINE: u32 = 50;
 /// Part of the slack after the deadline that a run may still use; the rest is for batches that come late.
 const USED_SLACK_PART: f64 = 0.3;
-/// Answers of a drain go out this long before the kill, ms.
-const KILL_MARGIN_MS: f64 = 150.0;
-
 /// Counts rejections by reason for the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RejectionLog {
@@ -38,29 +35,11 @@
             actions.push(Action::Log { text });
         }
         self.release_key(id, actions);
-        let jammed = self.read_delay.is_jammed() && !self.wants_no_traffic();
-        // All servers share the dependency: a caller that finds no call here need not try elsewhere.
-        let last = reason == RejectReason::CallUnavailable || jammed;
         let retry_after_ms = self.retry_after_ms(reason);
+        let last = self.is_last_attempt(reason);
         actions.push(Action::Reject { id, retry_after_ms, last, reason });
     }
 
-    /// How long the caller of a rejected request should stay away, ms.
-    fn retry_after_ms(&self, reason: RejectReason) -> f64 {
-        let waited = matches!(reason, RejectReason::QueueTimeout | RejectReason::Displaced);
-        let advice_ms = if self.wants_no_traffic() {
-            f64::INFINITY
-        } else if self.read_delay.is_jammed() {
-            self.read_delay.mean_ms
-        } else if waited {
-            // It may come back when all that is queued now has had its turn.
-            self.queue_drain_ms().max(self.sample_period_ms())
-        } else {
-            0.0
-        };
-        advice_ms.min(self.settings.max_retry_after_ms)
-    }
-
     /// Fails a request whose answer is owed. A started run stays open until it ends.
     pub(super) fn fail(&mut self, id: u32, reason: FailureReason, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
@@ -74,9 +53,8 @@
 
     /// Answers the requests that cannot wait for the next sample.
     pub(super) fn answer_due(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let kill_ms = self.drain.map_or(f64::INFINITY, |drain| drain.kill_ms - KILL_MARGIN_MS);
         let next_sample_ms = now_ms + self.sample_period_ms();
-        let killed = next_sample_ms >= kill_ms;
+        let killed = self.drain.is_some_and(|drain| next_sample_ms >= drain.last_answer_ms());
         let mut hopeless = Vec::new();
         let mut overdue = Vec::new();
         for (id, open) in &self.requests.open {
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -18,13 +18,17 @@
     memory_full: bool,
 }
 
-/// What became of an arrival that may be a duplicate.
-#[derive(PartialEq, Eq)]
-enum DuplicateCheck {
-    /// It is answered or tied to the request that it duplicates; nothing is left to decide.
-    Settled,
-    /// It is decided like any other arrival.
-    Undecided,
+/// How an arrival is treated that may duplicate an open or retained request.
+enum DuplicateHandling {
+    /// It is no duplicate, or one that may run beside the first attempt.
+    DecideAsNew,
+    /// Neither attempt has run: the later one, whose caller still waits, takes the place of this one.
+    Supersede(u32),
+    /// The first attempt runs, ran, or may have run: its result may be used, but it must not run again.
+    ReuseResult,
+    /// It shares the run of this queued read. If it were tied to a request that may yet be rejected, it would
+    /// fail with it, so it joins at the start of the run.
+    Follow(u32),
 }
 
 impl AdmissionController {
@@ -40,65 +44,72 @@
     fn decide(&mut self, now_ms: f64, id: u32, actions: &mut Vec<Action>) {
         let arrival = self.requests.open[&id].clone();
         let limits = self.arrival_limits(&arrival);
-        if self.check_duplicate(&arrival, &limits, actions) == DuplicateCheck::Settled {
-            return;
+        match self.duplicate_handling(&arrival, &limits) {
+            DuplicateHandling::DecideAsNew => self.admit_or_reject(now_ms, &arrival, &limits, actions),
+            DuplicateHandling::Supersede(first) => {
+                self.supersede(first, actions);
+                self.admit_or_reject(now_ms, &arrival, &limits, actions);
+            }
+            DuplicateHandling::ReuseResult => self.reuse_result(id, &limits, actions),
+            DuplicateHandling::Follow(first) => self.follow(id, first),
         }
-        match self.rejection(now_ms, &arrival, &limits, actions) {
-            Some(reason) => self.reject(id, reason, actions),
-            None => self.retain_for_duplicates(now_ms, &arrival, actions),
+    }
+
+    fn admit_or_reject(
+        &mut self,
+        now_ms: f64,
+        arrival: &OpenRequest,
+        limits: &ArrivalLimits,
+        actions: &mut Vec<Action>,
+    ) {
+        match self.rejection(now_ms, arrival, limits, actions) {
+            Some(reason) => self.reject(arrival.request.id, reason, actions),
+            None => self.retain_for_duplicates(now_ms, arrival, actions),
         }
     }
 
     fn arrival_limits(&self, arrival: &OpenRequest) -> ArrivalLimits {
-        // What reached the machine after the grace of a drain is never run, whatever else holds.
-        let grace_ms = self.settings.rules.drain_grace_ms;
-        let drained = self.drain.is_some_and(|drain| arrival.arrived_ms > drain.started_ms + grace_ms);
+        let rules = &self.settings.rules;
+        let drained = self.drain.is_some_and(|drain| drain.excludes(arrival.arrived_ms, rules));
         let keyed = self.class_of(arrival).idempotency == Idempotency::Keyed;
         let key_kb = if keyed { self.settings.key_kb } else { 0.0 };
         let memory_full = self.reserved_memory_kb() + key_kb > QUEUE_MEMORY_PART * self.settings.memory_kb;
         ArrivalLimits { drained, memory_full }
     }
 
-    /// Settles a duplicate of an open or retained request so that no effect happens twice.
-    fn check_duplicate(
-        &mut self,
-        arrival: &OpenRequest,
-        limits: &ArrivalLimits,
-        actions: &mut Vec<Action>,
-    ) -> DuplicateCheck {
-        let id = arrival.request.id;
-        let idempotency = self.class_of(arrival).idempotency;
-        let Some(first) = arrival.request.duplicate_of.filter(|first| *first != id) else {
-            return DuplicateCheck::Undecided;
+    /// Chooses how to treat an arrival so that no effect happens twice.
+    fn duplicate_handling(&self, arrival: &OpenRequest, limits: &ArrivalLimits) -> DuplicateHandling {
+        let Some(first) = arrival.request.duplicate_of.filter(|first| *first != arrival.request.id) else {
+            return DuplicateHandling::DecideAsNew;
         };
-        if idempotency == Idempotency::NonIdempotent {
-            return DuplicateCheck::Undecided;
-        }
-        let keyed = idempotency == Idempotency::Keyed;
         let state = self.requests.state(first);
         let first_is_queued = state == Some(RequestState::Queued);
-        if keyed && first_is_queued && !limits.drained {
-            // Neither attempt has run: the later one, whose caller still waits, takes the place.
-            self.requests.release_key(first);
-            actions.push(Action::ReleaseKey { id: first });
-            self.fail(first, FailureReason::Superseded, actions);
-            return DuplicateCheck::Undecided;
-        }
-        if keyed || !(first_is_queued || state == Some(RequestState::AwaitingResult)) {
-            self.reuse_result(id, limits, actions);
-            return DuplicateCheck::Settled;
+        match self.class_of(arrival).idempotency {
+            Idempotency::NonIdempotent => DuplicateHandling::DecideAsNew,
+            Idempotency::Keyed if first_is_queued && !limits.drained => DuplicateHandling::Supersede(first),
+            Idempotency::Keyed => DuplicateHandling::ReuseResult,
+            Idempotency::ReadOnly if first_is_queued && !limits.drained && !limits.memory_full => {
+                DuplicateHandling::Follow(first)
+            }
+            Idempotency::ReadOnly if first_is_queued || state == Some(RequestState::AwaitingResult) => {
+                DuplicateHandling::DecideAsNew
+            }
+            Idempotency::ReadOnly => DuplicateHandling::ReuseResult,
         }
-        if first_is_queued && !limits.drained && !limits.memory_full {
-            // If it were tied to a request that may yet be rejected, it would fail with it: it joins at the
-            // start of the run.
-            let open = self.requests.open.get_mut(&id).expect("the arrival is open");
+    }
+
+    fn supersede(&mut self, first: u32, actions: &mut Vec<Action>) {
+        self.requests.release_key(first);
+        actions.push(Action::ReleaseKey { id: first });
+        self.fail(first, FailureReason::Superseded, actions);
+    }
+
+    fn follow(&mut self, id: u32, first: u32) {
+        if let Some(open) = self.requests.open.get_mut(&id) {
             open.follows = Some(first);
-            return DuplicateCheck::Settled;
         }
-        DuplicateCheck::Undecided
     }
 
-    /// The first attempt runs, ran, or may have run: its result may be used, but it must not run again.
     fn reuse_result(&mut self, id: u32, limits: &ArrivalLimits, actions: &mut Vec<Action>) {
         if limits.memory_full {
             self.fail(id, FailureReason::MemoryFull, actions);
--- /dev/null
+++ b/src/admission/feedback.rs
@@ -0,0 +1,73 @@
+//! What callers and the load balancer hear of this server: health, load report, idle timeout and Retry-After.
+
+use super::health::HealthSample;
+use super::load_report::LoadSample;
+use super::{Action, AdmissionController, RejectReason};
+
+impl AdmissionController {
+    /// Changes the answer to health checks, if the sample calls for it.
+    pub(super) fn report_health(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
+        let changed = self.health.update(&HealthSample {
+            dt_s,
+            runnable: self.loops.runnable,
+            cores: self.settings.cores,
+            slowdown: self.work.slowdown,
+            stalled: self.stall.stalled,
+            draining: self.drain.is_some(),
+        });
+        if let Some(good) = changed {
+            actions.push(Action::SetHealth { good, from_store: true });
+        }
+    }
+
+    /// Tells the host the idle timeout of connections, if it changed.
+    pub(super) fn close_idle_connections(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
+        let has_idle_cores = self.has_idle_cores();
+        if let Some(after_ms) = self.idle_policy.update(&self.settings, has_idle_cores, dt_s) {
+            actions.push(Action::CloseIdleConnections { after_ms });
+        }
+    }
+
+    /// Sends a new load report, if it changed enough.
+    pub(super) fn report_load(&mut self, actions: &mut Vec<Action>) {
+        let sample = LoadSample {
+            delay_ms: self.queue_drain_ms() + self.read_delay.excess_ms().max(0.0),
+            wants_none: self.wants_no_traffic(),
+            run_limit: self.run_limit(),
+            callers: self.settings.callers,
+        };
+        if let Some(value) = self.load_reporter.update(self.settings.load_report, &sample) {
+            actions.push(Action::ReportLoad { value });
+        }
+    }
+
+    /// How long the caller of a rejected request should stay away, ms.
+    pub(super) fn retry_after_ms(&self, reason: RejectReason) -> f64 {
+        let waited = matches!(reason, RejectReason::QueueTimeout | RejectReason::Displaced);
+        let advice_ms = if self.wants_no_traffic() {
+            f64::INFINITY
+        } else if self.read_delay.is_jammed() {
+            self.read_delay.mean_ms
+        } else if waited {
+            // It may come back when all that is queued now has had its turn.
+            self.queue_drain_ms().max(self.sample_period_ms())
+        } else {
+            0.0
+        };
+        advice_ms.min(self.settings.max_retry_after_ms)
+    }
+
+    /// Whether the caller of a rejected request is asked not to try another server.
+    pub(super) fn is_last_attempt(&self, reason: RejectReason) -> bool {
+        // All servers share the dependency: a caller that finds no call here finds none elsewhere.
+        let jammed = self.read_delay.is_jammed() && !self.wants_no_traffic();
+        reason == RejectReason::CallUnavailable || jammed
+    }
+
+    /// Whether callers should send nothing: no run makes progress, or a drain is about to take no more work.
+    fn wants_no_traffic(&self) -> bool {
+        let sampled_ms = self.core_time.sampled_ms;
+        let rules = &self.settings.rules;
+        self.stall.stalled || self.drain.is_some_and(|drain| drain.is_nearly_over(sampled_ms, rules))
+    }
+}
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -80,8 +80,9 @@
 //! The types of the interface are in `settings` and `messages`. [`AdmissionController`] holds the state in small
 //! structs, each in a module of its own with its constants: `control_loops`, `core_time`, `work_estimator`,
 //! `call_budget`, `call_profile`, `tenant_usage`, `read_delay`, `health`, `stall_detector`, `idle_policy`,
-//! `load_report`, `request_table`. The steps that combine them are methods of the controller, by concern:
-//! `sampling`, `arrivals`, `decision`, `priority`, `run_limits`, `dispatch`, `calls`, `answers`.
+//! `load_report`, `drain`, `request_table`. The steps that combine them are methods of the controller, by concern:
+//! `sampling`, `arrivals`, `decision`, `priority`, `run_limits`, `dispatch`, `calls`, `answers`,
+//! `feedback`.
 
 mod answers;
 mod arrivals;
@@ -92,6 +93,8 @@
 mod core_time;
 mod decision;
 mod dispatch;
+mod drain;
+mod feedback;
 mod filters;
 mod health;
 mod idle_policy;
@@ -115,13 +118,13 @@
 use call_profile::CallProfile;
 use control_loops::ControlLoops;
 use core_time::CoreTime;
+use drain::Drain;
 use health::HealthMonitor;
 use idle_policy::IdlePolicy;
 use load_report::LoadReporter;
 use priority::PriorityRanking;
 use read_delay::ReadDelay;
 use request_table::RequestTable;
-use sampling::Drain;
 use stall_detector::StallDetector;
 use tenant_usage::TenantUsage;
 use work_estimator::WorkEstimator;
@@ -226,22 +229,22 @@
         self.settings = settings;
     }
 
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
+    /// Takes one event at `now_ms` and appends what is to be done to `actions`.
+    pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Started => self.start(now, out),
-            Event::RequestArrived(request) => self.take_arrival(now, request),
+            Event::Started => self.start(now_ms, actions),
+            Event::RequestArrived(request) => self.take_arrival(now_ms, request),
             Event::BatchEnded => {
-                self.decide_arrivals(now, out);
-                self.start_queued(now, out);
-                self.start_calls(now, out);
+                self.decide_arrivals(now_ms, actions);
+                self.start_queued(now_ms, actions);
+                self.start_calls(now_ms, actions);
             }
-            Event::RunEnded { id, outcome } => self.end_run(now, id, outcome, out),
-            Event::CallNeeded { id } => self.await_call(now, id),
-            Event::CallEnded { id, outcome, took_ms } => self.end_call(now, id, outcome, took_ms, out),
-            Event::CallerGone { id } => self.caller_gone(id, out),
-            Event::DrainStarted { kill_ms } => self.start_drain(now, kill_ms, out),
-            Event::TimerFired { gauges, .. } => self.sample(now, &gauges, out),
+            Event::RunEnded { id, outcome } => self.end_run(now_ms, id, outcome, actions),
+            Event::CallNeeded { id } => self.await_call(now_ms, id),
+            Event::CallEnded { id, outcome, took_ms } => self.end_call(now_ms, id, outcome, took_ms, actions),
+            Event::CallerGone { id } => self.caller_gone(id, actions),
+            Event::DrainStarted { kill_ms } => self.start_drain(now_ms, kill_ms, actions),
+            Event::TimerFired { gauges, .. } => self.sample(now_ms, &gauges, actions),
         }
     }
 
--- a/src/admission/sampling.rs
+++ b/src/admission/sampling.rs
@@ -1,27 +1,12 @@
 //! Takes the gauges that come with each timer and brings all measurements up to date.
 
 use super::control_loops::{SAMPLE_PERIOD_MS, Sample};
-use super::health::HealthSample;
-use super::load_report::LoadSample;
 use super::request_table::RequestState;
 use super::stall_detector::RunSample;
 use super::{Action, AdmissionController, Gauge};
 
 /// Shortest time between two samples that is divided by, s.
 const MIN_SAMPLE_S: f64 = 1e-6;
-/// Part of the grace of a drain in which work is still asked for: other servers and callers hear of it seconds
-/// late.
-const WORKING_GRACE_PART: f64 = 0.7;
-
-/// A drain that has started.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Drain {
-    /// When it started, ms.
-    pub(super) started_ms: f64,
-    /// When the server is killed, ms.
-    pub(super) kill_ms: f64,
-}
-
 impl AdmissionController {
     /// Time between two samples, ms.
     pub(super) fn sample_period_ms(&self) -> f64 {
@@ -83,53 +68,7 @@
         self.stall.update(now_ms, &RunSample { dt_s, period_ms, running, total_work_ms, core_share });
     }
 
-    fn report_health(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
-        let changed = self.health.update(&HealthSample {
-            dt_s,
-            runnable: self.loops.runnable,
-            cores: self.settings.cores,
-            slowdown: self.work.slowdown,
-            stalled: self.stall.stalled,
-            draining: self.drain.is_some(),
-        });
-        if let Some(good) = changed {
-            actions.push(Action::SetHealth { good, from_store: true });
-        }
-    }
-
     fn update_read_delay(&mut self, dt_s: f64) {
         self.read_delay.update(self.loops.busy_share, self.has_idle_cores(), dt_s);
     }
-
-    /// Tells the host the idle timeout of connections, if it changed.
-    pub(super) fn close_idle_connections(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
-        let has_idle_cores = self.has_idle_cores();
-        if let Some(after_ms) = self.idle_policy.update(&self.settings, has_idle_cores, dt_s) {
-            actions.push(Action::CloseIdleConnections { after_ms });
-        }
-    }
-
-    fn report_load(&mut self, actions: &mut Vec<Action>) {
-        let sample = LoadSample {
-            delay_ms: self.queue_drain_ms() + self.read_delay.excess_ms().max(0.0),
-            wants_none: self.wants_no_traffic(),
-            run_limit: self.run_limit(),
-            callers: self.settings.callers,
-        };
-        if let Some(value) = self.load_reporter.update(self.settings.load_report, &sample) {
-            actions.push(Action::ReportLoad { value });
-        }
-    }
-
-    /// Whether callers should send nothing: no run makes progress, or a drain is about to take no more work.
-    pub(super) fn wants_no_traffic(&self) -> bool {
-        self.stall.stalled || self.is_drain_nearly_over()
-    }
-
-    fn is_drain_nearly_over(&self) -> bool {
-        let Some(drain) = self.drain else { return false };
-        let working_ms = WORKING_GRACE_PART * self.settings.rules.drain_grace_ms;
-        let half_way_ms = (drain.started_ms + drain.kill_ms) / 2.0;
-        self.core_time.sampled_ms >= (drain.started_ms + working_ms).min(half_way_ms)
-    }
 }
