--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -106,6 +106,14 @@
     }
 }
 
+/// The requests that these actions start, in order.
+pub fn started_ids(actions: &[Action]) -> impl Iterator<Item = u32> {
+    actions.iter().filter_map(|action| match action {
+        Action::StartRun { id } => Some(*id),
+        _ => None,
+    })
+}
+
 pub fn started(actions: &[Action], id: u32) -> bool {
     actions.contains(&Action::StartRun { id })
 }
--- a/tests/failures/call_budget.rs
+++ b/tests/failures/call_budget.rs
@@ -27,6 +27,14 @@
     assert_eq!(calls(&actions), 1);
 }
 
+/// The timeout of the first call that these actions start, ms.
+fn call_timeout_ms(actions: &[Action]) -> Option<f64> {
+    actions.iter().find_map(|action| match action {
+        Action::StartCall { call_timeout_ms, .. } => Some(*call_timeout_ms),
+        _ => None,
+    })
+}
+
 /// Calls made over a minute of endless demand, each taking this long.
 fn call_time_spent(share: f64, each_ms: f64) -> f64 {
     let mut server = TestServer::new(Settings { call_quota: share, ..calling() });
@@ -53,7 +61,7 @@
 #[test]
 fn a_share_far_below_one_call_is_kept_in_the_mean() {
     let spent = call_time_spent(0.2, 300.0) / 60_000.0;
-    assert!(spent < 0.1, "hundreds of servers with a call each would hold many times the shares: {spent}");
+    assert!(spent < 0.1, "hundreds of servers with a call each would exceed all quotas many times: {spent}");
     assert!(spent > 0.02, "and calls are still made: {spent}");
 }
 
@@ -87,13 +95,10 @@
     let mut server = TestServer::new(calling());
     server.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
     let actions = server.handle(Event::CallNeeded { id: 1 });
-    let patience = actions.iter().find_map(|a| match a {
-        Action::StartCall { call_timeout_ms, .. } => Some(*call_timeout_ms),
-        _ => None,
-    });
-    assert!(patience.is_some_and(|ms| ms < 6000.0), "a tenth of what its caller waits: {patience:?}");
+    let timeout_ms = call_timeout_ms(&actions);
+    assert!(timeout_ms.is_some_and(|ms| ms < 6000.0), "a tenth of what its caller waits: {timeout_ms:?}");
     let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, took_ms: 150.0 });
-    assert_eq!(calls(&actions), 0, "it may be under way below, and its time has to be earned again");
+    assert_eq!(calls(&actions), 0, "it may still be in flight, and its time has to be earned again");
     assert_eq!(calls(&server.advance(3000.0, 0.1, 0.0)), 1, "a read may call again");
 }
 
@@ -121,9 +126,12 @@
 fn without_its_call_a_read_goes_on_as_late_as_it_can() {
     let (actions, at) = with_no_call(0.3);
     assert!(actions.contains(&Action::SkipCall { id: 1 }), "its caller would get nothing: {actions:?}");
-    assert!((600.0..1000.0).contains(&at), "the dependency may be back before, and its aim is at 1000: {at}");
+    assert!(
+        (600.0..1000.0).contains(&at),
+        "the dependency may be back before, and the objective is at 1000 ms: {at}"
+    );
     let (actions, _) = with_no_call(0.0);
-    assert!(failed(&actions, 1), "an answer without the call is worth nothing: {actions:?}");
+    assert!(failed(&actions, 1), "an answer without the call earns nothing: {actions:?}");
 }
 
 #[test]
@@ -139,10 +147,10 @@
     server.advance(50.0, 0.5, 0.0);
     server.handle(Event::CallEnded { id: 1, outcome: Outcome::Done, took_ms: 50.0 });
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
-    // A seventh of one call is earned: the others would use up all there is within its aim.
-    assert!(started(&server.arrive(request(9, 1)), 9), "seven that can do without stand before it");
+    // A seventh of one call is earned: the others would use up all call time within its objective.
+    assert!(started(&server.arrive(request(9, 1)), 9), "the seven runs ahead of it can go on without a call");
     server.advance(400.0, 0.5, 0.0);
-    assert_eq!(calls(&server.log), 1, "the next is kept for it");
+    assert_eq!(calls(&server.log), 1, "the next call is reserved for it");
     assert_eq!(calls(&server.handle(Event::CallNeeded { id: 9 })), 1);
 }
 
@@ -171,12 +179,12 @@
     server.arrive(Request { deadline_ms: Some(60_000.0), ..request(1, 0) });
     server.handle(Event::CallNeeded { id: 1 });
     let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
-    assert_eq!(calls(&actions), 1, "its reply was spoilt, and the next may not be");
+    assert_eq!(calls(&actions), 1, "one lost reply says little about the next call");
     let actions = server.handle(Event::CallEnded { id: 1, outcome: Outcome::Reset, took_ms: 2.0 });
-    assert_eq!(calls(&actions), 0, "two in a row are no chance");
+    assert_eq!(calls(&actions), 0, "two in a row are no coincidence");
 }
 
-/// A server with this share of calls in hand, after many quick calls and a while of saving.
+/// A server with this quota of calls, after many quick calls and a while of saving call time.
 fn used_to_calls_of(ms: f64, share: f64) -> TestServer {
     let mut server = TestServer::new(Settings { call_quota: share, ..calling() });
     for id in 1..=60 {
@@ -190,42 +198,42 @@
     server
 }
 
-/// The time after which the call of this new request is given up, if it is made at once.
-fn patience(server: &mut TestServer, id: u32, class: usize) -> Option<f64> {
+/// The timeout of the call of this new request, if it is started at once.
+fn timeout_of_new_call(server: &mut TestServer, id: u32, class: usize) -> Option<f64> {
     server.arrive(Request { deadline_ms: Some(server.now + 60_000.0), ..request(id, class) });
-    let actions = server.handle(Event::CallNeeded { id });
-    actions.iter().find_map(|a| match a {
-        Action::StartCall { call_timeout_ms, .. } => Some(*call_timeout_ms),
-        _ => None,
-    })
+    call_timeout_ms(&server.handle(Event::CallNeeded { id }))
 }
 
 #[test]
 fn a_lost_reply_shuts_no_good_call_out() {
     let mut server = used_to_calls_of(10.0, 1.9);
-    let before = patience(&mut server, 101, 0).expect("call time was saved");
+    let before = timeout_of_new_call(&mut server, 101, 0).expect("call time was saved");
     server.advance(before, 0.5, 0.0);
     server.handle(Event::CallEnded { id: 101, outcome: Outcome::TimedOut, took_ms: before });
     server.handle(Event::RunEnded { id: 101, outcome: Outcome::Failed });
     server.advance(60.0, 0.5, 0.0);
-    let after = patience(&mut server, 102, 0).expect("a call waited for that long hardly lingers below");
+    let after = timeout_of_new_call(&mut server, 102, 0)
+        .expect("a call that was waited for that long is hardly in flight any more");
     assert!(after < before * 1.05, "no call took longer than before: {before} {after}");
 }
 
 #[test]
 fn a_call_far_overdue_uses_up_no_more_call_time() {
     let mut server = used_to_calls_of(10.0, 2.0);
-    patience(&mut server, 101, 1).expect("call time was saved");
+    timeout_of_new_call(&mut server, 101, 1).expect("call time was saved");
     server.advance(3000.0, 0.5, 0.0);
-    assert!(patience(&mut server, 102, 1).is_some(), "one lost reply would hold up all calls");
-    assert!(patience(&mut server, 103, 1).is_none(), "the share itself holds whatever is lost");
+    assert!(timeout_of_new_call(&mut server, 102, 1).is_some(), "one lost reply would hold up all calls");
+    assert!(
+        timeout_of_new_call(&mut server, 103, 1).is_none(),
+        "the quota itself holds however many replies are lost"
+    );
 }
 
 #[test]
 fn a_call_that_may_be_made_again_is_given_up_sooner() {
-    let read = patience(&mut used_to_calls_of(1.0, 1.9), 101, 0).expect("call time was saved");
-    let write = patience(&mut used_to_calls_of(1.0, 1.9), 101, 1).expect("call time was saved");
-    assert!(read < write && read > 50.0, "a write fails with its call: {read} {write}");
+    let read = timeout_of_new_call(&mut used_to_calls_of(1.0, 1.9), 101, 0).expect("call time was saved");
+    let write = timeout_of_new_call(&mut used_to_calls_of(1.0, 1.9), 101, 1).expect("call time was saved");
+    assert!(read < write && read > 50.0, "a write fails if its call fails: {read} {write}");
 }
 
 #[test]
@@ -247,7 +255,10 @@
     server.handle(Event::CallNeeded { id: 1 });
     let mut actions = server.advance(370.0, 0.1, 0.0);
     actions.extend(server.handle(Event::CallEnded { id: 2, outcome: Outcome::Done, took_ms: 370.0 }));
-    assert!(failed(&actions, 1), "the first in line by due time would take the dependency and still be late");
+    assert!(
+        failed(&actions, 1),
+        "the request with the earliest deadline would take the call and still be late"
+    );
     assert_eq!(calls(&actions), 0);
 }
 
--- a/tests/failures/deadlines.rs
+++ b/tests/failures/deadlines.rs
@@ -62,5 +62,5 @@
         actions.contains(&Action::CancelRun { id: 1 })
     };
     assert!(ends(Preemption::Drop) && ends(Preemption::Pause), "it would keep its core and memory");
-    assert!(!ends(Preemption::Never), "not where it is a fault");
+    assert!(!ends(Preemption::Never), "not where work cannot be cancelled");
 }
--- a/tests/failures/duplicates.rs
+++ b/tests/failures/duplicates.rs
@@ -85,15 +85,18 @@
         let again = |a: &&Action| matches!(a, Action::StartRun { id: i } if *i == id);
         server.log.iter().any(|a| of(&a)) || server.log.iter().filter(again).count() != 1
     };
-    assert!(failed(&server.log, 1) && !touched(1), "due while it runs");
+    assert!(failed(&server.log, 1) && !touched(1), "past its deadline while it runs");
     assert!(
         !failed(&server.log, 2) && !touched(2),
         "its caller is gone: nothing is owed, its effect goes on"
     );
-    assert!(rejected(&server.log, 3), "held, it never ran: a refusal says so, and another server may run it");
+    assert!(
+        rejected(&server.log, 3),
+        "it was queued and never ran: a rejection says so, and another server may run it"
+    );
 }
 
-/// A keyed try that ran, and is over.
+/// A server on which a keyed request ran to its end.
 fn with_a_keyed_run() -> TestServer {
     let mut server = TestServer::new(settings());
     assert!(started(&server.arrive(request(1, 1)), 1));
@@ -105,8 +108,8 @@
     Event::TimerFired { token: 0, gauges: gauges.to_vec() }
 }
 
-/// The timer answers what is past its due time; one that came in the same instant is not decided yet, and a repeat of what
-/// ran must not be told that it never did.
+/// The timer answers requests past their deadline. One that arrived in the same instant is not decided yet: if it
+/// duplicates a run, its caller must not be told that it never ran.
 #[test]
 fn a_repeat_that_comes_too_late_in_the_instant_of_a_timer_is_not_turned_away() {
     let mut server = with_a_keyed_run();
@@ -125,7 +128,7 @@
         |server: &TestServer| server.log.iter().any(|a| matches!(a, Action::SetHealth { good: false, .. }));
     while !said(&server) {
         server.advance(20.0, 0.5, 1.0);
-        assert!(server.now < 5000.0, "nothing gets anywhere, and it is not seen");
+        assert!(server.now < 5000.0, "no run makes progress, and the stall is not detected");
     }
     let repeat = Request { duplicate_of: Some(1), ..request(3, 1) };
     let actions = server.batch(vec![Event::RequestArrived(repeat), timer([0.5, 1.0])]);
@@ -133,7 +136,7 @@
     assert!(actions.contains(&Action::ReuseResult { id: 3 }), "{actions:?}");
 }
 
-/// Past the share that is refused, one worth more takes the place of one that is held: not of one of its own instant.
+/// An arrival that would be shed may displace a queued request of lower score, but not one of its own instant.
 #[test]
 fn a_repeat_is_not_displaced_by_one_that_came_in_the_same_instant() {
     let mut server = with_a_keyed_run();
@@ -143,7 +146,7 @@
     }
     let mut seen = false;
     for id in (100..200).step_by(2) {
-        // The repeat is worth nothing any more, and stands behind one that is worth most.
+        // The duplicate earns nothing any more and is decided after a request of the highest score.
         let worthy =
             Request { work_hint_ms: Some(1.0), deadline_ms: Some(server.now + 60_000.0), ..request(id, 1) };
         let repeat = Request { duplicate_of: Some(1), queued_ms: 2990.0, ..request(id + 1, 1) };
@@ -152,5 +155,5 @@
         seen |= actions.iter().any(|a| matches!(a, Action::Reject { reason: RejectReason::Displaced, .. }));
         server.advance(20.0, 1.0, 8.0);
     }
-    assert!(seen, "the test is of no worth if nothing is displaced");
+    assert!(seen, "the test shows nothing if nothing is displaced");
 }
--- a/tests/failures/estimates.rs
+++ b/tests/failures/estimates.rs
@@ -25,7 +25,7 @@
     for id in 1..=12 {
         // Work of 150 ms that takes 600 ms cold: at two requests a second both cores are never in use.
         let actions = server.arrive(Request { deadline_ms: Some(server.now + 1000.0), ..request(id, 0) });
-        assert!(started(&actions, id), "slowness learned twice over makes request {id} look hopeless");
+        assert!(started(&actions, id), "a slowdown learned twice makes request {id} look hopeless");
         server.advance(600.0, 0.5, 1.0);
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
@@ -43,7 +43,7 @@
         }
     }
     let first = rejections.first().copied().unwrap_or(99);
-    assert!((8..=18).contains(&first), "work of 150 ms on two cores and an aim of 1 s: {rejections:?}");
+    assert!((8..=18).contains(&first), "work of 150 ms on two cores and an objective of 1 s: {rejections:?}");
 }
 
 #[test]
@@ -58,11 +58,8 @@
     }
     let again = |id, wait| Request { retry: true, deadline_ms: Some(wait), ..request(id, 0) };
     let now = server.now;
-    assert!(started(&server.arrive(again(50, now + 2250.0)), 50), "half the deadline is what each try gets");
-    assert!(
-        rejected(&server.arrive(again(51, now + 300.0)), 51),
-        "what is left of the deadline tells its age"
-    );
+    assert!(started(&server.arrive(again(50, now + 2250.0)), 50), "each attempt gets half of the timeout");
+    assert!(rejected(&server.arrive(again(51, now + 300.0)), 51), "the rest of the timeout tells its age");
 }
 
 #[test]
@@ -78,6 +75,9 @@
         }
         rejected(&server.arrive(Request { work_hint_ms: Some(2500.0), ..request(99, 0) }), 99)
     };
-    assert!(turns_away_long(true), "2.5 s of work for an aim of 1 s: another server may be fast enough");
-    assert!(!turns_away_long(false), "hints that say nothing turn nobody away");
+    assert!(
+        turns_away_long(true),
+        "2.5 s of work for an objective of 1 s: another server may be fast enough"
+    );
+    assert!(!turns_away_long(false), "hints that say nothing cause no rejection");
 }
--- a/tests/failures/feedback.rs
+++ b/tests/failures/feedback.rs
@@ -12,9 +12,9 @@
     let none = |actions: &[Action]| actions.contains(&Action::ReportLoad { value: 0.0 });
     assert!(
         !none(&server.advance(300.0, 0.2, 0.0)),
-        "all would crowd the others, and its grace be spent idle"
+        "all traffic would move to the others while this server is idle in its grace"
     );
-    assert!(none(&server.advance(100.0, 0.2, 0.0)), "what comes after the grace must not run");
+    assert!(none(&server.advance(100.0, 0.2, 0.0)), "what arrives after the grace must not run");
 }
 
 #[test]
@@ -25,11 +25,8 @@
         let id = 10 * id + 2;
         server.batch(vec![Event::RequestArrived(request(id, 0)), Event::CallerGone { id }]);
         server.advance(10.0, 1.0, 2.0);
-        let mut started = server.log.iter().filter_map(|a| match a {
-            Action::StartRun { id } => Some(*id),
-            _ => None,
-        });
-        if let Some(id) = started.nth(id as usize / 20) {
+        let nth_start = started_ids(&server.log).nth(id as usize / 20);
+        if let Some(id) = nth_start {
             server.handle(Event::RunEnded { id, outcome: Outcome::Done });
         }
     }
@@ -38,7 +35,7 @@
         server.log.iter().filter(meant).count()
     };
     assert!(rejected(false) > 50, "the cores are full");
-    assert_eq!(rejected(true), 0, "all had waited alike, and others may well have room");
+    assert_eq!(rejected(true), 0, "all had waited alike, and others may well have capacity");
 }
 
 #[test]
@@ -56,7 +53,7 @@
             .iter()
             .any(|a| matches!(a, Action::Reject { last: true, retry_after_ms, .. } if *retry_after_ms > 0.0));
     }
-    assert!(last, "refusals that walk the list jam the reading of all servers");
+    assert!(last, "retries from server to server would jam the reading of all of them");
 }
 
 #[test]
@@ -111,10 +108,10 @@
         assert_eq!(
             health(&actions),
             wanted,
-            "slowed: {slow}; a jam of the whole fleet must not empty the list"
+            "slowed: {slow}; a jam of the whole fleet must not empty the endpoint list"
         );
         let back = health(&server.advance(5000.0, 0.0, 0.0));
-        assert_eq!(back, if slow { Some(true) } else { None }, "the unread line is gone");
+        assert_eq!(back, if slow { Some(true) } else { None }, "nothing is unread any more");
     }
 }
 
@@ -125,7 +122,7 @@
     server.advance(900.0, 1.0, 1.0);
     let actions = server.arrive(request(2, 0));
     let pauses = |a: &Action| matches!(a, Action::Reject { retry_after_ms, last: false, .. } if *retry_after_ms == 1000.0);
-    assert!(actions.iter().any(pauses), "its quick refusals would make it look idle: {actions:?}");
+    assert!(actions.iter().any(pauses), "its quick rejections would make it look idle: {actions:?}");
     assert!(server.log.contains(&Action::ReportLoad { value: 0.0 }));
     assert!(server.log.contains(&Action::SetHealth { good: false, from_store: true }));
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
@@ -146,11 +143,11 @@
         !actions.contains(&Action::SetHealth { good: false, from_store: true }),
         "runs of 210 ms vary by as much"
     );
-    assert!(!rejected(&actions, 3), "what is held would be refused by chance");
+    assert!(!rejected(&actions, 3), "queued requests would be rejected by chance");
     let actions = server.advance(1000.0, 1.0, 2.0);
     assert!(
         actions.contains(&Action::SetHealth { good: false, from_store: true }),
-        "eight times that is one"
+        "eight times the expected duration is a stall"
     );
 }
 
@@ -164,7 +161,7 @@
             .any(|a| matches!(a, Action::CloseIdleConnections { after_ms } if *after_ms < 10_000.0))
     };
     assert!(closes(1000.0), "each comes back after minutes: the table fills with idle connections");
-    assert!(!closes(3.0), "a handshake for each pause of a few callers buys nothing");
+    assert!(!closes(3.0), "with few callers, a handshake after each idle time gains nothing");
 }
 
 #[test]
@@ -182,7 +179,7 @@
     let failed = Action::SetHealth { good: false, from_store: true };
     assert!(
         !server.log.contains(&failed),
-        "in a jam of the fleet such servers would leave the list by chance"
+        "in a jam of the fleet such servers would leave the endpoint list by chance"
     );
 }
 
@@ -208,12 +205,12 @@
             _ => None,
         })
     };
-    assert!(kept(&server) < Some(10_000.0), "room for newcomers while they can be served");
+    assert!(kept(&server) < Some(10_000.0), "newcomers get a connection while they can be served");
     for id in 1..=60 {
         server.arrive(Request { queued_ms: 2995.0, ..request(id, 0) });
         server.advance(20.0, 1.0, 4.0);
     }
-    assert!(kept(&server) > Some(25_000.0), "each new connection would cost a handshake to be refused");
+    assert!(kept(&server) > Some(25_000.0), "each new connection would cost a handshake to be rejected");
     for id in 100..200 {
         server.arrive(request(id, 0));
         server.advance(50.0, 0.5, 1.0);
@@ -227,6 +224,6 @@
     let mut server = TestServer::new(settings());
     let told = |actions: &[Action], good| actions.contains(&Action::SetHealth { good, from_store: true });
     assert!(!told(&server.advance(3000.0, 1.0, 8.0), false), "runs, reading and a few connections");
-    assert!(told(&server.advance(2000.0, 1.0, 40.0), false), "it reads no one and says nothing to anyone");
+    assert!(told(&server.advance(2000.0, 1.0, 40.0), false), "it reads no request and answers none");
     assert!(told(&server.advance(3000.0, 1.0, 3.0), true));
 }
--- a/tests/failures/priority.rs
+++ b/tests/failures/priority.rs
@@ -15,9 +15,7 @@
         if id % 10 == 0 && !running.is_empty() {
             actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
         }
-        running.extend(
-            actions.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None }),
-        );
+        running.extend(started_ids(&actions));
         seen.extend(actions.into_iter().map(|a| (id, a)));
     }
     seen
@@ -36,10 +34,10 @@
     let seen = flood(|id| (usize::from(id % 10 == 0), false));
     let displaced =
         |a: &(u32, Action)| matches!(a, (at, Action::Reject { id, .. }) if at % 10 == 0 && id < at);
-    assert!(seen.iter().any(displaced), "worth three times as much, it is not left to chance");
+    assert!(seen.iter().any(displaced), "three times the weight is not left to chance");
     let ran = |a: &(u32, Action)| matches!(a, (at, Action::StartRun { id }) if *at > 200 && id % 10 == 0);
     let best = seen.iter().filter(|a| ran(a)).count();
-    assert!(best >= 30, "{best} of the 40 that are worth most");
+    assert!(best >= 30, "{best} of the 40 with the highest weight");
 }
 
 #[test]
@@ -51,7 +49,7 @@
     config.classes[0] = Class { latency_objective_ms: 4000.0, timeout_ms: 12_000.0, ..Class::default() };
     let mut server = TestServer::new(config);
     let (mut running, mut ran, mut came) = (Vec::new(), [0, 0], [0, 0]);
-    // Two runs a second, far under an allowance of four a second and server for each.
+    // Two runs a second, far below a quota of four a second and server for each tenant.
     for id in 1..=1200u32 {
         let tenant = usize::from(id % 10 == 0);
         came[tenant] += 1;
@@ -60,12 +58,10 @@
         if id % 20 == 0 && !running.is_empty() {
             actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
         }
-        for started in
-            actions.iter().filter_map(|a| if let Action::StartRun { id } = a { Some(*id) } else { None })
-        {
+        for started in started_ids(&actions) {
             running.push(started);
             ran[usize::from(started % 10 == 0)] += 1;
         }
     }
-    assert!(ran[1] * 2 >= ran[0], "a tenth of what comes, half of the allowances: {ran:?} of {came:?}");
+    assert!(ran[1] * 2 >= ran[0], "a tenth of the arrivals, half of the quotas: {ran:?} of {came:?}");
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -111,7 +111,10 @@
             Action::StartRun { id } => {
                 let entry = self.requests.get_mut(&id).expect("only requests that arrived are started");
                 assert_eq!((entry.answers, entry.starts), (0, 0), "request {id} started again or late");
-                assert!(!entry.keyed || self.retained_keys.contains_key(&id), "keyed run without an entry");
+                assert!(
+                    !entry.keyed || self.retained_keys.contains_key(&id),
+                    "keyed run without a retained key"
+                );
                 let late = self.drain_started_ms.is_some_and(|since| entry.arrived_ms > since + 500.0);
                 assert!(!late, "run after the grace of the drain");
                 entry.starts += 1;
@@ -120,9 +123,9 @@
             Action::Reject { id, .. } | Action::Fail { id, .. } => {
                 let entry = self.requests.get_mut(&id).expect("only requests that arrived are answered");
                 let refusal = matches!(action, Action::Reject { .. });
-                assert!(!refusal || entry.starts == 0, "request {id} ran and was turned away");
+                assert!(!refusal || entry.starts == 0, "request {id} ran and was rejected");
                 let ran = entry.duplicate_of.is_some_and(|first| ran.contains(&first));
-                assert!(!refusal || !ran, "request {id} repeats what ran and was told that it never did");
+                assert!(!refusal || !ran, "request {id} duplicates a run and was told that it never ran");
                 assert!(!entry.ended, "request {id} answered twice");
                 entry.answers += 1;
                 assert_eq!(entry.answers, 1);
@@ -141,7 +144,7 @@
                 let entry = self.requests.get_mut(&id).expect("known");
                 assert!(
                     entry.awaits_call && entry.may_skip_call,
-                    "{id} does not stop, or must not go on without"
+                    "{id} awaits no call, or must not go on without"
                 );
                 entry.awaits_call = false;
             }
--- a/tests/loops.rs
+++ b/tests/loops.rs
@@ -5,7 +5,7 @@
 use common::*;
 use pinepoint::admission::*;
 
-/// Two cores that are never out of work, unless told so.
+/// A server whose two cores always have work.
 struct BusyServer {
     server: TestServer,
     next: u32,
@@ -23,7 +23,7 @@
         busy_server
     }
 
-    /// Whether the next arrival is refused.
+    /// Whether the next arrival is rejected.
     fn arrive(&mut self, queued_ms: f64) -> bool {
         self.next += 1;
         let deadline_ms = Some(self.server.now + 1_000_000.0);
@@ -33,13 +33,10 @@
     }
 
     fn record_starts(&mut self, actions: &[Action]) {
-        self.running.extend(actions.iter().filter_map(|a| match a {
-            Action::StartRun { id } => Some(*id),
-            _ => None,
-        }));
+        self.running.extend(started_ids(actions));
     }
 
-    /// Arrivals every 20 ms, a run ends every 100 ms; the part of the arrivals that is refused.
+    /// Arrivals every 20 ms, a run ends every 100 ms; the part of the arrivals that is rejected.
     fn serve_demand(&mut self, ms: f64, queued_ms: f64) -> f64 {
         let until = self.server.now + ms;
         let (mut rejections, mut count) = (0.0, 0.0);
@@ -65,9 +62,12 @@
     let later = busy_server.serve_demand(4_000.0, 5.0);
     busy_server.serve_demand(60_000.0, 5.0);
     let last = busy_server.serve_demand(4_000.0, 5.0);
-    assert!(early < 0.1, "a busy half second is chance: {early}");
-    assert!(later > early + 0.05 && last > later + 0.3, "a busy spell is not: {later}, then {last}");
-    assert!(last > 0.75, "the integral reaches the clamp; only a free core still takes what comes: {last}");
+    assert!(early < 0.1, "half a second of busy cores is chance: {early}");
+    assert!(
+        later > early + 0.05 && last > later + 0.3,
+        "seconds of busy cores are not: {later}, then {last}"
+    );
+    assert!(last > 0.75, "the integral reaches the clamp; only an idle core still takes an arrival: {last}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     busy_server.serve_demand(300_000.0, 5.0);
     busy_server.server.advance(400.0, 0.0, 0.0);
     let after = busy_server.serve_demand(500.0, 5.0);
-    assert!(after < 0.1, "minutes at the clamp leave no debt: {after}");
+    assert!(after < 0.1, "minutes at the clamp do not wind up the integral: {after}");
 }
 
 #[test]
@@ -95,8 +95,8 @@
     for id in 10..13 {
         assert!(!started(&server.arrive(Request { deadline_ms: Some(1_000_000.0), ..request(id, 0) }), id));
     }
-    let starts = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::StartRun { .. })).count();
-    assert_eq!(starts(&server.advance(1_000.0, 1.0, 2.0)), 0, "whatever the start loop has saved");
+    let starts = |actions: &[Action]| started_ids(actions).count();
+    assert_eq!(starts(&server.advance(1_000.0, 1.0, 2.0)), 0, "whatever credit the start loop has saved");
     assert_eq!(starts(&server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done })), 1);
     assert_eq!(starts(&server.handle(Event::RunEnded { id: 2, outcome: Outcome::Done })), 1);
 }
