--- a/crates/pinepoint-lab/src/lib.rs
+++ b/crates/pinepoint-lab/src/lib.rs
@@ -1,20 +1,26 @@
-//! The laboratory: stand-ins for everything around pinepoint, written from public specifications, which fail on command,
-//! and a load tool. They know nothing of the program and share no code with it, so that what they say of it is worth
-//! something. Loopback addresses only.
+//! The test tool of pinepoint: stub services for everything around it, written from public specifications, which fail on
+//! command; a load generator; experiments; and a test cluster of many processes. It knows nothing of the program and shares
+//! no code with it, so that its results are independent. Loopback addresses only.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
+pub mod cluster;
 pub mod collectd;
+pub mod fault_proxy;
 pub mod fleet;
 pub mod graphite;
+mod line_protocol;
 mod listen;
 pub mod load;
-pub mod machine;
 pub mod operation;
 pub mod process;
-pub mod rig;
 pub mod routers;
+mod rpc;
 pub mod script;
+pub mod simulated_engine;
+mod standard_load;
+mod statistics;
 pub mod store;
-pub mod switch;
+pub mod stub_services;
+mod sync;
 pub mod telemetry;
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -1,11 +1,11 @@
-//! CPU time of the program for each answered request, against an earlier build of it. All processes run side by side and
-//! are loaded in short turns with the same requests, so that what the machine does meanwhile falls on all alike.
+//! The experiment on CPU time for each answered request, against an earlier build of the program. All processes run side by
+//! side and are loaded in short rounds with the same requests, so that what the machine does meanwhile affects all alike.
 
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -16,24 +16,24 @@
 use super::deployment::{Deployment, ManagementSource, Process, Setup, free_address};
 use super::engine::{Engine, Finish};
 use super::management;
-use crate::load::{self, Class, Ends, Plan};
+use crate::load::{self, OutcomeCounts, RequestClass, Workload};
+use crate::process::cpu_time_s;
+use crate::sync::lock;
 
-/// Time that a run takes on the engine.
+/// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
-/// Window of the keyed class: short, so that the number of kept keys settles within a turn.
+/// Deduplication window of the keyed class: short, so that the number of retained keys settles within a trial.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 /// Connections that carry the load.
 const CONNECTIONS: usize = 12;
-/// Between a turn's last answer and the reading of its cost, so that no turn pays for the one before it.
+/// Pause between the last answer of a trial and the reading of its cost, so that no trial pays for the one before it.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Between two calls of `INFO`.
+/// Pause between two queries of `INFO`.
 const INFO_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that does not serve in this time does not.
+/// How long a process may take until it is ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
-/// Between two looks whether a process serves.
-const READY_AGAIN: Duration = Duration::from_millis(20);
-/// Kernel ticks of `/proc/PID/stat` in a second.
-const TICKS_PER_S: f64 = 100.0;
+/// Pause between two health checks of a process that starts.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What is measured.
 #[derive(Clone, Debug)]
@@ -42,15 +42,15 @@
     pub before: PathBuf,
     /// The program.
     pub program: PathBuf,
-    /// Length of the load of each turn.
-    pub length: Duration,
-    /// Turns, beside the first one, which is not counted.
-    pub turns: u64,
+    /// Duration of the load of each trial.
+    pub duration: Duration,
+    /// Rounds, each with one trial of each variant, beside the first one, which is not counted.
+    pub rounds: u64,
     /// Requests a second.
     pub rate: f64,
 }
 
-/// CPU time of a process, user and system, s.
+/// CPU time of a process, user and system, s, measured in two ways.
 #[derive(Clone, Copy, Debug, Default)]
 struct CpuTime {
     /// From `/proc/PID/stat`, in kernel ticks.
@@ -62,17 +62,13 @@
 impl CpuTime {
     fn of(process: &Process) -> io::Result<CpuTime> {
         let directory = format!("/proc/{}", process.id());
-        let stat = std::fs::read_to_string(format!("{directory}/stat"))?;
-        // Behind the name, which may hold anything, the state is the third field; user and system time are 14 and 15.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
         let mut exact_ns = 0.0;
         for task in std::fs::read_dir(format!("{directory}/task"))? {
             let schedstat = std::fs::read_to_string(task?.path().join("schedstat"))?;
             let on_cpu = schedstat.split_whitespace().next().and_then(|field| field.parse::<f64>().ok());
             exact_ns += on_cpu.ok_or_else(|| io::Error::other("schedstat without a time"))?;
         }
-        Ok(CpuTime { ticks_s: (ticks(11) + ticks(12)) / TICKS_PER_S, exact_s: exact_ns / 1e9 })
+        Ok(CpuTime { ticks_s: cpu_time_s(process.id())?, exact_s: exact_ns / 1e9 })
     }
 
     fn since(self, earlier: CpuTime) -> CpuTime {
@@ -80,17 +76,17 @@
     }
 }
 
-/// One turn of one process.
+/// One trial of one variant.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
-    ends: Ends,
+struct Trial {
+    outcomes: OutcomeCounts,
     cpu: CpuTime,
     info_calls: u64,
 }
 
-impl Turn {
+impl Trial {
     fn answered(&self) -> u64 {
-        self.ends.served + self.ends.refused + self.ends.failed
+        self.outcomes.served + self.outcomes.rejected + self.outcomes.failed
     }
 
     fn cpu_us_per_request(&self) -> f64 {
@@ -98,52 +94,62 @@
     }
 }
 
-/// A process that is compared, with its surroundings.
-struct Arm {
+/// Whether a variant has a management port.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Management {
+    /// It has none.
+    Off,
+    /// It has one, which is polled under load.
+    Polled,
+}
+
+/// A variant of the program that is compared: its process and its deployment.
+struct Variant {
     name: &'static str,
-    /// Its management port is asked for its figures while it is loaded.
-    asked: bool,
+    /// Its management port is polled while it is loaded.
+    is_polled: bool,
     deployment: Deployment,
     process: Process,
-    turns: Vec<Turn>,
+    trials: Vec<Trial>,
 }
 
-impl Arm {
-    fn start(name: &'static str, program: &PathBuf, managed: bool) -> io::Result<Arm> {
+impl Variant {
+    fn start(name: &'static str, program: &Path, management: Management) -> io::Result<Variant> {
         let deployment = Deployment::new(Setup { key_window: KEY_WINDOW, ..Setup::new(program) })?;
-        let environment = if managed { Some(free_address()?) } else { None };
+        let is_polled = management == Management::Polled;
+        let environment = if is_polled { Some(free_address()?) } else { None };
         let source = ManagementSource { environment, configuration: None };
         let process = deployment.start_with(Engine::start(Finish::After(RUN_TIME))?, source)?;
         await_healthy(&deployment)?;
-        Ok(Arm { name, asked: managed, deployment, process, turns: Vec::new() })
+        Ok(Variant { name, is_polled, deployment, process, trials: Vec::new() })
     }
 
-    fn turn(&self, options: &Options, seed: u64) -> io::Result<Turn> {
-        let plan = Plan {
-            classes: vec![class(READ_CLASS, false), class(KEYED_CLASS, true)],
+    fn run_trial(&self, options: &Options, seed: u64) -> io::Result<Trial> {
+        let workload = Workload {
+            classes: vec![request_class(READ_CLASS, false), request_class(KEYED_CLASS, true)],
             rate: options.rate,
             ajp: 0.0,
-            length: options.length,
+            duration: options.duration,
             connections: (CONNECTIONS, 0),
-            spread: 0.5,
+            work_sigma: 0.5,
             seed,
         };
-        let asker = self.asked.then(|| Asker::start(&self.process));
+        let poller = self.is_polled.then(|| InfoPoller::start(&self.process));
         let before = CpuTime::of(&self.process)?;
         let executor = Rc::new(LocalExecutor::new());
-        let seen = async_io::block_on(executor.run(async {
-            let seen = load::run(&plan, self.deployment.listen, None, &executor).await?;
+        let summary = async_io::block_on(executor.run(async {
+            let summary = load::run(&workload, self.deployment.listen, None, &executor).await?;
             Timer::after(SETTLE).await;
-            Ok::<_, io::Error>(seen)
+            Ok::<_, io::Error>(summary)
         }))?;
         let cpu = CpuTime::of(&self.process)?.since(before);
-        let info_calls = asker.map_or(Ok(0), Asker::stop)?;
-        Ok(Turn { ends: seen.all(), cpu, info_calls })
+        let info_calls = poller.map_or(Ok(0), InfoPoller::stop)?;
+        Ok(Trial { outcomes: summary.all(), cpu, info_calls })
     }
 }
 
-fn class(name: &'static str, keyed: bool) -> Class {
-    Class { name, share: 0.5, work_ms: 1.0, keyed, calls: false }
+fn request_class(name: &'static str, keyed: bool) -> RequestClass {
+    RequestClass { name, share: 0.5, work_ms: 1.0, keyed, calls: false }
 }
 
 /// Waits until a health check is answered with yes.
@@ -153,98 +159,103 @@
         if deployment.connect().is_ok_and(|client: Client| client.ping() == Reply::Health(true)) {
             return Ok(());
         }
-        std::thread::sleep(READY_AGAIN);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
     Err(io::Error::new(io::ErrorKind::TimedOut, "a process does not serve"))
 }
 
-/// Calls `INFO` once an interval on a thread of its own.
-struct Asker {
+/// Queries `INFO` once an interval on a thread of its own.
+struct InfoPoller {
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
     error: Arc<Mutex<Option<io::Error>>>,
 }
 
-impl Asker {
-    fn start(process: &Process) -> Asker {
-        let asker = Asker { stop: Arc::default(), calls: Arc::default(), error: Arc::default() };
-        let (stop, calls, error) = (asker.stop.clone(), asker.calls.clone(), asker.error.clone());
+impl InfoPoller {
+    fn start(process: &Process) -> InfoPoller {
+        let poller = InfoPoller { stop: Arc::default(), calls: Arc::default(), error: Arc::default() };
+        let (stop, calls, error) = (poller.stop.clone(), poller.calls.clone(), poller.error.clone());
         let address = process.management;
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
                 match management::ask(address, "INFO").and_then(|answer| answer.figures()) {
                     Ok(_) => calls.fetch_add(1, Ordering::Relaxed),
                     Err(wrong) => {
-                        *error.lock().unwrap_or_else(PoisonError::into_inner) = Some(wrong);
+                        *lock(&error) = Some(wrong);
                         return;
                     }
                 };
                 std::thread::sleep(INFO_INTERVAL);
             }
         });
-        asker
+        poller
     }
 
-    /// Tells how many calls were answered; an error if one was not.
+    /// Stops polling; returns the number of answers, or an error if a query failed.
     fn stop(self) -> io::Result<u64> {
         self.stop.store(true, Ordering::Relaxed);
-        match self.error.lock().unwrap_or_else(PoisonError::into_inner).take() {
+        match lock(&self.error).take() {
             Some(error) => Err(error),
             None => Ok(self.calls.load(Ordering::Relaxed)),
         }
     }
 }
 
-/// Runs all turns, every other one in the reverse order, so that what grows with time favours no process.
-pub fn measure(options: &Options, tell: &mut dyn FnMut(&Value)) -> io::Result<Value> {
-    let mut arms = vec![
-        Arm::start("before", &options.before, false)?,
-        Arm::start("now", &options.program, false)?,
-        Arm::start("now, managed, INFO each second", &options.program, true)?,
+/// Runs all rounds, every other one in the reverse order, so that what grows with time favours no variant; calls `emit`
+/// with the report of each trial, and returns the summary.
+///
+/// # Errors
+/// If a program does not start or is not ready in time, or a query of its management port fails.
+pub fn measure(options: &Options, emit: &mut dyn FnMut(&Value)) -> io::Result<Value> {
+    let mut variants = vec![
+        Variant::start("before", &options.before, Management::Off)?,
+        Variant::start("now", &options.program, Management::Off)?,
+        Variant::start("now, managed, INFO each second", &options.program, Management::Polled)?,
     ];
-    for number in 0..=options.turns {
-        let mut order: Vec<usize> = (0..arms.len()).collect();
+    for number in 0..=options.rounds {
+        let mut order: Vec<usize> = (0..variants.len()).collect();
         if number % 2 == 1 {
             order.reverse();
         }
         for at in order {
-            let turn = arms[at].turn(options, number + 1)?;
-            // The first turn, with a cold program, counts for nothing.
+            let trial = variants[at].run_trial(options, number + 1)?;
+            // The program warms up in the first round, which does not count.
             if number > 0 {
-                tell(&turn_report(arms[at].name, number, &turn));
-                arms[at].turns.push(turn);
+                emit(&trial_report(variants[at].name, number, &trial));
+                variants[at].trials.push(trial);
             }
         }
     }
-    Ok(summary(&arms))
+    Ok(summary(&variants))
 }
 
-fn turn_report(arm: &str, number: u64, turn: &Turn) -> Value {
+fn trial_report(variant: &str, number: u64, trial: &Trial) -> Value {
     json!({
         "turn": number,
-        "arm": arm,
-        "sent": turn.ends.sent,
-        "served": turn.ends.served,
-        "refused": turn.ends.refused,
-        "failed": turn.ends.failed,
-        "unanswered": turn.ends.unanswered,
-        "info_calls": turn.info_calls,
-        "cpu_us_per_request": rounded(turn.cpu_us_per_request(), 2),
-        "cpu_ticks_s": turn.cpu.ticks_s,
+        "arm": variant,
+        "sent": trial.outcomes.sent,
+        "served": trial.outcomes.served,
+        "refused": trial.outcomes.rejected,
+        "failed": trial.outcomes.failed,
+        "unanswered": trial.outcomes.unanswered,
+        "info_calls": trial.info_calls,
+        "cpu_us_per_request": rounded(trial.cpu_us_per_request(), 2),
+        "cpu_ticks_s": trial.cpu.ticks_s,
     })
 }
 
-fn summary(arms: &[Arm]) -> Value {
-    let costs = |arm: &Arm| -> Vec<f64> { arm.turns.iter().map(Turn::cpu_us_per_request).collect() };
-    let base = arms.first().map(costs).unwrap_or_default();
-    let report = |arm: &Arm| {
-        let costs = costs(arm);
+fn summary(variants: &[Variant]) -> Value {
+    let costs =
+        |variant: &Variant| -> Vec<f64> { variant.trials.iter().map(Trial::cpu_us_per_request).collect() };
+    let base = variants.first().map(costs).unwrap_or_default();
+    let report = |variant: &Variant| {
+        let costs = costs(variant);
         let ratios: Vec<f64> = costs.iter().zip(&base).map(|(cost, base)| cost / base).collect();
-        let answered: u64 = arm.turns.iter().map(Turn::answered).sum();
-        let ticks_s: f64 = arm.turns.iter().map(|turn| turn.cpu.ticks_s).sum();
+        let answered: u64 = variant.trials.iter().map(Trial::answered).sum();
+        let ticks_s: f64 = variant.trials.iter().map(|trial| trial.cpu.ticks_s).sum();
         json!({
-            "arm": arm.name,
-            "turns": arm.turns.len(),
+            "arm": variant.name,
+            "turns": variant.trials.len(),
             "answered": answered,
             "cpu_us_per_request": spread(costs, 2),
             "by_ticks_us_per_request": rounded(ticks_s * 1e6 / answered.max(1) as f64, 2),
@@ -252,7 +263,7 @@
         })
     };
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
-    json!({ "cores": cores, "arms": arms.iter().map(report).collect::<Vec<_>>() })
+    json!({ "cores": cores, "arms": variants.iter().map(report).collect::<Vec<_>>() })
 }
 
 /// Median, least and largest.
@@ -261,7 +272,7 @@
     let middle = values.len() / 2;
     let median = match values.len() {
         0 => f64::NAN,
-        length if length % 2 == 0 => f64::midpoint(values[middle - 1], values[middle]),
+        count if count % 2 == 0 => f64::midpoint(values[middle - 1], values[middle]),
         _ => values[middle],
     };
     let at = |value: Option<&f64>| value.map(|value| rounded(*value, digits));
--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -1,54 +1,73 @@
-//! A view of the fleet that its members keep by themselves: who is there, who is going, who is new, and which part of the
-//! fleet one is cut off from. No centre, no election, no promise about any other matter than this view.
+//! SWIM/Lifeguard gossip membership: each member keeps a view of the fleet by itself. It says who is there, who is shutting
+//! down, who is new, and which part of the fleet this member is cut off from. There is no central service, no election, and
+//! no guarantee about anything but this view.
 //!
-//! What holds:
-//! - A member that is gone is held lost by all in a time that grows as the logarithm of the fleet; one that lives refutes.
-//! - Draining and left are told by the member itself, never guessed.
-//! - A restart is told apart from a return: starts only grow, and an earlier start never touches a later one.
-//! - After the last fault all that can reach each other come to hold the same.
+//! Guarantees:
+//! - A member that is gone is declared lost by all, in a time that grows with the logarithm of the fleet; one that runs
+//!   refutes.
+//! - Draining and left are announced by the member itself, never guessed.
+//! - A restart is told from a return: generations only grow, and a record of an earlier one never overrides a later one.
+//! - After the last fault, all members that reach each other converge to the same view.
 //!
-//! What is not promised: that two views are the same at any instant; that a lost member does not run; that a verdict is
-//! more than what its evidence says.
+//! Not guaranteed: that two views are equal at any instant; that a lost member does not run; that a verdict is more than its
+//! evidence says.
 //!
-//! [`fleet`] decides, on [`table`] and [`member`]; [`judge`] judges over the single member; [`wire`] is the form of
-//! messages; [`io`] carries out; [`config`] is what operators choose. Decisions do no I/O and read no clock.
+//! [`membership`] is the protocol, a state machine over [`table`] and [`member`]; [`diagnosis`] finds faults that concern
+//! more than one member; [`wire`] is the format of messages; [`io`] runs a member on a socket; [`config`] is the section of
+//! the edge file. Only [`io`] does I/O and reads a clock.
 //!
 //! ```
-//! use pinepoint_membership::fleet::{Action, Event, Fleet, Rules};
+//! use std::net::SocketAddr;
+//!
 //! use pinepoint_membership::member::Identity;
+//! use pinepoint_membership::membership::{Action, Event, Membership, MembershipSettings};
+//! use pinepoint_membership::wire::Packet;
+//!
+//! fn address(number: u8) -> SocketAddr {
+//!     ([127, 0, 0, number], 7000).into()
+//! }
 //!
-//! let member = |n: u8, seeds: &[u8]| {
-//!     let at = |n| ([127, 0, 0, n], 7000).into();
+//! fn member(number: u8, seeds: Vec<SocketAddr>) -> Membership {
 //!     let identity = Identity {
-//!         name: format!("n{n}"), zone: "a".into(), address: at(n), cores: 2, instance: u32::from(n),
+//!         name: format!("n{number}"),
+//!         zone: "a".into(),
+//!         address: address(number),
+//!         cores: 2,
+//!         instance: u32::from(number),
 //!     };
-//!     Fleet::new(Rules::default(), 0.0, identity, seeds.iter().map(|n| at(*n)).collect(), u64::from(n))
-//! };
-//! let (mut a, mut b) = (member(1, &[]), member(2, &[1]));
-//! let mut out = Vec::new();
-//! while b.table().is_empty() {
-//!     let now = b.next_due();
-//!     b.handle(now, Event::Tick, &mut out);
-//!     for action in std::mem::take(&mut out) {
-//!         let Action::Send(_, packet) = action else { continue };
-//!         let mut answers = Vec::new();
-//!         a.handle(now, Event::Packet(packet), &mut answers);
-//!         for answer in answers {
-//!             if let Action::Send(_, packet) = answer {
-//!                 b.handle(now, Event::Packet(packet), &mut Vec::new());
-//!             }
+//!     Membership::new(MembershipSettings::default(), 0.0, identity, seeds, u64::from(number))
+//! }
+//!
+//! /// Lets a member handle an event, and returns the packets that it sends.
+//! fn handle(member: &mut Membership, now: f64, event: Event) -> Vec<Packet> {
+//!     let mut actions = Vec::new();
+//!     member.handle(now, event, &mut actions);
+//!     let packets = actions.into_iter().filter_map(|action| match action {
+//!         Action::Send(_, packet) => Some(packet),
+//!         Action::Notify(_) => None,
+//!     });
+//!     packets.collect()
+//! }
+//!
+//! let mut first = member(1, Vec::new());
+//! let mut second = member(2, vec![address(1)]);
+//! while second.table().is_empty() {
+//!     let now = second.next_due();
+//!     for packet in handle(&mut second, now, Event::Tick) {
+//!         for answer in handle(&mut first, now, Event::PacketReceived(packet)) {
+//!             handle(&mut second, now, Event::PacketReceived(answer));
 //!         }
 //!     }
 //! }
-//! assert_eq!((a.table().len(), b.table().len()), (1, 1));
+//! assert_eq!((first.table().len(), second.table().len()), (1, 1));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod config;
-pub mod fleet;
+pub mod diagnosis;
 pub mod io;
-pub mod judge;
 pub mod member;
+pub mod membership;
 pub mod table;
 pub mod wire;
--- a/src/bin/pinepoint-adapter/input.rs
+++ b/src/bin/pinepoint-adapter/input.rs
@@ -24,7 +24,7 @@
         let signed_seed = || seed.as_i64().map(|seed| seed as u64);
         let seed = seed.as_u64().or_else(signed_seed).ok_or_else(missing_seed)?;
         let info = message.value("info").ok_or_else(|| message.invalid("info", "an object"))?;
-        let site = Site::read(info).map_err(WireError::Site)?;
+        let site = Site::from_json(info).map_err(WireError::Site)?;
         let controller = AdmissionController::new(site.settings, seed)?;
         Ok(Server { controller, class_names: site.class_names, tenant_names: site.tenant_names })
     }
