--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -11,10 +11,11 @@
 /// Difference of scores, as a part, below which two requests count as alike.
 pub(super) const ALIKE_PART: f64 = 0.15;
 
-/// Reasons against an arrival that hold whatever it is worth.
+/// Limits that hold for an arrival whatever its score.
 struct ArrivalLimits {
-    /// It came after the grace of a drain.
+    /// It reached the machine after the grace of a drain.
     drained: bool,
+    /// There is no memory to queue it.
     memory_full: bool,
 }
 
--- a/src/admission/sampling.rs
+++ b/src/admission/sampling.rs
@@ -7,6 +7,7 @@
 
 /// Shortest time between two samples that is divided by, s.
 const MIN_SAMPLE_S: f64 = 1e-6;
+
 impl AdmissionController {
     /// Time between two samples, ms.
     pub(super) fn sample_period_ms(&self) -> f64 {
@@ -37,7 +38,7 @@
         self.answer_due(now_ms, actions);
         self.watch_for_stall(now_ms, dt_s);
         self.report_health(dt_s, actions);
-        self.update_read_delay(dt_s);
+        self.read_delay.update(self.loops.busy_share, self.has_idle_cores(), dt_s);
         self.close_idle_connections(dt_s, actions);
         self.report_load(actions);
     }
@@ -67,8 +68,4 @@
         let core_share = self.core_time.share;
         self.stall.update(now_ms, &RunSample { dt_s, period_ms, running, total_work_ms, core_share });
     }
-
-    fn update_read_delay(&mut self, dt_s: f64) {
-        self.read_delay.update(self.loops.busy_share, self.has_idle_cores(), dt_s);
-    }
 }
