--- a/src/server/write_buffer.rs
+++ b/src/server/write_buffer.rs
@@ -1,4 +1,4 @@
-//! The queue of bytes that wait to be written to one connection. Whoever fills it never waits.
+//! A queue of bytes that wait to be written to one connection. Its bound is its user's. Whoever fills it never waits.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -7,55 +7,63 @@
 
 use crate::server::sync::Notify;
 
-/// The writer queue of one connection: bytes that wait to be written. Whoever fills it never waits.
+/// The bytes that wait to be written to one connection.
 #[derive(Debug, Default)]
 pub struct WriteBuffer {
-    bytes: RefCell<Vec<u8>>,
-    signal: Notify,
-    writing: Cell<usize>,
+    /// Bytes that no flush has taken yet.
+    queued: RefCell<Vec<u8>>,
+    wakeup: Notify,
+    /// Bytes that a flush has taken and not written yet.
+    being_written: Cell<usize>,
 }
 
 impl WriteBuffer {
     /// Appends what `fill` writes and wakes the writer.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
-        fill(&mut self.bytes.borrow_mut());
-        self.signal.wake();
+        fill(&mut self.queued.borrow_mut());
+        self.wakeup.wake();
     }
 
     /// Bytes that have not been handed to the socket.
     pub fn backlog(&self) -> usize {
-        self.bytes.borrow().len() + self.writing.get()
+        self.queued.borrow().len() + self.being_written.get()
     }
 
-    /// Wakes the writer without bytes, so that it looks whether it is done.
+    /// Wakes the writer without bytes, so that it checks whether it is done.
     pub fn wake(&self) {
-        self.signal.wake();
+        self.wakeup.wake();
     }
 
-    /// Forgets what was not written.
+    /// Drops what was not written.
     pub fn clear(&self) {
-        self.bytes.borrow_mut().clear();
-        self.writing.set(0);
+        self.queued.borrow_mut().clear();
+        self.being_written.set(0);
     }
 
-    /// Waits for a wake-up and writes all there is, in order.
+    /// Waits for a wake-up and writes all there is, in order. Errors are those of the stream, and `WriteZero` where it takes
+    /// nothing more.
     pub async fn flush(&self, mut stream: impl AsyncWrite + Unpin) -> io::Result<()> {
-        self.signal.wait().await;
+        self.wakeup.wait().await;
         loop {
-            let chunk = self.bytes.take();
+            let chunk = self.queued.take();
             if chunk.is_empty() {
                 return Ok(());
             }
-            let mut rest = chunk.as_slice();
-            self.writing.set(rest.len());
-            while !rest.is_empty() {
-                let written = stream.write(rest).await?;
-                if written == 0 {
-                    return Err(io::ErrorKind::WriteZero.into());
-                }
-                rest = &rest[written..];
-                self.writing.set(rest.len());
+            self.write(&chunk, &mut stream).await?;
+        }
+    }
+
+    async fn write(&self, chunk: &[u8], stream: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
+        let mut rest = chunk;
+        self.being_written.set(rest.len());
+        while !rest.is_empty() {
+            let written = stream.write(rest).await?;
+            if written == 0 {
+                return Err(io::ErrorKind::WriteZero.into());
             }
+            rest = &rest[written..];
+            self.being_written.set(rest.len());
         }
+        Ok(())
     }
 }
