--- a/src/server/frontend/ajp/connection.rs
+++ b/src/server/frontend/ajp/connection.rs
@@ -163,7 +163,7 @@
     async fn receive(&mut self, payload: &[u8]) -> Result<ReceivedRequest, RequestError> {
         let context = self.connection.context.clone();
         let arrived_ms = context.clock.now();
-        let correlation_id = self.connection.next_correlation_id();
+        let correlation_id = self.connection.state.count_read();
         let request = ForwardRequest::parse(payload)?;
         let length = request.body_length().map_err(RequestError::last)?;
         let site = context.active_settings.site();
@@ -258,13 +258,6 @@
 }
 
 impl Connection {
-    /// Counts a request that was read; its number on this connection.
-    fn next_correlation_id(&self) -> u64 {
-        let correlation_id = self.state.read.get() + 1;
-        self.state.read.set(correlation_id);
-        correlation_id
-    }
-
     /// Hands a request to the core.
     async fn submit(self: &Rc<Self>, request: ReceivedRequest, options: &Options) {
         let ReceivedRequest { correlation_id, arrived_ms, head, body } = request;
@@ -297,7 +290,7 @@
     /// Answers a request that does not reach the core; in `Err` if the connection ends.
     fn reject(&self, status: HttpStatus, reuse: Reuse) -> Result<(), CloseReason> {
         count(&self.context.counters.bad_requests);
-        self.count_answer();
+        self.state.count_answered();
         let goes_on = reuse == Reuse::Allowed && !self.state.is_going_away();
         self.respond(status.0, Vec::new(), b"", Reuse::allowed_if(goes_on));
         match reuse {
@@ -312,10 +305,6 @@
         let response = Response { status, headers: &headers, body, reuse };
         self.writer.push(|out| write_response(out, &response));
     }
-
-    fn count_answer(&self) {
-        self.state.answered.set(self.state.answered.get() + 1);
-    }
 }
 
 impl Caller for Connection {
@@ -328,7 +317,7 @@
             return;
         }
         self.in_flight.set(None);
-        self.count_answer();
+        self.state.count_answered();
         let reuse = Reuse::allowed_if(!self.state.is_going_away());
         match reply {
             Reply::Served(result) => {
--- a/src/server/frontend/ajp/mod.rs
+++ b/src/server/frontend/ajp/mod.rs
@@ -1,5 +1,5 @@
-//! The AJP13 frontend, for web servers that forward to a container. [`packet`] frames, [`request`] parses the head of a
-//! request, [`response`] writes what goes back, and [`connection`] carries one connection. It decides nothing about a
+//! The AJP13 frontend, for web servers that forward to a container. `packet` frames, `request` parses the head of a
+//! request, `response` writes what goes back, and `connection` carries one connection. It decides nothing about a
 //! request: one whose head and body are complete goes to the core, one whose body breaks off goes nowhere.
 
 mod connection;
--- /dev/null
+++ b/src/server/frontend/connection/read_half.rs
@@ -0,0 +1,136 @@
+//! The reading half of a connection: bytes as they come, and what ends the wait for them.
+
+use std::future::Future;
+use std::io;
+use std::net::{Shutdown, TcpStream};
+use std::pin::Pin;
+use std::rc::Rc;
+
+use async_io::Async;
+use futures_lite::{AsyncReadExt, future};
+
+use super::{CloseReason, WriteHalf};
+use crate::server::frontend::connection_state::ConnectionState;
+use crate::server::frontend::context::FrontendContext;
+
+/// Bytes that are read at a time.
+const READ_CHUNK_BYTES: usize = 4096;
+
+/// The reading half of a connection.
+pub struct ReadHalf {
+    stream: Rc<Async<TcpStream>>,
+    state: Rc<ConnectionState>,
+    context: Rc<FrontendContext>,
+    /// Bytes that were read and belong to no complete message yet.
+    pub bytes: Vec<u8>,
+    /// Completes when the connection should close. It is kept from one read to the next, so that its timers are set anew only
+    /// where their time has changed.
+    close_signal: CloseSignal,
+}
+
+type CloseSignal = Pin<Box<dyn Future<Output = ReadEvent>>>;
+
+/// What ends the wait for bytes.
+enum ReadEvent {
+    /// So many bytes were read, none at the end of the stream.
+    Read(io::Result<usize>),
+    /// The message that has begun was not complete in time.
+    TimedOut,
+    /// The connection should close if it is idle, for this reason.
+    CloseDue(&'static str),
+    /// The process is about to end.
+    Finishing,
+}
+
+fn close_signal(state: Rc<ConnectionState>, context: Rc<FrontendContext>) -> CloseSignal {
+    Box::pin(async move {
+        let close_due = async {
+            let reason = state.close_due(&context.clock, context.caller_idle_timeout_ms()).await;
+            ReadEvent::CloseDue(reason)
+        };
+        let finishing = async {
+            context.status.finishing.wait().await;
+            ReadEvent::Finishing
+        };
+        future::or(finishing, close_due).await
+    })
+}
+
+impl ReadHalf {
+    /// The reading half of a connection of which nothing was read.
+    pub fn new(
+        stream: Rc<Async<TcpStream>>,
+        state: Rc<ConnectionState>,
+        context: Rc<FrontendContext>,
+    ) -> Self {
+        let close_signal = close_signal(state.clone(), context.clone());
+        ReadHalf { stream, state, context, bytes: Vec::new(), close_signal }
+    }
+
+    /// Appends more bytes to [`ReadHalf::bytes`]. With `deadline_ms`, Unix ms, the wait for them ends then: a message has
+    /// begun that must be complete. Whatever ends the wait, what had come before it is read first.
+    pub async fn read_more(
+        &mut self,
+        writer: &WriteHalf,
+        deadline_ms: Option<f64>,
+    ) -> Result<(), CloseReason> {
+        self.state.partial_message.set(!self.bytes.is_empty());
+        if self.bytes.is_empty() {
+            // A buffer that keeps its peak is memory for as long as the connection stays.
+            self.bytes = Vec::new();
+        }
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        loop {
+            match self.next_event(&mut chunk, deadline_ms).await {
+                ReadEvent::Read(Ok(0)) => return Err(CloseReason::PeerClosed),
+                ReadEvent::Read(Ok(read)) => {
+                    self.bytes.extend_from_slice(&chunk[..read]);
+                    return Ok(());
+                }
+                ReadEvent::Read(Err(_)) => return Err(CloseReason::PeerGone("peer-reset")),
+                ReadEvent::TimedOut => return Err(CloseReason::Graceful("sender-stalled")),
+                ReadEvent::Finishing => return Err(CloseReason::Finishing),
+                ReadEvent::CloseDue(reason) => {
+                    self.close_signal = close_signal(self.state.clone(), self.context.clone());
+                    self.shut_down_if_quiet(reason, writer).await?;
+                }
+            }
+        }
+    }
+
+    async fn next_event(&mut self, chunk: &mut [u8], deadline_ms: Option<f64>) -> ReadEvent {
+        let clock = &self.context.clock;
+        let timed_out = async {
+            match deadline_ms {
+                Some(deadline_ms) => clock.until(deadline_ms).await,
+                None => future::pending().await,
+            }
+            ReadEvent::TimedOut
+        };
+        let mut stream = &*self.stream;
+        let read = async { ReadEvent::Read(stream.read(chunk).await) };
+        // Reading comes first: it tries the socket at each turn.
+        future::or(read, future::or(timed_out, &mut self.close_signal)).await
+    }
+
+    /// Shuts the writing half down, which is an `Err`, unless something came meanwhile. Between the look at the socket and
+    /// the shutdown nothing else happens: what the other side wrote before it is read, what it writes after it finds
+    /// the connection shut down and is sent again elsewhere.
+    async fn shut_down_if_quiet(&self, reason: &'static str, writer: &WriteHalf) -> Result<(), CloseReason> {
+        writer.flushed().await;
+        let socket = self.stream.get_ref();
+        match socket.peek(&mut [0]) {
+            Ok(0) => Err(CloseReason::PeerClosed),
+            Ok(_) => {
+                self.state.cancel_eviction();
+                Ok(())
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                let _ = socket.shutdown(Shutdown::Write);
+                Err(CloseReason::WriteClosed(reason))
+            }
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
+            Err(_) => Err(CloseReason::PeerGone("peer-reset")),
+        }
+    }
+}
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,5 +1,5 @@
-//! What is known of one connection of a caller, whatever its protocol: how it was used, and when it should end. It must
-//! never touch a socket.
+//! What is known of one connection of a caller, whatever its protocol: how it was used, and when it should close. It never
+//! touches a socket.
 
 use std::cell::Cell;
 
@@ -8,48 +8,48 @@
 
 use crate::server::sync::Notify;
 
-/// Time in which a new connection has to bring its first whole message, and any the rest of one that has begun,
-/// ms. A router connects when it has something to say; what says nothing is owed an end within 3 s.
+/// Time in which a new connection has to bring its first complete message, and any connection the rest of one that has
+/// begun, ms. A router connects when it has something to send; one that sends nothing must be closed within 3 s.
 pub const MESSAGE_TIMEOUT_MS: f64 = 1500.0;
-/// Time after the notice to go in which a connection without open requests is closed from here, ms. A router
-/// that heard the notice closes first; what stays would hold its descriptor for good.
+/// Idle time after the go-away notification after which a connection is closed from here, ms. A router that was notified
+/// closes first; one that stays would hold its descriptor for good.
 const GO_AWAY_TIMEOUT_MS: f64 = 1000.0;
-/// Least wait of a guard between two looks, ms: whatever the settings say, none may turn without a pause.
+/// Least interval of the checks whether a connection is due to close, ms: whatever the settings say, none may spin.
 const MIN_CHECK_INTERVAL_MS: f64 = 5.0;
 
-/// What the guards know of one connection.
+/// The state of one connection, shared by the tasks that serve it and by the limiter.
 #[derive(Debug)]
 pub struct ConnectionState {
-    /// Tells connections apart, over all fronts.
+    /// Number of the connection, unique over all frontends.
     pub id: u64,
-    /// Requests and checks read.
-    pub read: Cell<u64>,
-    /// Requests answered.
-    pub answered: Cell<u64>,
-    /// When it last carried something whole, ms.
+    /// Requests and health checks that were read.
+    pub requests_read: Cell<u64>,
+    /// Requests that were answered.
+    pub requests_answered: Cell<u64>,
+    /// When it last carried a complete message, Unix ms.
     pub last_active_ms: Cell<f64>,
-    /// It brought a whole message.
+    /// It has brought a complete message.
     pub received_message: Cell<bool>,
-    /// Something is under way on it: an answer is owed, or a body was asked for.
+    /// An answer is owed, or a body was asked for.
     pub request_in_flight: Cell<bool>,
-    /// The first part of a message came, and not yet the rest.
+    /// A part of a message has come, and the rest has not.
     pub partial_message: Cell<bool>,
-    /// It was asked to go, and is closed from here after so long without anything under way, ms.
+    /// No new request should come on it: it is closed from here when it has been idle for so long, ms.
     go_away_timeout_ms: Cell<Option<f64>>,
-    /// Its place is wanted for another.
+    /// It was asked to close for another connection.
     eviction_requested: Cell<bool>,
-    /// Its writing half is shut; it only waits for the other side to close.
+    /// Its writing half is shut down; it only waits for the other side to close.
     lingering: Cell<bool>,
     changed: Notify,
 }
 
 impl ConnectionState {
-    /// A connection that was accepted at this time.
+    /// A connection that was accepted at `now`, Unix ms.
     pub fn new(id: u64, now: f64) -> Self {
         ConnectionState {
             id,
-            read: Cell::new(0),
-            answered: Cell::new(0),
+            requests_read: Cell::new(0),
+            requests_answered: Cell::new(0),
             last_active_ms: Cell::new(now),
             received_message: Cell::new(false),
             request_in_flight: Cell::new(false),
@@ -61,24 +61,37 @@
         }
     }
 
-    /// Notes that a whole message was read: that shows why it stays.
+    /// Notes that a complete message was read, which takes back a request to close for another connection.
     pub fn message_received(&self, now: f64) {
         self.received_message.set(true);
         self.last_active_ms.set(now);
         self.eviction_requested.set(false);
     }
 
-    /// It was asked to go.
+    /// Counts a request or a health check that was read, and returns their number.
+    pub fn count_read(&self) -> u64 {
+        let read = self.requests_read.get() + 1;
+        self.requests_read.set(read);
+        read
+    }
+
+    /// Counts a request that was answered.
+    pub fn count_answered(&self) {
+        self.requests_answered.set(self.requests_answered.get() + 1);
+    }
+
+    /// Whether no new request should come on it.
     pub fn is_going_away(&self) -> bool {
         self.go_away_timeout_ms.get().is_some()
     }
 
-    /// Notes that it was asked to go; tells whether that is new. It is closed from here if it stays.
+    /// Notes that the other side is notified that no new request should come; tells whether that is new. It has a while to
+    /// close the connection.
     pub fn mark_go_away_sent(&self, now: f64) -> bool {
         self.mark_going_away(now, GO_AWAY_TIMEOUT_MS)
     }
 
-    /// The same where nobody is told that a notice came: it is closed as soon as nothing is under way.
+    /// The same in a protocol without such a notification: the connection is closed as soon as it is idle.
     pub fn mark_going_away_unannounced(&self, now: f64) -> bool {
         self.mark_going_away(now, 0.0)
     }
@@ -98,66 +111,73 @@
         self.last_active_ms.get() < since_ms && !self.request_in_flight.get()
     }
 
-    /// Notes that its writing half is shut.
+    /// Notes that its writing half is shut down.
     pub fn set_lingering(&self) {
         self.lingering.set(true);
     }
 
-    /// Its writing half is shut.
+    /// Whether its writing half is shut down.
     pub fn is_lingering(&self) -> bool {
         self.lingering.get()
     }
 
-    /// It was asked to make way, and has neither gone nor shown why it stays.
-    pub fn is_eviction_requested(&self) -> bool {
-        self.eviction_requested.get()
-    }
-
-    /// Asks it to make way for another.
+    /// Asks it to close for another connection.
     pub fn request_eviction(&self) {
         self.eviction_requested.set(true);
         self.changed.wake();
     }
 
-    /// Takes back that its place is wanted: it has something to say.
+    /// Takes that back: it has something to send.
     pub fn cancel_eviction(&self) {
         self.eviction_requested.set(false);
     }
 
-    /// Completes when its place is wanted.
+    /// Whether it was asked to close, and has neither closed nor sent anything since.
+    pub fn is_eviction_requested(&self) -> bool {
+        self.eviction_requested.get()
+    }
+
+    /// Completes when it is asked to close.
     pub async fn eviction_request(&self) {
         while !self.eviction_requested.get() {
             self.changed.wait().await;
         }
     }
 
-    /// Completes, with the reason, when the connection should go: nothing is under way on it, and it made way or said
-    /// nothing for too long. `caller_idle_timeout_ms` is the time after which routers close idle ones themselves: what is left after it
-    /// belongs to none that lives.
+    /// Completes, with the reason code, when the connection should close: nothing is in flight, and it is evicted or was
+    /// idle for too long. Callers close connections that are idle for `caller_idle_timeout_ms` themselves: one that is
+    /// left after it belongs to no caller that is alive.
     pub async fn close_due(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
         loop {
-            let (limit_ms, reason) = match (self.received_message.get(), self.go_away_timeout_ms.get()) {
-                (false, _) => (MESSAGE_TIMEOUT_MS, "silent"),
-                (true, Some(timeout_ms)) => (timeout_ms, "told-to-go"),
-                (true, None) => (caller_idle_timeout_ms, "idle"),
-            };
+            let (timeout_ms, reason) = self.idle_timeout(caller_idle_timeout_ms);
             let now = clock.now();
-            let at = self.last_active_ms.get() + limit_ms;
+            let due_ms = self.last_active_ms.get() + timeout_ms;
             if !self.request_in_flight.get() {
                 if self.eviction_requested.get() {
                     return "gave-way";
                 }
-                // Half a message has a bound of its own; it must not be taken for silence of one that spoke before.
-                if now >= at && !(self.received_message.get() && self.partial_message.get()) {
+                if now >= due_ms && !self.has_partial_later_message() {
                     return reason;
                 }
             }
-            let wait_ms = if at > now { at - now } else { limit_ms };
-            future::or(
-                self.changed.wait(),
-                clock.pause(wait_ms.clamp(MIN_CHECK_INTERVAL_MS, GO_AWAY_TIMEOUT_MS)),
-            )
-            .await;
+            let wait_ms = if due_ms > now { due_ms - now } else { timeout_ms };
+            let check = clock.pause(wait_ms.clamp(MIN_CHECK_INTERVAL_MS, GO_AWAY_TIMEOUT_MS));
+            future::or(self.changed.wait(), check).await;
+        }
+    }
+
+    /// The idle time after which it should close, ms, and the reason code of that.
+    fn idle_timeout(&self, caller_idle_timeout_ms: f64) -> (f64, &'static str) {
+        match (self.received_message.get(), self.go_away_timeout_ms.get()) {
+            (false, _) => (MESSAGE_TIMEOUT_MS, "silent"),
+            (true, Some(timeout_ms)) => (timeout_ms, "told-to-go"),
+            (true, None) => (caller_idle_timeout_ms, "idle"),
         }
     }
+
+    /// Whether a part of a message has come behind a complete one. It has a deadline of its own and must not be taken for
+    /// an idle connection.
+    fn has_partial_later_message(&self) -> bool {
+        self.received_message.get() && self.partial_message.get()
+    }
 }
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -1,4 +1,4 @@
-//! What the connections of all fronts share. It must never know a wire or touch a request.
+//! What the connections of all frontends share. It knows nothing of protocols and requests.
 
 use std::rc::Rc;
 
@@ -12,29 +12,29 @@
 use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::observability::counters::Counters;
 
-/// What every connection of every front needs.
+/// What every connection of every frontend needs.
 pub struct FrontendContext {
-    /// Settings and names.
+    /// Settings, and the names of classes and tenants.
     pub active_settings: Rc<ActiveSettings>,
     /// What the core publishes.
     pub status: Rc<Status>,
     /// Counters.
     pub counters: Rc<Counters>,
-    /// Who is told of limits that are reached.
+    /// Notified of limits that are reached.
     pub observer: Rc<dyn Observer>,
     /// The clock.
     pub clock: Clock,
-    /// The way to the core.
+    /// The queue to the core.
     pub queue: Sender<CoreInput>,
-    /// Room for connections.
+    /// The limits on connections.
     pub limiter: Rc<ConnectionLimiter>,
 }
 
 impl FrontendContext {
-    /// Time after which callers close idle connections, ms. Not told, it is left to them and to the want of room.
+    /// Idle time after which callers close connections, ms. It is infinite where the settings have none: callers close them,
+    /// or they are evicted for others.
     pub fn caller_idle_timeout_ms(&self) -> f64 {
-        Some(self.active_settings.site().settings.caller_idle_timeout_ms)
-            .filter(|ms| *ms > 0.0)
-            .unwrap_or(f64::INFINITY)
+        let timeout_ms = self.active_settings.site().settings.caller_idle_timeout_ms;
+        if timeout_ms > 0.0 { timeout_ms } else { f64::INFINITY }
     }
 }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -1,9 +1,11 @@
-//! Accepting connections, the same for every front. It must never know a wire or touch a request.
+//! Accepts the connections of one listening socket, within the limits of the process and of its frontend, and has each
+//! served by a task of its own. It knows nothing of protocols and requests.
 
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::ControlFlow;
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
@@ -18,22 +20,23 @@
 use crate::server::frontend::limiter::{ConnectionLimiter, ListenerGuard};
 use crate::server::observability::counters::count;
 
-/// Wait before another look for a free descriptor, ms.
+/// Wait before the next attempt where there is no capacity or no free descriptor, ms.
 const FULL_RETRY_MS: f64 = 20.0;
-/// Connections that may wait to be accepted: hundreds come at once, and one that finds no place there comes
-/// again only after a second.
+/// Connections that may wait to be accepted: hundreds come at once, and one that finds no place in the queue tries again
+/// only after a second.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// A listening socket. While it is there, someone may stand before it.
+/// A listening socket. It counts as open until it is dropped, which closes it.
 pub struct Listener {
-    listener: Async<TcpListener>,
-    limiter: ListenerGuard,
+    // Dropped in this order: the socket is closed before it no longer counts as open.
+    socket: Async<TcpListener>,
+    _open: ListenerGuard,
 }
 
 impl Listener {
-    /// Opens the door to that room.
-    pub fn new(listener: Async<TcpListener>, limiter: &Rc<ConnectionLimiter>) -> Self {
-        Listener { listener, limiter: ListenerGuard::new(limiter) }
+    /// Counts this socket as open in `limiter`.
+    pub fn new(socket: Async<TcpListener>, limiter: &Rc<ConnectionLimiter>) -> Self {
+        Listener { socket, _open: ListenerGuard::new(limiter) }
     }
 }
 
@@ -49,115 +52,204 @@
     Ok(socket.into())
 }
 
-/// What a listener turns to.
-enum Next {
-    /// A connection, or why there is none.
-    Accepted(io::Result<Async<TcpStream>>),
-    /// Accepting was switched off or on.
-    Changed,
-    /// The end.
-    Shut,
-}
-
-/// Accepts connections until the core shuts the doors and nobody stands before this one; `serve` has each, of `max_connections` at
-/// a time. What it returns is the reason code of the end.
+/// Accepts connections until the core stops it and none waits to be accepted. `serve` has each, of `max_connections` at a
+/// time, and returns the reason code of its end. `frontend` names the frontend in the log.
 pub async fn listen<F: Future<Output = &'static str> + 'static>(
-    name: &'static str,
-    Listener { listener, limiter: _open }: Listener,
+    frontend: &'static str,
+    listener: Listener,
     max_connections: usize,
     context: Rc<FrontendContext>,
     executor: Rc<LocalExecutor<'static>>,
     serve: impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
 ) {
-    let open_connections = Rc::new(Cell::new(0));
-    if let Err(error) = rustix::net::listen(&listener, ACCEPT_BACKLOG) {
+    if let Err(error) = rustix::net::listen(&listener.socket, ACCEPT_BACKLOG) {
         tracing::warn!(%error, "backlog-not-set");
     }
-    loop {
-        let shut = async {
-            context.status.stop_accepting.passed().await;
-            Next::Shut
-        };
-        if !context.status.accepting.is_on() {
-            let resumed = async {
-                context.status.accepting.until(true).await;
-                Next::Changed
-            };
-            match future::or(resumed, shut).await {
-                Next::Shut => break,
-                _ => continue,
-            }
+    let open_connections = Rc::new(Cell::new(0));
+    let acceptor = Acceptor { frontend, listener, max_connections, open_connections, context, executor };
+    while acceptor.step(&serve).await.is_continue() {}
+}
+
+/// Accepts the connections of one listening socket.
+struct Acceptor {
+    /// The frontend's name in the log.
+    frontend: &'static str,
+    listener: Listener,
+    max_connections: usize,
+    /// Connections that were accepted here and are not closed.
+    open_connections: Rc<Cell<usize>>,
+    context: Rc<FrontendContext>,
+    executor: Rc<LocalExecutor<'static>>,
+}
+
+/// What ends the wait for a connection.
+enum AcceptEvent {
+    /// A connection, or why there is none.
+    Accepted(io::Result<Async<TcpStream>>),
+    /// Accepting was switched off.
+    Paused,
+    /// The core has stopped accepting for good.
+    Stopped,
+}
+
+/// What ends the wait for capacity.
+enum CapacityEvent {
+    /// A connection waits to be accepted, or the core has stopped accepting and those that wait have their last chance.
+    Needed,
+    /// A connection was closed, or none could be waited for.
+    Changed,
+}
+
+impl Acceptor {
+    /// One step: breaks when the core has stopped accepting and no connection waits.
+    async fn step<F: Future<Output = &'static str> + 'static>(
+        &self,
+        serve: &impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
+    ) -> ControlFlow<()> {
+        if !self.context.status.accepting.is_on() {
+            return self.resumed().await;
         }
-        if context.limiter.is_full() || open_connections.get() >= max_connections {
-            // Descriptors are kept for the links; those that knock wait in the backlog until one gives way.
-            // Nobody is asked to go before one knocks, or all are to go anyhow.
-            let knocks = async { listener.readable().await.is_ok() };
-            let capacity_change = async {
-                context.limiter.capacity_change().await;
-                false
-            };
-            // Whoever waits in the backlog then still has a turn, a moment later.
-            let shut = async {
-                shut.await;
-                true
-            };
-            if future::or(knocks, future::or(capacity_change, shut)).await {
-                if context.limiter.is_full() {
-                    context.limiter.evict_one(context.clock.now());
-                    context.observer.process_event(
-                        context.clock.now(),
-                        ProcessEvent::LimitReached(ResourceLimit::Connections),
-                    );
-                }
-                future::or(context.limiter.capacity_change(), context.clock.pause(FULL_RETRY_MS)).await;
-            }
-            continue;
+        if self.is_full() {
+            self.make_capacity().await;
+            return ControlFlow::Continue(());
         }
-        // Those in the backlog come before the end: dropped with the listener, they would be lost.
-        let accepted = async { Next::Accepted(listener.accept().await.map(|(stream, _)| stream)) };
-        let paused = async {
-            context.status.accepting.until(false).await;
-            Next::Changed
-        };
-        match future::or(paused, future::or(accepted, shut)).await {
-            Next::Changed => {}
-            Next::Accepted(Ok(stream)) => {
-                let _ = stream.get_ref().set_nodelay(true);
-                count(&context.counters.connections);
-                let began = context.clock.now();
-                let state = context.limiter.register(began);
-                open_connections.set(open_connections.get() + 1);
-                let served = serve(Rc::new(stream), state.clone());
-                let (context, open_connections) = (context.clone(), open_connections.clone());
-                let connection = async move {
-                    // With it the socket is closed.
-                    let reason = served.await;
-                    context.limiter.unregister(state.id);
-                    open_connections.set(open_connections.get() - 1);
-                    count(&context.counters.connections_ended);
-                    tracing::info!(
-                        conn = state.id,
-                        front = name,
-                        reason,
-                        read = state.read.get(),
-                        answered = state.answered.get(),
-                        after_ms = (context.clock.now() - began).round(),
-                        "conn-ended"
-                    );
-                    let _ = context.queue.send(CoreInput::ConnectionClosed { caller: state.id }).await;
-                };
-                executor.spawn(connection).detach();
-                // Each gets to read before another is asked to make way.
+        match self.next_connection().await {
+            AcceptEvent::Paused => {}
+            AcceptEvent::Stopped => return ControlFlow::Break(()),
+            AcceptEvent::Accepted(Ok(stream)) => {
+                self.spawn(stream, serve);
+                // Each gets to read before another is asked to close.
                 future::yield_now().await;
             }
-            Next::Accepted(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted => {}
-            Next::Accepted(Err(error)) => {
+            AcceptEvent::Accepted(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+            AcceptEvent::Accepted(Err(error)) => {
                 tracing::warn!(%error, "accept-failed");
-                context.clock.pause(FULL_RETRY_MS).await;
+                self.context.clock.pause(FULL_RETRY_MS).await;
             }
-            Next::Shut => break,
         }
+        ControlFlow::Continue(())
+    }
+
+    /// Completes when accepting is switched on, or breaks when the core has stopped it for good.
+    async fn resumed(&self) -> ControlFlow<()> {
+        let resumed = async {
+            self.context.status.accepting.wait_for(true).await;
+            ControlFlow::Continue(())
+        };
+        let stopped = async {
+            self.context.status.stop_accepting.wait().await;
+            ControlFlow::Break(())
+        };
+        future::or(resumed, stopped).await
+    }
+
+    fn is_full(&self) -> bool {
+        self.context.limiter.is_full() || self.open_connections.get() >= self.max_connections
+    }
+
+    /// Waits for capacity, and asks a connection to close for another that waits to be accepted. Descriptors are kept free
+    /// for the links, so connections wait in the backlog until one is closed; none is evicted before one waits, or all
+    /// are to close anyhow.
+    async fn make_capacity(&self) {
+        let FrontendContext { limiter, clock, observer, .. } = &*self.context;
+        if let CapacityEvent::Changed = self.capacity_event().await {
+            return;
+        }
+        if limiter.is_full() {
+            limiter.evict_one(clock.now());
+            observer.process_event(clock.now(), ProcessEvent::LimitReached(ResourceLimit::Connections));
+        }
+        future::or(limiter.capacity_change(), clock.pause(FULL_RETRY_MS)).await;
+    }
+
+    async fn capacity_event(&self) -> CapacityEvent {
+        let connecting = async {
+            match self.listener.socket.readable().await {
+                Ok(()) => CapacityEvent::Needed,
+                Err(_) => CapacityEvent::Changed,
+            }
+        };
+        let changed = async {
+            self.context.limiter.capacity_change().await;
+            CapacityEvent::Changed
+        };
+        let stopped = async {
+            self.context.status.stop_accepting.wait().await;
+            CapacityEvent::Needed
+        };
+        future::or(connecting, future::or(changed, stopped)).await
+    }
+
+    /// The next connection. Those in the backlog come before the end: dropped with the listener, they would be lost.
+    async fn next_connection(&self) -> AcceptEvent {
+        let paused = async {
+            self.context.status.accepting.wait_for(false).await;
+            AcceptEvent::Paused
+        };
+        let accepted = async {
+            let accepted = self.listener.socket.accept().await;
+            AcceptEvent::Accepted(accepted.map(|(stream, _)| stream))
+        };
+        let stopped = async {
+            self.context.status.stop_accepting.wait().await;
+            AcceptEvent::Stopped
+        };
+        future::or(paused, future::or(accepted, stopped)).await
+    }
+
+    /// Registers a connection and has it served by a task of its own.
+    fn spawn<F: Future<Output = &'static str> + 'static>(
+        &self,
+        stream: Async<TcpStream>,
+        serve: &impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
+    ) {
+        let _ = stream.get_ref().set_nodelay(true);
+        count(&self.context.counters.connections);
+        let accepted_ms = self.context.clock.now();
+        let state = self.context.limiter.register(accepted_ms);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let connection = AcceptedConnection {
+            frontend: self.frontend,
+            accepted_ms,
+            served: serve(Rc::new(stream), state.clone()),
+            state,
+            open_connections: self.open_connections.clone(),
+            context: self.context.clone(),
+        };
+        self.executor.spawn(connection.run()).detach();
+    }
+}
+
+/// A connection from its registration to the notice of its end.
+struct AcceptedConnection<F> {
+    /// The frontend's name in the log.
+    frontend: &'static str,
+    /// Unix ms.
+    accepted_ms: f64,
+    /// Serves the connection, and owns its socket.
+    served: F,
+    state: Rc<ConnectionState>,
+    open_connections: Rc<Cell<usize>>,
+    context: Rc<FrontendContext>,
+}
+
+impl<F: Future<Output = &'static str>> AcceptedConnection<F> {
+    async fn run(self) {
+        let AcceptedConnection { frontend, accepted_ms, served, state, open_connections, context } = self;
+        // The socket is closed with it.
+        let reason = served.await;
+        context.limiter.unregister(state.id);
+        open_connections.set(open_connections.get() - 1);
+        count(&context.counters.connections_ended);
+        tracing::info!(
+            conn = state.id,
+            front = frontend,
+            reason,
+            read = state.requests_read.get(),
+            answered = state.requests_answered.get(),
+            after_ms = (context.clock.now() - accepted_ms).round(),
+            "conn-ended"
+        );
+        let _ = context.queue.send(CoreInput::ConnectionClosed { caller: state.id }).await;
     }
-    // The socket goes before the door counts as shut.
-    drop(listener);
 }
--- a/src/server/frontend/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -1,6 +1,6 @@
-//! Connections of callers: [`listener`] accepts them, [`limiter`] bounds their number, [`connection`] and
-//! [`connection_state`] carry each of them, and [`rpc`] and [`ajp`] speak their protocols. [`context`] is what all of
-//! them share.
+//! Connections of callers: [`listener`] accepts them, [`limiter`] bounds them, [`connection`] and [`connection_state`]
+//! carry each of them, and [`rpc`] and [`ajp`] speak their protocols. [`context`] is what all of them share. Nothing here
+//! decides about a request.
 
 pub mod ajp;
 pub mod connection;
--- a/src/server/frontend/rpc/connection.rs
+++ b/src/server/frontend/rpc/connection.rs
@@ -109,7 +109,7 @@
 
     /// Message ids have to count upward.
     fn accept_message_id(&self, id: u64) -> Result<(), ProtocolError> {
-        self.state.read.set(self.state.read.get() + 1);
+        self.state.count_read();
         if id <= self.last_message_id.replace(id) { Err(ProtocolError::MessageIdOrder) } else { Ok(()) }
     }
 
@@ -181,7 +181,7 @@
             return;
         }
         self.state.last_active_ms.set(self.context.clock.now());
-        self.state.answered.set(self.state.answered.get() + 1);
+        self.state.count_answered();
         let fields = self.response_fields();
         match reply {
             Reply::Served(result) => {
--- a/src/server/frontend/rpc/mod.rs
+++ b/src/server/frontend/rpc/mod.rs
@@ -1,5 +1,5 @@
-//! The MessagePack-RPC frontend for routers. [`msgpack`] decodes and encodes values, [`message`] parses what routers
-//! send, [`response`] writes what they get, and [`connection`] carries one connection. It decides nothing about a
+//! The MessagePack-RPC frontend for routers. `msgpack` decodes and encodes values, `message` parses what routers
+//! send, `response` writes what they get, and `connection` carries one connection. It decides nothing about a
 //! request: each valid one goes to the core.
 
 mod connection;
--- a/src/server/sync.rs
+++ b/src/server/sync.rs
@@ -1,56 +1,62 @@
-//! Wake-ups between tasks of the one thread. It owns nothing else.
+//! Synchronization between tasks of one thread: a wake-up, a latch and a flag.
 
 use std::cell::Cell;
 
 use async_channel::{Receiver, Sender};
 use event_listener::Event;
 
-/// A wake-up that is kept until it is awaited; many in a row count as one.
+/// A wake-up for one task. It is kept until it is awaited; several count as one.
 #[derive(Debug)]
-pub struct Notify(Sender<()>, Receiver<()>);
+pub struct Notify {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
 
 impl Default for Notify {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        Notify(sender, receiver)
+        Notify { sender, receiver }
     }
 }
 
 impl Notify {
-    /// Wakes the one that waits, or the next to wait.
+    /// Wakes the task that waits, or the next to wait.
     pub fn wake(&self) {
-        // Full means that a wake-up is already under way.
-        let _ = self.0.try_send(());
+        // The channel is full where a wake-up is already kept.
+        let _ = self.sender.try_send(());
     }
 
     /// Completes after the next wake-up.
     pub async fn wait(&self) {
         // Both ends live in this value, so the channel cannot be closed while it is awaited.
-        let _ = self.1.recv().await;
+        let _ = self.receiver.recv().await;
     }
 }
 
-/// A gate that is opened once, for all that wait at it.
+/// A latch that is opened once, for all tasks that wait for it.
 #[derive(Debug)]
-pub struct Latch(Sender<()>, Receiver<()>);
+pub struct Latch {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
 
 impl Default for Latch {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        Latch(sender, receiver)
+        Latch { sender, receiver }
     }
 }
 
 impl Latch {
     /// Opens it; tells whether it was closed before.
     pub fn open(&self) -> bool {
-        self.0.close()
+        self.sender.close()
     }
 
     /// Completes once it is open.
-    pub async fn passed(&self) {
-        // Nothing is ever sent: the channel ends when the gate opens.
-        let _ = self.1.recv().await;
+    pub async fn wait(&self) {
+        // Nothing is ever sent: the channel is closed when the latch opens.
+        let _ = self.receiver.recv().await;
     }
 }
 
@@ -62,7 +68,7 @@
 }
 
 impl Flag {
-    /// One that is in this state.
+    /// A flag in this state.
     pub fn new(on: bool) -> Self {
         Flag { on: Cell::new(on), changed: Event::new() }
     }
@@ -80,9 +86,9 @@
     }
 
     /// Completes once it is in this state.
-    pub async fn until(&self, on: bool) {
+    pub async fn wait_for(&self, on: bool) {
         while self.on.get() != on {
-            // One thread: nothing changes between the look and the listening.
+            // One thread: nothing changes between the check and the registration of the listener.
             self.changed.listen().await;
         }
     }
