--- a/crates/pinepoint-events/src/reasons.rs
+++ b/crates/pinepoint-events/src/reasons.rs
@@ -24,7 +24,7 @@
         Displaced = "displaced",
         /// The engine is not up yet.
         NotReady = "not-up",
-        /// Its request ID is already in use.
+        /// Its attempt ID is already in use.
         AttemptIdInUse = "name-in-use",
     }
 }
@@ -66,7 +66,7 @@
         ClaimDenied = "claim-denied",
         /// The bytes that followed it on its connection are not a valid message.
         ProtocolError = "spoilt-connection",
-        /// Its request ID is already in use, and the effect of the other request may be in progress.
+        /// Its attempt ID is already in use, and the other attempt may be taking effect.
         AttemptIdInUse = "name-in-use",
     }
 }
@@ -100,7 +100,7 @@
         Error = "error",
         /// It was stopped.
         Cancelled = "stopped",
-        /// The engine does not know the run: nothing was started.
+        /// The engine does not know the run: it started nothing.
         NotStarted = "unknown",
     }
 }
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -93,8 +93,9 @@
         };
         let links = HandoverLinks::new(context(self.path, inbox.clone()), listeners, link);
         let rules = Rules { longest_window_ms: longest_dedup_window_ms(site), ..Rules::default() };
-        let parts = HandoverDependencies { transport: links.clone(), inbox, rules, listener_names: names };
-        (links, parts)
+        let transport = links.clone();
+        let dependencies = HandoverDependencies { transport, inbox, rules, listener_names: names };
+        (links, dependencies)
     }
 }
 
