--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -116,7 +116,7 @@
             let kill_ms = core.run(inputs).await;
             shutdown.run(kill_ms, &process.clock).await;
         });
-        process.counters.print();
+        process.counters.log();
     }
 }
 
--- a/src/bin/pinepoint/signals.rs
+++ b/src/bin/pinepoint/signals.rs
@@ -77,7 +77,7 @@
     pub async fn run(mut self, mut signals: SignalStream) {
         loop {
             match signals.next(&self.clock).await {
-                Signal::Usr1 => self.counters.print(),
+                Signal::Usr1 => self.counters.log(),
                 Signal::Hup => {
                     self.reload.run().await;
                     self.status.registry_wakeup.wake();
--- a/src/server/observability/counters.rs
+++ b/src/server/observability/counters.rs
@@ -1,31 +1,34 @@
-//! Counters of the node, and those of each class of requests. It owns them and their form; it must never decide
-//! anything or delay a request.
+//! Counters of the process and of each class of requests, for telemetry, the log and the management port. They count up from
+//! the start of the process. The names of the fields are metric names.
 
 use std::cell::{Cell, RefCell};
 
+/// Defines both structs, and the list of their names and values. A counter is added by one line with its documentation; it
+/// then appears in telemetry and the log under its name. `process` are the counters of [`Counters`] itself, `class` those
+/// of each [`ClassCounters`].
 macro_rules! counters {
     (
-        node { $($(#[$node_doc:meta])* $node:ident),+ $(,)? }
+        process { $($(#[$process_doc:meta])* $process:ident),+ $(,)? }
         class { $($(#[$class_doc:meta])* $class:ident),+ $(,)? }
     ) => {
-        /// Counters of the node, each counting up from its start.
+        /// Counters of the process, and of its requests by class.
         #[derive(Debug, Default)]
         pub struct Counters {
-            $($(#[$node_doc])* pub $node: Cell<u64>,)+
+            $($(#[$process_doc])* pub $process: Cell<u64>,)+
             classes: RefCell<Vec<ClassCounters>>,
         }
 
-        /// Counters of the requests of one class. At any instant, what was read is what was served, refused, failed or
-        /// left by its caller, and what is open.
+        /// Counters of the requests of one class. At any time, `requests` is the sum of `served`, `refused`, `failed`, `gone`
+        /// and the open requests.
         #[derive(Clone, Debug, Default)]
         pub struct ClassCounters { $($(#[$class_doc])* pub $class: Cell<u64>,)+ }
 
         impl Counters {
-            /// Name and value of each, in a fixed order: those of classes as their sums.
+            /// Name and value of each counter, in a fixed order; those of classes as sums over all classes.
             pub fn list(&self) -> Vec<(&'static str, u64)> {
                 let all = self.all_classes();
                 vec![
-                    $((stringify!($node), self.$node.get()),)+
+                    $((stringify!($process), self.$process.get()),)+
                     $((stringify!($class), all.$class.get()),)+
                 ]
             }
@@ -50,79 +53,79 @@
 }
 
 counters! {
-    node {
-        /// Connections accepted by any front.
+    process {
+        /// Client connections accepted, over all protocols.
         connections,
-        /// Connections that ended.
+        /// Client connections that ended.
         connections_ended,
-        /// Requests that were well framed but unusable, answered by the front.
+        /// Requests that were well framed but invalid, answered by the frontend.
         bad_requests,
-        /// Requests that named a kept one.
+        /// Requests with a key that is known already.
         repeats,
         /// Requests with a known key and another body.
         refused_bodies,
-        /// Requests whose time of arrival cannot be.
+        /// Requests with an impossible time of arrival.
         bad_times,
-        /// Answers with a kept result of another try.
+        /// Answers with the retained result of another attempt.
         reused,
-        /// Answers the core gave because the decisions had not by then.
+        /// Answers that the core gave as the admission controller had not in time.
         overdue,
         /// Health checks answered.
         pings,
-        /// Runs that the engine reported over.
+        /// Runs that the engine reported as ended.
         runs_ended,
-        /// Runs stopped.
+        /// Runs cancelled.
         halts,
-        /// Starts that the core did not carry out as another try had run.
+        /// Starts that the core skipped as another attempt had run.
         doubles_prevented,
-        /// Engine links made.
+        /// Times that the engine was attached.
         engine_links,
-        /// Commands that the engine did not carry out.
+        /// Commands that the engine rejected.
         engine_refusals,
-        /// Timers served with old gauges as the engine was silent.
+        /// Timers handled with old gauges as the engine was silent.
         stale_gauges,
         /// Calls made to the store.
         calls,
-        /// Calls that went well.
+        /// Calls that succeeded.
         calls_done,
         /// Calls that ended otherwise.
         calls_failed,
-        /// Runs that went on without their call.
+        /// Runs that continued without their call.
         calls_left_out,
-        /// Store connections made.
+        /// Connections to the store opened.
         store_links,
-        /// Reports sent to the membership service.
+        /// Reports sent to the service registry.
         reports,
-        /// Kept results given up for their size.
+        /// Retained results dropped for their size.
         results_dropped,
-        /// Configurations taken at a reload.
+        /// Configurations applied at a reload.
         reloads,
-        /// Configurations turned down at a reload.
+        /// Configurations rejected at a reload.
         reloads_failed,
     }
     class {
-        /// Requests read and handed to the core.
+        /// Requests read and passed to the core.
         requests,
         /// Answers with a result.
         served,
-        /// Refusals.
+        /// Requests rejected.
         refused,
-        /// Failures.
+        /// Requests failed.
         failed,
-        /// Requests whose caller left before the answer.
+        /// Requests whose client left before the answer.
         gone,
-        /// Runs begun on the engine.
+        /// Runs started on the engine.
         runs,
     }
 }
 
-/// Adds one.
+/// Increments a counter.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 impl ClassCounters {
-    /// Requests that were read and not ended yet.
+    /// Requests that were read and have not ended.
     pub fn open(&self) -> u64 {
         let ended = self.served.get() + self.refused.get() + self.failed.get() + self.gone.get();
         self.requests.get().saturating_sub(ended)
@@ -130,7 +133,7 @@
 }
 
 impl Counters {
-    /// Adds one to a counter of the class with this index.
+    /// Increments a counter of the class with this index.
     pub fn count_class(&self, class: usize, counter: impl FnOnce(&ClassCounters) -> &Cell<u64>) {
         let mut classes = self.classes.borrow_mut();
         if classes.len() <= class {
@@ -139,13 +142,13 @@
         count(counter(&classes[class]));
     }
 
-    /// The counters of the class with this index as they stand.
+    /// A copy of the counters of the class with this index.
     pub fn class(&self, class: usize) -> ClassCounters {
         self.classes.borrow().get(class).cloned().unwrap_or_default()
     }
 
     /// Writes all counters to the log as one line.
-    pub fn print(&self) {
+    pub fn log(&self) {
         let words: Vec<String> = self.list().iter().map(|(name, value)| format!("{name}={value}")).collect();
         tracing::info!(all = words.join(" "), "counters");
     }
--- a/src/server/observability/membership.rs
+++ b/src/server/observability/membership.rs
@@ -1,5 +1,5 @@
-//! What the fleet's view needs of the node. It owns the translation between the two: facts in, phase and load out. It must
-//! never decide about a request or hold up what it passes on.
+//! What the fleet learns about this server: translates the events and the state of the core into the phase and load that
+//! the membership protocol spreads. It passes every event on, and decides nothing.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,82 +13,91 @@
 use crate::server::control::status::Status;
 use crate::server::core::api::CoreInput;
 
-/// A machine that started cold is told as such for so long, ms: nobody tells when it is warm.
-const COLD_MS: f64 = 30_000.0;
-/// Between two questions for the core's state, ms.
-const LOOK_MS: f64 = 1000.0;
+/// How long a server that started cold is reported as cold, ms: nothing tells when it is warm.
+const COLD_PERIOD_MS: f64 = 30_000.0;
+/// Minimum time between two requests for the core's state, ms.
+const STATE_REQUEST_INTERVAL_MS: f64 = 1000.0;
 
-/// Passes on what the core tells, and keeps what others are to know of it.
+/// An observer of the core that passes everything on to the next one and keeps what the fleet is told.
 pub struct MembershipObserver {
-    inner: Rc<dyn Observer>,
+    next: Rc<dyn Observer>,
     status: Rc<Status>,
     clock: Clock,
     queue: Sender<CoreInput>,
     phase: Cell<Phase>,
+    /// Unix ms.
     cold_until_ms: Cell<f64>,
-    looked_ms: Cell<f64>,
+    /// When the core's state was last requested, Unix ms.
+    state_requested_ms: Cell<f64>,
     load: Cell<Load>,
-    /// The room for keys that the operators' settings give: 0 for none.
-    keys_most: f64,
+    /// Idempotency keys that the memory of the settings has room for; 0 for none.
+    key_capacity: f64,
 }
 
 impl MembershipObserver {
-    /// Watches for this observer too.
+    /// Observes in front of `next`. `key_capacity` is the number of idempotency keys that fit into memory; 0 for none.
     pub fn new(
-        inner: Rc<dyn Observer>,
+        next: Rc<dyn Observer>,
         status: Rc<Status>,
         clock: Clock,
         queue: Sender<CoreInput>,
-        keys_most: f64,
+        key_capacity: f64,
     ) -> Self {
         MembershipObserver {
-            inner,
+            next,
             status,
             clock,
             queue,
             phase: Cell::new(Phase::Joining),
             cold_until_ms: Cell::new(f64::NEG_INFINITY),
-            looked_ms: Cell::new(f64::NEG_INFINITY),
+            state_requested_ms: Cell::new(f64::NEG_INFINITY),
             load: Cell::default(),
-            keys_most,
+            key_capacity,
         }
     }
+
+    /// The free part of the room for idempotency keys, from 0 to 1.
+    fn free_key_ratio(&self, keys: u64) -> f64 {
+        if self.key_capacity > 0.0 { 1.0 - keys as f64 / self.key_capacity } else { 0.0 }
+    }
 }
 
-/// A part of one as a part of 255.
-fn part(of_one: f64) -> u8 {
-    (of_one.clamp(0.0, 1.0) * 255.0).round() as u8
+/// A ratio from 0 to 1 as the membership protocol carries it, from 0 to 255.
+fn ratio_to_byte(ratio: f64) -> u8 {
+    (ratio.clamp(0.0, 1.0) * 255.0).round() as u8
 }
 
 impl Observer for MembershipObserver {
-    fn request_event(&self, now_ms: f64, fact: RequestEvent) {
-        self.inner.request_event(now_ms, fact);
+    fn request_event(&self, now_ms: f64, event: RequestEvent) {
+        self.next.request_event(now_ms, event);
     }
 
-    fn process_event(&self, now_ms: f64, turn: ProcessEvent) {
-        match turn {
+    fn process_event(&self, now_ms: f64, event: ProcessEvent) {
+        match event {
             ProcessEvent::Started { cold } => {
                 self.phase.set(if cold { Phase::Cold } else { Phase::Serving });
-                self.cold_until_ms.set(now_ms + COLD_MS);
+                self.cold_until_ms.set(now_ms + COLD_PERIOD_MS);
             }
             ProcessEvent::Draining { .. } => self.phase.set(Phase::Draining),
             ProcessEvent::Stopped | ProcessEvent::LimitReached(_) | ProcessEvent::MembershipChanged(_) => {}
         }
-        self.inner.process_event(now_ms, turn);
+        self.next.process_event(now_ms, event);
     }
 
     fn core_state(&self, now_ms: f64, state: &CoreState) {
-        let figure =
-            |name: &str| state.module.iter().find(|(n, _)| *n == name).map_or(0.0, |(_, value)| *value);
+        let figure = |wanted: &str| {
+            let found = state.module.iter().find(|(name, _)| *name == wanted);
+            found.map_or(0.0, |(_, value)| *value)
+        };
         self.load.set(Load {
-            refusal: part(figure("refusal_share")),
-            busy: part(figure("busy_share")),
+            refusal: ratio_to_byte(figure("refusal_share")),
+            busy: ratio_to_byte(figure("busy_share")),
             hold_ms: figure("hold_ms").clamp(0.0, f64::from(u16::MAX)) as u16,
-            keys_room: if self.keys_most > 0.0 { part(1.0 - state.keys as f64 / self.keys_most) } else { 0 },
+            keys_room: ratio_to_byte(self.free_key_ratio(state.keys)),
             healthy: self.status.healthy.get(),
             up_s: 0,
         });
-        self.inner.core_state(now_ms, state);
+        self.next.core_state(now_ms, state);
     }
 }
 
@@ -101,10 +110,10 @@
     }
 
     fn load(&self) -> Load {
-        let now = self.clock.now();
-        if now - self.looked_ms.get() >= LOOK_MS {
-            self.looked_ms.set(now);
-            // A full queue is one that the core works on: it is asked again.
+        let now_ms = self.clock.now();
+        if now_ms - self.state_requested_ms.get() >= STATE_REQUEST_INTERVAL_MS {
+            self.state_requested_ms.set(now_ms);
+            // The core is busy if its queue is full; the next call requests the state again.
             let _ = self.queue.try_send(CoreInput::ReportState);
         }
         Load { healthy: self.status.healthy.get(), ..self.load.get() }
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -1,5 +1,5 @@
-//! What telemetry needs from the node. It owns the translation between the two; it must never count, decide or delay a
-//! request.
+//! Connects the server to the telemetry crate: the classes and counters that it exports, and the state that it polls. It
+//! counts and decides nothing.
 
 use std::rc::Rc;
 
@@ -15,15 +15,15 @@
 use crate::server::core::api::CoreInput;
 use crate::server::observability::counters::Counters;
 
-/// The node, as telemetry sees it.
-struct Node {
+/// What telemetry polls.
+struct TelemetrySource {
     queue: Sender<CoreInput>,
     counters: Rc<Counters>,
 }
 
-impl Source for Node {
+impl Source for TelemetrySource {
     fn ask(&self) {
-        // A queue that is full is one that the core works on: it is asked again.
+        // The core is busy if its queue is full; the next poll requests the state again.
         let _ = self.queue.try_send(CoreInput::ReportState);
     }
 
@@ -44,25 +44,25 @@
     }
 }
 
-/// What the start of telemetry takes beside its own setup.
+/// What telemetry shares with the rest of the process.
 pub struct TelemetryContext {
-    /// The comparer's name.
+    /// The name of this server.
     pub name: String,
-    /// Settings and names.
+    /// The settings at the start.
     pub site: Rc<Site>,
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
     /// The clock.
     pub clock: Clock,
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// The way to the core.
+    /// The core's queue.
     pub queue: Sender<CoreInput>,
-    /// Counters of the node.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
 }
 
-/// Tells telemetry of the classes in force, before anything happens to a request of a new one.
+/// Sets the classes in force. Has to come before any event of a request of a new class.
 pub fn set_classes(telemetry: &Telemetry, site: &Site) {
     let (names, classes) = classes_of(site);
     telemetry.set_classes(&names, classes, site.settings.weight_by_work);
@@ -81,9 +81,9 @@
     classes.enumerate().map(|(at, class)| (site.class_name(at).to_owned(), terms(class))).unzip()
 }
 
-/// Begins to count and to send what the setup says.
-pub fn start(setup: &Setup, host: TelemetryContext) -> Rc<Telemetry> {
-    let TelemetryContext { name, site, seed, clock, executor, queue, counters } = host;
+/// Starts to count and to send as the setup says.
+pub fn start(setup: &Setup, context: TelemetryContext) -> Rc<Telemetry> {
+    let TelemetryContext { name, site, seed, clock, executor, queue, counters } = context;
     let (names, classes) = classes_of(&site);
     let node: Vec<&'static str> = counters.list().into_iter().map(|(name, _)| name).collect();
     let module = AdmissionSnapshot::NAMES;
@@ -95,7 +95,7 @@
         clock,
         executor,
         seed,
-        source: Rc::new(Node { queue, counters }),
+        source: Rc::new(TelemetrySource { queue, counters }),
     };
     Telemetry::start(setup, parts)
 }
