--- a/tests/management.rs
+++ b/tests/management.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 /// Health is good again within this time after the end of a drain.
-const REJOIN_LIMIT: Duration = Duration::from_secs(2);
+const REJOIN_TIMEOUT: Duration = Duration::from_secs(2);
 const CLASSES: [&str; 3] = ["look", "lookup", "write"];
 const CLASS_COUNTERS: [&str; 4] = ["success", "busy", "failure", "backend_calls"];
 
@@ -26,30 +26,30 @@
         deployment.start_with(quick_engine(), ManagementSource::default()).expect("the program starts");
     eventually("listed", || deployment.list.heard_since(began, true));
     let client = connect(&deployment);
-    await_health(&client, true, PATIENCE);
-    let result = served(&client, &Request::read("paper"));
+    await_health(&client, true, DEFAULT_TIMEOUT);
+    let result = assert_served(&client, &Request::read("paper"));
     assert!(result.starts_with("paper/"), "{result}");
-    served(&client, &Request::calling("paper"));
+    assert_served(&client, &Request::calling("paper"));
     assert_eq!(deployment.store.calls(), 1);
     let keyed = Request::keyed("key");
-    assert_eq!(served(&client, &keyed), served(&client, &keyed), "the kept result");
+    assert_eq!(assert_served(&client, &keyed), assert_served(&client, &keyed), "the kept result");
     assert_eq!(process.engine.runs_of("key"), 1);
-    all_served({
+    assert_all_served({
         let load = light_load(&deployment);
         std::thread::sleep(Duration::from_millis(500));
         load
     });
-    no_double_runs(&[&process.engine]);
-    never_out(&deployment, began);
-    leave(&deployment, &mut process);
-    assert!(client.wait_for_notice(PATIENCE), "a resting connection is told to go");
-    assert_eq!(client.wait_for_ending(PATIENCE), Some(Ending::Closed));
+    assert_no_double_runs(&[&process.engine]);
+    assert_always_registered(&deployment, began);
+    terminate(&deployment, &mut process);
+    assert!(client.wait_for_notice(DEFAULT_TIMEOUT), "a resting connection is told to go");
+    assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
     assert!(deployment.list.heard_since(began, false));
 }
 
 /// Nothing listens at an address that nobody named.
 fn nobody_listens(address: SocketAddr) {
-    let connected = TcpStream::connect_timeout(&address, ANSWER_LIMIT);
+    let connected = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT);
     assert!(connected.is_err(), "somebody listens at {address}");
 }
 
@@ -60,7 +60,7 @@
     let deployment = deployment();
     let source = ManagementSource { environment: None, configuration: free_address().ok() };
     let process = deployment.start_with(quick_engine(), source).expect("the program starts");
-    ready(&process);
+    await_ready(&process);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let in_configuration = free_address().expect("a free port");
     let source = ManagementSource { environment: free_address().ok(), configuration: Some(in_configuration) };
     let process = deployment.start_with(quick_engine(), source).expect("the program starts");
-    ready(&process);
+    await_ready(&process);
     nobody_listens(in_configuration);
 }
 
@@ -80,16 +80,16 @@
     let deployment = deployment();
     let process = start(&deployment, engine_down());
     eventually("an answer", || process.ask("PING").is_ok());
-    command_fails(&process, "PING");
+    assert_rejected(&process, "PING");
     process.engine.set_up(true);
-    ready(&process);
+    await_ready(&process);
 }
 
 #[test]
 fn info_tells_every_figure_from_zero() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
-    let figures = answer(&process, "INFO").figures().expect("an answer to INFO");
+    let figures = ask(&process, "INFO").figures().expect("an answer to INFO");
     let of_classes = CLASSES.iter().flat_map(|class| {
         CLASS_COUNTERS.iter().map(move |counter| (format!("relay.calls.{class}.{counter}"), 'c'))
     });
@@ -155,8 +155,8 @@
     assert!(answer.is_error(), "{:?}", answer.lines);
     assert!(answer.head().len() > "-ERR ".len(), "no reason: {}", answer.head());
     assert_eq!(answer.lines.len(), 1, "one line: {:?}", answer.lines);
-    assert!(answer.took <= ANSWER_LIMIT, "{:?}", answer.took);
-    command_ok(&process, "PING");
+    assert!(answer.took <= ANSWER_TIMEOUT, "{:?}", answer.took);
+    assert_accepted(&process, "PING");
 }
 
 /// A line that never ends must neither be collected without a bound nor stop others.
@@ -165,14 +165,14 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let mut stream = TcpStream::connect(process.management).expect("it listens");
-    stream.set_write_timeout(Some(ANSWER_LIMIT)).expect("a socket");
-    let until = Instant::now() + PATIENCE;
+    stream.set_write_timeout(Some(ANSWER_TIMEOUT)).expect("a socket");
+    let until = Instant::now() + DEFAULT_TIMEOUT;
     let mut written = 0;
     while stream.write_all(&[b'x'; 4096]).is_ok() && Instant::now() < until {
         written += 4096;
         assert!(written < 64 << 20, "it reads a line of {written} bytes");
     }
-    command_ok(&process, "PING");
+    assert_accepted(&process, "PING");
 }
 
 // ---- callers that say nothing ----
@@ -191,10 +191,10 @@
             stream
         })
         .collect();
-    command_ok(&process, "PING");
-    command_ok(&process, "INFO");
+    assert_accepted(&process, "PING");
+    assert_accepted(&process, "INFO");
     let client = connect(&deployment);
-    served(&client, &Request::read("paper"));
+    assert_served(&client, &Request::read("paper"));
     drop(silent);
 }
 
@@ -207,7 +207,7 @@
     clients.iter().for_each(|client| drop(client.send(&Request::read("paper"))));
     std::thread::sleep(Duration::from_millis(200));
     for command in ["PING", "INFO", "LAMEDUCK", "REJOIN"] {
-        command_ok(&process, command);
+        assert_accepted(&process, command);
     }
 }
 
@@ -223,8 +223,8 @@
         reconnect: false,
     });
     for _ in 0..30 {
-        command_ok(&process, "PING");
-        command_ok(&process, "INFO");
+        assert_accepted(&process, "PING");
+        assert_accepted(&process, "INFO");
         std::thread::sleep(Duration::from_millis(20));
     }
     let tally = load.stop().expect("the clients end");
@@ -238,16 +238,16 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
-    await_health(&client, true, PATIENCE);
+    await_health(&client, true, DEFAULT_TIMEOUT);
     for _ in 0..2 {
-        command_ok(&process, "LAMEDUCK");
+        assert_accepted(&process, "LAMEDUCK");
         assert_eq!(client.ping(), Reply::Health(false), "at once");
     }
     let since = await_report(&deployment, false);
-    served(&client, &Request::read("on an old connection"));
-    served(&connect(&deployment), &Request::keyed("on a new connection"));
-    command_ok(&process, "PING");
-    std::thread::sleep(QUIET);
+    assert_served(&client, &Request::read("on an old connection"));
+    assert_served(&connect(&deployment), &Request::keyed("on a new connection"));
+    assert_accepted(&process, "PING");
+    std::thread::sleep(SILENCE_PERIOD);
     assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
     assert!(!client.is_told_to_go(), "a drain closes no connection");
 }
@@ -257,16 +257,16 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
-    command_ok(&process, "LAMEDUCK");
+    assert_accepted(&process, "LAMEDUCK");
     assert_eq!(client.ping(), Reply::Health(false));
     for _ in 0..2 {
-        command_ok(&process, "REJOIN");
+        assert_accepted(&process, "REJOIN");
     }
-    await_health(&client, true, REJOIN_LIMIT);
+    await_health(&client, true, REJOIN_TIMEOUT);
     let since = await_report(&deployment, true);
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SILENCE_PERIOD);
     assert!(!deployment.list.heard_since(since, false), "reported OUT after the drain");
-    served(&client, &Request::read("paper"));
+    assert_served(&client, &Request::read("paper"));
 }
 
 #[test]
@@ -274,10 +274,10 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let (client, since) = (connect(&deployment), Instant::now());
-    command_ok(&process, "REJOIN");
+    assert_accepted(&process, "REJOIN");
     assert_eq!(client.ping(), Reply::Health(true));
-    std::thread::sleep(QUIET);
-    never_out(&deployment, since);
+    std::thread::sleep(SILENCE_PERIOD);
+    assert_always_registered(&deployment, since);
 }
 
 #[test]
@@ -286,16 +286,16 @@
     let process = start(&deployment, engine_down());
     eventually("an answer", || process.ask("INFO").is_ok());
     let since = Instant::now();
-    command_ok(&process, "LAMEDUCK");
+    assert_accepted(&process, "LAMEDUCK");
     process.engine.set_up(true);
-    ready(&process);
+    await_ready(&process);
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SILENCE_PERIOD);
     assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
-    served(&client, &Request::read("paper"));
-    command_ok(&process, "REJOIN");
-    await_health(&client, true, REJOIN_LIMIT);
+    assert_served(&client, &Request::read("paper"));
+    assert_accepted(&process, "REJOIN");
+    await_health(&client, true, REJOIN_TIMEOUT);
 }
 
 #[rstest]
@@ -308,18 +308,18 @@
     let id = client.send(&Request::read("paper")).expect("sent");
     eventually("the run", || process.engine.runs_of("paper") == 1);
     if drain_first {
-        command_ok(&process, "LAMEDUCK");
-        tell(&process, Signal::TERM);
+        assert_accepted(&process, "LAMEDUCK");
+        send_signal(&process, Signal::TERM);
     } else {
-        tell(&process, Signal::TERM);
+        send_signal(&process, Signal::TERM);
         // Whether there is anything left to drain is the program's to say; it has to say something.
-        let told = answer(&process, "LAMEDUCK");
+        let told = ask(&process, "LAMEDUCK");
         assert!(told.is_ok() || told.is_error(), "{:?}", told.lines);
     }
     assert_eq!(client.ping(), Reply::Health(false));
     process.engine.finish("paper");
     assert!(matches!(client.wait(id), Reply::Served(_)));
-    ends(&deployment, &mut process);
+    await_exit(&deployment, &mut process);
 }
 
 #[rstest]
@@ -333,14 +333,14 @@
     let id = client.send(&Request::read("paper")).expect("sent");
     eventually("the run", || process.engine.runs_of("paper") == 1);
     if in_a_drain {
-        command_ok(&process, "LAMEDUCK");
+        assert_accepted(&process, "LAMEDUCK");
     }
-    tell(&process, Signal::TERM);
-    eventually_within(ANSWER_LIMIT, "an error", || process.ask("REJOIN").is_ok_and(|told| told.is_error()));
+    send_signal(&process, Signal::TERM);
+    eventually_within(ANSWER_TIMEOUT, "an error", || process.ask("REJOIN").is_ok_and(|told| told.is_error()));
     assert_eq!(client.ping(), Reply::Health(false));
     process.engine.finish("paper");
     assert!(matches!(client.wait(id), Reply::Served(_)));
-    ends(&deployment, &mut process);
+    await_exit(&deployment, &mut process);
 }
 
 #[test]
@@ -348,16 +348,16 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
-    command_ok(&process, "LAMEDUCK");
+    assert_accepted(&process, "LAMEDUCK");
     let since = await_report(&deployment, false);
-    tell(&process, Signal::HUP);
+    send_signal(&process, Signal::HUP);
     eventually("the reload", || figure(&process, "relay.reconfig_ok") == 1);
     std::fs::write(&process.config, "{").expect("written");
-    tell(&process, Signal::HUP);
+    send_signal(&process, Signal::HUP);
     eventually("the failed reload", || figure(&process, "relay.reconfig_failed") == 1);
     assert_eq!(figure(&process, "relay.reconfig_ok"), 1);
     assert_eq!(client.ping(), Reply::Health(false));
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SILENCE_PERIOD);
     assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
 }
 
@@ -366,7 +366,7 @@
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
-    command_ok(&process, "LAMEDUCK");
+    assert_accepted(&process, "LAMEDUCK");
     let since = await_report(&deployment, false);
     process.engine.set_up(false);
     std::thread::sleep(Duration::from_millis(300));
@@ -374,10 +374,10 @@
     process.engine.set_up(true);
     eventually("served", || matches!(client.call(&Request::read("paper")), Reply::Served(_)));
     assert_eq!(client.ping(), Reply::Health(false));
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SILENCE_PERIOD);
     assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
-    command_ok(&process, "REJOIN");
-    await_health(&client, true, REJOIN_LIMIT);
+    assert_accepted(&process, "REJOIN");
+    await_health(&client, true, REJOIN_TIMEOUT);
 }
 
 // ---- the law of the figures ----
@@ -475,7 +475,7 @@
     let listen = deployment.listen;
     let flood = std::thread::spawn(move || {
         let mut open = Vec::new();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + DEFAULT_TIMEOUT;
         while Instant::now() < until {
             // Refused: the listener is closed, and the flood is over.
             let Ok(stream) = TcpStream::connect(listen) else { return };
@@ -484,6 +484,6 @@
         }
     });
     std::thread::sleep(Duration::from_millis(300));
-    leave(&deployment, &mut process);
+    terminate(&deployment, &mut process);
     flood.join().expect("the flood ends");
 }
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -16,17 +16,17 @@
 pub use pinepoint_lab::operation::management::{Answer, ask_bytes, read_answer};
 
 /// A new process takes over within this time.
-pub const READY_LIMIT: Duration = Duration::from_secs(6);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(6);
 /// An answer of the management port comes within this time.
-pub const ANSWER_LIMIT: Duration = Duration::from_secs(1);
-/// Load reports come several times a second.
-pub const REPORT_LIMIT: Duration = Duration::from_secs(2);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Reports to the service registry come several times a second.
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Anything else that is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Duration of a run on an engine that ends runs by itself.
 pub const RUN_TIME: Duration = Duration::from_millis(5);
 /// How long a test watches for what must not happen.
-pub const QUIET: Duration = Duration::from_millis(700);
+pub const SILENCE_PERIOD: Duration = Duration::from_millis(700);
 
 pub fn setup() -> Setup {
     Setup::new(env!("CARGO_BIN_EXE_pinepoint"))
@@ -63,57 +63,57 @@
 /// Starts a process and waits until it is ready.
 pub fn start_ready(deployment: &Deployment, engine: Engine) -> Process {
     let process = start(deployment, engine);
-    ready(&process);
+    await_ready(&process);
     process
 }
 
-pub fn ready(process: &Process) {
-    process.await_ready(READY_LIMIT).expect("the process serves in time");
+pub fn await_ready(process: &Process) {
+    process.await_ready(READY_TIMEOUT).expect("the process serves in time");
 }
 
 pub fn connect(deployment: &Deployment) -> Client {
     deployment.connect().expect("somebody accepts")
 }
 
-pub fn tell(process: &Process, signal: Signal) {
+pub fn send_signal(process: &Process, signal: Signal) {
     process.signal(signal).expect("the process is there");
 }
 
 /// Queries a management port that has to answer in time.
-pub fn answer(process: &Process, command: &str) -> Answer {
+pub fn ask(process: &Process, command: &str) -> Answer {
     let answer = process.ask(command).expect("the management port answers");
-    assert!(answer.took <= ANSWER_LIMIT, "{command} took {:?}", answer.took);
+    assert!(answer.took <= ANSWER_TIMEOUT, "{command} took {:?}", answer.took);
     answer
 }
 
 /// Sends a command that has to succeed.
-pub fn command_ok(process: &Process, command: &str) {
-    let answer = answer(process, command);
+pub fn assert_accepted(process: &Process, command: &str) {
+    let answer = ask(process, command);
     assert!(answer.is_ok(), "{command}: {}", answer.head());
 }
 
 /// Sends a command that has to fail.
-pub fn command_fails(process: &Process, command: &str) {
-    let answer = answer(process, command);
+pub fn assert_rejected(process: &Process, command: &str) {
+    let answer = ask(process, command);
     assert!(answer.is_error(), "{command}: {}", answer.head());
 }
 
 /// One metric of `INFO`.
 pub fn figure(process: &Process, name: &str) -> u64 {
-    let figures = answer(process, "INFO").figures().expect("an answer to INFO");
+    let figures = ask(process, "INFO").figures().expect("an answer to INFO");
     figures.get(name).unwrap_or_else(|| panic!("no {name} in {figures:?}")).value
 }
 
 /// One counter of `INFO`, summed over all classes.
 pub fn sum_of_classes(process: &Process, counter: &str) -> u64 {
-    let figures = answer(process, "INFO").figures().expect("an answer to INFO");
+    let figures = ask(process, "INFO").figures().expect("an answer to INFO");
     let of_class = |name: &String| name.starts_with("relay.calls.") && name.ends_with(&format!(".{counter}"));
     figures.iter().filter(|(name, _)| of_class(name)).map(|(_, figure)| figure.value).sum()
 }
 
 /// Waits until something holds.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    eventually_within(PATIENCE, what, &mut holds);
+    eventually_within(DEFAULT_TIMEOUT, what, &mut holds);
 }
 
 pub fn eventually_within(limit: Duration, what: &str, mut holds: impl FnMut() -> bool) {
@@ -125,7 +125,7 @@
 }
 
 /// Sends a request that has to be served; returns its result.
-pub fn served(client: &Client, request: &Request) -> String {
+pub fn assert_served(client: &Client, request: &Request) -> String {
     match client.call(request) {
         Reply::Served(result) => result,
         other => panic!("{} was not served: {other:?}", request.body),
@@ -133,13 +133,13 @@
 }
 
 /// Sends SIGTERM to a process; it has to end in order before the kill.
-pub fn leave(deployment: &Deployment, process: &mut Process) {
-    tell(process, Signal::TERM);
-    ends(deployment, process);
+pub fn terminate(deployment: &Deployment, process: &mut Process) {
+    send_signal(process, Signal::TERM);
+    await_exit(deployment, process);
 }
 
 /// A process that was just sent SIGTERM has to end in order before the kill.
-pub fn ends(deployment: &Deployment, process: &mut Process) {
+pub fn await_exit(deployment: &Deployment, process: &mut Process) {
     let status = process.wait_exit(deployment.stop()).expect("a process of ours");
     let status = status.expect("the process ends by itself before the kill");
     assert!(status.success(), "{status}");
@@ -157,7 +157,7 @@
 }
 
 /// Ends a load that was light: each request has to be served, and no connection may have ended unannounced.
-pub fn all_served(load: Load) {
+pub fn assert_all_served(load: Load) {
     let counts = load.stop().expect("the clients end");
     assert!(counts.sent > 0, "nothing was sent");
     assert_eq!(counts.ended_without_answer(), 0, "{counts:?}");
@@ -170,7 +170,7 @@
 }
 
 /// No body was run twice, whichever engines it reached.
-pub fn no_double_runs(engines: &[&Engine]) {
+pub fn assert_no_double_runs(engines: &[&Engine]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for engine in engines {
         for (body, count) in engine.runs() {
@@ -182,7 +182,7 @@
 }
 
 /// The list service received no report but that the name is up.
-pub fn never_out(deployment: &Deployment, since: Instant) {
+pub fn assert_always_registered(deployment: &Deployment, since: Instant) {
     let reports = deployment.list.reports_since(since);
     assert!(!reports.is_empty(), "no reports at all");
     assert!(reports.iter().all(|report| report.up), "reported OUT");
@@ -196,6 +196,8 @@
 /// Waits until the list service receives a report of this kind; what comes from the returned time on was sent after it.
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
-    eventually_within(REPORT_LIMIT, &format!("a report up={up}"), || deployment.list.heard_since(since, up));
+    eventually_within(REPORT_TIMEOUT, &format!("a report up={up}"), || {
+        deployment.list.heard_since(since, up)
+    });
     Instant::now()
 }
