--- a/tests/management.rs
+++ b/tests/management.rs
@@ -305,8 +305,7 @@
     let deployment = deployment();
     let mut process = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
-    let id = client.send(&Request::read("paper")).expect("sent");
-    eventually("the run", || process.engine.runs_of("paper") == 1);
+    let id = start_run(&process, &client, &Request::read("paper"));
     if drain_first {
         assert_accepted(&process, "LAMEDUCK");
         send_signal(&process, Signal::TERM);
@@ -317,8 +316,7 @@
         assert!(told.is_ok() || told.is_error(), "{:?}", told.lines);
     }
     assert_eq!(client.ping(), Reply::Health(false));
-    process.engine.finish("paper");
-    assert!(matches!(client.wait(id), Reply::Served(_)));
+    finish_run(&process, &client, id, "paper");
     await_exit(&deployment, &mut process);
 }
 
@@ -330,16 +328,14 @@
     let mut process = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
     // A run that is under way keeps the process.
-    let id = client.send(&Request::read("paper")).expect("sent");
-    eventually("the run", || process.engine.runs_of("paper") == 1);
+    let id = start_run(&process, &client, &Request::read("paper"));
     if in_a_drain {
         assert_accepted(&process, "LAMEDUCK");
     }
     send_signal(&process, Signal::TERM);
     eventually_within(ANSWER_TIMEOUT, "an error", || process.ask("REJOIN").is_ok_and(|told| told.is_error()));
     assert_eq!(client.ping(), Reply::Health(false));
-    process.engine.finish("paper");
-    assert!(matches!(client.wait(id), Reply::Served(_)));
+    finish_run(&process, &client, id, "paper");
     await_exit(&deployment, &mut process);
 }
 
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -132,6 +132,20 @@
     }
 }
 
+/// Sends a request and waits until it runs on the process's engine, which ends runs on command; returns its number.
+pub fn start_run(process: &Process, client: &Client, request: &Request) -> u64 {
+    let id = client.send(request).expect("sent");
+    eventually("the run", || process.engine.runs_of(&request.body) == 1);
+    id
+}
+
+/// Ends the run of a request, which has to be served.
+pub fn finish_run(process: &Process, client: &Client, id: u64, body: &str) {
+    process.engine.finish(body);
+    let reply = client.wait(id);
+    assert!(matches!(reply, Reply::Served(_)), "{body}: {reply:?}");
+}
+
 /// Sends SIGTERM to a process; it has to end in order before the kill.
 pub fn terminate(deployment: &Deployment, process: &mut Process) {
     send_signal(process, Signal::TERM);
--- a/tests/upgrade/connections.rs
+++ b/tests/upgrade/connections.rs
@@ -51,12 +51,10 @@
     let deployment = deployment();
     let mut old = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
-    let id = client.send(&Request::read("paper")).expect("sent");
-    eventually("the run", || old.engine.runs_of("paper") == 1);
+    let id = start_run(&old, &client, &Request::read("paper"));
     let _new = take_over(&deployment);
     send_signal(&old, Signal::TERM);
     std::thread::sleep(Duration::from_millis(500));
-    old.engine.finish("paper");
-    assert!(matches!(client.wait(id), Reply::Served(_)));
+    finish_run(&old, &client, id, "paper");
     await_exit(&deployment, &mut old);
 }
--- a/tests/upgrade/idempotency_keys.rs
+++ b/tests/upgrade/idempotency_keys.rs
@@ -32,8 +32,7 @@
     let deployment = deployment();
     let mut old = start_ready(&deployment, commanded_engine());
     let (first, key) = (connect(&deployment), Request::keyed("key"));
-    let first_id = first.send(&key).expect("sent");
-    eventually("the run", || old.engine.runs_of("key") == 1);
+    let first_id = start_run(&old, &first, &key);
     let new = take_over(&deployment);
     if after_the_notice {
         send_signal(&old, Signal::TERM);
--- a/tests/upgrade/takeover.rs
+++ b/tests/upgrade/takeover.rs
@@ -73,15 +73,13 @@
     let deployment = deployment();
     let mut old = start_ready(&deployment, commanded_engine());
     let (client, since) = (connect(&deployment), Instant::now());
-    let id = client.send(&Request::read("paper")).expect("sent");
-    eventually("the run", || old.engine.runs_of("paper") == 1);
+    let id = start_run(&old, &client, &Request::read("paper"));
     let _new = take_over(&deployment);
     assert_eq!(client.ping(), Reply::Health(true), "before the notice");
     send_signal(&old, Signal::TERM);
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(client.ping(), Reply::Health(true), "after the notice");
-    old.engine.finish("paper");
-    assert!(matches!(client.wait(id), Reply::Served(_)));
+    finish_run(&old, &client, id, "paper");
     await_exit(&deployment, &mut old);
     std::thread::sleep(SILENCE_PERIOD);
     assert_always_registered(&deployment, since);
