--- a/tests/command.rs
+++ b/tests/command.rs
@@ -3,29 +3,30 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A folder of its own, removed at the end.
-struct Folder(PathBuf);
+/// A directory of its own, removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempDir {
+    fn new(name: &str) -> TempDir {
         let path = std::env::temp_dir().join(format!("pinepoint-command-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDir(path)
     }
 
-    fn file(&self, name: &str, text: &str) -> String {
+    fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("written");
         path.display().to_string()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
+/// Runs the program to its end; `config` is the path in RELAY_CONFIG.
 fn pinepoint(arguments: &[&str], config: Option<&str>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pinepoint"));
     command.args(arguments).env_remove("RELAY_CONFIG");
@@ -53,25 +54,28 @@
     assert_eq!(pinepoint(&["--verbose"], None).status.code(), Some(2));
 }
 
+/// The names of the sub-commands that a help text lists.
+fn commands_in_help(arguments: &[&str]) -> Vec<String> {
+    let help = text(&pinepoint(arguments, None).stdout);
+    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
+    commands
+        .take_while(|line| !line.is_empty())
+        .filter_map(|line| line.strip_prefix("  "))
+        // A wrapped text goes on further to the right.
+        .filter(|line| !line.starts_with(' '))
+        .filter_map(|line| line.split(' ').next())
+        .map(str::to_owned)
+        .collect()
+}
+
 #[test]
 fn the_words_of_the_command_line_are_these() {
-    let words: [(&[&str], &[&str]); 3] = [
-        (&["--help"], &["serve", "check", "ask", "fleet", "help"]),
-        (&["fleet", "--help"], &["view", "watch", "help"]),
-        (&["ask", "--help"], &[]),
-    ];
-    for (arguments, wanted) in words {
-        let told = text(&pinepoint(arguments, None).stdout);
-        let commands = told.lines().skip_while(|line| *line != "Commands:").skip(1);
-        let names = commands.take_while(|line| !line.is_empty());
-        // A wrapped help text goes on further to the right.
-        let names = names.filter_map(|line| line.strip_prefix("  ")).filter(|line| !line.starts_with(' '));
-        let names: Vec<&str> = names.filter_map(|line| line.split(' ').next()).collect();
-        assert_eq!(names, wanted, "{told}");
-    }
-    let told = text(&pinepoint(&["ask", "--help"], None).stdout);
-    for call in ["PING", "INFO", "LAMEDUCK", "REJOIN"] {
-        assert!(told.contains(call), "{call} is missing in {told}");
+    assert_eq!(commands_in_help(&["--help"]), ["serve", "check", "ask", "fleet", "help"]);
+    assert_eq!(commands_in_help(&["fleet", "--help"]), ["view", "watch", "help"]);
+    assert_eq!(commands_in_help(&["ask", "--help"]), [""; 0]);
+    let help = text(&pinepoint(&["ask", "--help"], None).stdout);
+    for command in ["PING", "INFO", "LAMEDUCK", "REJOIN"] {
+        assert!(help.contains(command), "{command} is missing in {help}");
     }
 }
 
@@ -87,8 +91,8 @@
 
 #[test]
 fn good_files_are_good() {
-    let folder = Folder::new("good");
-    let (edge, config) = (folder.file("edge.toml", ""), folder.file("c.json", CONFIG));
+    let directory = TempDir::new("good");
+    let (edge, config) = (directory.write_file("edge.toml", ""), directory.write_file("c.json", CONFIG));
     for (arguments, named) in [
         (&["check", "--edge", &edge, &config][..], None),
         (&["check", "--edge", &edge], Some(config.as_str())),
@@ -101,9 +105,9 @@
 
 #[test]
 fn what_is_wrong_is_told_by_line_and_field_and_both_files_are_read() {
-    let folder = Folder::new("bad");
-    let edge = folder.file("edge.toml", "[ajp]\nlisten = \"127.0.0.1:8009\"\nmem_kb = 0.0\n");
-    let config = folder.file("c.json", &CONFIG.replace("3000", "\"3 s\""));
+    let directory = TempDir::new("bad");
+    let edge = directory.write_file("edge.toml", "[ajp]\nlisten = \"127.0.0.1:8009\"\nmem_kb = 0.0\n");
+    let config = directory.write_file("c.json", &CONFIG.replace("3000", "\"3 s\""));
     let output = pinepoint(&["check", "--edge", &edge, &config], None);
     assert_eq!(output.status.code(), Some(2));
     let told = text(&output.stdout);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -11,13 +11,15 @@
   "deadlineMs":900}],
   "specifics":{"cores":4}}}"#;
 
-fn config(text: &str) -> String {
+/// What `Config::parse` makes of a text: its error, or `taken`.
+fn parse(text: &str) -> String {
     Config::parse(Path::new("c.json"), text).map_or_else(|e| e.to_string(), |_| "taken".into())
 }
 
 #[test]
 fn a_configuration_is_refused_with_its_line_and_field() {
-    assert_eq!(config(GOOD), "taken");
+    assert_eq!(parse(GOOD), "taken");
+    // What of the good file is replaced by what, and the error.
     let cases = [
         ("\"stop_ms\":3000", "\"stop_ms\":-1", "c.json:2:62: stop_ms: is not a number above 0"),
         ("8c1f", "wxyz", "c.json:2:48: seed: is not up to 16 hexadecimal digits"),
@@ -38,10 +40,10 @@
         (" \"settings\":", " \"setting\":", "c.json:6:27: missing field `settings`"),
     ];
     for (old, new, wanted) in cases {
-        assert_eq!(config(&GOOD.replace(old, new)), wanted);
+        assert_eq!(parse(&GOOD.replace(old, new)), wanted);
     }
-    assert!(config(&GOOD[..50]).starts_with("c.json:1:50: "), "{}", config(&GOOD[..50]));
-    assert_eq!(config(""), "c.json:1:0: EOF while parsing a value");
+    assert!(parse(&GOOD[..50]).starts_with("c.json:1:50: "), "{}", parse(&GOOD[..50]));
+    assert_eq!(parse(""), "c.json:1:0: EOF while parsing a value");
     let twice = format!("{GOOD}{GOOD}");
-    assert!(config(&twice).contains("goes on after its end"), "{}", config(&twice));
+    assert!(parse(&twice).contains("goes on after its end"), "{}", parse(&twice));
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -4,7 +4,8 @@
 
 mod scenario;
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::PathBuf;
 
 use goblin::elf::Elf;
 use procfs::process::{FDTarget, Process};
@@ -26,58 +27,77 @@
     assert_eq!(found, cfg!(debug_assertions));
 }
 
-/// The process itself: no children, and only descriptors that the platform knows. Returns how many of each sort.
-fn look(pid: u32) -> BTreeMap<String, usize> {
+/// Open descriptors by kind.
+type DescriptorCounts = BTreeMap<String, usize>;
+
+/// The sockets of the network namespace of a process, by inode.
+struct SocketTable {
+    ipv4: BTreeMap<u64, &'static str>,
+    ipv6: BTreeSet<u64>,
+    /// With the paths of those that are bound to one.
+    unix: BTreeMap<u64, Option<PathBuf>>,
+}
+
+impl SocketTable {
+    fn of(process: &Process) -> SocketTable {
+        let tcp = process.tcp().expect("its TCP sockets").into_iter().map(|socket| (socket.inode, "tcp"));
+        let udp = process.udp().expect("its UDP sockets").into_iter().map(|socket| (socket.inode, "udp"));
+        let tcp6 = process.tcp6().unwrap_or_default().into_iter().map(|socket| socket.inode);
+        let udp6 = process.udp6().unwrap_or_default().into_iter().map(|socket| socket.inode);
+        let unix = process.unix().expect("Unix sockets").into_iter();
+        SocketTable {
+            ipv4: tcp.chain(udp).collect(),
+            ipv6: tcp6.chain(udp6).collect(),
+            unix: unix.map(|socket| (socket.inode, socket.path)).collect(),
+        }
+    }
+
+    /// The kind of a socket, which has to be one that the platform gives.
+    fn kind(&self, inode: u64) -> &'static str {
+        assert!(!self.ipv6.contains(&inode), "a socket over IPv6");
+        if let Some(kind) = self.ipv4.get(&inode) {
+            return kind;
+        }
+        match self.unix.get(&inode) {
+            // That of the signals: a pair that nobody else can open.
+            Some(path) => {
+                assert_eq!(*path, None, "a Unix socket that others can open");
+                "own pair"
+            }
+            // Created and not connected, or closed meanwhile.
+            None => "socket",
+        }
+    }
+}
+
+/// Checks that the process has no children, and only descriptors that the platform knows.
+fn check_process(pid: u32) -> DescriptorCounts {
     let process = Process::new(pid as i32).expect("it runs");
     for task in process.tasks().expect("its threads").flatten() {
         assert_eq!(task.children().expect("its children"), Vec::<u32>::new(), "it started a process");
     }
-    let ipv4: BTreeMap<u64, &str> = [
-        ("tcp", process.tcp().expect("its TCP sockets").into_iter().map(|s| s.inode).collect::<Vec<_>>()),
-        ("udp", process.udp().expect("its UDP sockets").into_iter().map(|s| s.inode).collect()),
-    ]
-    .into_iter()
-    .flat_map(|(sort, inodes)| inodes.into_iter().map(move |inode| (inode, sort)))
-    .collect();
-    let other: Vec<u64> = {
-        let tcp6 = process.tcp6().unwrap_or_default().into_iter().map(|s| s.inode);
-        tcp6.chain(process.udp6().unwrap_or_default().into_iter().map(|s| s.inode)).collect()
-    };
-    let unix: BTreeMap<u64, Option<std::path::PathBuf>> =
-        process.unix().expect("Unix sockets").into_iter().map(|s| (s.inode, s.path)).collect();
-    let mut sorts = BTreeMap::new();
-    for fd in process.fd().expect("its descriptors").flatten() {
-        let sort = match fd.target {
+    let sockets = SocketTable::of(&process);
+    let mut counts = DescriptorCounts::new();
+    for descriptor in process.fd().expect("its descriptors").flatten() {
+        let kind = match descriptor.target {
             // Inherited, or the log's pipe.
             FDTarget::Path(_) | FDTarget::Pipe(_) => "file or pipe".to_owned(),
             FDTarget::AnonInode(kind) => {
                 assert!(!kind.contains("io_uring"), "io_uring is refused there");
                 kind
             }
-            FDTarget::Socket(inode) => {
-                assert!(!other.contains(&inode), "a socket over IPv6");
-                match (ipv4.get(&inode), unix.get(&inode)) {
-                    (Some(sort), _) => (*sort).to_owned(),
-                    // That of the signals: a pair that nobody else can open.
-                    (None, Some(path)) => {
-                        assert_eq!(*path, None, "a Unix socket that others can open");
-                        "own pair".to_owned()
-                    }
-                    // Made and not connected, or closed meanwhile.
-                    (None, None) => "socket".to_owned(),
-                }
-            }
+            FDTarget::Socket(inode) => sockets.kind(inode).to_owned(),
             other => panic!("{other:?} is nothing that the platform gives"),
         };
-        *sorts.entry(sort).or_default() += 1;
+        *counts.entry(kind).or_default() += 1;
     }
-    sorts
+    counts
 }
 
-/// A whole life as the platform has it: start, load with calls, keys and a caller that leaves, reload, drain, end. What
-/// it holds is looked at between.
-fn life(under: Vec<String>, look: impl Fn(u32) -> BTreeMap<String, usize>) {
-    let options = Options { bare: true, under, ..Options::default() };
+/// A whole life as the platform has it: start, load with calls, keys and a caller that leaves, reload, drain, end. The
+/// process is checked in between. `wrapper` is a program that the process runs under, with its arguments.
+fn run_whole_life(wrapper: Vec<String>, check: impl Fn(u32) -> DescriptorCounts) {
+    let options = Options { bare: true, under: wrapper, ..Options::default() };
     let mut world = World::start_with(
         Box::new(scenario::idle_gauges),
         scenario::service(Box::new(|_| Vec::new())),
@@ -88,7 +108,7 @@
         engine send HELLO hot 9000
         members wait HB * UP",
     );
-    let idle = look(world.pid());
+    let idle = check(world.pid());
     assert!(idle.get("tcp") >= Some(&1), "its listener: {idle:?}");
     for n in 1..=20 {
         let rid = format!("{n:0>16}");
@@ -106,7 +126,7 @@
             2 * n,
             n % 4
         ));
-        look(world.pid());
+        check(world.pid());
     }
     world.run(
         "rpc1 close
@@ -122,15 +142,15 @@
         engine2 send HELLO hot 9000
         members2 wait HB * UP",
     );
-    look(world.pid());
+    check(world.pid());
     world.run("node send TERM\nmembers2 wait HB * OUT");
-    look(world.pid());
+    check(world.pid());
     world.run("node wait ended *\nnode wait exit 0");
 }
 
 #[test]
 fn over_a_whole_life_it_holds_only_what_the_platform_gives() {
-    life(Vec::new(), look);
+    run_whole_life(Vec::new(), check_process);
 }
 
 /// Calls that the platform answers with an error, by name.
@@ -155,7 +175,7 @@
 fn over_a_whole_life_it_makes_no_call_that_the_platform_refuses() {
     let file = std::env::temp_dir().join(format!("pinepoint-calls-{}", std::process::id()));
     let words = ["strace", "-D", "-f", "-qq", "-o", file.to_str().expect("a path in UTF-8")];
-    life(words.map(str::to_owned).to_vec(), |_| BTreeMap::from([("tcp".into(), 1)]));
+    run_whole_life(words.map(str::to_owned).to_vec(), |_| BTreeMap::from([("tcp".into(), 1)]));
     let trace = std::fs::read_to_string(&file).expect("the tracer wrote");
     std::fs::remove_file(&file).expect("removed");
     let mut calls: BTreeMap<&str, u32> = BTreeMap::new();
