--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -64,7 +64,7 @@
         let totals = vec![0.0; schema.counts()];
         let distributions = vec![DistributionRecorder::default(); schema.distributions()];
         let series = (0..classes.len()).collect();
-        Accounts { schema, classes, series, weight_by_work: weight_by_work, hints, totals, distributions }
+        Accounts { schema, classes, series, weight_by_work, hints, totals, distributions }
     }
 
     /// Continues with other classes, at least as many as before. `series` has the class of the schema for
