--- a/src/admission/dispatch.rs
+++ b/src/admission/dispatch.rs
@@ -7,7 +7,7 @@
 
 /// Least core time of a run, ms.
 pub(super) const MIN_RUN_MS: f64 = 0.1;
-/// Part of its own work that an arrival waits for beside those ahead of it: the rest of a run in progress.
+/// Part of its own work that is added to the work ahead of an arrival when its wait is estimated.
 const OWN_WAIT_PART: f64 = 0.5;
 
 /// A queued request that may be started.
--- a/src/admission/pi_controller.rs
+++ b/src/admission/pi_controller.rs
@@ -1,5 +1,8 @@
 //! A proportional-integral controller with anti-windup.
 
+#[cfg(test)]
+mod tests;
+
 /// A PI controller whose output and integral are both clamped to the range of the actuator.
 ///
 /// The output is `Kp * e + Ki * ∫ e dt`. Clamping the integral is the anti-windup: after a long time at the
--- a/src/admission/read_delay.rs
+++ b/src/admission/read_delay.rs
@@ -33,7 +33,7 @@
 
     /// Takes the delay of an arrival, ms.
     pub(super) fn record_arrival(&mut self, delay_ms: f64) {
-        // Twice the usual weight: a jam builds up within a few arrivals.
+        // Twice the usual weight. The factors stay apart so that the rounding stays the same.
         self.mean_ms += (delay_ms - self.mean_ms) * OBSERVATION_WEIGHT * 2.0;
         self.floor_ms *= FLOOR_GROWTH;
     }
