--- /dev/null
+++ b/src/server/frontend/connection/mod.rs
@@ -0,0 +1,123 @@
+//! One caller's connection, the same for every protocol: its [`ReadHalf`], its [`WriteHalf`], and the one way in which it
+//! ends. No more is taken in, what was read is answered, output is flushed, the writing half is shut down, what still
+//! comes is read and discarded within bounds, then the socket is closed. It knows nothing of protocols and requests.
+
+mod read_half;
+mod write_half;
+
+use std::future::Future;
+use std::net::{Shutdown, TcpStream};
+
+use async_io::Async;
+use futures_lite::{AsyncReadExt, future};
+
+pub use self::read_half::ReadHalf;
+pub use self::write_half::WriteHalf;
+use crate::server::core::api::CoreInput;
+use crate::server::frontend::connection_state::ConnectionState;
+use crate::server::frontend::context::FrontendContext;
+
+/// How long, ms, and for how many bytes, what comes after the writing half was shut down is read and discarded. A close
+/// over unread bytes is a reset, and takes answers along that the other side has not read yet.
+const LINGER_MS: f64 = 1000.0;
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// The same where the process is about to end, ms: within what the core leaves between the last answers and the end.
+const FINAL_LINGER_MS: f64 = 60.0;
+/// Bytes that are discarded at a time.
+const DISCARD_CHUNK_BYTES: usize = 4096;
+
+/// Why nothing more is taken in on a connection, with the reason code of its end where there are several.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CloseReason {
+    /// What was read is answered, then the connection ends in order.
+    Graceful(&'static str),
+    /// The same, as the other side sends nothing more.
+    PeerClosed,
+    /// The same, as the process is about to end.
+    Finishing,
+    /// What came breaks the protocol. What was read before it fails at once, and the connection ends in order.
+    ProtocolError(&'static str),
+    /// Nothing was in flight, nothing unread, and the writing half is shut down already.
+    WriteClosed(&'static str),
+    /// Nobody is there to be answered.
+    PeerGone(&'static str),
+}
+
+/// Why the writer has stopped.
+enum WriterEnd {
+    /// Everything was written, or nothing is owed.
+    Flushed(&'static str),
+    /// Nobody reads what is owed.
+    Aborted(&'static str),
+}
+
+/// Runs a connection from its first byte to its end. `reading` takes messages in until it says why it stops; `is_idle`
+/// tells whether no answer is owed. Returns the reason code of the end.
+pub async fn run(
+    stream: &Async<TcpStream>,
+    state: &ConnectionState,
+    context: &FrontendContext,
+    writer: &WriteHalf,
+    reading: impl Future<Output = CloseReason>,
+    is_idle: impl Fn() -> bool,
+) -> &'static str {
+    let reading = async {
+        let end = match reading.await {
+            CloseReason::WriteClosed(reason) => return WriterEnd::Flushed(reason),
+            CloseReason::PeerGone(reason) => return WriterEnd::Aborted(reason),
+            CloseReason::ProtocolError(reason) => {
+                let _ = context.queue.send(CoreInput::ProtocolError { caller: state.id }).await;
+                reason
+            }
+            CloseReason::Graceful(reason) => reason,
+            CloseReason::Finishing => "stopping",
+            CloseReason::PeerClosed => peer_closed_code(state),
+        };
+        writer.end(end);
+        future::pending().await
+    };
+    match future::or(reading, writer.run(stream, is_idle)).await {
+        WriterEnd::Flushed(reason) => {
+            linger(stream, state, context).await;
+            reason
+        }
+        WriterEnd::Aborted(reason) => reason,
+    }
+}
+
+/// The reason code of a connection whose other side sends nothing more.
+fn peer_closed_code(state: &ConnectionState) -> &'static str {
+    if state.partial_message.get() {
+        "cut-off"
+    } else if state.is_going_away() {
+        "drained"
+    } else {
+        "peer-closed"
+    }
+}
+
+/// Shuts the writing half down and discards what still comes, until the other side closes or a bound is reached.
+async fn linger(stream: &Async<TcpStream>, state: &ConnectionState, context: &FrontendContext) {
+    let _ = stream.get_ref().shutdown(Shutdown::Write);
+    state.set_lingering();
+    let finishing = async {
+        context.status.finishing.wait().await;
+        context.clock.pause(FINAL_LINGER_MS).await;
+    };
+    let evicted = state.eviction_request();
+    let timeout = context.clock.pause(LINGER_MS);
+    let bound = future::or(timeout, future::or(evicted, finishing));
+    future::or(discard(stream, MAX_LINGER_BYTES), bound).await;
+}
+
+/// Reads and discards what comes, until the other side closes or has sent `max_bytes`.
+pub async fn discard(mut stream: &Async<TcpStream>, max_bytes: usize) {
+    let mut chunk = [0; DISCARD_CHUNK_BYTES];
+    let mut remaining = max_bytes;
+    while let Ok(read) = stream.read(&mut chunk).await
+        && (1..remaining).contains(&read)
+    {
+        remaining -= read;
+        future::yield_now().await;
+    }
+}
