--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -148,22 +148,24 @@
         let number = link.number();
         *self.current(peer).borrow_mut() = Some(link);
         self.running.set(self.running.get() + 1);
-        let run = async move {
-            let deliver = |message| {
-                if this.is_current(peer, number) {
-                    this.notify_core(peer.message(message));
-                }
-            };
-            let end = task.run(deliver).await;
-            tracing::info!(side = ?peer, reason = %end, "handover-link-ended");
-            if this.is_current(peer, number) {
-                *this.current(peer).borrow_mut() = None;
-                this.notify_core(peer.lost());
+        self.context.executor.spawn(this.run_link(peer, number, task)).detach();
+    }
+
+    /// Runs a link to its end. A link that was dropped or replaced meanwhile reports nothing to the core.
+    async fn run_link(self: Rc<Self>, peer: Peer, number: u64, task: LinkTask) {
+        let deliver = |message| {
+            if self.is_current(peer, number) {
+                self.notify_core(peer.message(message));
             }
-            this.running.set(this.running.get() - 1);
-            this.link_ended.wake();
         };
-        self.context.executor.spawn(run).detach();
+        let end = task.run(deliver).await;
+        tracing::info!(side = ?peer, reason = %end, "handover-link-ended");
+        if self.is_current(peer, number) {
+            *self.current(peer).borrow_mut() = None;
+            self.notify_core(peer.lost());
+        }
+        self.running.set(self.running.get() - 1);
+        self.link_ended.wake();
     }
 
     fn drop_link(&self, peer: Peer) {
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -22,8 +22,8 @@
     Terminated,
 ];
 const TIMES: DrainTimes = DrainTimes { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
-const DOOR: Outstanding = Outstanding { listeners: 1, ..NOTHING };
+const NOTHING_OUTSTANDING: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
+const OPEN_LISTENER: Outstanding = Outstanding { listeners: 1, ..NOTHING_OUTSTANDING };
 
 fn serving() -> Lifecycle {
     let mut life = Lifecycle::new(TIMES, true);
@@ -33,8 +33,8 @@
 }
 
 /// Advances as far as it goes at this time.
-fn advance(life: &mut Lifecycle, now: f64, left: Outstanding) -> Phase {
-    while life.advance(now, left).is_some() {}
+fn advance(life: &mut Lifecycle, now: f64, outstanding: Outstanding) -> Phase {
+    while life.advance(now, outstanding).is_some() {}
     life.phase()
 }
 
@@ -78,14 +78,14 @@
 fn a_drain_goes_through_its_phases_by_the_time_of_the_notice() {
     let mut life = serving();
     assert!(life.begin_drain(5000.0), "taken late, it counts from when it came");
-    assert_eq!(advance(&mut life, 5799.0, DOOR), Draining);
-    assert_eq!(advance(&mut life, 5800.0, DOOR), GoAwaySent);
-    assert_eq!(advance(&mut life, 5999.0, NOTHING), GoAwaySent, "others still hear of it late");
-    assert_eq!(advance(&mut life, 6000.0, DOOR), Closing);
-    assert_eq!(advance(&mut life, 6799.0, DOOR), Closing);
-    assert_eq!(advance(&mut life, 6800.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 6939.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 6940.0, DOOR), Terminated, "the kill is near");
+    assert_eq!(advance(&mut life, 5799.0, OPEN_LISTENER), Draining);
+    assert_eq!(advance(&mut life, 5800.0, OPEN_LISTENER), GoAwaySent);
+    assert_eq!(advance(&mut life, 5999.0, NOTHING_OUTSTANDING), GoAwaySent, "others still hear of it late");
+    assert_eq!(advance(&mut life, 6000.0, OPEN_LISTENER), Closing);
+    assert_eq!(advance(&mut life, 6799.0, OPEN_LISTENER), Closing);
+    assert_eq!(advance(&mut life, 6800.0, OPEN_LISTENER), Finishing);
+    assert_eq!(advance(&mut life, 6939.0, OPEN_LISTENER), Finishing);
+    assert_eq!(advance(&mut life, 6940.0, OPEN_LISTENER), Terminated, "the kill is near");
     assert_eq!(life.kill_ms(), Some(7000.0));
     assert!(!life.begin_drain(6950.0), "a second notice moves nothing");
     assert_eq!(life.kill_ms(), Some(7000.0));
@@ -93,13 +93,16 @@
 
 #[test]
 fn it_ends_when_nothing_is_left_and_not_before() {
-    let somebody =
-        [DOOR, Outstanding { connections: 1, ..NOTHING }, Outstanding { answers_pending: true, ..NOTHING }];
-    for left in somebody {
+    let cases = [
+        OPEN_LISTENER,
+        Outstanding { connections: 1, ..NOTHING_OUTSTANDING },
+        Outstanding { answers_pending: true, ..NOTHING_OUTSTANDING },
+    ];
+    for outstanding in cases {
         let mut life = serving();
         life.begin_drain(0.0);
-        assert_eq!(advance(&mut life, 1000.0, left), Closing, "{left:?}");
-        assert_eq!(advance(&mut life, 1001.0, NOTHING), Terminated);
+        assert_eq!(advance(&mut life, 1000.0, outstanding), Closing, "{outstanding:?}");
+        assert_eq!(advance(&mut life, 1001.0, NOTHING_OUTSTANDING), Terminated);
     }
 }
 
@@ -112,7 +115,7 @@
     assert!(!life.engine_up(), "nothing may begin to serve");
     life.set_healthy(true);
     assert_eq!(life.published(), Published { healthy: false, registered: Some(false) });
-    assert_eq!(advance(&mut life, 1.0, NOTHING), Terminated, "nobody was ever told of it");
+    assert_eq!(advance(&mut life, 1.0, NOTHING_OUTSTANDING), Terminated, "nobody was ever told of it");
 }
 
 #[test]
@@ -166,17 +169,17 @@
     let mut life = serving();
     assert!(life.mark_handed_over(5000.0));
     assert_eq!(life.published(), Published { healthy: true, registered: None });
-    assert_eq!(advance(&mut life, 5001.0, DOOR), HandedOver);
+    assert_eq!(advance(&mut life, 5001.0, OPEN_LISTENER), HandedOver);
     assert_eq!(life.kill_ms(), Some(6500.0));
-    assert_eq!(advance(&mut life, 6300.0, DOOR), Finishing);
+    assert_eq!(advance(&mut life, 6300.0, OPEN_LISTENER), Finishing);
     assert_eq!(life.published(), Published { healthy: false, registered: None });
-    assert_eq!(advance(&mut life, 6440.0, DOOR), Terminated);
+    assert_eq!(advance(&mut life, 6440.0, OPEN_LISTENER), Terminated);
 
     let mut life = serving();
     life.set_lame_duck(true);
     assert!(life.mark_handed_over(5000.0));
     assert_eq!(life.published(), Published { healthy: false, registered: None }, "drained, it stays so");
-    assert_eq!(advance(&mut life, 5001.0, NOTHING), Terminated, "nothing keeps it");
+    assert_eq!(advance(&mut life, 5001.0, NOTHING_OUTSTANDING), Terminated, "nothing keeps it");
 }
 
 #[test]
@@ -190,7 +193,7 @@
     assert!(!life.mark_handed_over(5500.0));
     let mut late = serving();
     late.begin_drain(0.0);
-    advance(&mut late, 1000.0, DOOR);
+    advance(&mut late, 1000.0, OPEN_LISTENER);
     assert!(!late.mark_handed_over(1001.0), "its doors are shut");
 }
 
@@ -247,7 +250,7 @@
                 }
                 Step::Pass(ms, left) => {
                     now += ms;
-                    advance(&mut life, now, if *left { DOOR } else { NOTHING });
+                    advance(&mut life, now, if *left { OPEN_LISTENER } else { NOTHING_OUTSTANDING });
                 }
             }
             let back = matches!((before, life.phase()), (StartingLameDuck, Starting) | (LameDuck, Serving));
@@ -267,9 +270,9 @@
             }
         }
         if let Some(since) = told {
-            let late = advance(&mut life, now.max(since + stop_ms), DOOR);
+            let late = advance(&mut life, now.max(since + stop_ms), OPEN_LISTENER);
             prop_assert!(late >= Finishing);
-            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, DOOR), Terminated);
+            prop_assert_eq!(advance(&mut life, now.max(since + stop_ms) + 100.0, OPEN_LISTENER), Terminated);
         }
     }
 }
@@ -279,7 +282,7 @@
 fn the_last_answers_are_written_however_late_they_are_given() {
     let mut life = serving();
     life.begin_drain(5000.0);
-    assert_eq!(advance(&mut life, 7100.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 7199.0, DOOR), Finishing);
-    assert_eq!(advance(&mut life, 7200.0, DOOR), Terminated);
+    assert_eq!(advance(&mut life, 7100.0, OPEN_LISTENER), Finishing);
+    assert_eq!(advance(&mut life, 7199.0, OPEN_LISTENER), Finishing);
+    assert_eq!(advance(&mut life, 7200.0, OPEN_LISTENER), Terminated);
 }
