--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -33,7 +33,15 @@
 const INTERVAL_S: u32 = 10;
 const SPOOL_BYTES: usize = 256 * 1024;
 
-/// The core, its clients and machine, and what telemetry keeps of it.
+/// The most that the tables held at once: the load has to fill what it is to leave empty.
+#[derive(Debug, Default)]
+struct Peak {
+    keys: u64,
+    open_requests: u64,
+    result_bytes: u64,
+}
+
+/// The core, its callers and machine, and what telemetry keeps of it.
 struct Life {
     harness: CoreHarness,
     random: Pcg64Mcg,
@@ -42,8 +50,7 @@
     spool: Spool,
     keys: u64,
     callers: std::ops::Range<u64>,
-    /// Most of keys, requests and bytes of results at once: the load has to fill what it is to leave empty.
-    most: (u64, usize, u64),
+    peak: Peak,
 }
 
 /// Takes one out of a list of the stand-ins, if there is one.
@@ -69,7 +76,7 @@
         let bounds = Bounds { bytes: SPOOL_BYTES, age_ms: 86_400_000.0, window: 8 };
         let spool = Spool::new(bounds, vec![0.0; schema.counts()].into());
         let (random, gauges) = (Pcg64Mcg::seed_from_u64(seed), schema.gauges());
-        Life { harness, random, accounts, gauges, spool, keys: 0, callers: 0..0, most: (0, 0, 0) }
+        Life { harness, random, accounts, gauges, spool, keys: 0, callers: 0..0, peak: Peak::default() }
     }
 
     fn below(&mut self, n: u64) -> u64 {
@@ -156,9 +163,9 @@
         self.harness.recorded.delivered_replies.borrow_mut().clear();
         self.harness.recorded.process_events.borrow_mut().clear();
         let state = self.harness.core.state();
-        let open = state.open.iter().sum::<u64>() as usize;
-        self.most =
-            (self.most.0.max(state.keys), self.most.1.max(open), self.most.2.max(state.results_bytes));
+        self.peak.keys = self.peak.keys.max(state.keys);
+        self.peak.open_requests = self.peak.open_requests.max(state.open.iter().sum());
+        self.peak.result_bytes = self.peak.result_bytes.max(state.results_bytes);
     }
 
     fn interval(&mut self, slot_s: u64) {
@@ -217,9 +224,12 @@
         assert_eq!(state.connections, 0, "callers after round {number}");
         after.push(taken());
     }
-    let (keys, open, results) = life.most;
-    assert!(keys > 50 && open > 10 && results > 2000, "the load fills nothing: {:?}", life.most);
-    println!("memory after each round, bytes: {after:?}; most keys, open, bytes of results: {:?}", life.most);
+    let peak = &life.peak;
+    assert!(
+        peak.keys > 50 && peak.open_requests > 10 && peak.result_bytes > 2000,
+        "the load fills nothing: {peak:?}"
+    );
+    println!("memory after each round, bytes: {after:?}; {peak:?}");
     // What a table or a spool that is full once keeps for later is no growth; one byte a request would be over 50 kB.
     let (first, last) = (after[1], after[4]);
     assert!(last - first < 32 * 1024, "grows: {after:?}");
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -254,32 +254,36 @@
 
 // ---- any sequence of settings ----
 
+/// A class of the settings.
+#[derive(Clone, Copy, Debug)]
+struct ClassSpec {
+    /// Index into [`NAMES`].
+    name: usize,
+    /// Index into [`EFFECTS`].
+    effect: usize,
+    timeout_ms: u16,
+    window_ms: u16,
+}
+
 #[derive(Clone, Debug)]
 enum Step {
-    /// Classes by name, each with its effect, deadline and window.
-    Reload(Vec<(usize, usize, u16, u16)>),
-    Arrive {
-        name: usize,
-        token: u8,
-    },
+    Reload(Vec<ClassSpec>),
+    Arrive { name: usize, token: u8 },
     Pass(u16),
-    End {
-        run: u8,
-        good: bool,
-    },
+    End { run: u8, good: bool },
     Gone(u8),
 }
 
 const NAMES: [&str; 5] = ["one", "two", "three", "four", "five"];
 const EFFECTS: [&str; 3] = [READ, KEYED, "non_idempotent"];
 
+fn class_spec(effect: impl Strategy<Value = usize>) -> impl Strategy<Value = ClassSpec> {
+    let fields = (0..NAMES.len(), effect, 300..4000_u16, 1..6000_u16);
+    fields.prop_map(|(name, effect, timeout_ms, window_ms)| ClassSpec { name, effect, timeout_ms, window_ms })
+}
+
 fn step() -> impl Strategy<Value = Step> {
-    let class = (
-        0..NAMES.len(),
-        prop_oneof![4 => Just(1_usize), 1 => Just(0), 1 => Just(2)],
-        300..4000_u16,
-        1..6000_u16,
-    );
+    let class = class_spec(prop_oneof![4 => Just(1_usize), 1 => Just(0), 1 => Just(2)]);
     prop_oneof![
         2 => proptest::collection::vec(class, 1..6).prop_map(Step::Reload),
         12 => (0..NAMES.len(), 0..3_u8).prop_map(|(name, token)| Step::Arrive { name, token }),
@@ -289,13 +293,15 @@
     ]
 }
 
-fn site_of(classes: &[(usize, usize, u16, u16)]) -> Site {
-    let unique: BTreeMap<usize, _> = classes.iter().map(|class| (class.0, class)).collect();
+/// Settings with these classes; of two with one name, the last counts.
+fn site_of(classes: &[ClassSpec]) -> Site {
+    let unique: BTreeMap<usize, _> = classes.iter().map(|class| (class.name, class)).collect();
     let mut classes: Vec<Value> = unique
         .into_values()
-        .map(|(name, idempotency, deadline, window)| {
-            let mut class = service(NAMES[*name], EFFECTS[*idempotency]);
-            (class["deadlineMs"], class["keyTtlMs"]) = (json!(deadline), json!(window));
+        .map(|spec| {
+            let mut class = service(NAMES[spec.name], EFFECTS[spec.effect]);
+            class["deadlineMs"] = json!(spec.timeout_ms);
+            class["keyTtlMs"] = json!(spec.window_ms);
             class
         })
         .collect();
@@ -306,9 +312,9 @@
     Site::from_json(&settings).expect("well formed")
 }
 
-/// What a request came with.
+/// What a request was sent with.
 #[derive(Clone, Debug)]
-struct Came {
+struct SentRequest {
     class: usize,
     name: &'static str,
     key: Option<(usize, String)>,
@@ -326,12 +332,12 @@
     /// class add up.
     #[test]
     fn over_any_sequence_of_settings_answers_windows_and_counts_hold(
-        first in proptest::collection::vec((0..NAMES.len(), 0..3_usize, 300..4000_u16, 1..6000_u16), 1..6),
+        first in proptest::collection::vec(class_spec(0..3_usize), 1..6),
         steps in proptest::collection::vec(step(), 1..120),
     ) {
         let mut site = Rc::new(site_of(&first));
         let mut harness = serving(&site);
-        let mut came: Vec<Came> = Vec::new();
+        let mut sent: Vec<SentRequest> = Vec::new();
         let mut windows: BTreeMap<(usize, String), f64> = BTreeMap::new();
         let (mut runs_seen, mut gone) = (0, BTreeSet::new());
         for step in &steps {
@@ -351,7 +357,7 @@
                     if let Some(class) = site.class_of(NAMES[*name], harness.now) {
                         let settings = &site.settings.classes[class];
                         let token = (settings.idempotency == Idempotency::Keyed).then(|| format!("k{token}"));
-                        came.push(Came {
+                        sent.push(SentRequest {
                             class,
                             name: NAMES[*name],
                             key: token.clone().map(|token| (class, token)),
@@ -378,7 +384,7 @@
             let runs = harness.recorded.runs.borrow().clone();
             for attempt_id in &runs[runs_seen..] {
                 let number: usize = attempt_id[1..].parse().expect("a number");
-                let request = &came[number - 1];
+                let request = &sent[number - 1];
                 prop_assert_eq!(&harness.recorded.run_classes.borrow()[attempt_id], request.name);
                 if let Some(key) = &request.key {
                     let window_ms = site.settings.classes[request.class].dedup_window_ms;
@@ -392,10 +398,10 @@
             prop_assert_eq!(open.len(), site.settings.classes.len());
             for (class, [read, answered, gone]) in harness.totals_by_class().into_iter().enumerate() {
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
-                let sent = came.iter().filter(|request| request.class == class).count() as u64;
+                let sent = sent.iter().filter(|request| request.class == class).count() as u64;
                 prop_assert_eq!(read, sent, "class {}", class);
             }
-            for (number, request) in came.iter().enumerate() {
+            for (number, request) in sent.iter().enumerate() {
                 let correlation_id = number as u64 + 1;
                 let answered = harness.recorded.answers.borrow().contains_key(&(1, correlation_id));
                 prop_assert!(
