--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -195,7 +195,7 @@
     assert!(doubles.is_empty(), "run more than once: {doubles:?}");
 }
 
-/// The list service received no report but that the name is up.
+/// The service registry received no report but that the name is up.
 pub fn assert_always_registered(deployment: &Deployment, since: Instant) {
     let reports = deployment.list.reports_since(since);
     assert!(!reports.is_empty(), "no reports at all");
@@ -207,7 +207,7 @@
     eventually_within(limit, &format!("health {good}"), || client.ping() == Reply::Health(good));
 }
 
-/// Waits until the list service receives a report of this kind; what comes from the returned time on was sent after it.
+/// Waits until the service registry receives a report of this kind; what comes from the returned time on was sent after it.
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
     eventually_within(REPORT_TIMEOUT, &format!("a report up={up}"), || {
--- a/tests/upgrade/connections.rs
+++ b/tests/upgrade/connections.rs
@@ -15,7 +15,7 @@
     let resting = connect(&deployment);
     assert_served(&resting, &Request::read("before"));
     let _new = take_over(&deployment);
-    // Until the old process is told to leave, its connections are served as ever.
+    // Until the SIGTERM, the connections of the old process are served as before.
     assert_served(&resting, &Request::read("between"));
     send_signal(&old, Signal::TERM);
     assert!(resting.wait_for_notice(deployment.stop()), "no goaway");
--- a/tests/upgrade/idempotency_keys.rs
+++ b/tests/upgrade/idempotency_keys.rs
@@ -52,7 +52,7 @@
     assert_eq!(runs_of("key", &[&old.engine, &new.engine]), 1);
 }
 
-/// The old process is not told to leave yet, and its connections are still there.
+/// The old process has had no SIGTERM yet, and its connections are still open.
 #[test]
 fn a_repeat_at_the_old_process_of_what_ran_at_the_new_is_not_run() {
     let deployment = deployment();
