--- a/crates/pinepoint-events/src/core_state.rs
+++ b/crates/pinepoint-events/src/core_state.rs
@@ -6,9 +6,9 @@
     /// For each request class, requests that were received and have not ended yet.
     pub open: Vec<u64>,
     /// Requests in the queue.
-    pub held: u64,
+    pub queued: u64,
     /// Retries that wait for the result of an earlier attempt.
-    pub waiting: u64,
+    pub awaiting_result: u64,
     /// Running requests, those that wait for a downstream call included.
     pub running: u64,
     /// Downstream calls in flight.
@@ -19,6 +19,6 @@
     pub results_bytes: u64,
     /// Connections of all frontends.
     pub connections: u64,
-    /// Gauges of the decision module: a name and a value each, always the same names in the same order.
-    pub module: Vec<(&'static str, f64)>,
+    /// Gauges of the admission controller: a name and a value each, always the same names in the same order.
+    pub admission: Vec<(&'static str, f64)>,
 }
--- a/crates/pinepoint-events/src/process_event.rs
+++ b/crates/pinepoint-events/src/process_event.rs
@@ -5,7 +5,7 @@
 /// What happened to the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessEvent {
-    /// The engine is up and the decision module was created.
+    /// The engine is up and the admission controller was created.
     Started {
         /// Whether the machine was started cold, so that the engine has to warm up.
         cold: bool,
--- a/crates/pinepoint-events/src/reasons.rs
+++ b/crates/pinepoint-events/src/reasons.rs
@@ -36,7 +36,7 @@
         DeadlineExceeded = "late",
         /// The process was about to be stopped.
         Shutdown = "stop",
-        /// The decision module had not answered by the deadline, so the core answered instead.
+        /// The admission controller had not answered by the deadline, so the core answered instead.
         Overdue = "overdue",
         /// A later attempt with the same idempotency key replaced it; neither had run.
         Superseded = "superseded",
--- a/crates/pinepoint-events/src/request_event.rs
+++ b/crates/pinepoint-events/src/request_event.rs
@@ -35,7 +35,7 @@
 /// One event in the life of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestEvent {
-    /// The core's number for the request; 0 for one that never reached the decision module.
+    /// The core's number for the request; 0 for one that never reached the admission controller.
     pub id: u32,
     /// Index of its request class.
     pub class: usize,
@@ -54,11 +54,11 @@
         /// Whether the caller marked it as a retry.
         retry: bool,
         /// Work hint, ms on one core.
-        hint_ms: Option<f64>,
+        work_hint_ms: Option<f64>,
         /// Time that it waited in the socket before it was read, ms.
         read_delay_ms: f64,
     },
-    /// The decision module decided about it.
+    /// The admission controller decided about it.
     Decided(Decision),
     /// Its run was started.
     RunStarted {
@@ -68,18 +68,18 @@
     /// Its run ended.
     RunEnded {
         /// How it ended.
-        end: RunOutcome,
+        outcome: RunOutcome,
         /// Time since the run was started, ms.
-        ran_ms: f64,
+        duration_ms: f64,
     },
     /// A downstream call was started for it.
     CallStarted,
     /// A downstream call ended.
     CallEnded {
         /// How it ended.
-        end: CallOutcome,
+        outcome: CallOutcome,
         /// Time since the call was started, ms.
-        called_ms: f64,
+        duration_ms: f64,
     },
     /// Its run continues without the downstream call that it asked for.
     CallSkipped,
@@ -88,14 +88,14 @@
         /// The answer.
         answer: Answer,
         /// Work hint, ms on one core.
-        hint_ms: Option<f64>,
+        work_hint_ms: Option<f64>,
         /// Time since it arrived at the machine, ms.
         took_ms: f64,
     },
     /// It was answered that its deadline had passed, which is a final answer too.
     DeadlineExceeded {
         /// Where that was detected.
-        why: FailureReason,
+        reason: FailureReason,
         /// Time since it arrived at the machine, ms.
         took_ms: f64,
     },
--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -46,17 +46,17 @@
         RequestEventKind::Received {
             protocol: Protocol::Rpc,
             retry: false,
-            hint_ms: Some(ms),
+            work_hint_ms: Some(ms),
             read_delay_ms: 0.1,
         },
         RequestEventKind::Decided(Decision::Run),
         RequestEventKind::RunStarted { queue_wait_ms: ms },
         RequestEventKind::CallStarted,
-        RequestEventKind::CallEnded { end: CallOutcome::Done, called_ms: ms / 4.0 },
-        RequestEventKind::RunEnded { end: RunOutcome::Complete, ran_ms: ms * 2.0 },
+        RequestEventKind::CallEnded { outcome: CallOutcome::Done, duration_ms: ms / 4.0 },
+        RequestEventKind::RunEnded { outcome: RunOutcome::Complete, duration_ms: ms * 2.0 },
         RequestEventKind::Answered {
             answer: Answer::Served { deduplicated: false, degraded: false },
-            hint_ms: Some(ms),
+            work_hint_ms: Some(ms),
             took_ms: ms * 3.0,
         },
     ];
--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -52,7 +52,7 @@
 struct Served {
     deduplicated: bool,
     degraded: bool,
-    hint_ms: Option<f64>,
+    work_hint_ms: Option<f64>,
     took_ms: f64,
 }
 
@@ -99,27 +99,29 @@
         let Some(terms) = self.classes.get(event.class).copied() else { return };
         let class = self.series[event.class];
         match event.kind {
-            RequestEventKind::Received { retry, hint_ms, .. } => self.received(class, terms, retry, hint_ms),
+            RequestEventKind::Received { retry, work_hint_ms, .. } => {
+                self.received(class, terms, retry, work_hint_ms)
+            }
             RequestEventKind::Decided(_) => {}
             RequestEventKind::RunStarted { queue_wait_ms } => {
                 self.add(class, ClassCounter::RunsStarted, 1.0);
                 self.record_duration(class, ClassDistribution::QueueWait, queue_wait_ms);
             }
-            RequestEventKind::RunEnded { end, ran_ms } => {
-                self.totals[self.schema.run(class, end)] += 1.0;
-                self.record_duration(class, ClassDistribution::Run, ran_ms);
+            RequestEventKind::RunEnded { outcome, duration_ms } => {
+                self.totals[self.schema.run(class, outcome)] += 1.0;
+                self.record_duration(class, ClassDistribution::Run, duration_ms);
             }
             RequestEventKind::CallStarted => self.add(class, ClassCounter::CallsStarted, 1.0),
-            RequestEventKind::CallEnded { end, called_ms } => {
-                self.totals[self.schema.call(class, end)] += 1.0;
-                self.record_duration(class, ClassDistribution::Call, called_ms);
+            RequestEventKind::CallEnded { outcome, duration_ms } => {
+                self.totals[self.schema.call(class, outcome)] += 1.0;
+                self.record_duration(class, ClassDistribution::Call, duration_ms);
             }
             RequestEventKind::CallSkipped => self.add(class, ClassCounter::CallsSkipped, 1.0),
-            RequestEventKind::Answered { answer, hint_ms, took_ms } => {
+            RequestEventKind::Answered { answer, work_hint_ms, took_ms } => {
                 self.record_duration(class, ClassDistribution::Total, took_ms);
                 match answer {
                     Answer::Served { deduplicated, degraded } => {
-                        self.served(class, terms, Served { deduplicated, degraded, hint_ms, took_ms });
+                        self.served(class, terms, Served { deduplicated, degraded, work_hint_ms, took_ms });
                     }
                     Answer::Rejected(reason) => self.totals[self.schema.rejected(class, reason)] += 1.0,
                     Answer::Failed(reason) => self.totals[self.schema.failed(class, reason)] += 1.0,
@@ -133,21 +135,21 @@
         }
     }
 
-    fn received(&mut self, class: usize, terms: Class, retry: bool, hint_ms: Option<f64>) {
+    fn received(&mut self, class: usize, terms: Class, retry: bool, work_hint_ms: Option<f64>) {
         self.add(class, ClassCounter::Received, 1.0);
         self.add(class, ClassCounter::Retries, f64::from(u8::from(retry)));
-        if let Some(hint_ms) = hint_ms {
+        if let Some(work_hint_ms) = work_hint_ms {
             let hints = &mut self.hints[class];
-            hints.sum_ms += hint_ms;
+            hints.sum_ms += work_hint_ms;
             hints.count += 1.0;
         }
-        let weight = terms.weight * self.weight_units(class, hint_ms);
+        let weight = terms.weight * self.weight_units(class, work_hint_ms);
         self.add(class, ClassCounter::WeightReceived, weight);
     }
 
     fn served(&mut self, class: usize, terms: Class, served: Served) {
         let objective_ms =
-            terms.latency_objective_ms + terms.objective_per_work * served.hint_ms.unwrap_or(0.0);
+            terms.latency_objective_ms + terms.objective_per_work * served.work_hint_ms.unwrap_or(0.0);
         let (outcome, lateness_factor) = if served.took_ms <= objective_ms {
             (ClassCounter::ServedWithinObjective, 1.0)
         } else {
@@ -157,16 +159,16 @@
         self.add(class, ClassCounter::Deduplicated, f64::from(u8::from(served.deduplicated)));
         self.add(class, ClassCounter::Degraded, f64::from(u8::from(served.degraded)));
         let degradation_factor = if served.degraded { terms.weight_without_call } else { 1.0 };
-        let weight = terms.weight * self.weight_units(class, served.hint_ms);
+        let weight = terms.weight * self.weight_units(class, served.work_hint_ms);
         self.add(class, ClassCounter::WeightServed, weight * lateness_factor * degradation_factor);
     }
 
     /// What the weight of one request is multiplied by: 1, or its work in seconds.
-    fn weight_units(&self, class: usize, hint_ms: Option<f64>) -> f64 {
+    fn weight_units(&self, class: usize, work_hint_ms: Option<f64>) -> f64 {
         let hints = self.hints[class];
-        match hint_ms {
+        match work_hint_ms {
             _ if !self.weight_by_work => 1.0,
-            Some(hint_ms) => hint_ms / 1000.0,
+            Some(work_hint_ms) => work_hint_ms / 1000.0,
             None if hints.count > 0.0 => hints.sum_ms / hints.count / 1000.0,
             None => 1.0,
         }
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -19,12 +19,16 @@
     RequestEvent { id: 1, class, kind }
 }
 
-fn read(hint_ms: Option<f64>) -> RequestEventKind {
-    RequestEventKind::Received { protocol: Protocol::Rpc, retry: true, hint_ms, read_delay_ms: 0.0 }
+fn read(work_hint_ms: Option<f64>) -> RequestEventKind {
+    RequestEventKind::Received { protocol: Protocol::Rpc, retry: true, work_hint_ms, read_delay_ms: 0.0 }
 }
 
-fn served(took_ms: f64, degraded: bool, hint_ms: Option<f64>) -> RequestEventKind {
-    RequestEventKind::Answered { answer: Answer::Served { deduplicated: false, degraded }, hint_ms, took_ms }
+fn served(took_ms: f64, degraded: bool, work_hint_ms: Option<f64>) -> RequestEventKind {
+    RequestEventKind::Answered {
+        answer: Answer::Served { deduplicated: false, degraded },
+        work_hint_ms,
+        took_ms,
+    }
 }
 
 #[test]
@@ -63,15 +67,15 @@
         served(10.0, false, None),
         RequestEventKind::Answered {
             answer: Answer::Rejected(RejectReason::Stalled),
-            hint_ms: None,
+            work_hint_ms: None,
             took_ms: 1.0,
         },
         RequestEventKind::Answered {
             answer: Answer::Failed(FailureReason::RunFailed),
-            hint_ms: None,
+            work_hint_ms: None,
             took_ms: 1.0,
         },
-        RequestEventKind::DeadlineExceeded { why: FailureReason::DeadlineExceeded, took_ms: 1.0 },
+        RequestEventKind::DeadlineExceeded { reason: FailureReason::DeadlineExceeded, took_ms: 1.0 },
         RequestEventKind::CallerGone { took_ms: 1.0 },
     ];
     for kind in ends {
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -20,9 +20,9 @@
 //! let mut accounts = Accounts::new(schema.clone(), vec![class], false);
 //! let event = |kind| RequestEvent { id: 1, class: 0, kind };
 //! let protocol = Protocol::Rpc;
-//! accounts.record(&event(RequestEventKind::Received { protocol, retry: false, hint_ms: None, read_delay_ms: 0.0 }));
+//! accounts.record(&event(RequestEventKind::Received { protocol, retry: false, work_hint_ms: None, read_delay_ms: 0.0 }));
 //! let answer = Answer::Served { deduplicated: false, degraded: false };
-//! accounts.record(&event(RequestEventKind::Answered { answer, hint_ms: None, took_ms: 12.0 }));
+//! accounts.record(&event(RequestEventKind::Answered { answer, work_hint_ms: None, took_ms: 12.0 }));
 //! let (totals, _) = accounts.end_interval();
 //! let served = (0..schema.points()).find(|point| schema.describe(*point).stat == "served_in_aim");
 //! assert_eq!(totals[served.expect("a metric of this name")], 1.0);
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -26,7 +26,7 @@
     Node,
     /// The core's tables and the process.
     State,
-    /// The decision module.
+    /// The admission controller.
     Module,
     /// Telemetry itself.
     Telemetry,
@@ -87,7 +87,7 @@
     distributions: Vec<MetricName>,
     /// Index of the first counter of the node.
     node_at: usize,
-    /// Index of the first gauge of the decision module.
+    /// Index of the first gauge of the admission controller.
     module_at: usize,
     /// Indices of the first counter and gauge of the deliveries.
     delivery_at: DeliveryOffsets,
--- a/crates/pinepoint-telemetry/src/schema/layout.rs
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -33,7 +33,7 @@
 pub(crate) struct GaugeOffsets {
     /// The first gauge of the core's state.
     pub(crate) core_state: usize,
-    /// The gauges of the decision module.
+    /// The gauges of the admission controller.
     pub(crate) module: Range<usize>,
     /// The accounting error, `accounting_error`; `span_s` comes after it.
     pub(crate) accounting_error: usize,
--- a/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
@@ -74,7 +74,7 @@
         copy_into(&mut gauges, open.iter().map(|count| *count as f64));
         let core_state = self.core_state_gauges(state);
         copy_into(&mut gauges[offsets.core_state..], core_state.iter().map(|value| *value as f64));
-        copy_into(&mut gauges[offsets.module], state.module.iter().map(|(_, value)| *value));
+        copy_into(&mut gauges[offsets.module], state.admission.iter().map(|(_, value)| *value));
         for deliveries in &self.destinations {
             let stats = deliveries.stats();
             let values: [f64; DELIVERY_GAUGES.len()] = [
@@ -93,8 +93,8 @@
         let (memory_kb, descriptors) = self.source.process();
         let membership = self.membership.get();
         [
-            state.held,
-            state.waiting,
+            state.queued,
+            state.awaiting_result,
             state.running,
             state.calls,
             state.keys,
--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -36,8 +36,8 @@
         }
         self.release_key(id, actions);
         let retry_after_ms = self.retry_after_ms(reason);
-        let last = self.is_last_attempt(reason);
-        actions.push(Action::Reject { id, retry_after_ms, last, reason });
+        let no_retry = self.is_last_attempt(reason);
+        actions.push(Action::Reject { id, retry_after_ms, no_retry, reason });
     }
 
     /// Fails a request whose answer is owed. A started run stays open until it ends.
--- a/src/admission/feedback.rs
+++ b/src/admission/feedback.rs
@@ -15,8 +15,8 @@
             stalled: self.stall.stalled,
             draining: self.drain.is_some(),
         });
-        if let Some(good) = changed {
-            actions.push(Action::SetHealth { good, from_store: true });
+        if let Some(healthy) = changed {
+            actions.push(Action::SetHealth { healthy, from_store: true });
         }
     }
 
--- a/src/admission/messages.rs
+++ b/src/admission/messages.rs
@@ -114,7 +114,7 @@
         /// Retry-After: how long the caller should stay away from this server, ms; 0 for no advice.
         retry_after_ms: f64,
         /// Ask the caller not to try another server.
-        last: bool,
+        no_retry: bool,
         /// Why.
         reason: RejectReason,
     },
@@ -162,7 +162,7 @@
     /// Answer health checks like this from now on.
     SetHealth {
         /// Whether the server is healthy.
-        good: bool,
+        healthy: bool,
         /// Answer from this setting alone, without real work.
         from_store: bool,
     },
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -252,7 +252,7 @@
         self.started_ms = now_ms;
         self.core_time.start(now_ms);
         self.calls.start(now_ms);
-        actions.push(Action::SetHealth { good: true, from_store: true });
+        actions.push(Action::SetHealth { healthy: true, from_store: true });
         self.close_idle_connections(0.0, actions);
         self.set_timer(actions);
     }
@@ -260,6 +260,6 @@
     fn start_drain(&mut self, now_ms: f64, kill_ms: f64, actions: &mut Vec<Action>) {
         self.drain = Some(Drain { started_ms: now_ms, kill_ms });
         self.health.start_drain();
-        actions.push(Action::SetHealth { good: false, from_store: true });
+        actions.push(Action::SetHealth { healthy: false, from_store: true });
     }
 }
--- a/src/bin/pinepoint-adapter/output.rs
+++ b/src/bin/pinepoint-adapter/output.rs
@@ -32,8 +32,8 @@
     pub(crate) fn of(server: u64, action: &'a Action) -> Self {
         match *action {
             Action::StartRun { id } => ReplyLine::Admit { server, txn: id },
-            Action::Reject { id, retry_after_ms, last, .. } => {
-                ReplyLine::TurnAway { server, txn: id, pause_ms: retry_after_ms, dont_retry: last }
+            Action::Reject { id, retry_after_ms, no_retry, .. } => {
+                ReplyLine::TurnAway { server, txn: id, pause_ms: retry_after_ms, dont_retry: no_retry }
             }
             Action::Fail { id, .. } => ReplyLine::Error { server, txn: id },
             Action::CancelRun { id } => ReplyLine::Preempt { server, txn: id },
@@ -44,8 +44,8 @@
             Action::RetainKey { id, ttl_ms } => ReplyLine::StoreKey { server, txn: id, for_time_ms: ttl_ms },
             Action::ReleaseKey { id } => ReplyLine::ReleaseKey { server, txn: id },
             Action::ReuseResult { id } => ReplyLine::Echo { server, txn: id },
-            Action::SetHealth { good, from_store } => {
-                ReplyLine::ReportHealth { server, enable: good, light: from_store }
+            Action::SetHealth { healthy, from_store } => {
+                ReplyLine::ReportHealth { server, enable: healthy, light: from_store }
             }
             Action::ReportLoad { value } => ReplyLine::Stamp { server, value },
             Action::CloseIdleConnections { after_ms } => {
--- a/src/server/core/actions.rs
+++ b/src/server/core/actions.rs
@@ -65,8 +65,8 @@
     fn execute(&mut self, action: Action) {
         match action {
             Action::StartRun { id } => self.start_run(id),
-            Action::Reject { id, retry_after_ms, last, reason } => {
-                let reply = Reply::Rejected { retry_after_ms, last, reason };
+            Action::Reject { id, retry_after_ms, no_retry, reason } => {
+                let reply = Reply::Rejected { retry_after_ms, no_retry, reason };
                 self.answer_as_decided(id, Decision::Reject(reason), reply);
             }
             Action::Fail { id, reason } => {
@@ -81,8 +81,8 @@
             Action::RetainKey { id, ttl_ms } => self.retain_key(id, ttl_ms),
             Action::ReleaseKey { id } => self.release_key(id),
             Action::ReuseResult { id } => self.reuse_result(id),
-            Action::SetHealth { good, .. } => {
-                self.lifecycle.set_healthy(good);
+            Action::SetHealth { healthy, .. } => {
+                self.lifecycle.set_healthy(healthy);
                 self.publish();
             }
             Action::ReportLoad { value } => self.dependencies.status.load_report.set(Some(value)),
--- a/src/server/core/answers.rs
+++ b/src/server/core/answers.rs
@@ -33,7 +33,7 @@
         let served = Answer::Served { deduplicated: false, degraded: false };
         self.emit(0, arrival.class, received_event(self.now_ms, arrival));
         self.count_answer(arrival.class, reply);
-        self.emit(0, arrival.class, reply_event(reply, served, arrival.est_ms, took_ms));
+        self.emit(0, arrival.class, reply_event(reply, served, arrival.work_hint_ms, took_ms));
         arrival.caller.answer(arrival.correlation_id, reply);
     }
 
@@ -78,14 +78,14 @@
 }
 
 /// The event of a reply; `served` is the answer that is reported if it carries a result.
-fn reply_event(reply: &Reply, served: Answer, hint_ms: Option<f64>, took_ms: f64) -> RequestEventKind {
+fn reply_event(reply: &Reply, served: Answer, work_hint_ms: Option<f64>, took_ms: f64) -> RequestEventKind {
     let answer = match reply {
         Reply::Failed { late: true, reason } => {
-            return RequestEventKind::DeadlineExceeded { why: *reason, took_ms };
+            return RequestEventKind::DeadlineExceeded { reason: *reason, took_ms };
         }
         Reply::Served(_) => served,
         Reply::Rejected { reason, .. } => Answer::Rejected(*reason),
         Reply::Failed { reason, .. } => Answer::Failed(*reason),
     };
-    RequestEventKind::Answered { answer, hint_ms, took_ms }
+    RequestEventKind::Answered { answer, work_hint_ms, took_ms }
 }
--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -129,7 +129,7 @@
         /// The caller should not retry before this time, ms; 0 for no advice.
         retry_after_ms: f64,
         /// The caller should not retry at another server either.
-        last: bool,
+        no_retry: bool,
         /// Why.
         reason: RejectReason,
     },
@@ -147,7 +147,7 @@
     /// Where the answer goes.
     pub caller: Rc<dyn Caller>,
     /// The frontend that read it.
-    pub front: Protocol,
+    pub protocol: Protocol,
     /// The caller's own name for the request; no open request of the caller has the same.
     pub correlation_id: u64,
     /// The name by which engine and store know the attempt; every retry has a new one.
@@ -157,13 +157,13 @@
     /// When it reached the machine, Unix ms.
     pub arrived_ms: f64,
     /// It is marked as a retry.
-    pub again: bool,
+    pub retry: bool,
     /// Estimate of its work, ms on one core.
-    pub est_ms: Option<f64>,
+    pub work_hint_ms: Option<f64>,
     /// Memory that it takes while queued, kB.
     pub mem_kb: f64,
     /// The idempotency key, in keyed classes.
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The subject of a read.
     pub subject: Option<String>,
     /// Index of its tenant.
--- a/src/server/core/arrivals.rs
+++ b/src/server/core/arrivals.rs
@@ -114,7 +114,7 @@
     fn key_of_arrival(&self, arrival: &Arrival) -> Option<IdempotencyKey> {
         let reads_share_results = self.dependencies.site.settings.read_result_ttl_ms > 0.0;
         match self.class(arrival.class).idempotency {
-            Idempotency::Keyed => arrival.token.clone().map(IdempotencyKey::of_keyed_classes),
+            Idempotency::Keyed => arrival.idempotency_key.clone().map(IdempotencyKey::of_keyed_classes),
             Idempotency::ReadOnly if reads_share_results => {
                 arrival.subject.clone().map(|subject| IdempotencyKey::of_class(arrival.class, subject))
             }
@@ -161,9 +161,9 @@
             class,
             tenant: arrival.tenant,
             deadline_ms: None,
-            work_hint_ms: arrival.est_ms,
+            work_hint_ms: arrival.work_hint_ms,
             mem_kb: arrival.mem_kb,
-            retry: arrival.again,
+            retry: arrival.retry,
             queued_ms: (self.now_ms - arrival.arrived_ms).max(0.0),
             duplicate_of: identity.duplicate_of,
             has_subject: arrival.subject.is_some(),
@@ -177,5 +177,5 @@
 
 /// A rejection without advice on when or where to retry.
 fn rejected(reason: RejectReason) -> Reply {
-    Reply::Rejected { retry_after_ms: 0.0, last: false, reason }
+    Reply::Rejected { retry_after_ms: 0.0, no_retry: false, reason }
 }
--- a/src/server/core/calls.rs
+++ b/src/server/core/calls.rs
@@ -67,7 +67,7 @@
             }
         }
         let end = call_outcome(outcome);
-        self.emit(id, class, RequestEventKind::CallEnded { end, called_ms: took_ms });
+        self.emit(id, class, RequestEventKind::CallEnded { outcome: end, duration_ms: took_ms });
         self.dispatch(Event::CallEnded { id, outcome, took_ms });
     }
 
--- a/src/server/core/events.rs
+++ b/src/server/core/events.rs
@@ -38,7 +38,7 @@
         state.keys = keys as u64;
         state.results_bytes = result_bytes as u64;
         state.connections = self.callers.len() as u64;
-        state.module =
+        state.admission =
             self.controller.iter().flat_map(|controller| controller.snapshot().figures()).collect();
         state
     }
@@ -46,8 +46,8 @@
 
 fn count_request_state(state: &mut CoreState, request: RequestState) {
     match request {
-        RequestState::Queued => state.held += 1,
-        RequestState::AwaitingResult => state.waiting += 1,
+        RequestState::Queued => state.queued += 1,
+        RequestState::AwaitingResult => state.awaiting_result += 1,
         RequestState::Running | RequestState::AwaitingCall => state.running += 1,
         RequestState::InCall => {
             state.running += 1;
@@ -59,14 +59,14 @@
 /// The event that a request was read.
 pub(super) fn received_event(now_ms: f64, arrival: &Arrival) -> RequestEventKind {
     RequestEventKind::Received {
-        protocol: arrival.front,
-        retry: arrival.again,
-        hint_ms: arrival.est_ms,
+        protocol: arrival.protocol,
+        retry: arrival.retry,
+        work_hint_ms: arrival.work_hint_ms,
         read_delay_ms: (now_ms - arrival.arrived_ms).max(0.0),
     }
 }
 
 /// The event that the call of a request was cancelled.
 pub(super) fn call_cancelled_event(now_ms: f64, open: &OpenRequest) -> RequestEventKind {
-    RequestEventKind::CallEnded { end: CallOutcome::Dropped, called_ms: now_ms - open.call_started_ms }
+    RequestEventKind::CallEnded { outcome: CallOutcome::Dropped, duration_ms: now_ms - open.call_started_ms }
 }
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -109,7 +109,7 @@
             arrived_ms: arrival.arrived_ms,
             read_ms: now_ms,
             run_started_ms: now_ms,
-            work_hint_ms: arrival.est_ms,
+            work_hint_ms: arrival.work_hint_ms,
             degraded: false,
             deadline_ms,
             identity,
--- a/src/server/core/runs.rs
+++ b/src/server/core/runs.rs
@@ -106,8 +106,8 @@
         if let Some(event) = cancelled_call {
             self.emit(id, class, event);
         }
-        let (outcome, end) = run_outcome(&result);
-        self.emit(id, class, RequestEventKind::RunEnded { end, ran_ms });
+        let (outcome, event_outcome) = run_outcome(&result);
+        self.emit(id, class, RequestEventKind::RunEnded { outcome: event_outcome, duration_ms: ran_ms });
         self.answer(id, &reply_of(&result), AnswerSource::Own);
         self.dispatch(Event::RunEnded { id, outcome });
         let key = self.requests.get(id).and_then(|open| open.identity.key.clone());
--- a/src/server/frontend/ajp/connection.rs
+++ b/src/server/frontend/ajp/connection.rs
@@ -264,15 +264,15 @@
         self.in_flight.set(Some(correlation_id));
         let arrival = Arrival {
             caller: self.clone(),
-            front: Protocol::Ajp,
+            protocol: Protocol::Ajp,
             correlation_id,
             attempt_id: attempt_id(options.seed, self.state.id, correlation_id),
             class: head.class,
             arrived_ms,
-            again: head.retry,
-            est_ms: head.work_hint_ms,
+            retry: head.retry,
+            work_hint_ms: head.work_hint_ms,
             mem_kb: head.memory_kb.unwrap_or(options.mem_kb),
-            token: head.idempotency_key,
+            idempotency_key: head.idempotency_key,
             subject: head.subject,
             tenant: None,
             body,
@@ -324,8 +324,8 @@
                 let headers = vec![("Content-Type", "application/octet-stream".to_owned())];
                 self.respond(200, headers, result, reuse);
             }
-            Reply::Rejected { retry_after_ms, last, .. } => {
-                self.respond(503, rejection_headers(*retry_after_ms, *last), b"", reuse);
+            Reply::Rejected { retry_after_ms, no_retry, .. } => {
+                self.respond(503, rejection_headers(*retry_after_ms, *no_retry), b"", reuse);
             }
             Reply::Failed { late: true, .. } => self.respond(504, Vec::new(), b"", reuse),
             Reply::Failed { late: false, .. } => self.respond(500, Vec::new(), b"", reuse),
--- a/src/server/frontend/rpc/connection.rs
+++ b/src/server/frontend/rpc/connection.rs
@@ -136,15 +136,15 @@
         self.state.request_in_flight.set(true);
         let arrival = Arrival {
             caller: self.clone(),
-            front: Protocol::Rpc,
+            protocol: Protocol::Rpc,
             correlation_id: id,
             attempt_id: request.attempt_id,
             class: request.class,
             arrived_ms: request.arrived_ms,
-            again: request.retry,
-            est_ms: request.work_hint_ms,
+            retry: request.retry,
+            work_hint_ms: request.work_hint_ms,
             mem_kb: request.memory_kb,
-            token: request.idempotency_key,
+            idempotency_key: request.idempotency_key,
             subject: request.subject,
             tenant: request.tenant,
             body: request.body,
@@ -187,9 +187,9 @@
             Reply::Served(result) => {
                 self.writer.push(|out| write_result(out, correlation_id, result, fields));
             }
-            Reply::Rejected { retry_after_ms, last, .. } => {
+            Reply::Rejected { retry_after_ms, no_retry, .. } => {
                 let retry_after_ms = Some(*retry_after_ms).filter(|ms| *ms > 0.0);
-                let fields = ResponseFields { retry_after_ms, is_final: *last, ..fields };
+                let fields = ResponseFields { retry_after_ms, is_final: *no_retry, ..fields };
                 self.write_error(correlation_id, "Busy", fields);
             }
             Reply::Failed { .. } => self.write_error(correlation_id, "Failed", fields),
--- a/src/server/observability/membership.rs
+++ b/src/server/observability/membership.rs
@@ -86,7 +86,7 @@
 
     fn core_state(&self, now_ms: f64, state: &CoreState) {
         let figure = |wanted: &str| {
-            let found = state.module.iter().find(|(name, _)| *name == wanted);
+            let found = state.admission.iter().find(|(name, _)| *name == wanted);
             found.map_or(0.0, |(_, value)| *value)
         };
         self.load.set(Load {
--- a/tests/failures/duplicates.rs
+++ b/tests/failures/duplicates.rs
@@ -124,8 +124,9 @@
 fn a_repeat_in_the_instant_in_which_a_hang_is_seen_is_not_turned_away() {
     let mut server = with_a_keyed_run();
     server.arrive(request(2, 0));
-    let said =
-        |server: &TestServer| server.log.iter().any(|a| matches!(a, Action::SetHealth { good: false, .. }));
+    let said = |server: &TestServer| {
+        server.log.iter().any(|a| matches!(a, Action::SetHealth { healthy: false, .. }))
+    };
     while !said(&server) {
         server.advance(20.0, 0.5, 1.0);
         assert!(server.now < 5000.0, "no run makes progress, and the stall is not detected");
--- a/tests/failures/feedback.rs
+++ b/tests/failures/feedback.rs
@@ -31,7 +31,7 @@
         }
     }
     let rejected = |last: bool| {
-        let meant = |a: &&Action| matches!(a, Action::Reject { last: l, .. } if *l == last);
+        let meant = |a: &&Action| matches!(a, Action::Reject { no_retry: l, .. } if *l == last);
         server.log.iter().filter(meant).count()
     };
     assert!(rejected(false) > 50, "the cores are full");
@@ -49,9 +49,9 @@
     let mut last = false;
     for id in 10..40 {
         let actions = server.arrive(Request { queued_ms: 900.0, ..request(id, 0) });
-        last |= actions
-            .iter()
-            .any(|a| matches!(a, Action::Reject { last: true, retry_after_ms, .. } if *retry_after_ms > 0.0));
+        last |= actions.iter().any(
+            |a| matches!(a, Action::Reject { no_retry: true, retry_after_ms, .. } if *retry_after_ms > 0.0),
+        );
     }
     assert!(last, "retries from server to server would jam the reading of all of them");
 }
@@ -83,7 +83,7 @@
 fn health_fails_while_all_that_is_read_is_dead_on_arrival() {
     let health = |actions: &[Action]| {
         actions.iter().rev().find_map(|a| match a {
-            Action::SetHealth { good, .. } => Some(*good),
+            Action::SetHealth { healthy, .. } => Some(*healthy),
             _ => None,
         })
     };
@@ -121,12 +121,12 @@
     server.arrive(request(1, 0));
     server.advance(900.0, 1.0, 1.0);
     let actions = server.arrive(request(2, 0));
-    let pauses = |a: &Action| matches!(a, Action::Reject { retry_after_ms, last: false, .. } if *retry_after_ms == 1000.0);
+    let pauses = |a: &Action| matches!(a, Action::Reject { retry_after_ms, no_retry: false, .. } if *retry_after_ms == 1000.0);
     assert!(actions.iter().any(pauses), "its quick rejections would make it look idle: {actions:?}");
     assert!(server.log.contains(&Action::ReportLoad { value: 0.0 }));
-    assert!(server.log.contains(&Action::SetHealth { good: false, from_store: true }));
+    assert!(server.log.contains(&Action::SetHealth { healthy: false, from_store: true }));
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
-    assert!(server.advance(100.0, 0.1, 0.0).contains(&Action::SetHealth { good: true, from_store: true }));
+    assert!(server.advance(100.0, 0.1, 0.0).contains(&Action::SetHealth { healthy: true, from_store: true }));
     assert!(started(&server.arrive(request(3, 0)), 3));
 }
 
@@ -140,13 +140,13 @@
     server.arrive(request(3, 0));
     let actions = server.advance(700.0, 1.0, 2.0);
     assert!(
-        !actions.contains(&Action::SetHealth { good: false, from_store: true }),
+        !actions.contains(&Action::SetHealth { healthy: false, from_store: true }),
         "runs of 210 ms vary by as much"
     );
     assert!(!rejected(&actions, 3), "queued requests would be rejected by chance");
     let actions = server.advance(1000.0, 1.0, 2.0);
     assert!(
-        actions.contains(&Action::SetHealth { good: false, from_store: true }),
+        actions.contains(&Action::SetHealth { healthy: false, from_store: true }),
         "eight times the expected duration is a stall"
     );
 }
@@ -176,7 +176,7 @@
         server.arrive(Request { queued_ms: 2990.0, ..request(id, 0) });
         server.advance(40.0, 1.0, 2.0);
     }
-    let failed = Action::SetHealth { good: false, from_store: true };
+    let failed = Action::SetHealth { healthy: false, from_store: true };
     assert!(
         !server.log.contains(&failed),
         "in a jam of the fleet such servers would leave the endpoint list by chance"
@@ -222,7 +222,8 @@
 #[test]
 fn a_server_buried_in_new_connections_leaves_the_list() {
     let mut server = TestServer::new(settings());
-    let told = |actions: &[Action], good| actions.contains(&Action::SetHealth { good, from_store: true });
+    let told =
+        |actions: &[Action], healthy| actions.contains(&Action::SetHealth { healthy, from_store: true });
     assert!(!told(&server.advance(3000.0, 1.0, 8.0), false), "runs, reading and a few connections");
     assert!(told(&server.advance(2000.0, 1.0, 40.0), false), "it reads no request and answers none");
     assert!(told(&server.advance(3000.0, 1.0, 3.0), true));
--- a/tests/handover_simulation/mod.rs
+++ b/tests/handover_simulation/mod.rs
@@ -171,16 +171,16 @@
         self.names.insert(attempt_id.clone(), RequestName { key: token.clone(), arrived_ms });
         let arrival = Arrival {
             caller: Rc::new(RecordingCaller(caller, process.recorded.clone())),
-            front: Protocol::Rpc,
+            protocol: Protocol::Rpc,
             correlation_id,
             attempt_id: attempt_id.clone(),
             class: class_index,
             arrived_ms,
-            again: false,
-            est_ms: Some(100.0),
+            retry: false,
+            work_hint_ms: Some(100.0),
             mem_kb: 40.0,
             body: token.clone().unwrap_or_default().into_bytes(),
-            token,
+            idempotency_key: token,
             subject: None,
             tenant: None,
         };
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -216,7 +216,14 @@
         life.round(number);
         let state = life.harness.core.state();
         assert!(state.open.iter().all(|open| *open == 0), "open after round {number}: {:?}", state.open);
-        let left = [state.held, state.waiting, state.running, state.calls, state.keys, state.results_bytes];
+        let left = [
+            state.queued,
+            state.awaiting_result,
+            state.running,
+            state.calls,
+            state.keys,
+            state.results_bytes,
+        ];
         assert_eq!(
             left, [0; 6],
             "held, waiting, running, calls, keys, bytes of results after round {number}"
