--- a/tests/node.rs
+++ b/tests/node.rs
@@ -318,7 +318,7 @@
     engine send NEED 2 00000000000000a2|what
     store expect CALL 00000000000000a2 *|what
     store send 00000000000000a1 OK 3000000000
-    store expect closed
+    node wait link-ended link=store reason=bad-length attempt_id=00000000000000a1 *
     store send 00000000000000a2 OK|this
     engine expect FEED 00000000000000a2|this
     store wait CALL 00000000000000a1 *|which"
