--- a/crates/pinepoint-lab/src/operation/stubs.rs
+++ b/crates/pinepoint-lab/src/operation/stubs.rs
@@ -14,9 +14,9 @@
 
 /// Duration of a run on the stub engine.
 const RUN_TIME: Duration = Duration::from_millis(5);
-/// How long connections to the program are attempted.
+/// How long the program may take to become healthy.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause between two attempts to connect while the program starts.
+/// Pause between two attempts while the program starts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The addresses that a configuration file names; its other fields are not read.
@@ -74,14 +74,25 @@
     }
 }
 
-/// Sends one request that only reads to the program at `listen`, waiting for the program to accept first.
+/// Sends one request that only reads to the program at `listen`, once the program is healthy: it rejects requests until
+/// it has connected to its engine.
 pub fn request_once(listen: SocketAddr, body: &str) -> io::Result<Reply> {
+    let client = connect_when_healthy(listen)?;
+    Ok(client.call(&Request::read(body)))
+}
+
+/// Connects to the program at `listen` as soon as its health check succeeds.
+fn connect_when_healthy(listen: SocketAddr) -> io::Result<Client> {
     let since = Instant::now();
     loop {
-        match Client::connect(listen) {
-            Ok(client) => return Ok(client.call(&Request::read(body))),
-            Err(error) if since.elapsed() > CONNECT_TIMEOUT => return Err(error),
-            Err(_) => std::thread::sleep(RETRY_INTERVAL),
+        let error = match Client::connect(listen) {
+            Ok(client) if client.ping() == Reply::Health(true) => return Ok(client),
+            Ok(_) => io::Error::new(io::ErrorKind::TimedOut, "the program is not healthy in time"),
+            Err(error) => error,
+        };
+        if since.elapsed() > CONNECT_TIMEOUT {
+            return Err(error);
         }
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
