--- a/crates/pinepoint-lab/src/fleet.rs
+++ b/crates/pinepoint-lab/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::cluster::{self, Cluster};
 use crate::load::{self, Workload};
 use crate::process::{LaunchOptions, Process, TICKS_PER_S, TempDir};
-use crate::standard_load::{ENGINE_CORES, rate_at, request_classes};
+use crate::standard_load::{ENGINE_CORES, RPC_CONNECTIONS, WORK_SIGMA, rate_at, request_classes};
 use crate::statistics::{interval_95, median};
 use crate::stub_services::StubServices;
 
@@ -33,10 +33,6 @@
 const ZONES: usize = 3;
 /// Period of the membership protocol, ms.
 const PERIOD_MS: u64 = 1000;
-/// Connections of MessagePack-RPC.
-const RPC_CONNECTIONS: usize = 12;
-/// Standard deviation of the logarithm of the work of requests.
-const WORK_SIGMA: f64 = 0.5;
 
 /// How it is measured.
 #[derive(Clone, Debug)]
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -17,6 +17,7 @@
 use crate::load::{Outcome, Request, draw_request, timeout};
 use crate::rpc::unix_ms;
 use crate::simulated_engine::EngineControl;
+use crate::standard_load::WORK_SIGMA;
 use crate::sync::lock;
 
 /// Attempts of one request at most.
@@ -27,8 +28,6 @@
 const ANSWER_GRACE: Duration = Duration::from_millis(150 + 3000);
 /// Pause between two looks at the rate while it is 0.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Standard deviation of the logarithm of the work of requests.
-const WORK_SIGMA: f64 = 0.5;
 /// Where the number of the attempt stands in a request id.
 const ATTEMPT_SHIFT: u32 = 48;
 /// The bits of the number of the attempt, before they are shifted.
--- a/crates/pinepoint-lab/src/standard_load.rs
+++ b/crates/pinepoint-lab/src/standard_load.rs
@@ -4,6 +4,10 @@
 
 /// Cores of the engine in experiments.
 pub(crate) const ENGINE_CORES: f64 = 4.0;
+/// Connections of MessagePack-RPC in experiments.
+pub(crate) const RPC_CONNECTIONS: usize = 12;
+/// Standard deviation of the logarithm of the work of requests.
+pub(crate) const WORK_SIGMA: f64 = 0.5;
 
 /// The classes that are sent.
 pub(crate) fn request_classes() -> Vec<RequestClass> {
--- a/crates/pinepoint-lab/src/telemetry.rs
+++ b/crates/pinepoint-lab/src/telemetry.rs
@@ -22,7 +22,7 @@
 use crate::graphite::{Graphite, Mode, Points, Protocol};
 use crate::load::{self, LoadSummary, Workload};
 use crate::process::{LaunchOptions, Process, TempDir};
-use crate::standard_load::{ENGINE_CORES, rate_at, request_classes};
+use crate::standard_load::{ENGINE_CORES, RPC_CONNECTIONS, WORK_SIGMA, rate_at, request_classes};
 use crate::stub_services::{ServiceAddresses, StubServices};
 
 /// Time of a call to the store.
@@ -45,12 +45,8 @@
 const READ_PAUSE: Duration = Duration::from_millis(100);
 /// Share of the requests that is sent over AJP.
 const AJP_SHARE: f64 = 0.25;
-/// Connections of MessagePack-RPC.
-const RPC_CONNECTIONS: usize = 12;
 /// Connections of AJP at most.
 const MAX_AJP_CONNECTIONS: usize = 60;
-/// Standard deviation of the logarithm of the work of requests.
-const WORK_SIGMA: f64 = 0.5;
 
 /// How it is measured.
 #[derive(Clone, Debug)]
