--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -1,14 +1,15 @@
-//! Gives final answers: rejections, failures, and what is due at a deadline.
+//! Gives final answers: rejections, failures, and answers that are due at a deadline.
 
 use std::collections::BTreeMap;
 
 use super::request_table::{OpenRequest, RequestState};
 use super::{Action, AdmissionController, FailureReason, Idempotency, Preemption, RejectReason};
 
-/// Rejections for each log line that tells their reasons.
+/// Rejections for each log line that counts their reasons.
 const REJECTIONS_PER_LOG_LINE: u32 = 50;
 /// Part of the slack after the deadline that a run may still use; the rest is for batches that come late.
 const USED_SLACK_PART: f64 = 0.3;
+
 /// Counts rejections by reason for the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RejectionLog {
@@ -40,10 +41,10 @@
         actions.push(Action::Reject { id, retry_after_ms, no_retry, reason });
     }
 
-    /// Fails a request whose answer is owed. A started run stays open until it ends.
+    /// Fails a request, unless its answer was already given. A started run stays open until it ends.
     pub(super) fn fail(&mut self, id: u32, reason: FailureReason, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
-        if std::mem::replace(&mut open.answer_owed, false) {
+        if std::mem::replace(&mut open.answer_pending, false) {
             actions.push(Action::Fail { id, reason });
         }
         if open.is_waiting() {
@@ -51,28 +52,28 @@
         }
     }
 
-    /// Answers the requests that cannot wait for the next sample.
+    /// Rejects or fails the requests that cannot wait for the next sample.
     pub(super) fn answer_due(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let next_sample_ms = now_ms + self.sample_period_ms();
-        let killed = self.drain.is_some_and(|drain| next_sample_ms >= drain.last_answer_ms());
-        let mut hopeless = Vec::new();
+        let kill_is_near = self.drain.is_some_and(|drain| next_sample_ms >= drain.last_answer_ms());
+        let mut infeasible = Vec::new();
         let mut overdue = Vec::new();
         for (id, open) in &self.requests.open {
-            if !open.answer_owed || self.requests.may_repeat_a_run(open) {
+            if !open.answer_pending || self.requests.may_repeat_a_run(open) {
                 continue;
             }
             if open.state == RequestState::Queued {
-                if killed || self.is_hopeless(open, now_ms, next_sample_ms) {
-                    hopeless.push(*id);
+                if kill_is_near || self.is_infeasible(open, now_ms, next_sample_ms) {
+                    infeasible.push(*id);
                 }
-            } else if killed || self.is_overdue(open, next_sample_ms) {
+            } else if kill_is_near || self.is_overdue(open, next_sample_ms) {
                 overdue.push(*id);
             }
         }
-        for id in hopeless {
+        for id in infeasible {
             self.reject(id, RejectReason::QueueTimeout, actions);
         }
-        let reason = if killed { FailureReason::Shutdown } else { FailureReason::DeadlineExceeded };
+        let reason = if kill_is_near { FailureReason::Shutdown } else { FailureReason::DeadlineExceeded };
         for id in overdue {
             self.fail(id, reason, actions);
             self.cancel_if_useless(id, actions);
@@ -80,7 +81,7 @@
     }
 
     /// Whether a queued request can no longer be answered usefully.
-    fn is_hopeless(&self, open: &OpenRequest, now_ms: f64, next_sample_ms: f64) -> bool {
+    fn is_infeasible(&self, open: &OpenRequest, now_ms: f64, next_sample_ms: f64) -> bool {
         next_sample_ms >= open.deadline_ms || self.stall.stalled || self.score(open, now_ms) <= 0.0
     }
 
@@ -90,10 +91,10 @@
         next_sample_ms >= open.deadline_ms + slack_ms
     }
 
-    /// The caller of a request no longer waits.
+    /// Handles a caller that no longer waits for its request.
     pub(super) fn caller_gone(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
-        open.answer_owed = false;
+        open.answer_pending = false;
         if open.is_waiting() {
             self.requests.open.remove(&id);
             self.release_key(id, actions);
@@ -102,10 +103,11 @@
         }
     }
 
-    /// Cancels a run whose result nobody can use. An effect is never cut short: its duplicates want the result.
+    /// Cancels a run whose result nobody can use. A run with an effect is never cancelled: its duplicates
+    /// need the result.
     fn cancel_if_useless(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get(&id) else { return };
-        let useless = open.state == RequestState::Running && !open.answer_owed;
+        let useless = open.state == RequestState::Running && !open.answer_pending;
         let read_only = self.class_of(open).idempotency == Idempotency::ReadOnly;
         if useless && read_only && self.settings.preemption != Preemption::Never {
             actions.push(Action::CancelRun { id });
--- a/src/admission/arrivals.rs
+++ b/src/admission/arrivals.rs
@@ -1,4 +1,4 @@
-//! Takes arrivals: works out their deadline and latency objective and feeds the measurements of the traffic.
+//! Takes arrivals: computes their deadline and latency objective and updates the traffic measurements.
 
 use super::filters::{OBSERVATION_WEIGHT, indicator, moving_average};
 use super::request_table::OpenRequest;
@@ -7,7 +7,7 @@
 /// Arrivals over which the share of retries is averaged: a few seconds of a small server.
 const RETRIES_OVER_ARRIVALS: f64 = 30.0;
 
-/// What arrivals have shown about the callers.
+/// Measurements of how callers behave, learned from arrivals.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallerBehaviour {
     /// Share of arrivals that are retries, 0 to 1.
@@ -17,7 +17,7 @@
 }
 
 impl CallerBehaviour {
-    /// Adds a class of which nothing was seen yet.
+    /// Adds a class without any observation.
     pub(super) fn add_class(&mut self, class: &Class) {
         self.first_attempt_wait_ms.push(class.timeout_ms);
     }
@@ -25,8 +25,9 @@
     /// Takes an arrival whose caller waits `wait_ms` for this attempt, and returns the age of the request
     /// before this attempt, ms.
     ///
-    /// A caller may give each attempt only a part of its deadline. A retry is as old as its caller waits less
-    /// than for first attempts; otherwise all retries would look hopeless beside idle cores.
+    /// A caller may give each attempt only a part of its deadline. The age of a retry is therefore the time
+    /// by which its caller waits less than for first attempts. Without this rule all retries would be
+    /// rejected as too late beside idle cores.
     fn record_arrival(&mut self, request: &Request, wait_ms: f64) -> f64 {
         self.retry_share += (indicator(request.retry) - self.retry_share) / RETRIES_OVER_ARRIVALS;
         let usual_ms = &mut self.first_attempt_wait_ms[request.class];
@@ -39,7 +40,7 @@
 }
 
 impl AdmissionController {
-    /// Takes a request that was read; it is decided at the end of the batch.
+    /// Queues a request that was read. It is decided at the end of the batch.
     pub(super) fn take_arrival(&mut self, now_ms: f64, mut request: Request) {
         request.class = request.class.min(self.settings.classes.len() - 1);
         request.tenant = request.tenant.filter(|tenant| *tenant < self.settings.tenants.len());
--- a/src/admission/call_profile.rs
+++ b/src/admission/call_profile.rs
@@ -1,14 +1,14 @@
-//! Learns how many calls the runs of each class make, and when in a run they come.
+//! Learns how many calls the runs of each class make, and at which point of a run.
 
 use super::Class;
 use super::filters::{OBSERVATION_WEIGHT, moving_average};
 
-/// Part of its work that a run has done when it needs a call, before any was seen.
+/// Part of its work that a run is assumed to have done when it needs a call, before the first observation.
 const INITIAL_PART_AT_CALL: f64 = 0.5;
-/// Least such part that is learned from a run.
+/// Smallest such part that is learned from a run.
 const MIN_PART_AT_CALL: f64 = 0.1;
 
-/// What completed runs have shown about their calls.
+/// Calls of runs, learned from completed runs.
 #[derive(Clone, Debug)]
 pub(super) struct CallProfile {
     /// Part of its work that a run has done when it needs a call, 0 to 1.
@@ -22,7 +22,7 @@
         CallProfile { part_at_call: INITIAL_PART_AT_CALL, calls_per_run: Vec::new() }
     }
 
-    /// Adds a class of which nothing was seen yet.
+    /// Adds a class without any observation.
     pub(super) fn add_class(&mut self, class: &Class) {
         self.calls_per_run.push(if class.calls { 1.0 } else { 0.0 });
     }
@@ -32,13 +32,13 @@
         self.calls_per_run[class]
     }
 
-    /// A run completed after this number of calls.
+    /// Records a run that completed after this number of calls.
     pub(super) fn record_calls(&mut self, class: usize, calls: f64) {
         let mean = &mut self.calls_per_run[class];
         *mean = moving_average(*mean, calls, OBSERVATION_WEIGHT);
     }
 
-    /// A run that took `work_ms` had done `work_at_call_ms` of it when it needed its last call.
+    /// Records a run that took `work_ms` and had done `work_at_call_ms` of it when it needed its last call.
     pub(super) fn record_part_at_call(&mut self, work_at_call_ms: f64, work_ms: f64) {
         let part = (work_at_call_ms / work_ms).clamp(MIN_PART_AT_CALL, 1.0);
         self.part_at_call = moving_average(self.part_at_call, part, OBSERVATION_WEIGHT);
--- a/src/admission/calls.rs
+++ b/src/admission/calls.rs
@@ -1,4 +1,4 @@
-//! Starts the calls that runs wait for, and takes what becomes of them.
+//! Starts the calls that runs wait for, and handles their outcomes.
 
 use super::call_budget::CallRepeat;
 use super::dispatch::MIN_RUN_MS;
@@ -8,14 +8,14 @@
 /// A run that waits for a call.
 struct WaitingRun {
     id: u32,
-    /// What its score gains if the call is made.
+    /// Score of the run if the call is made now, less the part that it earns without the call.
     gain: f64,
     objective_ms: f64,
     weight_without_call: f64,
 }
 
 impl AdmissionController {
-    /// A run needs a call before it can go on.
+    /// Records that a run needs a call before it can continue.
     pub(super) fn await_call(&mut self, now_ms: f64, id: u32) {
         self.stall.record_progress(now_ms);
         let core_time_ms = self.core_time.at(now_ms);
@@ -32,7 +32,7 @@
         let started_ms: Vec<f64> = in_call.map(|open| open.call_started_ms).collect();
         self.calls.update(now_ms, &self.settings, &started_ms);
         let waiting = self.runs_awaiting_calls(now_ms);
-        // A call that can be left out leaves call time to the runs that cannot go on without.
+        // Runs that can skip their call leave call time to the runs that cannot.
         let reserved_calls = self.expected_calls(0.0);
         for run in waiting {
             let reserved = if run.weight_without_call > 0.0 { reserved_calls } else { 0.0 };
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Runs that wait for a call, the highest gain first, then the earliest objective: a run that was let in
-    /// for a call and is then overtaken by others is wasted work.
+    /// Runs that wait for a call, the highest gain first, then the earliest objective. If later runs overtook
+    /// a run that was admitted for a call, its work so far would be wasted.
     fn runs_awaiting_calls(&self, now_ms: f64) -> Vec<WaitingRun> {
         let end_of_call_ms = now_ms + self.calls.duration_ms;
-        let awaiting = self.requests.in_state(RequestState::AwaitingCall).filter(|open| open.answer_owed);
+        let awaiting = self.requests.in_state(RequestState::AwaitingCall).filter(|open| open.answer_pending);
         let waiting = awaiting.map(|open| {
             let weight_without_call = self.class_of(open).weight_without_call;
             WaitingRun {
@@ -79,9 +79,9 @@
         actions.push(Action::StartCall { id, call_timeout_ms });
     }
 
-    /// A run whose call is not made now goes on without it, as late as it can and still be in time, where that
-    /// is worth something. One that cannot be answered at all fails: its call would only add load to a slow
-    /// dependency.
+    /// Handles a run whose call is not made now. If an answer without the call earns something, the run skips
+    /// the call at the latest moment that still meets its deadline. A run that cannot be answered usefully at
+    /// all fails: its call would only add load to a slow dependency.
     fn do_without_call(&mut self, now_ms: f64, run: &WaitingRun, actions: &mut Vec<Action>) {
         let open = &self.requests.open[&run.id];
         let can_skip = self.class_of(open).weight_without_call > 0.0 && self.score(open, now_ms) > 0.0;
@@ -101,7 +101,7 @@
         actions.push(Action::SkipCall { id });
     }
 
-    /// A call ended after `took_ms`.
+    /// Handles a call that ended after `took_ms`.
     pub(super) fn end_call(
         &mut self,
         now_ms: f64,
@@ -121,14 +121,14 @@
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
         let read_only = self.settings.classes[open.request.class].idempotency == Idempotency::ReadOnly;
         if !never_ran && !read_only {
-            // The call may have taken effect: a second call could do it twice.
+            // The call may have taken effect, and a second call could repeat the effect.
             self.fail(id, FailureReason::CallOutcomeUnknown, actions);
         }
     }
 }
 
 impl OpenRequest {
-    /// Goes on after its call; the time of the call does not count as core time.
+    /// Continues the run after its call. The time of the call does not count as core time.
     fn resume(&mut self, core_time_ms: f64) {
         self.state = RequestState::Running;
         self.core_time_at_start_ms += core_time_ms - self.core_time_at_call_ms;
--- a/src/admission/control_loops.rs
+++ b/src/admission/control_loops.rs
@@ -1,22 +1,22 @@
 //! The two control loops: the share of arrivals that is rejected and the rate at which runs are started.
 //!
-//! Both are the PI loops of De Cicco, Cofano and Mascolo, "Local SIP Overload Control" (2015). Loop 1 compares
-//! the filtered share of busy cores with a setpoint; its output alpha is the share of arrivals to reject.
-//! Loop 2 compares the length of the queue with the length that gives the target queueing time (the arrival
-//! rate times that time, by Little's law); its output u is the rate of starts. The gains are those of the
-//! paper's tuning.
+//! Both are the PI loops of De Cicco, Cofano and Mascolo, "Local SIP Overload Control" (2015). Loop 1
+//! compares the filtered share of busy cores with a setpoint; its output alpha is the share of arrivals to
+//! reject. Loop 2 compares the length of the queue with the length that gives the target queueing time (the
+//! arrival rate times that time, by Little's law); its output u is the rate of starts. The gains are those of
+//! the paper's tuning.
 //!
 //! This module owns the measurements that the loops need. It does not choose which requests are rejected.
 
 use super::filters::low_pass;
 use super::pi_controller::PiController;
 
-/// Setpoint of the busy share of loop 1, 0 to 1. The paper leaves it open. Two cores are all busy by chance
-/// for a second at a time: at 0.97 a fleet at two thirds of its capacity rejected a sixth of its load beside
-/// short queues.
+/// Setpoint of the busy share of loop 1, 0 to 1. The paper gives no value. Two cores are often both busy by
+/// chance for a second: at 0.97 a fleet at two thirds of its capacity rejected a sixth of its load although
+/// queues were short.
 const BUSY_SETPOINT: f64 = 0.99;
-/// Read delay that counts like all cores being busy once more, ms. The busy share ends at 1; beyond that only
-/// the delay before reading tells by how much demand exceeds the capacity of the cores.
+/// Read delay that counts as much as a busy share of 1, ms. The busy share cannot exceed 1; beyond that, only
+/// the read delay shows by how much demand exceeds the capacity of the cores.
 const FULL_READ_DELAY_MS: f64 = 3000.0;
 /// Read delay that a few simultaneous arrivals cause by chance, ms.
 const CHANCE_READ_DELAY_MS: f64 = 100.0;
@@ -30,28 +30,29 @@
 const START_INTEGRAL_GAIN: f64 = 130.5;
 /// Target queueing time of loop 2, s: the paper's setpoint.
 const QUEUEING_TIME_S: f64 = 0.05;
-/// Shortest time constant of the filter on the busy share, s: the paper's, which holds where many runs end
-/// within it.
+/// Shortest time constant of the filter on the busy share, s: the paper's value, which is right where many
+/// runs end within it.
 const MIN_BUSY_FILTER_S: f64 = 0.1;
-/// Where fewer runs end, the time constant is the time in which this many runs end per core. A shorter filter
-/// sees single requests.
+/// Where fewer runs end, the time constant is the time in which this many runs end per core. The output of a
+/// shorter filter follows single requests.
 const BUSY_FILTER_RUNS: f64 = 6.0;
-/// Time constant of the filter on the arrival rate, s. A server reads a few tens of requests a second, so the
-/// paper's 0.1 s would see single requests.
+/// Time constant of the filter on the arrival rate, s. A server reads a few tens of requests a second, so
+/// with the paper's 0.1 s the output would follow single requests.
 const ARRIVAL_FILTER_S: f64 = 1.0;
 /// Starts per core within a sample period to which the output of loop 2 is clamped: enough to fill all cores
 /// at once.
 const MAX_STARTS_PER_CORE: f64 = 4.0;
-/// Sample period, ms: twice the paper's. It is well inside the filters, at half the cost in timers.
+/// Sample period, ms: twice the paper's. It is well below the time constants of the filters and halves the
+/// cost of timers.
 pub(super) const SAMPLE_PERIOD_MS: f64 = 20.0;
 
-/// What one timer measured.
+/// The measurements of one timer.
 pub(super) struct Sample {
-    /// Time since the sample before, s; above 0.
+    /// Time since the previous sample, s; above 0.
     pub(super) dt_s: f64,
     /// Cores of the server.
     pub(super) cores: f64,
-    /// Everything that wants a core now.
+    /// Number of tasks that need a core now.
     pub(super) runnable: f64,
     /// Requests in the queue.
     pub(super) queued: f64,
@@ -64,7 +65,7 @@
 /// State of both loops and of the filters in front of them.
 #[derive(Clone, Debug)]
 pub(super) struct ControlLoops {
-    /// Everything that wanted a core at the last sample.
+    /// Number of tasks that needed a core at the last sample.
     pub(super) runnable: f64,
     /// Filtered share of busy cores, 0 to 1.
     pub(super) busy_share: f64,
@@ -108,12 +109,13 @@
         self.started_since_sample += 1.0;
     }
 
-    /// Runs that can want a core now: those measured at the last sample and those started since.
+    /// Upper bound of the runs that need a core now: the tasks measured at the last sample and the runs
+    /// started since.
     pub(super) fn max_on_core(&self) -> f64 {
         self.runnable + self.started_since_sample
     }
 
-    /// Whether loop 2 paces the starts: the cores are busy as far as the setpoint.
+    /// Whether the busy share has reached the setpoint, so that loop 2 paces the starts.
     pub(super) fn is_saturated(&self) -> bool {
         self.busy_share >= BUSY_SETPOINT
     }
@@ -145,14 +147,15 @@
         self.busy_share = low_pass(self.busy_share, busy_share, sample.dt_s, MIN_BUSY_FILTER_S.max(runs_s));
     }
 
-    /// Loop 1.
+    /// Runs loop 1.
     fn update_reject_share(&mut self, sample: &Sample) {
         let read_delay_ms = (sample.excess_read_delay_ms - CHANCE_READ_DELAY_MS).max(0.0);
         let error = self.busy_share + read_delay_ms / FULL_READ_DELAY_MS - BUSY_SETPOINT;
         self.reject_share = self.reject_loop.update(error, sample.dt_s, 0.0, 1.0);
     }
 
-    /// Loop 2. At most one start is saved up beyond what the rate allows within a sample period.
+    /// Runs loop 2. At most one start is saved up beyond the starts that the rate allows within a sample
+    /// period.
     fn update_start_rate(&mut self, sample: &Sample) {
         let max_rate_per_s = MAX_STARTS_PER_CORE * sample.cores / sample.dt_s.max(0.001);
         let error = sample.queued - QUEUEING_TIME_S * self.arrivals_per_s;
--- a/src/admission/core_time.rs
+++ b/src/admission/core_time.rs
@@ -3,9 +3,9 @@
 /// Smallest share of a core that a run is assumed to receive, 0 to 1.
 const MIN_SHARE: f64 = 0.05;
 
-/// A clock of the core time that any one run received since the start of the server (processor sharing).
+/// A clock of the core time that a single run received since the start of the server (processor sharing).
 ///
-/// The core time of a run is the difference of two readings, however the number of runs changed in between.
+/// The core time of a run is the difference of two readings, even if the number of runs changed in between.
 #[derive(Clone, Debug)]
 pub(super) struct CoreTime {
     /// Share of a core that each run receives now, above 0 and up to 1.
@@ -20,7 +20,7 @@
         CoreTime { share: 1.0, sampled_ms: 0.0, at_sample_ms: 0.0 }
     }
 
-    /// The server is up: the clock counts from now on.
+    /// Starts the clock, as the server is up.
     pub(super) fn start(&mut self, now_ms: f64) {
         self.sampled_ms = now_ms;
     }
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -1,34 +1,35 @@
 //! Decides each arrival at the end of its batch: duplicate, rejected, or queued.
 //!
-//! The order of the questions is fixed: does it duplicate an open or retained request, can it be answered in
-//! time and in memory, and is it among the share that loop 1 rejects.
+//! The order of the checks is fixed: does the arrival duplicate an open or retained request, can it be
+//! answered in time and in the memory left, and is it in the share that loop 1 rejects.
 
 use super::request_table::{OpenRequest, RequestState};
 use super::{Action, AdmissionController, FailureReason, Idempotency, RejectReason};
 
-/// Part of the memory beyond which arrivals are rejected, so that queued requests still find memory to run.
+/// Part of the memory beyond which arrivals are rejected, so that there is memory left to run queued
+/// requests.
 const QUEUE_MEMORY_PART: f64 = 0.85;
-/// Difference of scores, as a part, below which two requests count as alike.
-pub(super) const ALIKE_PART: f64 = 0.15;
+/// Relative difference of scores below which two requests count as equal.
+pub(super) const EQUAL_SCORE_PART: f64 = 0.15;
 
-/// Limits that hold for an arrival whatever its score.
+/// Limits that apply to an arrival whatever its score.
 struct ArrivalLimits {
-    /// It reached the machine after the grace of a drain.
+    /// The arrival reached the machine after the grace of a drain.
     drained: bool,
-    /// There is no memory to queue it.
+    /// There is no memory to queue the arrival.
     memory_full: bool,
 }
 
-/// How an arrival is treated that may duplicate an open or retained request.
+/// How to treat an arrival that may duplicate an open or retained request.
 enum DuplicateHandling {
-    /// It is no duplicate, or one that may run beside the first attempt.
+    /// The arrival is no duplicate, or it may run as well as the first attempt.
     DecideAsNew,
-    /// Neither attempt has run: the later one, whose caller still waits, takes the place of this one.
+    /// Neither attempt has run. The arrival, whose caller still waits, replaces this first attempt.
     Supersede(u32),
-    /// The first attempt runs, ran, or may have run: its result may be used, but it must not run again.
+    /// The first attempt runs, ran, or may have run: the arrival may use its result but must not run itself.
     ReuseResult,
-    /// It shares the run of this queued read. If it were tied to a request that may yet be rejected, it would
-    /// fail with it, so it joins at the start of the run.
+    /// The arrival will share the run of this queued read, from the start of the run on. If it joined
+    /// earlier, it would fail together with a read that may still be rejected.
     Follow(u32),
 }
 
@@ -120,7 +121,7 @@
         actions.push(Action::ReuseResult { id });
     }
 
-    /// Why an arrival is rejected, if it is. It may displace a queued request instead.
+    /// Returns why to reject an arrival, or `None` to queue it. The arrival may displace a queued request.
     fn rejection(
         &mut self,
         now_ms: f64,
@@ -129,21 +130,21 @@
         actions: &mut Vec<Action>,
     ) -> Option<RejectReason> {
         let score = self.score(arrival, now_ms + self.expected_wait_ms(arrival, now_ms));
-        // Every arrival is ranked, also one that is hopeless: the rank of others depends on it.
+        // Infeasible arrivals are ranked as well: the rank of other arrivals depends on them.
         let rank = self.ranking.rank(score);
         let must_wait = self.on_core() >= self.settings.cores;
-        let hopeless = self.hopeless_reason(now_ms, arrival, limits, score, must_wait);
-        if hopeless.is_some() {
-            return hopeless;
+        let infeasible = self.infeasible_reason(now_ms, arrival, limits, score, must_wait);
+        if infeasible.is_some() {
+            return infeasible;
         }
         let shed = must_wait
             && rank < self.loops.reject_share
-            && !self.finds_place(now_ms, arrival.request.id, actions);
+            && !self.finds_queue_place(now_ms, arrival.request.id, actions);
         shed.then_some(RejectReason::LoadShed)
     }
 
-    /// The first reason why an arrival cannot be answered usefully.
-    fn hopeless_reason(
+    /// Returns the first reason why an arrival cannot be answered usefully.
+    fn infeasible_reason(
         &self,
         now_ms: f64,
         arrival: &OpenRequest,
@@ -151,8 +152,9 @@
         score: f64,
         must_wait: bool,
     ) -> Option<RejectReason> {
-        // Queued although the wait makes it late, it would be answered late or rejected after the wait.
-        let spoilt_by_wait = must_wait && score < self.score(arrival, now_ms);
+        // If it were queued although the wait makes it late, it would be answered late or rejected after the
+        // wait.
+        let late_by_wait = must_wait && score < self.score(arrival, now_ms);
         if limits.drained {
             Some(RejectReason::Draining)
         } else if limits.memory_full {
@@ -161,19 +163,19 @@
             Some(RejectReason::Stalled)
         } else if score <= 0.0 && self.call_wait(arrival).for_credit_ms > 0.0 {
             Some(RejectReason::CallUnavailable)
-        } else if score <= 0.0 || spoilt_by_wait {
+        } else if score <= 0.0 || late_by_wait {
             Some(RejectReason::TooLate)
         } else {
             None
         }
     }
 
-    /// Whether an arrival that loop 1 would reject is queued all the same: the queue is short, or a queued
-    /// request is worth less and is rejected instead.
+    /// Whether to queue an arrival that loop 1 would reject: the queue is short, or a queued request has a
+    /// lower score and is rejected instead.
     ///
-    /// In a flood reading alone keeps the cores busy and alpha stands at 1. Without this the queue would run
-    /// dry, and whatever arrives when a run ends would take the core: mostly late retries.
-    fn finds_place(&mut self, now_ms: f64, id: u32, actions: &mut Vec<Action>) -> bool {
+    /// In a flood, reading alone keeps the cores busy and alpha stays at 1. Without this the queue would
+    /// become empty, and the next arrival after the end of a run would get the core: mostly a late retry.
+    fn finds_queue_place(&mut self, now_ms: f64, id: u32, actions: &mut Vec<Action>) -> bool {
         let queued = self.requests.in_state(RequestState::Queued).filter(|other| other.request.id != id);
         let scored: Vec<(f64, &OpenRequest)> =
             queued.map(|other| (self.score(other, now_ms), other)).collect();
@@ -183,7 +185,7 @@
         let own_score = self.score(&self.requests.open[&id], now_ms);
         let displaceable = scored.into_iter().filter(|(_, other)| !self.requests.may_repeat_a_run(other));
         let lowest = displaceable.min_by(|a, b| a.0.total_cmp(&b.0));
-        let displaced = lowest.filter(|(score, _)| own_score > score * (1.0 + ALIKE_PART));
+        let displaced = lowest.filter(|(score, _)| own_score > score * (1.0 + EQUAL_SCORE_PART));
         let Some(displaced) = displaced.map(|(_, other)| other.request.id) else {
             return false;
         };
@@ -191,7 +193,7 @@
         true
     }
 
-    /// Retains what later duplicates of a queued arrival are recognised by.
+    /// Retains the key by which later duplicates of a queued arrival are recognised.
     fn retain_for_duplicates(&mut self, now_ms: f64, arrival: &OpenRequest, actions: &mut Vec<Action>) {
         let id = arrival.request.id;
         let class = self.class_of(arrival);
--- a/src/admission/dispatch.rs
+++ b/src/admission/dispatch.rs
@@ -5,9 +5,9 @@
 use super::request_table::{OpenRequest, RequestState};
 use super::{Action, AdmissionController, Idempotency, Outcome, Request};
 
-/// Least core time of a run, ms.
+/// Shortest core time of a run, ms.
 pub(super) const MIN_RUN_MS: f64 = 0.1;
-/// Part of its own work that is added to the work ahead of an arrival when its wait is estimated.
+/// Part of an arrival's own work that is added to the work ahead of it when its wait is estimated.
 const OWN_WAIT_PART: f64 = 0.5;
 
 /// A queued request that may be started.
@@ -27,12 +27,12 @@
 }
 
 impl AdmissionController {
-    /// Work that a request is expected to take of one core of this server, ms.
+    /// Expected work of a request on one core of this server, ms.
     pub(super) fn expected_work_ms(&self, request: &Request) -> f64 {
         self.work.expected_ms(request, &self.settings.classes[request.class])
     }
 
-    /// Expected wait of an arrival in the queue, ms: the work of those that would start before it.
+    /// Expected wait of an arrival in the queue, ms: the work of the requests that would start before it.
     pub(super) fn expected_wait_ms(&self, arrival: &OpenRequest, now_ms: f64) -> f64 {
         if self.on_core() < self.settings.cores {
             return 0.0;
@@ -48,7 +48,7 @@
         ahead_ms / (self.run_limit() * self.core_time.share)
     }
 
-    /// Time in which all that is queued now could run, ms.
+    /// Time in which all queued requests could run, ms.
     pub(super) fn queue_drain_ms(&self) -> f64 {
         let queued = self.requests.in_state(RequestState::Queued);
         let work_ms = queued.map(|open| self.expected_work_ms(&open.request)).sum::<f64>();
@@ -73,13 +73,13 @@
             objective_ms: open.objective_ms,
         });
         let best = candidates.filter(|candidate| candidate.score > 0.0).max_by(Candidate::compare)?;
-        // A read that shares the run of another starts that one.
+        // Starting a read that shares the run of a queued read starts that queued read.
         let shared = self.requests.open[&best.id].follows;
         let queued_leader = shared.filter(|first| self.requests.state(*first) == Some(RequestState::Queued));
         queued_leader.or(Some(best.id))
     }
 
-    /// Whether the limits allow a start now; takes the start credit where starts are paced.
+    /// Whether the limits allow a start now. Takes start credit if starts are paced.
     fn may_start(&mut self, now_ms: f64, id: u32) -> bool {
         let on_core = self.on_core();
         if self.requests.count(RequestState::Running) >= self.concurrency_limit(now_ms)
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A run, or an answer from a retained result, ended.
+    /// Handles the end of a run, or of an answer from a retained result.
     pub(super) fn end_run(&mut self, now_ms: f64, id: u32, outcome: Outcome, actions: &mut Vec<Action>) {
         self.stall.record_progress(now_ms);
         let Some(run) = self.requests.open.remove(&id) else { return };
--- a/src/admission/feedback.rs
+++ b/src/admission/feedback.rs
@@ -1,11 +1,11 @@
-//! What callers and the load balancer hear of this server: health, load report, idle timeout and Retry-After.
+//! Feedback to callers and the load balancer: health, load report, idle timeout and Retry-After.
 
 use super::health::HealthSample;
 use super::load_report::LoadSample;
 use super::{Action, AdmissionController, RejectReason};
 
 impl AdmissionController {
-    /// Changes the answer to health checks, if the sample calls for it.
+    /// Changes the answer to health checks if the sample requires it.
     pub(super) fn report_health(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
         let changed = self.health.update(&HealthSample {
             dt_s,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Tells the host the idle timeout of connections, if it changed.
+    /// Sends the idle timeout of connections to the host if it changed.
     pub(super) fn close_idle_connections(&mut self, dt_s: f64, actions: &mut Vec<Action>) {
         let has_idle_cores = self.has_idle_cores();
         if let Some(after_ms) = self.idle_policy.update(&self.settings, has_idle_cores, dt_s) {
@@ -28,11 +28,11 @@
         }
     }
 
-    /// Sends a new load report, if it changed enough.
+    /// Sends a new load report if the value changed enough.
     pub(super) fn report_load(&mut self, actions: &mut Vec<Action>) {
         let sample = LoadSample {
             delay_ms: self.queue_drain_ms() + self.read_delay.excess_ms().max(0.0),
-            wants_none: self.wants_no_traffic(),
+            wants_no_traffic: self.wants_no_traffic(),
             run_limit: self.run_limit(),
             callers: self.settings.callers,
         };
@@ -49,7 +49,7 @@
         } else if self.read_delay.is_jammed() {
             self.read_delay.mean_ms
         } else if waited {
-            // It may come back when all that is queued now has had its turn.
+            // The caller may return when all requests queued now could have run.
             self.queue_drain_ms().max(self.sample_period_ms())
         } else {
             0.0
@@ -59,12 +59,12 @@
 
     /// Whether the caller of a rejected request is asked not to try another server.
     pub(super) fn is_last_attempt(&self, reason: RejectReason) -> bool {
-        // All servers share the dependency: a caller that finds no call here finds none elsewhere.
+        // All servers share the dependency: if no call can be made here, none can be made elsewhere.
         let jammed = self.read_delay.is_jammed() && !self.wants_no_traffic();
         reason == RejectReason::CallUnavailable || jammed
     }
 
-    /// Whether callers should send nothing: no run makes progress, or a drain is about to take no more work.
+    /// Whether callers should send nothing: no run makes progress, or the drain will soon take no more work.
     fn wants_no_traffic(&self) -> bool {
         let sampled_ms = self.core_time.sampled_ms;
         let rules = &self.settings.rules;
--- a/src/admission/filters.rs
+++ b/src/admission/filters.rs
@@ -13,15 +13,15 @@
     old + (new - old) * weight
 }
 
-/// 1 for true and 0 for false: an observation for the average of a share.
+/// Returns 1 for true and 0 for false, as an observation for the average of a share.
 pub(super) fn indicator(condition: bool) -> f64 {
     f64::from(u8::from(condition))
 }
 
-/// Weight of one new observation in the averages of what changes within seconds: the speed of this server,
-/// the length of runs, the waits of callers.
+/// Weight of one new observation in the averages of values that change within seconds: the speed of this
+/// server, the duration of runs, the waits of callers.
 pub(super) const OBSERVATION_WEIGHT: f64 = 0.1;
-/// Time over which waits, rejections and call durations are forgotten while nothing renews them, s.
+/// Time constant with which waits, rejections and call durations decay without new observations, s.
 pub(super) const FORGET_S: f64 = 2.0;
-/// Time constant of the low-pass filters on load that callers are told about, s.
+/// Time constant of the low-pass filters on the load that is reported to callers, s.
 pub(super) const LOAD_FILTER_S: f64 = 0.5;
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -1,31 +1,33 @@
 //! Decides whether health checks are answered as healthy.
 //!
-//! A server leaves the load balancer's rotation when it can serve no one: its arrivals are dead on arrival,
-//! its runs are stalled, or it is buried in new connections. Overload alone is no reason.
+//! A server leaves the load balancer's rotation when it can serve no caller: it reads its arrivals too late
+//! to answer them in time, its runs are stalled, or new connections take all its capacity. Overload alone is
+//! no reason.
 
 use super::filters::{LOAD_FILTER_S, OBSERVATION_WEIGHT, indicator, low_pass, moving_average};
 
-/// Share of arrivals that lay unread until no run could answer them in time, from which the health check
-/// fails. Such a server serves no one, and its callers, having given up, hear no advice.
-const UNHEALTHY_DEAD_SHARE: f64 = 0.7;
-/// Part of what made the health check fail, below which it recovers.
+/// Share of unservable arrivals from which the health check fails. An arrival is unservable if it stayed
+/// unread until no run could answer it in time. Such a server serves no caller, and its callers, which have
+/// given up, receive no advice.
+const UNHEALTHY_UNSERVABLE_SHARE: f64 = 0.7;
+/// Part of the threshold that made the health check fail, below which the check recovers.
 const RECOVERY_PART: f64 = 0.4;
-/// Slowdown from which a server counts as slow; crowding alone stays below. If health failed in a jam of the
-/// whole fleet, servers would leave and return in floods.
-const SLOW_SERVER: f64 = 2.0;
-/// Tasks that want each core from which the health check fails. Runs and reading make two; the rest are new
-/// connections, which their callers abandon before they are made, so that no one is read.
+/// Slowdown above which a server counts as slow; concurrent runs alone stay below. If health checks failed
+/// while the whole fleet is overloaded, many servers would leave and return at once.
+const SLOW_SERVER_SLOWDOWN: f64 = 2.0;
+/// Tasks per core above which the health check fails. Runs and reading make two; the others are new
+/// connections, which callers abandon before they are established, so that no request is read.
 const UNHEALTHY_TASKS_PER_CORE: f64 = 6.0;
 
-/// What one timer measured about the ability to serve.
+/// The measurements of one timer about the ability to serve.
 pub(super) struct HealthSample {
-    /// Time since the sample before, s.
+    /// Time since the previous sample, s.
     pub(super) dt_s: f64,
-    /// Everything that wants a core now.
+    /// Number of tasks that need a core now.
     pub(super) runnable: f64,
     /// Cores of the server.
     pub(super) cores: f64,
-    /// How much longer work takes than usual.
+    /// Factor by which work takes longer than usual.
     pub(super) slowdown: f64,
     /// No run makes progress.
     pub(super) stalled: bool,
@@ -33,28 +35,29 @@
     pub(super) draining: bool,
 }
 
-/// The answer to health checks and what it depends on.
+/// The answer to health checks and the measurements that it depends on.
 #[derive(Clone, Debug)]
 pub(super) struct HealthMonitor {
-    /// How health checks are answered now.
+    /// Whether health checks are answered as healthy now.
     pub(super) healthy: bool,
-    /// Share of arrivals that were dead on arrival, 0 to 1.
-    dead_share: f64,
-    /// Filtered number of tasks that want each core.
+    /// Share of arrivals that could not be answered in time when they were read, 0 to 1.
+    unservable_share: f64,
+    /// Filtered number of tasks that need each core.
     tasks_per_core: f64,
 }
 
 impl HealthMonitor {
     pub(super) fn new() -> Self {
-        HealthMonitor { healthy: true, dead_share: 0.0, tasks_per_core: 0.0 }
+        HealthMonitor { healthy: true, unservable_share: 0.0, tasks_per_core: 0.0 }
     }
 
-    /// Counts an arrival that could, or could not, be answered in time when it was read.
-    pub(super) fn record_arrival(&mut self, dead_on_arrival: bool) {
-        self.dead_share = moving_average(self.dead_share, indicator(dead_on_arrival), OBSERVATION_WEIGHT);
+    /// Counts an arrival; `unservable` if it could not be answered in time when it was read.
+    pub(super) fn record_arrival(&mut self, unservable: bool) {
+        self.unservable_share =
+            moving_average(self.unservable_share, indicator(unservable), OBSERVATION_WEIGHT);
     }
 
-    /// The server drains: it is unhealthy from now on.
+    /// Reports the server as unhealthy for the rest of the drain.
     pub(super) fn start_drain(&mut self) {
         self.healthy = false;
     }
@@ -62,7 +65,7 @@
     /// Takes a sample and returns the new answer if it changed.
     pub(super) fn update(&mut self, sample: &HealthSample) -> Option<bool> {
         if sample.runnable < sample.cores {
-            self.dead_share = low_pass(self.dead_share, 0.0, sample.dt_s, LOAD_FILTER_S);
+            self.unservable_share = low_pass(self.unservable_share, 0.0, sample.dt_s, LOAD_FILTER_S);
         }
         let tasks_per_core = sample.runnable / sample.cores;
         self.tasks_per_core = low_pass(self.tasks_per_core, tasks_per_core, sample.dt_s, LOAD_FILTER_S);
@@ -74,10 +77,11 @@
         Some(healthy)
     }
 
-    /// Whether the server can serve no one; with hysteresis, so that it does not flap.
+    /// Whether the server can serve no caller; with hysteresis, so that the answer does not flap.
     fn cannot_serve(&self, sample: &HealthSample) -> bool {
         let threshold_part = if self.healthy { 1.0 } else { RECOVERY_PART };
-        let dead = sample.slowdown > SLOW_SERVER && self.dead_share >= UNHEALTHY_DEAD_SHARE * threshold_part;
-        dead || sample.stalled || self.tasks_per_core > UNHEALTHY_TASKS_PER_CORE * threshold_part
+        let reads_too_late = sample.slowdown > SLOW_SERVER_SLOWDOWN
+            && self.unservable_share >= UNHEALTHY_UNSERVABLE_SHARE * threshold_part;
+        reads_too_late || sample.stalled || self.tasks_per_core > UNHEALTHY_TASKS_PER_CORE * threshold_part
     }
 }
--- a/src/admission/idle_policy.rs
+++ b/src/admission/idle_policy.rs
@@ -1,25 +1,26 @@
 //! Chooses how long idle connections are kept.
 //!
-//! Connections that are made only to be rejected are wasted work. Where most arrivals are rejected, the
-//! connection table stays as it is and lets newcomers in about as slowly as the cores can serve them. This
-//! catches any overload by many callers, slow servers first.
+//! A connection whose requests are rejected is wasted work. While most arrivals are rejected, the connections
+//! therefore stay as they are, and new callers connect about as slowly as the cores can serve them. This
+//! applies to any overload by many callers, and first to slow servers.
 
 use super::Settings;
 use super::filters::{FORGET_S, low_pass};
 
-/// Idle timeout while few arrivals are rejected, ms. With hundreds of callers each comes back after minutes
-/// only: the connections they leave open fill the table, cost core time and keep others out. A caller that
-/// comes again within this time saves its handshake.
+/// Idle timeout while few arrivals are rejected, ms. With hundreds of callers, each returns only after
+/// minutes: the connections that they leave open fill the connection table, cost core time and keep other
+/// callers out. A caller that returns within this time saves a handshake.
 const IDLE_TIMEOUT_MS: f64 = 6000.0;
 /// Share of rejected arrivals from which idle connections are kept longer, 0 to 1.
 const KEEP_LONGER_FROM: f64 = 0.3;
-/// Share of rejected arrivals from which connections stay as long as the callers keep them, 0 to 1.
+/// Share of rejected arrivals from which connections stay open until their callers close them, 0 to 1.
 const KEEP_ALL_FROM: f64 = 0.63;
-/// Arrivals over which that share is averaged: a few seconds of a small server.
+/// Arrivals over which the share of rejected ones is averaged: a few seconds of a small server.
 const REJECTED_OVER_ARRIVALS: f64 = 30.0;
-/// Least change of the timeout that is told to the host, as a logarithm.
+/// Smallest change of the timeout that is sent to the host, as a difference of logarithms.
 const MIN_LOG_CHANGE: f64 = 0.1;
-/// Callers per core up to which no connection table fills: connections stay as the callers keep them.
+/// Callers per core up to which no connection table fills: connections stay open until their callers close
+/// them.
 const FEW_CALLERS_PER_CORE: f64 = 8.0;
 
 /// The idle timeout and the share of rejected arrivals that it depends on.
@@ -30,7 +31,7 @@
 }
 
 impl IdlePolicy {
-    /// Starts with the idle timeout of the callers, ms.
+    /// A policy that starts with the idle timeout of the callers, ms.
     pub(super) fn new(caller_idle_timeout_ms: f64) -> Self {
         IdlePolicy { timeout_ms: caller_idle_timeout_ms, rejected_share: 0.0 }
     }
@@ -50,16 +51,16 @@
         self.rejected_share += 1.0 / REJECTED_OVER_ARRIVALS;
     }
 
-    /// Takes a sample, `dt_s` seconds after the one before, and returns the new timeout in ms if it changed.
+    /// Takes a sample `dt_s` seconds after the previous one; returns the new timeout in ms if it changed.
     pub(super) fn update(&mut self, settings: &Settings, has_idle_cores: bool, dt_s: f64) -> Option<f64> {
         if settings.callers <= FEW_CALLERS_PER_CORE * settings.cores {
             return None;
         }
         if has_idle_cores {
-            // Callers that are kept out cannot arrive to prove that there is capacity again.
+            // Callers that cannot connect send no arrivals that would show that there is capacity again.
             self.rejected_share = low_pass(self.rejected_share, 0.0, dt_s, FORGET_S);
         }
-        let timeout_ms = self.wanted_timeout_ms(settings.caller_idle_timeout_ms);
+        let timeout_ms = self.target_timeout_ms(settings.caller_idle_timeout_ms);
         if (timeout_ms / self.timeout_ms).ln().abs() > MIN_LOG_CHANGE {
             self.timeout_ms = timeout_ms;
             return Some(timeout_ms);
@@ -68,7 +69,7 @@
     }
 
     /// Geometric interpolation between the short timeout and that of the callers, ms.
-    fn wanted_timeout_ms(&self, caller_idle_timeout_ms: f64) -> f64 {
+    fn target_timeout_ms(&self, caller_idle_timeout_ms: f64) -> f64 {
         let closed = (self.rejected_share - KEEP_LONGER_FROM) / (KEEP_ALL_FROM - KEEP_LONGER_FROM);
         let closed = closed.clamp(0.0, 1.0);
         caller_idle_timeout_ms.min(IDLE_TIMEOUT_MS).powf(1.0 - closed) * caller_idle_timeout_ms.powf(closed)
--- a/src/admission/messages.rs
+++ b/src/admission/messages.rs
@@ -19,22 +19,22 @@
     pub work_hint_ms: Option<f64>,
     /// Memory while queued, kB.
     pub mem_kb: f64,
-    /// Marked by the caller as a retry or a hedged request.
+    /// Whether the caller marked the request as a retry or a hedged request.
     pub retry: bool,
     /// Time from its arrival at the machine until the host read it, ms.
     pub queued_ms: f64,
     /// The retained request that this one duplicates.
     pub duplicate_of: Option<u32>,
-    /// It names a subject, so that reads of the same subject may share a result.
+    /// Whether the request names a subject. Reads of the same subject may share a result.
     pub has_subject: bool,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Done,
-    /// It failed and may have taken effect.
+    /// The run or call failed and may have taken effect.
     Failed,
     /// The dependency rejected the call: it never ran.
     Rejected,
@@ -50,16 +50,16 @@
     NotStarted,
 }
 
-/// What the host tells the controller.
+/// An event that the host passes to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The first event: the server is up.
     Started,
     /// A request was read.
     RequestArrived(Request),
-    /// All events of this instant are in: arrivals are decided, runs and calls are started.
+    /// All events of this instant have been passed: arrivals are decided, runs and calls are started.
     BatchEnded,
-    /// A run, or an answer from a retained result, is over.
+    /// A run, or an answer from a retained result, has ended.
     RunEnded {
         /// The request.
         id: u32,
@@ -71,7 +71,7 @@
         /// The request.
         id: u32,
     },
-    /// A call is over.
+    /// A call has ended.
     CallEnded {
         /// The request.
         id: u32,
@@ -80,7 +80,7 @@
         /// Time since the call was started, ms.
         took_ms: f64,
     },
-    /// The caller no longer waits; no answer is owed any more.
+    /// The caller no longer waits; the request needs no answer.
     CallerGone {
         /// The request.
         id: u32,
@@ -92,14 +92,14 @@
     },
     /// A timer fired.
     TimerFired {
-        /// The token given with [`Action::SetTimer`].
+        /// The token of the [`Action::SetTimer`].
         token: u32,
         /// The values of [`Settings::gauges`](super::Settings::gauges), in their order.
         gauges: Vec<f64>,
     },
 }
 
-/// What the host carries out, in the order given.
+/// An action that the host carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request.
@@ -107,22 +107,22 @@
         /// The request.
         id: u32,
     },
-    /// Final answer: rejected; this attempt never ran.
+    /// Final answer: the request is rejected, and this attempt never ran.
     Reject {
         /// The request.
         id: u32,
         /// Retry-After: how long the caller should stay away from this server, ms; 0 for no advice.
         retry_after_ms: f64,
-        /// Ask the caller not to try another server.
+        /// Whether to ask the caller not to try another server.
         no_retry: bool,
-        /// Why.
+        /// The reason of the rejection.
         reason: RejectReason,
     },
     /// Final answer: an error.
     Fail {
         /// The request.
         id: u32,
-        /// Why.
+        /// The reason of the failure.
         reason: FailureReason,
     },
     /// Cancel running work.
@@ -137,7 +137,7 @@
         /// Abandon the call after this time, ms.
         call_timeout_ms: f64,
     },
-    /// Go on without the call that a request waits for.
+    /// Continue without the call that a request waits for.
     SkipCall {
         /// The request.
         id: u32,
@@ -163,10 +163,10 @@
     SetHealth {
         /// Whether the server is healthy.
         healthy: bool,
-        /// Answer from this setting alone, without real work.
+        /// Whether to answer from this setting alone, without real work.
         from_store: bool,
     },
-    /// Send this load report along with every answer from now on.
+    /// Add this load report to every answer from now on.
     ReportLoad {
         /// The value; [`Settings::load_report`](super::Settings::load_report) gives its meaning.
         value: f64,
@@ -180,7 +180,7 @@
     SetTimer {
         /// Time from now, ms.
         after_ms: f64,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u32,
     },
     /// Write a line to the log.
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -3,40 +3,42 @@
 //! The ordinary path is the pair of PI loops of De Cicco, Cofano and Mascolo, "Local SIP Overload Control"
 //! (2015): the share of busy cores sets alpha, the share of arrivals that is rejected when they are read; the
 //! length of the queue sets u, the rate of starts. Everything else guards these loops: estimates of work,
-//! priorities, quotas of tenants and calls, deadlines, and what callers are told. ARCHITECTURE.md lists the
+//! priorities, quotas of tenants and calls, deadlines, and the feedback to callers. ARCHITECTURE.md lists the
 //! guards.
 //!
 //! The module does no I/O and reads no clock: the host passes in events with their time and carries out the
-//! actions that come back, in the order given. Times are milliseconds of any clock that does not go back,
-//! memory is in kilobytes. The same events give the same actions.
+//! returned actions in the order given. Times are milliseconds of any clock that does not go back, memory is
+//! in kilobytes. The same events give the same actions.
 //!
 //! # What a host must do
 //!
-//! - Construct an [`AdmissionController`] at each start of the server, with [`Settings`] and a seed. Every field
-//!   of [`Settings`] has a default that switches off the feature it is for; unusable settings come back as a
+//! - Construct an [`AdmissionController`] at each start of the server, with [`Settings`] and a seed. Every
+//!   field of [`Settings`] has a default that switches its feature off; unusable settings are returned as a
 //!   [`SettingsError`].
-//! - Send [`Event::Started`] first, and [`Event::BatchEnded`] after the last event of each instant: arrivals are
-//!   decided, and runs and calls are started, at that moment. No arrival is answered before it.
-//! - Send [`Event::RequestArrived`] once for each request read, with an id never used before. The request is
-//!   owed one final answer: a run that ends, [`Action::Reject`] or [`Action::Fail`].
-//! - For each [`Action::StartRun`] and each [`Action::ReuseResult`] send one [`Event::RunEnded`] when the work
-//!   ends, also after an [`Action::Fail`] or [`Action::CancelRun`] of running work. A run that succeeds answers
-//!   the caller by itself.
+//! - Send [`Event::Started`] first, and [`Event::BatchEnded`] after the last event of each instant: the
+//!   controller decides arrivals and starts runs and calls then. No arrival is answered before.
+//! - Send [`Event::RequestArrived`] once for each request read, with an id never used before. The
+//!   request gets one final answer: a run that ends, [`Action::Reject`] or [`Action::Fail`].
+//! - For each [`Action::StartRun`] and each [`Action::ReuseResult`] send one [`Event::RunEnded`] when the
+//!   work ends, also after an [`Action::Fail`] or [`Action::CancelRun`] of running work. The result of a
+//!   successful run is the answer to the caller.
 //! - Send [`Event::CallNeeded`] where running work stops before a call, and [`Event::CallEnded`] for each
-//!   [`Action::StartCall`]. After a success the work goes on; after anything else it waits as before.
-//! - Send [`Event::CallerGone`] where the host hears of it. Nothing is owed from then on.
+//!   [`Action::StartCall`]. After a success the work continues; after any other outcome it still waits for a
+//!   call.
+//! - Send [`Event::CallerGone`] when the host learns that the caller left. The request needs no answer then.
 //! - For each [`Action::SetTimer`] send [`Event::TimerFired`] with the token and the values of
-//!   [`Settings::gauges`]. The first timer comes with [`Event::Started`] and each timer asks for the next.
+//!   [`Settings::gauges`]. The first timer is set on [`Event::Started`], and each timer sets the next.
 //!   Deadlines are enforced by these timers: a host that drops them loses answers.
-//! - Where settings change, call [`AdmissionController::reconfigure`]. Classes and tenants keep their indexes, new
-//!   ones are appended, and one that is retired stays for its open requests.
-//! - Retain and release keys as [`Action::RetainKey`] and [`Action::ReleaseKey`] say, and name the retained
-//!   request in [`Request::duplicate_of`] when it is repeated: this is how no effect happens twice.
+//! - Call [`AdmissionController::reconfigure`] when settings change. Classes and tenants keep their indexes,
+//!   new ones are appended, and retired ones stay for their open requests.
+//! - Retain and release keys on [`Action::RetainKey`] and [`Action::ReleaseKey`], and name the retained
+//!   request in [`Request::duplicate_of`] when a duplicate of it arrives. This prevents an effect from
+//!   happening twice.
 //!
-//! An event about a request that is over changes nothing. An action that the host cannot carry out (because the
-//! request ended in the meantime) may be dropped.
+//! An event about a request that has ended changes nothing. The host may drop an action that it cannot carry
+//! out because the request ended in the meantime.
 //!
-//! # The life of a request
+//! # Example
 //!
 //! ```
 //! use pinepoint::admission::{Action, AdmissionController, Event, Gauge, Outcome, Request, Settings};
@@ -49,7 +51,7 @@
 //!     Action::SetTimer { after_ms, token } => Some((*after_ms, *token)),
 //!     _ => None,
 //! });
-//! let (after_ms, token) = timer.expect("the first timer comes with the start");
+//! let (after_ms, token) = timer.expect("the start sets the first timer");
 //!
 //! // One core: the first request runs, the second is queued.
 //! for id in [1, 2] {
@@ -64,9 +66,9 @@
 //! actions.clear();
 //! controller.handle(after_ms, Event::TimerFired { token, gauges: vec![1.0, 1.0] }, &mut actions);
 //! controller.handle(after_ms, Event::BatchEnded, &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "each timer asks for the next");
+//! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "each timer sets the next");
 //!
-//! // The first run ends late; what can no longer be done in time is rejected, not run.
+//! // The first run ends late; the queued request can no longer meet its deadline and is rejected.
 //! actions.clear();
 //! controller.handle(890.0, Event::RunEnded { id: 1, outcome: Outcome::Done }, &mut actions);
 //! controller.handle(890.0, Event::TimerFired { token, gauges: vec![1.0, 0.0] }, &mut actions);
@@ -75,14 +77,14 @@
 //! # Ok::<(), pinepoint::admission::SettingsError>(())
 //! ```
 //!
-//! # Where to find what
+//! # Module layout
 //!
-//! The types of the interface are in `settings` and `messages`. [`AdmissionController`] holds the state in small
-//! structs, each in a module of its own with its constants: `control_loops`, `core_time`, `work_estimator`,
-//! `call_budget`, `call_profile`, `tenant_usage`, `read_delay`, `health`, `stall_detector`, `idle_policy`,
-//! `load_report`, `drain`, `request_table`. The steps that combine them are methods of the controller, by concern:
-//! `sampling`, `arrivals`, `decision`, `priority`, `run_limits`, `dispatch`, `calls`, `answers`,
-//! `feedback`.
+//! The types of the interface are in `settings` and `messages`. [`AdmissionController`] keeps its state in
+//! small structs, each in a module of its own with its constants: `control_loops`, `core_time`,
+//! `work_estimator`, `call_budget`, `call_profile`, `tenant_usage`, `read_delay`, `health`, `stall_detector`,
+//! `idle_policy`, `load_report`, `drain`, `request_table`. The steps that combine them are methods of the
+//! controller, by concern: `sampling`, `arrivals`, `decision`, `priority`, `run_limits`, `dispatch`, `calls`,
+//! `answers`, `feedback`.
 
 mod answers;
 mod arrivals;
@@ -136,7 +138,7 @@
 };
 pub use snapshot::AdmissionSnapshot;
 
-/// Decides for one server. Pass it events in order and carry out the actions.
+/// The admission controller of one server. Pass it events in order and carry out the returned actions.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     settings: Settings,
@@ -193,8 +195,8 @@
         Ok(controller)
     }
 
-    /// Goes on under these settings. Existing classes and tenants keep their indexes, more may follow. What was
-    /// learned, and the deadline and objective of open requests, stay as they are.
+    /// Replaces the settings. Existing classes and tenants keep their indexes; more may be appended. Learned
+    /// estimates, and the deadlines and objectives of open requests, stay as they are.
     ///
     /// # Errors
     ///
@@ -211,7 +213,7 @@
         Ok(())
     }
 
-    /// Puts settings in force. New classes and tenants start with initial estimates.
+    /// Applies checked settings. New classes and tenants start with initial estimates.
     fn apply_settings(&mut self, mut settings: Settings) {
         settings.servers = settings.servers.max(1.0);
         for class in &settings.classes[self.work.classes()..] {
@@ -229,7 +231,7 @@
         self.settings = settings;
     }
 
-    /// Takes one event at `now_ms` and appends what is to be done to `actions`.
+    /// Handles one event at `now_ms` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Started => self.start(now_ms, actions),
@@ -252,7 +254,8 @@
         self.started_ms = now_ms;
         self.core_time.start(now_ms);
         self.calls.start(now_ms);
-        // No run can have made progress before: one that runs at the first sample would count as stalled.
+        // Without this, a run that is open at the first sample would count as without progress since time 0,
+        // and so as stalled.
         self.stall.record_progress(now_ms);
         actions.push(Action::SetHealth { healthy: true, from_store: true });
         self.close_idle_connections(0.0, actions);
--- a/src/admission/pi_controller.rs
+++ b/src/admission/pi_controller.rs
@@ -5,8 +5,8 @@
 
 /// A PI controller whose output and integral are both clamped to the range of the actuator.
 ///
-/// The output is `Kp * e + Ki * ∫ e dt`. Clamping the integral is the anti-windup: after a long time at the
-/// limit the output follows the error at once.
+/// The output is `Kp * e + Ki * ∫ e dt`. Clamping the integral prevents windup: even after a long time at
+/// the limit the output follows the error at once.
 #[derive(Clone, Debug)]
 pub(super) struct PiController {
     proportional_gain: f64,
--- a/src/admission/read_delay.rs
+++ b/src/admission/read_delay.rs
@@ -4,15 +4,16 @@
 
 use super::filters::{FORGET_S, LOAD_FILTER_S, OBSERVATION_WEIGHT, low_pass};
 
-/// Time over which the delay is forgotten while cores are idle, s. A jam remembered then would send all
-/// callers back together.
+/// Time constant with which the delay decays while cores are idle, s. If a jam were remembered longer, all
+/// callers would return at the same moment.
 const IDLE_FORGET_S: f64 = 0.1;
-/// Growth of the floor per arrival: forgets a lucky low within hundreds of arrivals.
+/// Growth factor of the floor per arrival: an unusually low delay is forgotten within hundreds of arrivals.
 const FLOOR_GROWTH: f64 = 1.002;
 /// Excess delay beyond which callers are asked not to try elsewhere, ms: the cores cannot even keep up with
 /// reading, so each further attempt costs the fleet more than it brings.
 const JAM_EXCESS_MS: f64 = 20.0;
-/// Sustained busy share without which a delay is a chance queue and other servers may well have capacity.
+/// Sustained busy share above which a delay counts as a jam. Below it a delay is a short queue that arose by
+/// chance, and other servers may well have capacity.
 const JAM_BUSY_SHARE: f64 = 0.95;
 
 /// Delay between the arrival of requests at the machine and their being read.
@@ -20,7 +21,7 @@
 pub(super) struct ReadDelay {
     /// Filtered delay, ms.
     pub(super) mean_ms: f64,
-    /// Least delay of recent completed requests, ms; infinite before the first.
+    /// Shortest delay of recent completed requests, ms; infinite before the first one.
     floor_ms: f64,
     /// Busy share over half a second, 0 to 1.
     sustained_busy_share: f64,
@@ -31,30 +32,30 @@
         ReadDelay { mean_ms: 0.0, floor_ms: f64::INFINITY, sustained_busy_share: 0.0 }
     }
 
-    /// Takes the delay of an arrival, ms.
+    /// Records the delay of an arrival, ms.
     pub(super) fn record_arrival(&mut self, delay_ms: f64) {
         // Twice the usual weight. The factors stay apart so that the rounding stays the same.
         self.mean_ms += (delay_ms - self.mean_ms) * OBSERVATION_WEIGHT * 2.0;
         self.floor_ms *= FLOOR_GROWTH;
     }
 
-    /// Takes the delay that a request had when it was read, once its run is complete, ms.
+    /// Records, after the run of a request completed, the delay that the request had when it was read, ms.
     ///
-    /// If the floor were learned from all arrivals, misbehaving clients could feign reading without any
-    /// delay, and so a jam.
+    /// If the floor were learned from all arrivals, misbehaving clients could simulate reads without any
+    /// delay and so make the usual delay look like a jam.
     pub(super) fn record_completed(&mut self, delay_ms: f64) {
         self.floor_ms = self.floor_ms.min(delay_ms);
     }
 
-    /// Takes a sample, `dt_s` seconds after the one before.
+    /// Takes a sample `dt_s` seconds after the previous one.
     pub(super) fn update(&mut self, busy_share: f64, has_idle_cores: bool, dt_s: f64) {
-        // Idle cores leave nothing unread: the jam is over, whatever the last arrivals had waited.
+        // With idle cores nothing stays unread: the jam is over, however long the last arrivals waited.
         let forget_s = if has_idle_cores { IDLE_FORGET_S } else { FORGET_S };
         self.mean_ms = low_pass(self.mean_ms, self.floor_ms.min(self.mean_ms), dt_s, forget_s);
         self.sustained_busy_share = low_pass(self.sustained_busy_share, busy_share, dt_s, LOAD_FILTER_S);
     }
 
-    /// Delay beyond its floor, ms; below 0 while the floor is not known.
+    /// Delay beyond the floor, ms; below 0 while the floor is not known.
     pub(super) fn excess_ms(&self) -> f64 {
         self.mean_ms - self.floor_ms
     }
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -1,21 +1,21 @@
-//! The table of open requests, the arrivals that are not decided yet, and the retained keys.
+//! The table of open requests, undecided arrivals and retained keys.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::Request;
 
-/// Where an open request stands.
+/// State of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Read and not started.
+    /// Read but not started.
     Queued,
-    /// On the cores or waiting for the disk.
+    /// Running on a core or waiting for the disk.
     Running,
-    /// Stopped before a call.
+    /// Waiting for a call to be started.
     AwaitingCall,
-    /// In a call.
+    /// Waiting for the reply of a call.
     InCall,
-    /// Waits for the result of the request that it duplicates.
+    /// Waiting for the result of the request that it duplicates.
     AwaitingResult,
 }
 
@@ -24,25 +24,25 @@
 pub(super) struct OpenRequest {
     pub(super) request: Request,
     pub(super) state: RequestState,
-    /// Queued read of the same subject whose run it will share.
+    /// Queued read of the same subject whose run this request will share.
     pub(super) follows: Option<u32>,
-    /// A final answer is still owed.
-    pub(super) answer_owed: bool,
-    /// When it reached the machine, ms.
+    /// Whether the request still needs its final answer.
+    pub(super) answer_pending: bool,
+    /// Time at which the request reached the machine, ms.
     pub(super) arrived_ms: f64,
-    /// When its caller stops waiting, ms.
+    /// Time at which its caller stops waiting, ms.
     pub(super) deadline_ms: f64,
-    /// Until when an answer earns the full weight, ms.
+    /// Time until which an answer earns the full weight, ms.
     pub(super) objective_ms: f64,
-    /// Reading of the core time at its start, ms; waits for calls move it forward.
+    /// Reading of the core time at the start of the run, ms; moved forward by the time spent in calls.
     pub(super) core_time_at_start_ms: f64,
-    /// Reading of the core time when it last stopped before a call, ms.
+    /// Reading of the core time when the run last needed a call, ms.
     pub(super) core_time_at_call_ms: f64,
-    /// Core time it had received when it last stopped before a call, ms; 0 before the first call.
+    /// Core time that the run had received when it last needed a call, ms; 0 before the first call.
     pub(super) work_at_call_ms: f64,
-    /// When its last call was started, ms.
+    /// Start of its last call, ms.
     pub(super) call_started_ms: f64,
-    /// Calls that it made or went on without.
+    /// Number of calls that the run made or skipped.
     pub(super) calls: f64,
 }
 
@@ -53,7 +53,7 @@
             request,
             state: RequestState::Queued,
             follows: None,
-            answer_owed: true,
+            answer_pending: true,
             arrived_ms,
             deadline_ms,
             objective_ms,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether nothing of it was ever started.
+    /// Whether no run of the request was started.
     pub(super) fn is_waiting(&self) -> bool {
         matches!(self.state, RequestState::Queued | RequestState::AwaitingResult)
     }
@@ -76,7 +76,7 @@
 pub(super) struct RequestTable {
     pub(super) open: BTreeMap<u32, OpenRequest>,
     undecided: VecDeque<u32>,
-    /// Until when the key of each request is retained, ms.
+    /// Time until which the key of each request is retained, ms.
     keys: BTreeMap<u32, f64>,
 }
 
@@ -88,7 +88,7 @@
         self.open.insert(id, open);
     }
 
-    /// Takes the next arrival that is to be decided.
+    /// Removes and returns the next undecided arrival.
     pub(super) fn next_undecided(&mut self) -> Option<u32> {
         self.undecided.pop_front()
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Open requests in this state, by id.
+    /// Open requests in this state, in the order of their ids.
     pub(super) fn in_state(&self, state: RequestState) -> impl Iterator<Item = &OpenRequest> {
         self.open.values().filter(move |open| open.state == state)
     }
@@ -114,8 +114,8 @@
         self.in_state(state).count() as f64
     }
 
-    /// Whether a request is an undecided duplicate of one that ran or may have run. Until it is decided,
-    /// nothing else may tell its caller that it never ran.
+    /// Whether a request is an undecided duplicate of a request that ran or may have run. Until it is
+    /// decided, it must not be rejected, as a rejection tells the caller that the request never ran.
     pub(super) fn may_repeat_a_run(&self, open: &OpenRequest) -> bool {
         let may_have_run = |first: u32| self.state(first) != Some(RequestState::Queued);
         self.undecided.contains(&open.request.id) && open.request.duplicate_of.is_some_and(may_have_run)
--- a/src/admission/run_limits.rs
+++ b/src/admission/run_limits.rs
@@ -3,17 +3,17 @@
 use super::AdmissionController;
 use super::request_table::{OpenRequest, RequestState};
 
-/// Requests that run on the cores, per core. Reading fills the gaps between the end of a run and the next
-/// start; more runs only make all of them slower.
+/// Requests that run on the cores, per core. Reading uses the time between the end of a run and the next
+/// start; more runs would only slow down all runs.
 const RUNS_PER_CORE: f64 = 1.0;
-/// Part of the runs that the server survives that may run at once, those waiting for the disk included. The
-/// rest is a reserve.
+/// Part of the concurrent runs that the server survives that may be open at once, runs waiting for the disk
+/// included. The rest is a reserve.
 const CONCURRENT_RUNS_PART: f64 = 0.7;
 /// Part of the memory that queued requests, runs and keys may take together.
 const RUN_MEMORY_PART: f64 = 0.92;
 
 impl AdmissionController {
-    /// Runs that want a core now: those waiting for the disk are not in the gauge.
+    /// Runs that need a core now. The gauge leaves out runs that wait for the disk.
     pub(super) fn on_core(&self) -> f64 {
         self.requests.count(RequestState::Running).min(self.loops.max_on_core())
     }
@@ -23,20 +23,20 @@
         self.loops.runnable < self.settings.cores
     }
 
-    /// Runs that may be on the cores.
+    /// Number of runs that may be on the cores.
     pub(super) fn run_limit(&self) -> f64 {
         (self.settings.cores * RUNS_PER_CORE).max(1.0).floor()
     }
 
-    /// Runs that may be open, those waiting for the disk included: the server survives it if all of them
-    /// want a core at once.
+    /// Number of runs that may be open, runs waiting for the disk included. The server survives it if all of
+    /// them need a core at once.
     pub(super) fn concurrency_limit(&self, now_ms: f64) -> f64 {
         let extra_per_core = (self.settings.rules.max_running_per_core - 1.0).max(0.0);
         let per_core = 1.0 + extra_per_core * self.warm_up_speed(now_ms);
         (CONCURRENT_RUNS_PART * self.settings.cores * per_core).max(1.0)
     }
 
-    /// Speed of this server as a part of its speed when warmed up, 0 to 1. It rises linearly.
+    /// Speed of this server as a part of its warmed-up speed, 0 to 1. It rises linearly.
     fn warm_up_speed(&self, now_ms: f64) -> f64 {
         let rules = &self.settings.rules;
         if !self.settings.cold || rules.warm_up_ms <= 0.0 {
--- a/src/admission/sampling.rs
+++ b/src/admission/sampling.rs
@@ -1,11 +1,11 @@
-//! Takes the gauges that come with each timer and brings all measurements up to date.
+//! Takes the gauges that come with each timer and updates all measurements.
 
 use super::control_loops::{SAMPLE_PERIOD_MS, Sample};
 use super::request_table::RequestState;
 use super::stall_detector::RunSample;
 use super::{Action, AdmissionController, Gauge};
 
-/// Shortest time between two samples that is divided by, s.
+/// Smallest time between two samples that is used as a divisor, s.
 const MIN_SAMPLE_S: f64 = 1e-6;
 
 impl AdmissionController {
@@ -14,12 +14,13 @@
         SAMPLE_PERIOD_MS.max(self.settings.tick_ms)
     }
 
-    /// Asks for the next timer.
+    /// Sets the next timer.
     pub(super) fn set_timer(&self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { after_ms: self.sample_period_ms(), token: 0 });
     }
 
-    /// Takes a sample: runs the control loops, answers what is due, and tells callers how this server is.
+    /// Takes a sample: runs the control loops, gives the answers that are due, and updates the feedback to
+    /// callers.
     pub(super) fn sample(&mut self, now_ms: f64, gauges: &[f64], actions: &mut Vec<Action>) {
         self.set_timer(actions);
         let dt_s = ((now_ms - self.core_time.sampled_ms) / 1000.0).max(MIN_SAMPLE_S);
@@ -43,7 +44,7 @@
         self.report_load(actions);
     }
 
-    /// Everything that wants a core now. Where a gauge is missing, the next best estimate stands in.
+    /// Number of tasks that need a core now. Where a gauge is missing, the next best estimate replaces it.
     fn measured_runnable(&self, gauges: &[f64]) -> f64 {
         let busy_cores = match self.gauge(Gauge::BusyShare, gauges) {
             Some(busy_share) => busy_share * self.settings.cores,
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -1,24 +1,24 @@
 //! The settings of the admission controller and their validation.
 //!
-//! Plain data: it holds what the host configures and nothing that is learned at run time. All times are
-//! milliseconds, all memory is in kilobytes.
+//! Plain data: it contains the configuration by the host and nothing that is learned at run time. All times
+//! are milliseconds, all memory is in kilobytes.
 
 use thiserror::Error;
 
-/// Largest value that a setting may have: as milliseconds over thirty years, as kilobytes a petabyte. Sums
+/// Largest value that a setting may have: over thirty years in milliseconds, a petabyte in kilobytes. Sums
 /// and products of larger values would overflow to infinity.
 pub const MAX_SETTING: f64 = 1e12;
 
-/// Configuration of one server. Every default switches off the feature that the field is for.
+/// Configuration of one server. The default of each field switches its feature off.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The server was just started and is not warmed up yet.
+    /// Whether the server was just started and is not warmed up yet.
     pub cold: bool,
     /// CPU cores of this server, 1 or more.
     pub cores: f64,
     /// Memory for queued and running requests and retained keys, kB; may be infinite for no limit.
     pub memory_kb: f64,
-    /// A running request takes this many times the memory it takes while queued.
+    /// Memory of a running request as a multiple of its memory while queued.
     pub running_memory_factor: f64,
     /// Memory of one retained key, kB.
     pub key_kb: f64,
@@ -28,7 +28,7 @@
     pub servers: f64,
     /// Callers that send to these servers.
     pub callers: f64,
-    /// How long the result of a read may answer other reads of its subject, ms; 0 for never.
+    /// Time for which the result of a read may answer other reads of its subject, ms; 0 for never.
     pub read_result_ttl_ms: f64,
     /// How callers interpret the load report.
     pub load_report: LoadReportKind,
@@ -36,15 +36,15 @@
     pub preemption: Preemption,
     /// Longest Retry-After that callers honour, ms; 0 where Retry-After is not passed on.
     pub max_retry_after_ms: f64,
-    /// Callers close connections that have been idle for this long, ms.
+    /// Idle time after which callers close a connection, ms.
     pub caller_idle_timeout_ms: f64,
     /// This server's quota of the calls that the dependency survives, as a mean number in flight.
     pub call_quota: f64,
-    /// Averaging window of that mean, ms.
+    /// Averaging window of [`Settings::call_quota`], ms.
     pub call_quota_window_ms: f64,
-    /// How long an abandoned call may still be in flight at the dependency, ms.
+    /// Time for which an abandoned call may still be in flight at the dependency, ms.
     pub call_linger_ms: f64,
-    /// Weights count for each unit of work instead of for each request.
+    /// Whether weights count for each unit of work instead of for each request.
     pub weight_by_work: bool,
     /// Weight of a request beyond its tenant's quota, as a part of its ordinary weight, 0 to 1.
     pub over_quota_weight: f64,
@@ -93,7 +93,7 @@
         self.classes.iter().map(|class| class.timeout_ms).fold(0.0, f64::max)
     }
 
-    /// Checks that the settings are usable. Only [`Settings::memory_kb`] may be infinite.
+    /// Checks whether the settings are usable. Only [`Settings::memory_kb`] may be infinite.
     ///
     /// # Errors
     ///
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// The values of the server itself under the names that errors show.
+    /// The values of the server itself under the names that error messages show.
     fn server_values(&self) -> [(&'static str, f64); 14] {
         let finite_memory_kb = if self.memory_kb == f64::INFINITY { 0.0 } else { self.memory_kb };
         [
@@ -142,16 +142,16 @@
 /// Why [`Settings`] are unusable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Fewer than one core.
+    /// There is less than one core.
     #[error("a server needs at least one core")]
     NoCores,
-    /// No class of requests.
+    /// There is no class of requests.
     #[error("at least one class of requests is needed")]
     NoClasses,
     /// The named value is below 0, above [`MAX_SETTING`], or not a number.
     #[error("{0} is not a number from 0 to {MAX_SETTING:e}")]
     OutOfRange(&'static str),
-    /// Fewer classes or tenants than before: open requests refer to them by index.
+    /// There are fewer classes or tenants than before, and open requests refer to them by index.
     #[error("classes and tenants in use must keep their indexes")]
     IndexRemoved,
 }
@@ -159,15 +159,15 @@
 /// Limits of the deployment that no run may break.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// An answer still counts until this long after the deadline, ms.
+    /// Time after the deadline until which an answer still counts, ms.
     pub answer_slack_ms: f64,
-    /// A request that reached the machine later than this after the start of a drain is not run, ms.
+    /// Time after the start of a drain, ms. A request that reaches the machine later is not run.
     pub drain_grace_ms: f64,
-    /// Requests running per core that a warmed-up server survives.
+    /// Running requests per core that a warmed-up server survives.
     pub max_running_per_core: f64,
-    /// A cold server starts with this part of its speed, or more, 0 to 1.
+    /// Least part of its warmed-up speed with which a cold server starts, 0 to 1.
     pub warm_up_initial_speed: f64,
-    /// A cold server is warmed up after this time at the latest, ms.
+    /// Time after which a cold server is warmed up at the latest, ms.
     pub warm_up_ms: f64,
 }
 
@@ -198,12 +198,12 @@
 /// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A read: running it twice does no harm.
+    /// A read, which may run more than once.
     #[default]
     ReadOnly,
-    /// Has an effect, and an idempotency key by which duplicates are recognised.
+    /// A request with an effect and with an idempotency key by which duplicates are recognised.
     Keyed,
-    /// Has an effect and no key.
+    /// A request with an effect and without a key.
     NonIdempotent,
 }
 
@@ -212,21 +212,21 @@
 pub struct Class {
     /// Latency objective: an answer within this time of the first attempt earns the full weight, ms.
     pub latency_objective_ms: f64,
-    /// Time that a caller waits in all, ms.
+    /// Total time that a caller waits, ms.
     pub timeout_ms: f64,
     /// Priority weight of a request (or of a unit of its work).
     pub weight: f64,
     /// Part of the weight that an answer after the latency objective still earns, 0 to 1.
     pub late_weight: f64,
-    /// Part of the weight that an answer made without its call earns, 0 to 1; 0: never go on without.
+    /// Part of the weight that an answer without its call earns, 0 to 1; with 0 a call is never skipped.
     pub weight_without_call: f64,
-    /// The latency objective grows by this multiple of the request's own work.
+    /// Multiple of the request's own work that is added to the latency objective.
     pub objective_per_work: f64,
     /// Whether its requests may be run more than once.
     pub idempotency: Idempotency,
-    /// How long after its arrival a keyed request can come again, ms.
+    /// Time after the arrival of a keyed request in which duplicates of it may arrive, ms.
     pub dedup_window_ms: f64,
-    /// Its requests may call the dependency.
+    /// Whether its requests may call the dependency.
     pub calls: bool,
 }
 
@@ -263,10 +263,10 @@
 /// One tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Its quota over all servers, requests/s.
+    /// Quota of the tenant over all servers, requests/s.
     pub quota_per_s: f64,
-    /// No longer a tenant of the site: its quota holds for its open requests and is left out of the sum of
-    /// all quotas.
+    /// Whether the tenant was removed from the site. Its quota still applies to its open requests but is left
+    /// out of the sum of all quotas.
     pub retired: bool,
 }
 
@@ -278,7 +278,7 @@
     Silent,
     /// Requests whose priority is below the value are not sent.
     Level,
-    /// The most requests that one caller may have outstanding here.
+    /// The maximum number of requests that one caller may have outstanding at this server.
     Credit,
     /// The probability that a caller does not skip this server.
     Weight,
@@ -287,21 +287,21 @@
 /// Whether running work can be cancelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
-    /// It cannot.
+    /// Running work cannot be cancelled.
     #[default]
     Never,
-    /// Cancelling loses what was done.
+    /// Cancelling discards the work done so far.
     Drop,
-    /// Cancelled work keeps what was done, and its running memory, until it is started again.
+    /// Cancelled work keeps its progress, and its running memory, until it is started again.
     Pause,
 }
 
 /// Meaning of one value that comes with a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gauge {
-    /// Share of the cores that were busy of late, 0 to 1.
+    /// Share of the cores that were busy recently, 0 to 1.
     BusyShare,
-    /// Everything that wants a core now: runs, reading, health checks, new connections.
+    /// Number of tasks that need a core now: runs, reading, health checks, new connections.
     Runnable,
     /// A value that no decision uses.
     Other,
--- a/src/admission/snapshot.rs
+++ b/src/admission/snapshot.rs
@@ -1,27 +1,27 @@
-//! A read-only snapshot of the controller for telemetry. It owns no state and decides nothing: if it were
-//! removed, no action would change.
+//! A read-only snapshot of the controller for telemetry. It has no state of its own and influences no
+//! action.
 
 use super::AdmissionController;
 use super::request_table::RequestState;
 
-/// What an [`AdmissionController`] knows and wants at one instant.
+/// The measurements and outputs of an [`AdmissionController`] at one instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSnapshot {
     /// Share of arrivals that loop 1 rejects (alpha), 0 to 1.
     pub reject_share: f64,
     /// Rate of starts that loop 2 allows (u), 1/s.
     pub start_rate_per_s: f64,
-    /// Filtered share of busy cores, 0 to 1: what loop 1 controls.
+    /// Filtered share of busy cores, 0 to 1: the controlled variable of loop 1.
     pub busy_share: f64,
     /// Filtered rate of arrivals, 1/s.
     pub arrivals_per_s: f64,
-    /// Queued requests: what loop 2 controls.
+    /// Number of queued requests: the controlled variable of loop 2.
     pub queued: f64,
-    /// Time in which all that is queued could run, ms.
+    /// Time in which all queued requests could run, ms.
     pub queue_drain_ms: f64,
     /// Filtered delay of requests before they were read, ms.
     pub read_delay_ms: f64,
-    /// How much longer work takes than usual; 1 is the usual speed.
+    /// Factor by which work takes longer than usual; 1 is the usual speed.
     pub slowdown: f64,
     /// Expected duration of a call, ms.
     pub call_duration_ms: f64,
@@ -29,9 +29,9 @@
     pub calls_in_flight: f64,
     /// Memory reserved for requests and keys, kB.
     pub reserved_kb: f64,
-    /// Health checks are answered as healthy.
+    /// Whether health checks are answered as healthy.
     pub healthy: bool,
-    /// No run makes progress.
+    /// Whether no run makes progress.
     pub stalled: bool,
 }
 
--- a/src/admission/tenant_usage.rs
+++ b/src/admission/tenant_usage.rs
@@ -1,12 +1,12 @@
-//! Measures what each tenant uses of this server and lowers the weight of those beyond their quota.
+//! Measures how much each tenant uses this server and lowers the weight of tenants beyond their quota.
 
 use super::Settings;
 use super::filters::low_pass;
 
-/// Time constant of the filter on the rate of a tenant, s: a few requests a second of all tenants together
-/// have to show the share of each.
+/// Time constant of the filter on the rate of a tenant, s. A few requests a second of all tenants together
+/// have to show the share of each tenant.
 const TENANT_FILTER_S: f64 = 10.0;
-/// Least rate that is divided by, 1/s.
+/// Smallest rate that is used as a divisor, 1/s.
 const MIN_RATE_PER_S: f64 = 1e-9;
 
 /// Use of one tenant.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes a sample, `dt_s` seconds after the one before.
+    /// Takes a sample `dt_s` seconds after the previous one.
     pub(super) fn update(&mut self, dt_s: f64) {
         for tenant in &mut self.tenants {
             let starts_per_s = tenant.started_since_sample / dt_s;
@@ -46,9 +46,9 @@
 
     /// Factor on the weight of the next request of a tenant, 0 to 1; 1 within its quota.
     ///
-    /// The quota on this server is the tenant's part of all that is served here, and at most its part of the
-    /// fleet's quota. A slow server serves nobody's full quota: without the first limit it would take
-    /// everything from the tenant that floods the fleet.
+    /// The quota on this server is the tenant's part of all requests served here, and at most its part of the
+    /// fleet's quota. A slow server cannot serve the full quota of any tenant: without the first limit it
+    /// would serve only the tenant that floods the fleet.
     pub(super) fn weight_factor(&self, tenant: Option<usize>, settings: &Settings) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
         let active = settings.tenants.iter().filter(|tenant| !tenant.retired);
--- a/src/admission/work_estimator.rs
+++ b/src/admission/work_estimator.rs
@@ -1,30 +1,32 @@
 //! Estimates the work of requests, from their class, their hints, and the speed of this server.
 //!
-//! It owns what completed runs have shown. Work is the time a run takes of one core of this server, in ms.
+//! The estimates are learned from completed runs. Work is the time that a run takes of one core of this
+//! server, in ms.
 
 use super::filters::{OBSERVATION_WEIGHT, moving_average};
 use super::{Class, Request};
 
-/// Work of a request before any was seen, as a part of its latency objective.
+/// Expected work of a request before the first observation, as a part of its latency objective.
 const INITIAL_WORK_PART: f64 = 0.15;
-/// Weight of a new observation in the mean work of a class: the speed of a server changes within seconds, the
-/// work of a class hardly ever.
+/// Weight of a new observation in the mean work of a class. It is small because the speed of a server changes
+/// within seconds, but the work of a class hardly ever.
 const CLASS_WEIGHT: f64 = 0.03;
-/// Completed runs after which what they show is trusted by half: the mean of a class, the exponent of hints.
+/// Completed runs after which a learned value is trusted by half: the mean of a class, the exponent of hints.
 const HALF_TRUST_RUNS: f64 = 10.0;
-/// Exponent of a hint before any was seen.
+/// Exponent of hints before the first observation.
 const INITIAL_HINT_EXPONENT: f64 = 0.5;
-/// Largest logarithm of a ratio that one completed run shows.
+/// Largest logarithm of a ratio that is learned from one completed run.
 const MAX_LOG_RATIO: f64 = 2.0;
 /// Slowest speed that a cold server is assumed to start with.
 const MIN_INITIAL_SPEED: f64 = 0.05;
-/// Least work that is ever assumed, ms: work is divided by.
+/// Smallest expected work, ms; work is used as a divisor.
 const MIN_WORK_MS: f64 = 0.1;
-/// Range of the ratio of the work of one run to its estimate.
+/// Smallest ratio of the work of one run to its estimate.
 const MIN_WORK_RATIO: f64 = 0.1;
+/// Largest ratio of the work of one run to its estimate.
 const MAX_WORK_RATIO: f64 = 10.0;
 
-/// What completed runs of one class have shown, at the usual speed of a server.
+/// Values learned from the completed runs of one class, at the usual speed of a server.
 #[derive(Clone, Debug, Default)]
 struct ClassWork {
     mean_ms: f64,
@@ -62,7 +64,7 @@
 /// Estimates the work of requests.
 #[derive(Clone, Debug)]
 pub(super) struct WorkEstimator {
-    /// How much longer work takes on this server than usual; 1 is the usual speed.
+    /// Factor by which work takes longer on this server than usual; 1 is the usual speed.
     pub(super) slowdown: f64,
     /// Mean work of recent runs of all classes, ms.
     pub(super) mean_run_ms: f64,
@@ -77,28 +79,31 @@
         WorkEstimator { slowdown, mean_run_ms: 0.0, classes: Vec::new(), hints: HintRegression::new() }
     }
 
-    /// Number of classes known.
+    /// Number of known classes.
     pub(super) fn classes(&self) -> usize {
         self.classes.len()
     }
 
-    /// Adds a class of which nothing was seen yet.
+    /// Adds a class without any observation.
     pub(super) fn add_class(&mut self) {
         self.classes.push(ClassWork::default());
     }
 
     /// Work that a request is expected to take, ms.
     ///
-    /// A hint is rough: it counts by a power beside the mean of its class. The exponent is the slope of work
-    /// on hints seen here.
+    /// A hint is rough: the mean of the class is multiplied by a power of the ratio of the hint to the mean
+    /// hint. The exponent is the observed slope of the logarithm of work on the logarithm of hints.
     pub(super) fn expected_ms(&self, request: &Request, class: &Class) -> f64 {
-        let seen = &self.classes[request.class];
+        let learned = &self.classes[request.class];
         let initial_ms = class.latency_objective_ms * INITIAL_WORK_PART;
-        let mean_ms =
-            if seen.completed > 0.0 { seen.mean_ms } else { request.work_hint_ms.unwrap_or(initial_ms) };
+        let mean_ms = if learned.completed > 0.0 {
+            learned.mean_ms
+        } else {
+            request.work_hint_ms.unwrap_or(initial_ms)
+        };
         let hint_factor = match request.work_hint_ms {
-            Some(hint_ms) if seen.mean_hint_ms > 0.0 => {
-                (hint_ms / seen.mean_hint_ms).powf(self.hints.exponent())
+            Some(hint_ms) if learned.mean_hint_ms > 0.0 => {
+                (hint_ms / learned.mean_hint_ms).powf(self.hints.exponent())
             }
             _ => 1.0,
         };
@@ -107,22 +112,25 @@
 
     /// Learns from a completed run that took `work_ms` of core time.
     ///
-    /// A run tells of its class and of the speed of this server. Each learns what the other does not explain:
-    /// a slow spell learned by both would be multiplied, and all that arrives would look hopeless.
+    /// A run shows the work of its class and the speed of this server. Each estimate learns the part that the
+    /// other does not explain. If both learned a slow period, its effect would be multiplied, and all
+    /// arrivals would be rejected as too late.
     pub(super) fn record_run(&mut self, request: &Request, class: &Class, work_ms: f64) {
         let usual_ms = self.expected_ms(request, class) / self.slowdown;
-        let seen = &mut self.classes[request.class];
-        // The mean of a few runs is mostly below the true one: fully trusted, every server would look slow.
-        let trust = seen.completed / (seen.completed + HALF_TRUST_RUNS);
-        if let (Some(hint_ms), true) = (request.work_hint_ms, seen.mean_hint_ms > 0.0) {
-            self.hints.record(hint_ms / seen.mean_hint_ms, work_ms / (seen.mean_ms * self.slowdown));
+        let learned = &mut self.classes[request.class];
+        // The mean of a few runs is mostly below the true mean: if it were fully trusted, every server would
+        // seem slow.
+        let trust = learned.completed / (learned.completed + HALF_TRUST_RUNS);
+        if let (Some(hint_ms), true) = (request.work_hint_ms, learned.mean_hint_ms > 0.0) {
+            self.hints.record(hint_ms / learned.mean_hint_ms, work_ms / (learned.mean_ms * self.slowdown));
         }
         let work_ratio = (work_ms / usual_ms).clamp(MIN_WORK_RATIO, MAX_WORK_RATIO);
         self.slowdown += (work_ratio - self.slowdown) * OBSERVATION_WEIGHT * trust;
-        seen.completed += 1.0;
+        learned.completed += 1.0;
         self.mean_run_ms = moving_average(self.mean_run_ms, work_ms, OBSERVATION_WEIGHT);
-        let weight = CLASS_WEIGHT.max(1.0 / seen.completed);
-        seen.mean_ms = moving_average(seen.mean_ms, work_ms / self.slowdown, weight);
-        seen.mean_hint_ms = moving_average(seen.mean_hint_ms, request.work_hint_ms.unwrap_or(0.0), weight);
+        let weight = CLASS_WEIGHT.max(1.0 / learned.completed);
+        learned.mean_ms = moving_average(learned.mean_ms, work_ms / self.slowdown, weight);
+        learned.mean_hint_ms =
+            moving_average(learned.mean_hint_ms, request.work_hint_ms.unwrap_or(0.0), weight);
     }
 }
