--- a/src/bin/pinepoint-adapter/error.rs
+++ b/src/bin/pinepoint-adapter/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the input, each in one plain line that names the message and the field.
+//! Errors of the input. Each is shown as one line that names the message and the field.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use pinepoint::config::site::SiteError;
 use thiserror::Error;
 
-/// Why the adapter stopped.
+/// An error that stops the adapter.
 #[derive(Debug, Error)]
 pub(crate) enum WireError {
     #[error("input or output failed: {0}")]
--- a/src/bin/pinepoint-adapter/fields.rs
+++ b/src/bin/pinepoint-adapter/fields.rs
@@ -4,7 +4,7 @@
 
 use crate::error::WireError;
 
-/// One message: a JSON object with its name in the field `t`.
+/// A message: a JSON object with the name of the message in the field `t`.
 pub(crate) struct Message {
     fields: Map<String, Value>,
     name: String,
@@ -38,7 +38,7 @@
         self.value(field).and_then(Value::as_f64).ok_or_else(|| self.invalid(field, "a number"))
     }
 
-    /// A number that may be absent; present with another type is invalid.
+    /// A number that may be absent; a value of another type is an error.
     pub(crate) fn optional_number(&self, field: &'static str) -> Result<Option<f64>, WireError> {
         match self.value(field) {
             None | Some(Value::Null) => Ok(None),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A number that counts as absent unless it is above 0.
+    /// A number that may be absent; a number that is not above 0 counts as absent.
     pub(crate) fn positive_number(&self, field: &'static str) -> Result<Option<f64>, WireError> {
         Ok(self.optional_number(field)?.filter(|value| *value > 0.0))
     }
@@ -65,6 +65,6 @@
 
     /// Id of the request that the message is about.
     pub(crate) fn request_id(&self) -> Result<u32, WireError> {
-        u32::try_from(self.unsigned("txn")?).map_err(|_| self.invalid("txn", "below 2^32"))
+        u32::try_from(self.unsigned("txn")?).map_err(|_| self.invalid("txn", "a whole number below 2^32"))
     }
 }
--- a/src/bin/pinepoint-adapter/input.rs
+++ b/src/bin/pinepoint-adapter/input.rs
@@ -9,7 +9,7 @@
 use crate::error::WireError;
 use crate::fields::Message;
 
-/// One simulated server.
+/// A simulated server.
 pub(crate) struct Server {
     pub(crate) controller: AdmissionController,
     class_names: BTreeMap<String, usize>,
@@ -17,7 +17,7 @@
 }
 
 impl Server {
-    /// A server as an `Enlist` message describes it.
+    /// Creates the server that an `Enlist` message describes.
     pub(crate) fn enlist(message: &Message) -> Result<Self, WireError> {
         let missing_seed = || message.invalid("rngSeed", "a whole number");
         let seed = message.value("rngSeed").ok_or_else(missing_seed)?;
@@ -29,7 +29,7 @@
         Ok(Server { controller, class_names: site.class_names, tenant_names: site.tenant_names })
     }
 
-    /// The event that a message tells of.
+    /// Returns the event that a message reports.
     pub(crate) fn event(&self, message: &Message) -> Result<Event, WireError> {
         Ok(match message.name() {
             "Inbound" => Event::RequestArrived(self.request(message)?),
@@ -92,12 +92,12 @@
 
 fn timer_fired(message: &Message) -> Result<Event, WireError> {
     let handle = message.text("handle")?;
-    let token = handle.parse().map_err(|_| message.invalid("handle", "a handle given by this server"))?;
+    let token = handle.parse().map_err(|_| message.invalid("handle", "a timer handle of this server"))?;
     Ok(Event::TimerFired { token, gauges: gauges(message)? })
 }
 
 fn gauges(message: &Message) -> Result<Vec<f64>, WireError> {
-    let invalid = || message.invalid("load", "a row of numbers");
+    let invalid = || message.invalid("load", "a list of numbers");
     match message.value("load") {
         None => Ok(Vec::new()),
         Some(Value::Array(values)) => values.iter().map(|value| value.as_f64().ok_or_else(invalid)).collect(),
--- a/src/bin/pinepoint-adapter/main.rs
+++ b/src/bin/pinepoint-adapter/main.rs
@@ -2,8 +2,8 @@
 //! input and output.
 //!
 //! Each line is one JSON object. The simulator sends a batch of messages, from `Round` to `YourTurn`; the
-//! adapter answers with the actions of all servers, ended by `Yield`. It translates and decides nothing.
-//! The spelling of message names and fields is fixed by the protocol.
+//! adapter answers with the actions of all servers, ended by `Yield`. The adapter only translates and decides
+//! nothing. The protocol fixes the spelling of message names and fields.
 
 mod error;
 mod fields;
@@ -16,7 +16,7 @@
 
 use session::Session;
 
-/// Size of the buffers of input and output, bytes.
+/// Size of the input buffer and of the output buffer, bytes.
 const BUFFER_BYTES: usize = 1 << 18;
 
 fn main() -> ExitCode {
--- a/src/bin/pinepoint-adapter/output.rs
+++ b/src/bin/pinepoint-adapter/output.rs
@@ -1,11 +1,11 @@
-//! Translates actions of the admission controller into lines of a reply.
+//! Translates actions of the admission controller into reply lines.
 
 use pinepoint::admission::Action;
 use serde::Serialize;
 
 use crate::error::WireError;
 
-/// One line of a reply. The names of variants and fields are those of the line protocol.
+/// One line of a reply. Variants and fields have the names of the line protocol.
 #[derive(Serialize)]
 #[serde(tag = "t")]
 #[serde(rename_all_fields = "camelCase")]
@@ -28,7 +28,7 @@
 }
 
 impl<'a> ReplyLine<'a> {
-    /// The line that asks the simulator to carry out an action of this server.
+    /// The line that requests an action of this server from the simulator.
     pub(crate) fn of(server: u64, action: &'a Action) -> Self {
         match *action {
             Action::StartRun { id } => ReplyLine::Admit { server, txn: id },
--- a/src/bin/pinepoint-adapter/session.rs
+++ b/src/bin/pinepoint-adapter/session.rs
@@ -10,14 +10,14 @@
 use crate::input::Server;
 use crate::output::ReplyLine;
 
-/// The conversation with one simulator. It owns the simulated servers.
+/// A session with one simulator. It owns the simulated servers.
 pub(crate) struct Session<R, W> {
     input: R,
     output: W,
     servers: BTreeMap<u64, Server>,
 }
 
-/// The actions of one batch, by server in the order in which the batch names them.
+/// The actions of one batch by server. `order` lists the servers in the order in which the batch names them.
 #[derive(Default)]
 struct BatchActions {
     order: Vec<u64>,
@@ -38,14 +38,14 @@
         Session { input, output, servers: BTreeMap::new() }
     }
 
-    /// Serves until the input ends. Nothing is written for a batch that is cut off or invalid.
+    /// Answers batches until the input ends. A truncated or invalid batch gets no reply.
     pub(crate) fn run(&mut self) -> Result<(), WireError> {
-        while let Some(head) = self.read_message()? {
-            if head.name() != "Round" {
-                return Err(WireError::ExpectedRound(head.name().to_owned()));
+        while let Some(round) = self.read_message()? {
+            if round.name() != "Round" {
+                return Err(WireError::ExpectedRound(round.name().to_owned()));
             }
-            let now_ms = head.number("atTimeMs")?;
-            let batch = head.unsigned("batch")?;
+            let now_ms = round.number("atTimeMs")?;
+            let batch = round.unsigned("batch")?;
             let actions = self.take_batch(now_ms, batch)?;
             let reply = self.end_batch(now_ms, batch, actions)?;
             self.output.write_all(&reply)?;
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Takes the messages of a batch.
+    /// Reads the messages of a batch and handles all of them.
     fn take_batch(&mut self, now_ms: f64, batch: u64) -> Result<BatchActions, WireError> {
         let mut actions = BatchActions::default();
         loop {
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Ends the batch of each server that it named, and makes the reply.
+    /// Ends the batch for each server that it named, and returns the reply.
     fn end_batch(
         &mut self,
         now_ms: f64,
@@ -114,7 +114,7 @@
         Ok(reply)
     }
 
-    /// The next message; `None` at the end of the input. Blank lines are skipped.
+    /// Reads the next message; returns `None` at the end of the input. Blank lines are skipped.
     fn read_message(&mut self) -> Result<Option<Message>, WireError> {
         let mut line = String::new();
         loop {
