--- a/tests/failures/deadlines.rs
+++ b/tests/failures/deadlines.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 
 #[test]
-fn what_comes_after_the_grace_is_never_run() {
+fn rejects_arrivals_after_drain_grace() {
     let mut server = TestServer::new(settings());
     server.handle(Event::DrainStarted { kill_ms: 5000.0 });
     server.advance(1000.0, 0.1, 0.0);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn everything_is_answered_before_the_kill() {
+fn answers_all_requests_before_kill() {
     let mut server = TestServer::new(settings());
     for id in 1..=6 {
         server.arrive(Request { deadline_ms: Some(60_000.0), ..request(id, 0) });
@@ -22,21 +22,21 @@
     server.handle(Event::DrainStarted { kill_ms: 400.0 });
     let actions = server.advance(300.0, 1.0, 4.0);
     for id in 1..=6 {
-        let before = server.log.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id));
-        assert!(before || failed(&actions, id), "request {id} is unanswered at the kill");
+        let rejected = server.log.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id));
+        assert!(rejected || failed(&actions, id), "request {id} is unanswered at the kill");
     }
 }
 
 #[test]
-fn a_run_that_passes_its_due_time_is_answered_with_an_error() {
+fn fails_run_past_its_deadline() {
     let mut server = TestServer::new(settings());
     server.arrive(Request { deadline_ms: Some(500.0), ..request(1, 0) });
     assert!(!failed(&server.advance(400.0, 0.5, 1.0), 1));
-    assert!(failed(&server.advance(155.0, 0.5, 1.0), 1), "answered within the slack of 60 ms");
+    assert!(failed(&server.advance(155.0, 0.5, 1.0), 1), "the run is failed within the slack of 60 ms");
 }
 
 #[test]
-fn settled_requests_may_be_spoken_of_again() {
+fn ignores_events_of_ended_requests() {
     let mut server = TestServer::new(settings());
     server.arrive(request(1, 0));
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
@@ -51,16 +51,19 @@
 }
 
 #[test]
-fn a_run_that_no_one_waits_for_is_ended_where_work_can_be_stopped_or_paused() {
-    let ends = |preemption| {
+fn cancels_overdue_reads_if_preemption_allows() {
+    let cancels_read = |preemption| {
         let mut server = TestServer::new(Settings { preemption, ..settings() });
         server.arrive(Request { deadline_ms: Some(500.0), ..request(1, 0) });
         server.arrive(Request { deadline_ms: Some(500.0), ..request(2, 1) });
         let actions = server.advance(600.0, 0.5, 2.0);
         assert!(failed(&actions, 1) && failed(&actions, 2));
-        assert!(!actions.contains(&Action::CancelRun { id: 2 }), "an effect is never cut short");
+        assert!(!actions.contains(&Action::CancelRun { id: 2 }), "a run with an effect is never cancelled");
         actions.contains(&Action::CancelRun { id: 1 })
     };
-    assert!(ends(Preemption::Drop) && ends(Preemption::Pause), "it would keep its core and memory");
-    assert!(!ends(Preemption::Never), "not where work cannot be cancelled");
+    assert!(
+        cancels_read(Preemption::Drop) && cancels_read(Preemption::Pause),
+        "the run would keep its core and memory"
+    );
+    assert!(!cancels_read(Preemption::Never), "running work cannot be cancelled here");
 }
--- a/tests/failures/duplicates.rs
+++ b/tests/failures/duplicates.rs
@@ -1,11 +1,12 @@
-//! Duplicates of open and retained requests: no effect happens twice, and nobody is told otherwise.
+//! Duplicates of open and retained requests: no effect happens twice, and no caller of a request that may
+//! have run is answered that it never ran.
 
 use pinepoint::admission::*;
 
 use crate::common::*;
 
 #[test]
-fn a_repeat_of_a_keyed_run_is_answered_from_it() {
+fn reuses_result_of_keyed_run() {
     let mut server = TestServer::new(settings());
     assert!(started(&server.arrive(request(1, 1)), 1));
     assert!(server.log.iter().any(|a| matches!(a, Action::RetainKey { id: 1, ttl_ms } if *ttl_ms >= 8000.0)));
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn two_tries_of_one_keyed_request_in_a_batch_run_once() {
+fn runs_keyed_duplicates_in_one_batch_once() {
     let mut server = TestServer::new(settings());
     let one = Event::RequestArrived(Request { duplicate_of: Some(2), ..request(1, 1) });
     let two = Event::RequestArrived(Request { duplicate_of: Some(1), ..request(2, 1) });
@@ -28,10 +29,10 @@
 }
 
 #[test]
-fn a_read_that_shares_a_held_read_outlives_its_refusal() {
+fn follower_survives_rejection_of_queued_read() {
     let mut server = TestServer::new(Settings { read_result_ttl_ms: 600.0, ..settings() });
-    let read = |id, due, duplicate_of| Request {
-        deadline_ms: Some(due),
+    let read = |id, deadline_ms, duplicate_of| Request {
+        deadline_ms: Some(deadline_ms),
         duplicate_of,
         has_subject: true,
         ..request(id, 0)
@@ -40,7 +41,7 @@
     server.arrive(read(2, 9000.0, None));
     server.arrive(read(3, 300.0, None));
     assert!(!server.arrive(read(4, 9000.0, Some(3))).contains(&Action::ReuseResult { id: 4 }));
-    assert!(rejected(&server.advance(300.0, 0.5, 2.0), 3), "no core came free in time for the first");
+    assert!(rejected(&server.advance(300.0, 0.5, 2.0), 3), "no core became idle in time for request 3");
     assert!(started(&server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done }), 4));
 }
 
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn an_effect_without_a_key_that_began_is_failed_never_refused_halted_or_run_again() {
+fn started_non_idempotent_run_is_only_failed() {
     let mut config = Settings { preemption: Preemption::Drop, ..settings() };
     config.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut server = TestServer::new(config);
@@ -79,25 +80,28 @@
     server.advance(500.0, 1.0, 2.0);
     server.handle(Event::DrainStarted { kill_ms: server.now + 800.0 });
     server.advance(800.0, 1.0, 2.0);
-    let touched = |id| {
-        let of =
+    let rejected_or_cancelled_or_rerun = |id| {
+        let ends =
             |a: &&Action| matches!(a, Action::Reject { id: i, .. } | Action::CancelRun { id: i } if *i == id);
-        let again = |a: &&Action| matches!(a, Action::StartRun { id: i } if *i == id);
-        server.log.iter().any(|a| of(&a)) || server.log.iter().filter(again).count() != 1
+        let starts = |a: &&Action| matches!(a, Action::StartRun { id: i } if *i == id);
+        server.log.iter().any(|a| ends(&a)) || server.log.iter().filter(starts).count() != 1
     };
-    assert!(failed(&server.log, 1) && !touched(1), "past its deadline while it runs");
     assert!(
-        !failed(&server.log, 2) && !touched(2),
-        "its caller is gone: nothing is owed, its effect goes on"
+        failed(&server.log, 1) && !rejected_or_cancelled_or_rerun(1),
+        "request 1 passes its deadline while it runs"
+    );
+    assert!(
+        !failed(&server.log, 2) && !rejected_or_cancelled_or_rerun(2),
+        "the caller of request 2 left: it needs no answer, and its run continues"
     );
     assert!(
         rejected(&server.log, 3),
-        "it was queued and never ran: a rejection says so, and another server may run it"
+        "request 3 never ran: a rejection reports that, so that another server may run it"
     );
 }
 
-/// A server on which a keyed request ran to its end.
-fn with_a_keyed_run() -> TestServer {
+/// A server on which a keyed request ran and completed.
+fn server_after_keyed_run() -> TestServer {
     let mut server = TestServer::new(settings());
     assert!(started(&server.arrive(request(1, 1)), 1));
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
@@ -108,11 +112,11 @@
     Event::TimerFired { token: 0, gauges: gauges.to_vec() }
 }
 
-/// The timer answers requests past their deadline. One that arrived in the same instant is not decided yet: if it
-/// duplicates a run, its caller must not be told that it never ran.
+/// The timer rejects queued requests past their deadline, and a rejection reports that the request never ran.
+/// A duplicate of a run that arrived in the same instant is not decided yet, so the timer must not reject it.
 #[test]
-fn a_repeat_that_comes_too_late_in_the_instant_of_a_timer_is_not_turned_away() {
-    let mut server = with_a_keyed_run();
+fn timer_does_not_reject_undecided_duplicate() {
+    let mut server = server_after_keyed_run();
     server.advance(3500.0, 0.1, 0.0);
     let late = Request { duplicate_of: Some(1), queued_ms: 3400.0, ..request(2, 1) };
     let actions = server.batch(vec![Event::RequestArrived(late), timer([0.1, 0.0])]);
@@ -121,40 +125,42 @@
 }
 
 #[test]
-fn a_repeat_in_the_instant_in_which_a_hang_is_seen_is_not_turned_away() {
-    let mut server = with_a_keyed_run();
+fn stall_does_not_reject_undecided_duplicate() {
+    let mut server = server_after_keyed_run();
     server.arrive(request(2, 0));
-    let said = |server: &TestServer| {
+    let is_unhealthy = |server: &TestServer| {
         server.log.iter().any(|a| matches!(a, Action::SetHealth { healthy: false, .. }))
     };
-    while !said(&server) {
+    while !is_unhealthy(&server) {
         server.advance(20.0, 0.5, 1.0);
-        assert!(server.now < 5000.0, "no run makes progress, and the stall is not detected");
+        assert!(server.now < 5000.0, "no run makes progress, but the stall is not detected");
     }
-    let repeat = Request { duplicate_of: Some(1), ..request(3, 1) };
-    let actions = server.batch(vec![Event::RequestArrived(repeat), timer([0.5, 1.0])]);
+    let duplicate = Request { duplicate_of: Some(1), ..request(3, 1) };
+    let actions = server.batch(vec![Event::RequestArrived(duplicate), timer([0.5, 1.0])]);
     assert!(!rejected(&actions, 3), "{actions:?}");
     assert!(actions.contains(&Action::ReuseResult { id: 3 }), "{actions:?}");
 }
 
-/// An arrival that would be shed may displace a queued request of lower score, but not one of its own instant.
+/// An arrival that would be shed may displace a queued request of lower score, but not an undecided duplicate
+/// that arrived in the same instant.
 #[test]
-fn a_repeat_is_not_displaced_by_one_that_came_in_the_same_instant() {
-    let mut server = with_a_keyed_run();
+fn arrival_does_not_displace_undecided_duplicate() {
+    let mut server = server_after_keyed_run();
     for id in 10..80 {
         server.arrive(Request { deadline_ms: Some(server.now + 60_000.0), ..request(id, 0) });
         server.advance(20.0, 1.0, 8.0);
     }
-    let mut seen = false;
+    let mut displaced = false;
     for id in (100..200).step_by(2) {
-        // The duplicate earns nothing any more and is decided after a request of the highest score.
-        let worthy =
+        // The duplicate is too late to earn anything and is decided after a request with the highest score.
+        let high_score =
             Request { work_hint_ms: Some(1.0), deadline_ms: Some(server.now + 60_000.0), ..request(id, 1) };
-        let repeat = Request { duplicate_of: Some(1), queued_ms: 2990.0, ..request(id + 1, 1) };
-        let actions = server.batch(vec![Event::RequestArrived(worthy), Event::RequestArrived(repeat)]);
+        let duplicate = Request { duplicate_of: Some(1), queued_ms: 2990.0, ..request(id + 1, 1) };
+        let actions = server.batch(vec![Event::RequestArrived(high_score), Event::RequestArrived(duplicate)]);
         assert!(!rejected(&actions, id + 1), "{actions:?}");
-        seen |= actions.iter().any(|a| matches!(a, Action::Reject { reason: RejectReason::Displaced, .. }));
+        displaced |=
+            actions.iter().any(|a| matches!(a, Action::Reject { reason: RejectReason::Displaced, .. }));
         server.advance(20.0, 1.0, 8.0);
     }
-    assert!(seen, "the test shows nothing if nothing is displaced");
+    assert!(displaced, "no request was displaced, so the test proves nothing");
 }
--- a/tests/failures/feedback.rs
+++ b/tests/failures/feedback.rs
@@ -1,24 +1,24 @@
-//! What callers and the load balancer hear: load report, health, Retry-After, idle connections.
+//! Feedback to callers and the load balancer: load report, health, Retry-After, idle connections.
 
 use pinepoint::admission::*;
 
 use crate::common::*;
 
 #[test]
-fn one_that_leaves_asks_for_work_while_others_still_send_it() {
+fn load_report_drops_to_zero_late_in_drain_grace() {
     let mut server = TestServer::new(settings());
     server.advance(1000.0, 0.2, 0.0);
     server.handle(Event::DrainStarted { kill_ms: server.now + 3000.0 });
-    let none = |actions: &[Action]| actions.contains(&Action::ReportLoad { value: 0.0 });
+    let reports_zero = |actions: &[Action]| actions.contains(&Action::ReportLoad { value: 0.0 });
     assert!(
-        !none(&server.advance(300.0, 0.2, 0.0)),
+        !reports_zero(&server.advance(300.0, 0.2, 0.0)),
         "all traffic would move to the others while this server is idle in its grace"
     );
-    assert!(none(&server.advance(100.0, 0.2, 0.0)), "what arrives after the grace must not run");
+    assert!(reports_zero(&server.advance(100.0, 0.2, 0.0)), "an arrival after the grace is not run");
 }
 
 #[test]
-fn what_bad_clients_send_does_not_feign_a_jam() {
+fn abandoned_requests_do_not_feign_read_jam() {
     let mut server = TestServer::new(settings());
     for id in 0..400 {
         server.arrive(Request { queued_ms: 80.0, ..request(10 * id + 1, 0) });
@@ -30,43 +30,47 @@
             server.handle(Event::RunEnded { id, outcome: Outcome::Done });
         }
     }
-    let rejected = |last: bool| {
-        let meant = |a: &&Action| matches!(a, Action::Reject { no_retry: l, .. } if *l == last);
-        server.log.iter().filter(meant).count()
+    let rejections = |last: bool| {
+        let matching = |a: &&Action| matches!(a, Action::Reject { no_retry, .. } if *no_retry == last);
+        server.log.iter().filter(matching).count()
     };
-    assert!(rejected(false) > 50, "the cores are full");
-    assert_eq!(rejected(true), 0, "all had waited alike, and others may well have capacity");
+    assert!(rejections(false) > 50, "the cores are busy");
+    assert_eq!(
+        rejections(true),
+        0,
+        "all requests waited equally long, and other servers may well have capacity"
+    );
 }
 
 #[test]
-fn jammed_reading_asks_callers_not_to_go_on() {
+fn read_jam_tells_callers_not_to_retry() {
     let mut server = TestServer::new(settings());
     for id in 1..=3 {
         server.arrive(Request { queued_ms: 20.0, ..request(id, 0) });
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
     server.advance(3000.0, 1.0, 6.0);
-    let mut last = false;
+    let mut told_not_to_retry = false;
     for id in 10..40 {
         let actions = server.arrive(Request { queued_ms: 900.0, ..request(id, 0) });
-        last |= actions.iter().any(
+        told_not_to_retry |= actions.iter().any(
             |a| matches!(a, Action::Reject { no_retry: true, retry_after_ms, .. } if *retry_after_ms > 0.0),
         );
     }
-    assert!(last, "retries from server to server would jam the reading of all of them");
+    assert!(told_not_to_retry, "retries at one server after another would delay reading on all servers");
 }
 
 #[test]
-fn advice_falls_with_delay_and_returns_with_it() {
+fn load_report_follows_read_delay() {
     let mut server = TestServer::new(settings());
-    let said = |server: &TestServer| {
+    let last_report = |server: &TestServer| {
         server.log.iter().rev().find_map(|a| match a {
             Action::ReportLoad { value } => Some(*value),
             _ => None,
         })
     };
     server.advance(200.0, 0.1, 0.0);
-    assert_eq!(said(&server), Some(1.0));
+    assert_eq!(last_report(&server), Some(1.0));
     server.arrive(request(99, 0));
     server.handle(Event::RunEnded { id: 99, outcome: Outcome::Done });
     for id in 1..30 {
@@ -74,13 +78,13 @@
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
     server.advance(100.0, 1.0, 6.0);
-    assert!(said(&server) < Some(0.2), "{:?}", said(&server));
+    assert!(last_report(&server) < Some(0.2), "{:?}", last_report(&server));
     server.advance(20_000.0, 0.1, 0.0);
-    assert!(said(&server) > Some(0.9), "{:?}", said(&server));
+    assert!(last_report(&server) > Some(0.9), "{:?}", last_report(&server));
 }
 
 #[test]
-fn health_fails_while_all_that_is_read_is_dead_on_arrival() {
+fn health_fails_on_slow_server_with_unservable_arrivals() {
     let health = |actions: &[Action]| {
         actions.iter().rev().find_map(|a| match a {
             Action::SetHealth { healthy, .. } => Some(*healthy),
@@ -108,21 +112,24 @@
         assert_eq!(
             health(&actions),
             wanted,
-            "slowed: {slow}; a jam of the whole fleet must not empty the endpoint list"
+            "slow: {slow}; overload of the whole fleet must not empty the endpoint list"
         );
-        let back = health(&server.advance(5000.0, 0.0, 0.0));
-        assert_eq!(back, if slow { Some(true) } else { None }, "nothing is unread any more");
+        let recovered = health(&server.advance(5000.0, 0.0, 0.0));
+        assert_eq!(recovered, if slow { Some(true) } else { None }, "no request is unread any more");
     }
 }
 
 #[test]
-fn a_hung_server_does_not_swallow_traffic() {
+fn stalled_server_attracts_no_traffic() {
     let mut server = TestServer::new(settings());
     server.arrive(request(1, 0));
     server.advance(900.0, 1.0, 1.0);
     let actions = server.arrive(request(2, 0));
-    let pauses = |a: &Action| matches!(a, Action::Reject { retry_after_ms, no_retry: false, .. } if *retry_after_ms == 1000.0);
-    assert!(actions.iter().any(pauses), "its quick rejections would make it look idle: {actions:?}");
+    let gives_retry_after = |a: &Action| matches!(a, Action::Reject { retry_after_ms, no_retry: false, .. } if *retry_after_ms == 1000.0);
+    assert!(
+        actions.iter().any(gives_retry_after),
+        "quick rejections without advice would make the server seem idle: {actions:?}"
+    );
     assert!(server.log.contains(&Action::ReportLoad { value: 0.0 }));
     assert!(server.log.contains(&Action::SetHealth { healthy: false, from_store: true }));
     server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done });
@@ -131,7 +138,7 @@
 }
 
 #[test]
-fn two_long_runs_are_not_a_hang() {
+fn two_long_runs_are_not_a_stall() {
     let mut config = settings();
     config.classes[0] = Class { latency_objective_ms: 1400.0, timeout_ms: 4500.0, ..Class::default() };
     let mut server = TestServer::new(config);
@@ -141,9 +148,9 @@
     let actions = server.advance(700.0, 1.0, 2.0);
     assert!(
         !actions.contains(&Action::SetHealth { healthy: false, from_store: true }),
-        "runs of 210 ms vary by as much"
+        "the durations of runs of 210 ms vary by that much"
     );
-    assert!(!rejected(&actions, 3), "queued requests would be rejected by chance");
+    assert!(!rejected(&actions, 3), "a queued request was rejected because of runs that are long by chance");
     let actions = server.advance(1000.0, 1.0, 2.0);
     assert!(
         actions.contains(&Action::SetHealth { healthy: false, from_store: true }),
@@ -152,20 +159,20 @@
 }
 
 #[test]
-fn connections_of_many_callers_are_not_kept_until_they_forget_them() {
-    let closes = |callers| {
+fn shortens_idle_timeout_with_many_callers() {
+    let closes_early = |callers| {
         let server = TestServer::new(Settings { callers, caller_idle_timeout_ms: 30_000.0, ..settings() });
         server
             .log
             .iter()
             .any(|a| matches!(a, Action::CloseIdleConnections { after_ms } if *after_ms < 10_000.0))
     };
-    assert!(closes(1000.0), "each comes back after minutes: the table fills with idle connections");
-    assert!(!closes(3.0), "with few callers, a handshake after each idle time gains nothing");
+    assert!(closes_early(1000.0), "each caller returns only after minutes: idle connections fill the table");
+    assert!(!closes_early(3.0), "with few callers, closing idle connections only adds handshakes");
 }
 
 #[test]
-fn short_first_runs_do_not_make_a_server_look_slowed() {
+fn short_first_runs_do_not_fail_health() {
     let mut server = TestServer::new(settings());
     for id in 1..=8 {
         server.arrive(Request { queued_ms: 10.0, ..request(id, 0) });
@@ -176,55 +183,67 @@
         server.arrive(Request { queued_ms: 2990.0, ..request(id, 0) });
         server.advance(40.0, 1.0, 2.0);
     }
-    let failed = Action::SetHealth { healthy: false, from_store: true };
+    let unhealthy = Action::SetHealth { healthy: false, from_store: true };
     assert!(
-        !server.log.contains(&failed),
-        "in a jam of the fleet such servers would leave the endpoint list by chance"
+        !server.log.contains(&unhealthy),
+        "with an overloaded fleet, such servers would leave the endpoint list by chance"
     );
 }
 
 #[test]
-fn reasons_of_refusals_are_logged_once_in_many() {
+fn logs_rejection_reasons_once_in_fifty() {
     let mut server = TestServer::new(settings());
     for id in 1..=120 {
         server.arrive(Request { queued_ms: 2995.0, ..request(id, 0) });
     }
     let rejections = server.log.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     let is_reason = |a: &&Action| matches!(a, Action::Log { text } if text.contains("too-late"));
-    assert!(rejections >= 100, "dead on arrival, nearly all: {rejections}");
+    assert!(rejections >= 100, "nearly all arrivals are read too late: {rejections} rejections");
     assert_eq!(server.log.iter().filter(is_reason).count(), rejections / 50);
 }
 
 #[test]
-fn a_server_that_turns_most_away_makes_no_room_for_more_connections() {
+fn keeps_idle_connections_while_rejecting_most_arrivals() {
     let mut server =
         TestServer::new(Settings { callers: 1000.0, caller_idle_timeout_ms: 30_000.0, ..settings() });
-    let kept = |server: &TestServer| {
+    let idle_timeout_ms = |server: &TestServer| {
         server.log.iter().rev().find_map(|a| match a {
             Action::CloseIdleConnections { after_ms } => Some(*after_ms),
             _ => None,
         })
     };
-    assert!(kept(&server) < Some(10_000.0), "newcomers get a connection while they can be served");
+    assert!(
+        idle_timeout_ms(&server) < Some(10_000.0),
+        "new callers get connections while they can be served"
+    );
     for id in 1..=60 {
         server.arrive(Request { queued_ms: 2995.0, ..request(id, 0) });
         server.advance(20.0, 1.0, 4.0);
     }
-    assert!(kept(&server) > Some(25_000.0), "each new connection would cost a handshake to be rejected");
+    assert!(
+        idle_timeout_ms(&server) > Some(25_000.0),
+        "each new connection would cost a handshake only to be rejected"
+    );
     for id in 100..200 {
         server.arrive(request(id, 0));
         server.advance(50.0, 0.5, 1.0);
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
-    assert!(kept(&server) < Some(10_000.0), "and it forgets as fast");
+    assert!(idle_timeout_ms(&server) < Some(10_000.0), "the timeout falls as fast once arrivals are served");
 }
 
 #[test]
-fn a_server_buried_in_new_connections_leaves_the_list() {
+fn health_fails_under_new_connection_flood() {
     let mut server = TestServer::new(settings());
-    let told =
+    let health_set_to =
         |actions: &[Action], healthy| actions.contains(&Action::SetHealth { healthy, from_store: true });
-    assert!(!told(&server.advance(3000.0, 1.0, 8.0), false), "runs, reading and a few connections");
-    assert!(told(&server.advance(2000.0, 1.0, 40.0), false), "it reads no request and answers none");
-    assert!(told(&server.advance(3000.0, 1.0, 3.0), true));
+    assert!(
+        !health_set_to(&server.advance(3000.0, 1.0, 8.0), false),
+        "runs, reading and a few new connections are no flood"
+    );
+    assert!(
+        health_set_to(&server.advance(2000.0, 1.0, 40.0), false),
+        "the server reads and answers no request"
+    );
+    assert!(health_set_to(&server.advance(3000.0, 1.0, 3.0), true));
 }
--- a/tests/failures/limits.rs
+++ b/tests/failures/limits.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 
 #[test]
-fn memory_is_kept_free_for_what_is_taken() {
+fn reserved_memory_stays_within_limit() {
     let mut server = TestServer::new(Settings { memory_kb: 500.0, ..settings() });
     for id in 1..=40 {
         server.arrive(Request { deadline_ms: Some(60_000.0), ..request(id, (id % 2) as usize) });
@@ -13,13 +13,13 @@
     let starts = server.log.iter().filter(|a| matches!(a, Action::StartRun { .. })).count() as f64;
     let keys = server.log.iter().filter(|a| matches!(a, Action::RetainKey { .. })).count() as f64;
     let rejections = server.log.iter().filter(|a| matches!(a, Action::Reject { .. })).count() as f64;
-    let held = 40.0 - starts - rejections;
-    assert!(starts * 80.0 + held * 20.0 + keys * 10.0 <= 500.0);
+    let queued = 40.0 - starts - rejections;
+    assert!(starts * 80.0 + queued * 20.0 + keys * 10.0 <= 500.0);
     assert!(starts >= 1.0);
 }
 
 #[test]
-fn a_burst_of_starts_stays_far_under_the_crowd_that_a_cold_server_survives() {
+fn cold_server_limits_concurrent_runs() {
     let mut config = Settings { cold: true, ..settings() };
     config.rules.warm_up_initial_speed = 0.2;
     config.rules.warm_up_ms = 10_000.0;
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn settings_without_sense_are_a_typed_error() {
-    let rejected = |config: Settings| AdmissionController::new(config, 1).expect_err("makes no sense");
+fn unusable_settings_are_typed_errors() {
+    let rejected = |config: Settings| AdmissionController::new(config, 1).expect_err("unusable settings");
     assert_eq!(rejected(Settings { cores: 0.0, ..settings() }), SettingsError::NoCores);
     assert_eq!(rejected(Settings { classes: vec![], ..settings() }), SettingsError::NoClasses);
     assert_eq!(rejected(Settings { key_kb: -1.0, ..settings() }), SettingsError::OutOfRange("key_kb"));
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -1,4 +1,5 @@
-//! One small test for each failure found, and for each rule that a single decision could break, by theme.
+//! Small tests by topic: one for each failure found, and one for each rule that a single decision could
+//! break.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/failures/stalled.rs
+++ b/tests/failures/stalled.rs
@@ -1,14 +1,14 @@
-//! When runs count as stalled, and when not.
+//! Stall detection: which runs count as stalled.
 
 use pinepoint::admission::*;
 use rstest::rstest;
 
 use crate::common::*;
 
-/// A start in the middle of a day, Unix ms.
+/// Time of the start, Unix ms, in the middle of a day.
 const START_MS: f64 = 1_796_256_000_000.0;
 
-/// Six cores, long work and a write that has no idempotency key.
+/// Settings with six cores, long work and a class of writes without an idempotency key.
 fn long_work() -> Settings {
     let write = Class {
         weight: 2.0,
@@ -21,12 +21,13 @@
     Settings { cores: 6.0, classes: vec![read, write], ..settings() }
 }
 
-/// What happened: a run that had started before the first sample and was not over by then counted as without progress since
-/// 1970. Until a run ended everything was rejected as `hung`, and health checks failed: for some 2 s on a cold machine.
+/// Guards against this failure: a run that started before the first sample and was still open at it counted
+/// as without progress since 1970. Until a run ended, all arrivals were rejected as `hung` and health checks
+/// failed, for some 2 s on a cold machine.
 #[rstest]
 #[case::short_work(settings())]
 #[case::long_work(long_work())]
-fn a_run_that_starts_before_the_first_sample_is_not_stalled(#[case] settings: Settings) {
+fn run_started_before_first_sample_is_not_stalled(#[case] settings: Settings) {
     let mut server = TestServer::started_at(settings, START_MS);
     server.now += 1.0;
     assert!(started(&server.arrive(request(1, 0)), 1));
@@ -35,11 +36,11 @@
     assert!(started(&server.arrive(request(2, 0)), 2));
 }
 
-/// The other side: no run ever ends, from the start on.
+/// A stall is still detected if no run ever ends after the start.
 #[rstest]
 #[case::short_work(settings())]
 #[case::long_work(long_work())]
-fn runs_that_never_end_are_stalled_from_the_start_on(#[case] settings: Settings) {
+fn run_that_never_ends_is_stalled(#[case] settings: Settings) {
     let mut server = TestServer::started_at(settings, START_MS);
     assert!(started(&server.arrive(request(1, 0)), 1));
     let actions = server.advance(60_000.0, 0.5, 1.0);
