--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Property test: whatever events come in whatever order, the controller breaks no rule.
+//! Property tests: the invariants of the controller hold for any events in any order.
 
 mod common;
 
@@ -12,7 +12,7 @@
 /// Memory for a few runs and a dozen queued requests.
 const MEMORY_KB: f64 = 600.0;
 
-/// A request that is read.
+/// A request that the host reads.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     class: usize,
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(Arrival),
-    /// Several in one instant, with the next timer.
+    /// Several arrivals in one instant, together with the next timer.
     Batch(Vec<Arrival>, f64),
     EndRun {
         pick: usize,
@@ -68,7 +68,7 @@
     ]
 }
 
-/// What the host knows of one request.
+/// The host's record of one request.
 #[derive(Default)]
 struct ModelRequest {
     deadline_ms: f64,
@@ -86,7 +86,7 @@
     duplicate_of: Option<u32>,
 }
 
-/// The host as the rules see it.
+/// A model of the host that checks the invariants.
 #[derive(Default)]
 struct HostModel {
     requests: BTreeMap<u32, ModelRequest>,
@@ -95,7 +95,7 @@
 }
 
 impl HostModel {
-    /// Carries out the actions of one batch and checks the rules.
+    /// Carries out the actions of one batch and checks the invariants.
     fn apply(&mut self, now: f64, actions: &[Action]) {
         let ran: Vec<u32> = self.requests.iter().filter(|(_, e)| e.starts > 0).map(|(id, _)| *id).collect();
         for action in actions {
@@ -105,34 +105,44 @@
         self.check_deadlines(now);
     }
 
-    /// Carries out one action; `ran` are the requests that were started before this batch.
+    /// Carries out one action. `ran` lists the requests that were started before this batch.
     fn apply_action(&mut self, now: f64, action: &Action, ran: &[u32]) {
         match *action {
             Action::StartRun { id } => {
-                let entry = self.requests.get_mut(&id).expect("only requests that arrived are started");
-                assert_eq!((entry.answers, entry.starts), (0, 0), "request {id} started again or late");
+                let entry = self.requests.get_mut(&id).expect("a request that did not arrive was started");
+                assert_eq!(
+                    (entry.answers, entry.starts),
+                    (0, 0),
+                    "request {id} was started twice, or after its answer"
+                );
                 assert!(
                     !entry.keyed || self.retained_keys.contains_key(&id),
-                    "keyed run without a retained key"
+                    "keyed request {id} was started without a retained key"
                 );
-                let late = self.drain_started_ms.is_some_and(|since| entry.arrived_ms > since + 500.0);
-                assert!(!late, "run after the grace of the drain");
+                let after_grace = self.drain_started_ms.is_some_and(|since| entry.arrived_ms > since + 500.0);
+                assert!(!after_grace, "request {id} arrived after the grace of the drain and was started");
                 entry.starts += 1;
                 entry.running = true;
             }
             Action::Reject { id, .. } | Action::Fail { id, .. } => {
-                let entry = self.requests.get_mut(&id).expect("only requests that arrived are answered");
-                let refusal = matches!(action, Action::Reject { .. });
-                assert!(!refusal || entry.starts == 0, "request {id} ran and was rejected");
+                let entry = self.requests.get_mut(&id).expect("a request that did not arrive was answered");
+                let is_rejection = matches!(action, Action::Reject { .. });
+                assert!(!is_rejection || entry.starts == 0, "request {id} ran and was rejected");
                 let ran = entry.duplicate_of.is_some_and(|first| ran.contains(&first));
-                assert!(!refusal || !ran, "request {id} duplicates a run and was told that it never ran");
+                assert!(
+                    !is_rejection || !ran,
+                    "request {id} duplicates a run and was rejected as if it never ran"
+                );
                 assert!(!entry.ended, "request {id} answered twice");
                 entry.answers += 1;
                 assert_eq!(entry.answers, 1);
                 entry.ended = !entry.running;
             }
             Action::ReuseResult { id } => {
-                assert!(self.requests[&id].duplicate_of.is_some(), "nothing to reuse");
+                assert!(
+                    self.requests[&id].duplicate_of.is_some(),
+                    "request {id} duplicates no request and has no result to reuse"
+                );
             }
             Action::RetainKey { id, ttl_ms } => {
                 self.retained_keys.insert(id, now + ttl_ms);
@@ -141,36 +151,45 @@
                 self.retained_keys.remove(&id);
             }
             Action::SkipCall { id } => {
-                let entry = self.requests.get_mut(&id).expect("known");
+                let entry = self.requests.get_mut(&id).expect("a request that arrived");
                 assert!(
                     entry.awaits_call && entry.may_skip_call,
-                    "{id} awaits no call, or must not go on without"
+                    "request {id} awaits no call, or may not skip it"
                 );
                 entry.awaits_call = false;
             }
             Action::StartCall { id, .. } => {
-                let entry = self.requests.get_mut(&id).expect("known");
-                assert!(entry.awaits_call, "no call is awaited");
+                let entry = self.requests.get_mut(&id).expect("a request that arrived");
+                assert!(entry.awaits_call, "request {id} awaits no call");
                 (entry.awaits_call, entry.in_call) = (false, true);
             }
             _ => {}
         }
     }
 
-    /// A queued request takes 20 kB, a running one four times that, a key 10 kB: as in the settings.
+    /// Checks the memory limit. As in the settings, a queued request takes 20 kB, a running one four times
+    /// that, and a key 10 kB.
     fn check_memory(&self, now: f64) {
         let open = self.requests.values().filter(|e| e.running || (!e.ended && !e.caller_gone));
         let requests: f64 = open.map(|e| if e.running { 80.0 } else { 20.0 }).sum();
         let keys = self.retained_keys.values().filter(|until| **until > now).count() as f64 * 10.0;
-        assert!(requests + keys <= MEMORY_KB, "{} kB wanted at {now}", requests + keys);
+        assert!(
+            requests + keys <= MEMORY_KB,
+            "{} kB of {MEMORY_KB} kB reserved at {now} ms",
+            requests + keys
+        );
     }
 
-    /// Every request has its answer soon after its deadline.
+    /// Checks that every request has its answer soon after its deadline.
     fn check_deadlines(&self, now: f64) {
         let overdue = self.requests.iter().find(|(_, e)| {
             !e.ended && e.answers == 0 && !e.caller_gone && e.deadline_ms.max(e.read_ms) + 60.0 + 25.0 < now
         });
-        assert!(overdue.is_none(), "request {:?} has no answer at {now}", overdue.map(|(id, _)| id));
+        assert!(
+            overdue.is_none(),
+            "request {:?} is overdue and has no answer at {now} ms",
+            overdue.map(|(id, _)| id)
+        );
     }
 
     fn arrive(&mut self, id: u32, now: f64, arrival: Arrival) -> Request {
@@ -273,7 +292,7 @@
 }
 
 #[test]
-fn rules_hold_under_random_events() {
+fn invariants_hold_under_random_events() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -283,11 +302,11 @@
             run_steps(&steps);
             Ok(())
         })
-        .expect("no sequence of events breaks a rule");
+        .expect("the invariants hold for every sequence of events");
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     let run = || {
         let mut server = TestServer::new(settings());
         for id in 1..200 {
--- a/tests/loops.rs
+++ b/tests/loops.rs
@@ -1,4 +1,4 @@
-//! Both loops seen through the controller: step response, clamps and anti-windup.
+//! Both control loops, tested through the controller: step response, clamps and anti-windup.
 
 mod common;
 
@@ -23,7 +23,7 @@
         busy_server
     }
 
-    /// Whether the next arrival is rejected.
+    /// Sends the next arrival; returns whether it is rejected.
     fn arrive(&mut self, queued_ms: f64) -> bool {
         self.next += 1;
         let deadline_ms = Some(self.server.now + 1_000_000.0);
@@ -36,7 +36,8 @@
         self.running.extend(started_ids(actions));
     }
 
-    /// Arrivals every 20 ms, a run ends every 100 ms; the part of the arrivals that is rejected.
+    /// Sends an arrival every 20 ms and ends a run every 100 ms, for `ms`. Returns the share of rejected
+    /// arrivals.
     fn serve_demand(&mut self, ms: f64, queued_ms: f64) -> f64 {
         let until = self.server.now + ms;
         let (mut rejections, mut count) = (0.0, 0.0);
@@ -56,47 +57,56 @@
 }
 
 #[test]
-fn refusals_rise_while_the_cores_stay_busy_up_to_the_clamp() {
+fn rejections_rise_to_clamp_while_cores_are_busy() {
     let mut busy_server = BusyServer::new();
     let early = busy_server.serve_demand(600.0, 5.0);
     let later = busy_server.serve_demand(4_000.0, 5.0);
     busy_server.serve_demand(60_000.0, 5.0);
     let last = busy_server.serve_demand(4_000.0, 5.0);
-    assert!(early < 0.1, "half a second of busy cores is chance: {early}");
+    assert!(early < 0.1, "cores are busy for half a second by chance, yet the share rejected is {early}");
     assert!(
         later > early + 0.05 && last > later + 0.3,
-        "seconds of busy cores are not: {later}, then {last}"
+        "rejections have to rise after seconds of busy cores: {later}, then {last}"
     );
-    assert!(last > 0.75, "the integral reaches the clamp; only an idle core still takes an arrival: {last}");
+    assert!(last > 0.75, "the integral reaches the clamp, and only idle cores take arrivals: {last}");
 }
 
 #[test]
-fn refusals_end_soon_after_the_cores_idle_however_long_they_were_busy() {
+fn rejections_end_soon_after_cores_idle() {
     let mut busy_server = BusyServer::new();
     busy_server.serve_demand(300_000.0, 5.0);
     busy_server.server.advance(400.0, 0.0, 0.0);
     let after = busy_server.serve_demand(500.0, 5.0);
-    assert!(after < 0.1, "minutes at the clamp do not wind up the integral: {after}");
+    assert!(after < 0.1, "minutes at the clamp must not wind up the integral: {after}");
 }
 
 #[test]
-fn an_unread_wait_speaks_beyond_the_saturated_gauge() {
-    let part = |queued_ms: f64| {
+fn read_delay_raises_rejections_at_saturation() {
+    let rejected_share = |queued_ms: f64| {
         let mut busy_server = BusyServer::new();
         busy_server.serve_demand(200.0, 5.0);
         busy_server.serve_demand(2_000.0, queued_ms)
     };
-    assert!(part(2000.0) > part(5.0) + 0.3, "{} and {}", part(2000.0), part(5.0));
+    assert!(
+        rejected_share(2000.0) > rejected_share(5.0) + 0.3,
+        "shares rejected: {} and {}",
+        rejected_share(2000.0),
+        rejected_share(5.0)
+    );
 }
 
 #[test]
-fn starts_wait_for_a_free_core_and_follow_at_once() {
+fn starts_wait_for_idle_core() {
     let mut server = BusyServer::new().server;
     for id in 10..13 {
         assert!(!started(&server.arrive(Request { deadline_ms: Some(1_000_000.0), ..request(id, 0) }), id));
     }
     let starts = |actions: &[Action]| started_ids(actions).count();
-    assert_eq!(starts(&server.advance(1_000.0, 1.0, 2.0)), 0, "whatever credit the start loop has saved");
+    assert_eq!(
+        starts(&server.advance(1_000.0, 1.0, 2.0)),
+        0,
+        "no start without an idle core, however much start credit is saved"
+    );
     assert_eq!(starts(&server.handle(Event::RunEnded { id: 1, outcome: Outcome::Done })), 1);
     assert_eq!(starts(&server.handle(Event::RunEnded { id: 2, outcome: Outcome::Done })), 1);
 }
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -1,5 +1,6 @@
-//! Callers that press: floods on one connection and over hundreds, answers taken byte by byte, while a calm one is served.
-//! And links that break within a line. The scenarios are in the language of `scenario/mod.rs`.
+//! Load from callers: floods on one connection and over hundreds of them beside a steady caller, and
+//! answers read byte by byte. Also links that break within a line. The scenarios are in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
@@ -16,7 +17,7 @@
 members wait HB n1 UP";
 
 /// An engine that ends every run at once with this result.
-fn swift(result: String) -> Answer {
+fn instant_engine(result: String) -> Answer {
     let mut notice = 0;
     Box::new(move |text: &str| {
         let words: Vec<&str> = text.split([' ', '|']).collect();
@@ -32,38 +33,40 @@
     })
 }
 
-fn up(engine: Answer, options: Options) -> World {
+fn start_with(engine: Answer, options: Options) -> World {
     let mut world = World::start_with(engine, scenario::service(Box::new(|_| Vec::new())), options);
     world.run("members wait HB n1 UP");
     world
 }
 
-/// The program's limit of open connections in a scenario: 256 descriptors less a quarter.
-const ROOM: usize = 192;
+/// Maximum number of open connections of the program in a scenario: 256 descriptors less a quarter.
+const MAX_CONNECTIONS: usize = 192;
 
-/// A latency objective that no starved machine misses within the patience of a scenario, in place of 3 s: a request that
-/// waits past its objective in the backlog is rejected, rightly, and the test would measure the machine.
+/// Replaces the latency objective of 3 s by one that even a starved machine meets within the timeouts of a
+/// scenario. A request that waits in the backlog past its objective is rightly rejected, so with 3 s the test
+/// would measure the machine.
 const AMPLE_OBJECTIVE: (&str, &str) = (
     r#"{"name":"look","effect":"read_like","promiseMs":3000,"deadlineMs":9000,"#,
     r#"{"name":"look","effect":"read_like","promiseMs":60000,"deadlineMs":90000,"#,
 );
 
-/// One connection sends checks without end and reads them, hundreds connect and send nothing, noise or half a message;
-/// one that sends its requests calmly has each served at its first attempt: none is rejected, failed or lost.
+/// One connection sends pings without end and reads the answers; hundreds of connections send nothing, noise
+/// or half a message. A caller that sends one request at a time has each served at its first attempt:
+/// none is rejected, failed or lost.
 #[test]
-fn a_calm_caller_is_served_through_a_flood() {
+fn serves_steady_caller_during_flood() {
     let options = Options { settings: vec![AMPLE_OBJECTIVE], ..Options::default() };
-    let mut world = up(swift("report".into()), options);
-    let (listen, over) = (world.listen, AtomicBool::new(false));
+    let mut world = start_with(instant_engine("report".into()), options);
+    let (listen, flood_ended) = (world.listen, AtomicBool::new(false));
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let mut flood = TcpStream::connect(listen).expect("the program listens");
-            let mut reads = flood.try_clone().expect("cloned");
+            let mut reader = flood.try_clone().expect("cloned");
             scope.spawn(move || {
-                let _ = std::io::copy(&mut reads, &mut std::io::sink());
+                let _ = std::io::copy(&mut reader, &mut std::io::sink());
             });
             for id in 1.. {
-                if over.load(Ordering::Relaxed)
+                if flood_ended.load(Ordering::Relaxed)
                     || flood.write_all(&rpc_request(&format!("{id} ping"))).is_err()
                 {
                     break;
@@ -72,73 +75,75 @@
             let _ = flood.shutdown(Shutdown::Both);
         });
         for kind in 0..3 {
-            let over = &over;
+            let flood_ended = &flood_ended;
             scope.spawn(move || {
-                let half = rpc_request("1 look rid=1|paper");
-                let bytes: &[u8] = [&[][..], &[0xc1; 64], &half[..40]][kind];
-                while !over.load(Ordering::Relaxed) {
-                    let crowd: Vec<TcpStream> = (0..ROOM).flat_map(|_| TcpStream::connect(listen)).collect();
-                    for mut stream in &crowd {
+                let half_message = rpc_request("1 look rid=1|paper");
+                let bytes: &[u8] = [&[][..], &[0xc1; 64], &half_message[..40]][kind];
+                while !flood_ended.load(Ordering::Relaxed) {
+                    let burst: Vec<TcpStream> =
+                        (0..MAX_CONNECTIONS).flat_map(|_| TcpStream::connect(listen)).collect();
+                    for mut stream in &burst {
                         let _ = stream.write_all(bytes);
                     }
                 }
             });
         }
-        // An answer that does not come ends the test, and the flood with it.
-        let calm = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        // A missing answer panics; catching the panic lets the flood end before the test fails.
+        let steady_caller = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             for n in 1..=40 {
-                // A new connection now and then, and one that stays in use.
-                let who = if n % 4 == 0 { format!("rpc{n}") } else { "rpc".into() };
+                // Every fourth request opens a new connection; the others share one.
+                let connection = if n % 4 == 0 { format!("rpc{n}") } else { "rpc".into() };
                 let id = if n % 4 == 0 { 1 } else { n };
                 world.run(&format!(
-                    "{who} send {id} look rid={n:x}|paper\n{who} expect [1 {id} nil [report *"
+                    "{connection} send {id} look rid={n:x}|paper\n{connection} expect [1 {id} nil [report *"
                 ));
             }
         }));
-        over.store(true, Ordering::Relaxed);
-        calm.expect("served");
+        flood_ended.store(true, Ordering::Relaxed);
+        steady_caller.expect("every request of the steady caller is served");
     });
     world.run("node send USR1\nnode wait counters * requests=40 served=40 refused=0 failed=0 gone=0 *");
 }
 
-/// Answers of full length to as many requests as may be open, taken byte by byte through a small buffer, the process told to
-/// leave meanwhile: each is whole, and the end is no reset.
+/// A caller reads long answers to as many requests as may be open, byte by byte through a small buffer,
+/// while the process is sent SIGTERM: each answer is complete, and the connection is not reset at its end.
 #[test]
-fn one_that_reads_byte_by_byte_gets_whole_answers_in_a_drain() {
+fn slow_reader_gets_complete_answers_in_drain() {
     const ANSWERS: usize = 32;
     let result = "r".repeat(4096);
-    let mut world = up(swift(result.clone()), Options::default());
+    let mut world = start_with(instant_engine(result.clone()), Options::default());
     let mut slow = TcpStream::connect(world.listen).expect("the program listens");
     rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("a small buffer");
     slow.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     let requests: Vec<u8> =
         (1..=ANSWERS).flat_map(|id| rpc_request(&format!("{id} look rid={id:x}|paper"))).collect();
     slow.write_all(&requests).expect("sent");
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut byte = [0];
-    let mut told = false;
+    let mut term_sent = false;
     loop {
         match slow.read(&mut byte) {
             Ok(0) => break,
-            Ok(_) => got.push(byte[0]),
+            Ok(_) => received.push(byte[0]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) => panic!("{error} after {} bytes", got.len()),
+            Err(error) => panic!("{error} after {} bytes", received.len()),
         }
-        if got.len() > 20_000 && !std::mem::replace(&mut told, true) {
+        if received.len() > 20_000 && !std::mem::replace(&mut term_sent, true) {
             world.run("node send TERM\nnode wait leaving *");
         }
     }
-    let text = String::from_utf8_lossy(&got);
+    let text = String::from_utf8_lossy(&received);
     let served = text.matches(&result).count();
     let refused = text.matches("Busy").count();
     assert_eq!(served + refused, ANSWERS, "{served} served, {refused} refused");
-    assert!(served >= 8, "hardly anything was long: {served}");
+    assert!(served >= 8, "too few long answers: {served} requests served");
     world.run("node wait exit 0");
 }
 
-/// A notice that breaks off at any byte was never read: it comes again on the next link, and its caller has one answer.
+/// An engine notice cut off at any byte counts as not received: the engine sends it again on the next link,
+/// and the caller gets one answer.
 #[test]
-fn a_notice_cut_at_any_byte_is_told_once() {
+fn run_end_cut_at_any_byte_is_answered_once() {
     let whole = "DONE 1 0000000000000001 complete 12 6\r\nreport\r\n";
     let store = scenario::service(Box::new(|_| Vec::new()));
     let mut world = World::start_with(Box::new(idle_gauges), store, Options::default());
@@ -160,9 +165,10 @@
     }
 }
 
-/// A reply that breaks off at any byte is no reply: the call of a read is made again, and its run goes on with the whole.
+/// A store reply cut off at any byte counts as not received: the call of a read is repeated, and its run
+/// continues with the complete reply.
 #[test]
-fn a_reply_cut_at_any_byte_is_asked_for_again() {
+fn repeats_call_after_truncated_reply() {
     let whole = "0000000000000001 OK 4\r\nthat\r\n";
     let store = scenario::service(Box::new(|_| Vec::new()));
     let mut world = World::start_with(Box::new(idle_gauges), store, Options::default());
@@ -188,11 +194,12 @@
     }
 }
 
-/// A site that says of its callers that they close connections idle for a moment: guards still wait between two looks.
+/// The site is configured with callers that close connections after a moment of idleness: idle guards still
+/// wait between two checks.
 #[test]
-fn a_site_that_lets_no_connection_rest_is_served() {
+fn serves_with_tiny_caller_idle_timeout() {
     let settings = vec![("\"callerIdleMs\":0", "\"callerIdleMs\":0.0001")];
-    let mut world = up(Box::new(idle_or_up), Options { settings, ..Options::default() });
+    let mut world = start_with(Box::new(idle_or_up), Options { settings, ..Options::default() });
     world.run(
         "rpc send 1 look rid=a1|paper
          engine expect RUN 00000000000000a1 look|paper
@@ -211,11 +218,11 @@
     if text.starts_with("ATTACH") { vec!["HELLO hot 9000".into()] } else { idle_gauges(text) }
 }
 
-/// What the membership service hears last is true and repeated, whatever it heard before: reports get lost, and it may be
-/// down as they are sent.
+/// The last state reported to the service registry is correct and is sent repeatedly, whatever was reported
+/// before: reports get lost, and the registry may be down when they are sent.
 #[test]
-fn the_last_word_to_the_membership_service_is_out_and_is_repeated() {
-    let mut world = up(Box::new(idle_or_up), Options::default());
+fn repeats_out_to_service_registry_until_exit() {
+    let mut world = start_with(Box::new(idle_or_up), Options::default());
     world.run(
         "rpc send 1 look rid=a1|paper
          engine expect RUN 00000000000000a1 look|paper
@@ -223,7 +230,7 @@
          members wait HB n1 OUT
          members expect HB n1 OUT
          members expect HB n1 OUT
-         # Neither a new link nor a reload takes it back.
+         # Neither a new link nor a reload revokes OUT.
          engine close
          engine wait closed
          members expect HB n1 OUT
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Repeats of keyed requests round the end of a short window, and whatever became of the try that ran. Times are forced
-//! by `t0`, not waited for. The scenarios are in the language of `scenario/mod.rs`.
+//! Duplicates of keyed requests around the end of a short dedup window, for each outcome of the first
+//! attempt. Times are set by `t0` instead of waiting. The scenarios are in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -11,8 +11,8 @@
 engine send HELLO hot 5000
 members wait HB n1 UP";
 
-/// A site whose window of 900 ms is far shorter than its deadline of 9 s.
-fn up(memory_mb: f64) -> World {
+/// Starts a site whose dedup window of 900 ms is far shorter than its deadline of 9 s.
+fn start_site(memory_mb: f64) -> World {
     let settings = vec![("\"keyTtlMs\":20000", "\"keyTtlMs\":900")];
     let store = scenario::service(Box::new(|_| Vec::new()));
     let options = Options { settings, memory_mb, ..Options::default() };
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-#[case::at_the_first_and_the_last_millisecond_of_the_window(
+#[case::first_and_last_millisecond_of_window(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -33,7 +33,7 @@
     rpc send 3 write rid=a3 token=k again=1 t0=b900|paper
     rpc expect [1 3 nil [receipt *"
 )]
-#[case::past_the_window_it_is_a_new_request(
+#[case::new_request_after_window(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -43,11 +43,11 @@
     engine expect RUN 00000000000000a2 write|paper
     engine send DONE 2 00000000000000a2 complete 12|another
     rpc expect [1 2 nil [another *
-    # From here on the window is that of the second.
+    # From here on the window of the second request applies.
     rpc send 3 write rid=a3 token=k again=1 t0=b950|paper
     rpc expect [1 3 nil [another *"
 )]
-#[case::one_that_came_before_the_try_that_ran(
+#[case::duplicate_older_than_attempt_that_ran(
     "
     rpc send 1 write rid=a1 token=k t0=b500|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -58,7 +58,7 @@
     rpc send 3 write rid=a3 token=k t0=b100|paper
     rpc expect [1 3 nil [receipt *"
 )]
-#[case::past_the_window_while_the_first_still_runs(
+#[case::new_request_after_window_while_first_runs(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -67,24 +67,24 @@
     rpc2 expect [1 2 nil *
     rpc3 send 1 write rid=a3 token=k again=1 t0=b902|paper
     engine expect RUN 00000000000000a3 write|paper
-    # Each gets the result of the run that it repeats.
+    # Each duplicate gets the result of the run that it duplicates.
     engine send DONE 1 00000000000000a1 complete 12|first
     rpc expect [1 1 nil [first *
     rpc2 expect [1 1 nil [first *
     engine send DONE 2 00000000000000a3 complete 12|second
     rpc3 expect [1 1 nil [second *"
 )]
-#[case::the_first_failed(
+#[case::first_failed(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
     engine send DONE 1 00000000000000a1 error 12|
     rpc expect [1 1 [Failed *] nil]
-    # It may have had its effect: neither run nor told that it never ran.
+    # The first may have had its effect: the duplicate is neither run nor rejected as never run.
     rpc send 2 write rid=a2 token=k again=1 t0=b900|paper
     rpc expect [1 2 [Failed *] nil]"
 )]
-#[case::the_first_was_never_started(
+#[case::first_never_started(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -93,7 +93,7 @@
     rpc send 2 write rid=a2 token=k again=1 t0=b10|paper
     engine expect RUN 00000000000000a2 write|paper"
 )]
-#[case::the_caller_of_the_first_left(
+#[case::caller_of_first_left(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -104,7 +104,7 @@
     engine send DONE 1 00000000000000a1 complete 12|receipt
     rpc2 expect [1 1 nil [receipt *"
 )]
-#[case::the_link_of_the_first_was_lost(
+#[case::engine_link_of_first_lost(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -119,7 +119,7 @@
     rpc expect [1 1 nil [receipt *
     rpc2 expect [1 1 nil [receipt *"
 )]
-#[case::in_a_drain(
+#[case::during_drain(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -127,7 +127,7 @@
     node wait leaving *
     rpc2 send 1 write rid=a2 token=k again=1 t0=b10|paper
     node send clock=2100
-    # After the grace as well: it is not run, and not told that it never ran.
+    # After the grace, too, a duplicate is neither run nor rejected as never run.
     rpc2 send 2 write rid=a3 token=k again=1 t0=b20|paper
     rpc2 expect [2 goaway []]
     engine send DONE 1 00000000000000a1 complete 12|receipt
@@ -135,7 +135,7 @@
     rpc2 expect [1 1 nil [receipt *
     rpc2 expect [1 2 nil [receipt *"
 )]
-#[case::as_the_process_is_about_to_end(
+#[case::shortly_before_process_exit(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -147,7 +147,7 @@
     rpc2 wait [1 1 [Failed *] nil]
     node wait exit 0"
 )]
-#[case::under_the_name_of_a_try_that_runs(
+#[case::same_attempt_id_as_running_attempt(
     "
     rpc send 1 write rid=a1 token=k t0=b0|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -156,23 +156,24 @@
     engine send DONE 1 00000000000000a1 complete 12|receipt
     rpc expect [1 1 nil [receipt *"
 )]
-fn round_a_short_window(#[case] scenario: &str) {
-    let mut world = up(192.0);
+fn handles_keyed_duplicate_around_short_window(#[case] scenario: &str) {
+    let mut world = start_site(192.0);
     world.run(scenario);
-    // One run for each that was expected, and no other.
+    // The engine gets no run beyond the expected ones.
     world.run("engine never RUN *");
 }
 
-/// There is no room to keep the result: its repeat is failed, still neither run nor told that nothing ran.
+/// There is no memory to retain the result: the duplicate fails, and is neither run nor rejected as never
+/// run.
 #[test]
-fn the_result_of_the_first_was_dropped() {
-    let mut world = up(0.001);
-    let report = "x".repeat(400);
+fn fails_duplicate_whose_result_was_dropped() {
+    let mut world = start_site(0.001);
+    let result = "x".repeat(400);
     world.run(&format!(
         "rpc send 1 write rid=a1 token=k t0=b0|paper
          engine expect RUN 00000000000000a1 write|paper
-         engine send DONE 1 00000000000000a1 complete 12|{report}
-         rpc expect [1 1 nil [{report} *
+         engine send DONE 1 00000000000000a1 complete 12|{result}
+         rpc expect [1 1 nil [{result} *
          rpc send 2 write rid=a2 token=k again=1 t0=b10|paper
          rpc expect [1 2 [Failed *] nil]
          engine never RUN *"
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The line protocol, through the binary: complete replies on good input, one plain line on bad input.
+//! The line protocol, tested through the binary: complete replies to valid input, one error line for invalid
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -11,17 +12,17 @@
     format!("{}\n", ENLIST.replace('\n', ""))
 }
 
-/// What the binary wrote to standard output and standard error, and whether it ended well.
+/// Runs the binary on this input; returns its standard output, its standard error, and whether it succeeded.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pinepoint-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    // It may stop at the first fault, before it has read everything.
+        .expect("start the binary");
+    // The binary may stop at the first error, before it has read all input.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    let output = child.wait_with_output().expect("the binary ends");
+    let output = child.wait_with_output().expect("wait for the binary");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     (text(output.stdout), text(output.stderr), output.status.success())
 }
@@ -35,12 +36,12 @@
 }
 
 #[test]
-fn an_empty_batch_gets_its_number_back() {
+fn answers_empty_batch_with_its_number() {
     assert_eq!(run(&batch(7, "")), ("{\"t\":\"Yield\",\"batch\":7}\n".into(), String::new(), true));
 }
 
 #[test]
-fn a_request_is_admitted_on_an_idle_server() {
+fn admits_request_on_idle_server() {
     let request = inbound(r#""txn":5,"profile":"look","deadlineMs":900.0,"memKb":9.5,"novel":{"a":1}"#);
     let (output, error, ok) = run(&(batch(1, &enlist()) + &batch(2, &request)));
     assert!(output.contains(r#"{"t":"Admit","server":3,"txn":5}"#), "{output}");
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn bad_input_is_one_plain_line_that_names_message_and_field() {
+fn bad_input_gives_one_line_naming_message_and_field() {
     let unusable = enlist().replace("\"cores\":2", "\"cores\":0");
     let settings = |from: &str, to: &str| batch(1, &enlist().replace(from, to));
     let weight = "\"signal\":\"weight\"";
@@ -96,14 +97,14 @@
         assert!(error.contains(wanted) && !error.contains("panicked"), "{wanted}: {error}");
         assert_eq!(error.lines().count(), 1, "{wanted}: {error}");
         assert!(!ok, "{wanted}");
-        assert_eq!(output, "{\"t\":\"Yield\",\"batch\":0}\n", "only complete replies: {wanted}");
+        assert_eq!(output, "{\"t\":\"Yield\",\"batch\":0}\n", "an incomplete reply was written: {wanted}");
     }
 }
 
 #[test]
-fn a_stopped_server_is_forgotten_and_may_come_back_in_the_same_batch() {
-    let again = "{\"t\":\"Detach\",\"server\":3}\n".to_owned() + &enlist();
-    let (output, error, ok) = run(&(batch(1, &enlist()) + &batch(2, &again)));
+fn detached_server_may_enlist_again_in_same_batch() {
+    let detach_and_enlist = "{\"t\":\"Detach\",\"server\":3}\n".to_owned() + &enlist();
+    let (output, error, ok) = run(&(batch(1, &enlist()) + &batch(2, &detach_and_enlist)));
     assert_eq!((error.as_str(), ok), ("", true));
     assert_eq!(output.matches("ReportHealth").count(), 2);
 }
