--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -7,7 +7,7 @@
 
 /// Rejections for each log line that counts their reasons.
 const REJECTIONS_PER_LOG_LINE: u32 = 50;
-/// Part of the slack after the deadline that a run may still use; the rest is for batches that come late.
+/// Part of the slack after the deadline that a run may still use; the rest is reserved for late batches.
 const USED_SLACK_PART: f64 = 0.3;
 
 /// Counts rejections by reason for the log.
--- a/src/admission/arrivals.rs
+++ b/src/admission/arrivals.rs
@@ -30,11 +30,11 @@
     /// rejected as too late beside idle cores.
     fn record_arrival(&mut self, request: &Request, wait_ms: f64) -> f64 {
         self.retry_share += (indicator(request.retry) - self.retry_share) / RETRIES_OVER_ARRIVALS;
-        let usual_ms = &mut self.first_attempt_wait_ms[request.class];
+        let mean_wait_ms = &mut self.first_attempt_wait_ms[request.class];
         if request.retry {
-            return (*usual_ms - wait_ms).max(0.0);
+            return (*mean_wait_ms - wait_ms).max(0.0);
         }
-        *usual_ms = moving_average(*usual_ms, wait_ms, OBSERVATION_WEIGHT);
+        *mean_wait_ms = moving_average(*mean_wait_ms, wait_ms, OBSERVATION_WEIGHT);
         0.0
     }
 }
@@ -48,10 +48,10 @@
         let read_delay_ms = request.queued_ms.max(0.0);
         let arrived_ms = now_ms - read_delay_ms;
         let deadline_ms = request.deadline_ms.unwrap_or(arrived_ms + class.timeout_ms);
-        let earlier_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
+        let prior_age_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
         let own_work_ms = class.objective_per_work * request.work_hint_ms.unwrap_or(0.0);
         let objective_ms =
-            (arrived_ms - earlier_ms + class.latency_objective_ms + own_work_ms).min(deadline_ms);
+            (arrived_ms - prior_age_ms + class.latency_objective_ms + own_work_ms).min(deadline_ms);
         self.loops.record_arrival();
         self.idle_policy.record_arrival();
         self.read_delay.record_arrival(read_delay_ms);
--- a/src/admission/feedback.rs
+++ b/src/admission/feedback.rs
@@ -46,7 +46,7 @@
         let waited = matches!(reason, RejectReason::QueueTimeout | RejectReason::Displaced);
         let advice_ms = if self.wants_no_traffic() {
             f64::INFINITY
-        } else if self.read_delay.is_jammed() {
+        } else if self.read_delay.is_congested() {
             self.read_delay.mean_ms
         } else if waited {
             // The caller may return when all requests queued now could have run.
@@ -60,8 +60,8 @@
     /// Whether the caller of a rejected request is asked not to try another server.
     pub(super) fn is_last_attempt(&self, reason: RejectReason) -> bool {
         // All servers share the dependency: if no call can be made here, none can be made elsewhere.
-        let jammed = self.read_delay.is_jammed() && !self.wants_no_traffic();
-        reason == RejectReason::CallUnavailable || jammed
+        let congested = self.read_delay.is_congested() && !self.wants_no_traffic();
+        reason == RejectReason::CallUnavailable || congested
     }
 
     /// Whether callers should send nothing: no run makes progress, or the drain will soon take no more work.
--- a/src/admission/idle_policy.rs
+++ b/src/admission/idle_policy.rs
@@ -70,8 +70,9 @@
 
     /// Geometric interpolation between the short timeout and that of the callers, ms.
     fn target_timeout_ms(&self, caller_idle_timeout_ms: f64) -> f64 {
-        let closed = (self.rejected_share - KEEP_LONGER_FROM) / (KEEP_ALL_FROM - KEEP_LONGER_FROM);
-        let closed = closed.clamp(0.0, 1.0);
-        caller_idle_timeout_ms.min(IDLE_TIMEOUT_MS).powf(1.0 - closed) * caller_idle_timeout_ms.powf(closed)
+        let fraction = (self.rejected_share - KEEP_LONGER_FROM) / (KEEP_ALL_FROM - KEEP_LONGER_FROM);
+        let fraction = fraction.clamp(0.0, 1.0);
+        caller_idle_timeout_ms.min(IDLE_TIMEOUT_MS).powf(1.0 - fraction)
+            * caller_idle_timeout_ms.powf(fraction)
     }
 }
--- a/src/admission/messages.rs
+++ b/src/admission/messages.rs
@@ -66,7 +66,7 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// A running request needs a call to the dependency before it can go on.
+    /// A running request needs a call to the dependency before it can continue.
     CallNeeded {
         /// The request.
         id: u32,
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -10,7 +10,7 @@
 //! returned actions in the order given. Times are milliseconds of any clock that does not go back, memory is
 //! in kilobytes. The same events give the same actions.
 //!
-//! # What a host must do
+//! # Duties of the host
 //!
 //! - Construct an [`AdmissionController`] at each start of the server, with [`Settings`] and a seed. Every
 //!   field of [`Settings`] has a default that switches its feature off; unusable settings are returned as a
--- a/src/admission/read_delay.rs
+++ b/src/admission/read_delay.rs
@@ -4,17 +4,17 @@
 
 use super::filters::{FORGET_S, LOAD_FILTER_S, OBSERVATION_WEIGHT, low_pass};
 
-/// Time constant with which the delay decays while cores are idle, s. If a jam were remembered longer, all
-/// callers would return at the same moment.
+/// Time constant with which the delay decays while cores are idle, s. If congestion were remembered longer,
+/// all callers would return at the same moment.
 const IDLE_FORGET_S: f64 = 0.1;
 /// Growth factor of the floor per arrival: an unusually low delay is forgotten within hundreds of arrivals.
 const FLOOR_GROWTH: f64 = 1.002;
 /// Excess delay beyond which callers are asked not to try elsewhere, ms: the cores cannot even keep up with
 /// reading, so each further attempt costs the fleet more than it brings.
-const JAM_EXCESS_MS: f64 = 20.0;
-/// Sustained busy share above which a delay counts as a jam. Below it a delay is a short queue that arose by
-/// chance, and other servers may well have capacity.
-const JAM_BUSY_SHARE: f64 = 0.95;
+const CONGESTION_EXCESS_MS: f64 = 20.0;
+/// Sustained busy share above which a delay counts as congestion. Below it a delay is a short queue that
+/// arose by chance, and other servers may well have capacity.
+const CONGESTION_BUSY_SHARE: f64 = 0.95;
 
 /// Delay between the arrival of requests at the machine and their being read.
 #[derive(Clone, Debug)]
@@ -42,14 +42,15 @@
     /// Records, after the run of a request completed, the delay that the request had when it was read, ms.
     ///
     /// If the floor were learned from all arrivals, misbehaving clients could simulate reads without any
-    /// delay and so make the usual delay look like a jam.
+    /// delay and so make the usual delay look like congestion.
     pub(super) fn record_completed(&mut self, delay_ms: f64) {
         self.floor_ms = self.floor_ms.min(delay_ms);
     }
 
     /// Takes a sample `dt_s` seconds after the previous one.
     pub(super) fn update(&mut self, busy_share: f64, has_idle_cores: bool, dt_s: f64) {
-        // With idle cores nothing stays unread: the jam is over, however long the last arrivals waited.
+        // With idle cores nothing stays unread: the congestion is over, however long the last arrivals
+        // waited.
         let forget_s = if has_idle_cores { IDLE_FORGET_S } else { FORGET_S };
         self.mean_ms = low_pass(self.mean_ms, self.floor_ms.min(self.mean_ms), dt_s, forget_s);
         self.sustained_busy_share = low_pass(self.sustained_busy_share, busy_share, dt_s, LOAD_FILTER_S);
@@ -61,7 +62,7 @@
     }
 
     /// Whether the cores cannot keep up with reading.
-    pub(super) fn is_jammed(&self) -> bool {
-        self.sustained_busy_share > JAM_BUSY_SHARE && self.excess_ms() > JAM_EXCESS_MS
+    pub(super) fn is_congested(&self) -> bool {
+        self.sustained_busy_share > CONGESTION_BUSY_SHARE && self.excess_ms() > CONGESTION_EXCESS_MS
     }
 }
--- a/src/admission/sampling.rs
+++ b/src/admission/sampling.rs
@@ -53,8 +53,8 @@
         self.gauge(Gauge::Runnable, gauges).unwrap_or(busy_cores)
     }
 
-    fn gauge(&self, wanted: Gauge, values: &[f64]) -> Option<f64> {
-        let index = self.settings.gauges.iter().position(|gauge| *gauge == wanted)?;
+    fn gauge(&self, kind: Gauge, values: &[f64]) -> Option<f64> {
+        let index = self.settings.gauges.iter().position(|gauge| *gauge == kind)?;
         values.get(index).copied().filter(|value| value.is_finite())
     }
 
--- a/src/admission/stall_detector.rs
+++ b/src/admission/stall_detector.rs
@@ -1,7 +1,7 @@
 //! Detects that no run makes progress any more.
 //!
-//! An undetected stalled server would answer with quick rejections, seem fast, and attract all traffic of the
-//! fleet.
+//! A stalled server that stayed in rotation would answer with quick rejections, seem fast, and attract all
+//! traffic of the fleet.
 
 /// Time without progress that counts as a stall, as a multiple of the mean expected duration of the runs. Two
 /// runs take twice their expected duration by chance every few seconds.
--- a/src/bin/pinepoint-adapter/session.rs
+++ b/src/bin/pinepoint-adapter/session.rs
@@ -46,7 +46,7 @@
             }
             let now_ms = round.number("atTimeMs")?;
             let batch = round.unsigned("batch")?;
-            let actions = self.take_batch(now_ms, batch)?;
+            let actions = self.read_batch(now_ms, batch)?;
             let reply = self.end_batch(now_ms, batch, actions)?;
             self.output.write_all(&reply)?;
             self.output.flush()?;
@@ -55,7 +55,7 @@
     }
 
     /// Reads the messages of a batch and handles all of them.
-    fn take_batch(&mut self, now_ms: f64, batch: u64) -> Result<BatchActions, WireError> {
+    fn read_batch(&mut self, now_ms: f64, batch: u64) -> Result<BatchActions, WireError> {
         let mut actions = BatchActions::default();
         loop {
             let message = self.read_message()?.ok_or(WireError::TruncatedBatch(batch))?;
@@ -63,11 +63,11 @@
                 return Ok(actions);
             }
             let server = message.unsigned("server")?;
-            self.take_message(now_ms, server, &message, actions.of(server))?;
+            self.handle_message(now_ms, server, &message, actions.of(server))?;
         }
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         now_ms: f64,
         id: u64,
--- a/tests/failures/feedback.rs
+++ b/tests/failures/feedback.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn abandoned_requests_do_not_feign_read_jam() {
+fn abandoned_requests_cause_no_read_congestion() {
     let mut server = TestServer::new(settings());
     for id in 0..400 {
         server.arrive(Request { queued_ms: 80.0, ..request(10 * id + 1, 0) });
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn read_jam_tells_callers_not_to_retry() {
+fn read_congestion_tells_callers_not_to_retry() {
     let mut server = TestServer::new(settings());
     for id in 1..=3 {
         server.arrive(Request { queued_ms: 20.0, ..request(id, 0) });
@@ -108,10 +108,10 @@
             server.arrive(Request { queued_ms: 2990.0, ..request(id, 0) });
             actions.extend(server.advance(40.0, 1.0, 2.0));
         }
-        let wanted = if slow { Some(false) } else { None };
+        let expected = if slow { Some(false) } else { None };
         assert_eq!(
             health(&actions),
-            wanted,
+            expected,
             "slow: {slow}; overload of the whole fleet must not empty the endpoint list"
         );
         let recovered = health(&server.advance(5000.0, 0.0, 0.0));
--- a/tests/failures/limits.rs
+++ b/tests/failures/limits.rs
@@ -34,7 +34,8 @@
 
 #[test]
 fn unusable_settings_are_typed_errors() {
-    let rejected = |config: Settings| AdmissionController::new(config, 1).expect_err("unusable settings");
+    let rejected =
+        |config: Settings| AdmissionController::new(config, 1).expect_err("unusable settings were accepted");
     assert_eq!(rejected(Settings { cores: 0.0, ..settings() }), SettingsError::NoCores);
     assert_eq!(rejected(Settings { classes: vec![], ..settings() }), SettingsError::NoClasses);
     assert_eq!(rejected(Settings { key_kb: -1.0, ..settings() }), SettingsError::OutOfRange("key_kb"));
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -61,7 +61,7 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let mut flood = TcpStream::connect(listen).expect("the program listens");
-            let mut reader = flood.try_clone().expect("cloned");
+            let mut reader = flood.try_clone().expect("clone the stream");
             scope.spawn(move || {
                 let _ = std::io::copy(&mut reader, &mut std::io::sink());
             });
@@ -113,11 +113,11 @@
     let result = "r".repeat(4096);
     let mut world = start_with(instant_engine(result.clone()), Options::default());
     let mut slow = TcpStream::connect(world.listen).expect("the program listens");
-    rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("a small buffer");
-    slow.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+    rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("set a small receive buffer");
+    slow.set_read_timeout(Some(Duration::from_secs(20))).expect("set a read timeout");
     let requests: Vec<u8> =
         (1..=ANSWERS).flat_map(|id| rpc_request(&format!("{id} look rid={id:x}|paper"))).collect();
-    slow.write_all(&requests).expect("sent");
+    slow.write_all(&requests).expect("send the requests");
     let mut received = Vec::new();
     let mut byte = [0];
     let mut term_sent = false;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -92,12 +92,12 @@
         (batch(1, &unusable), "Enlist: field info is unusable"),
         ("{\"t\":\"Round\",\"atTimeMs\":1.0,\"batch\":4}\n".to_owned(), "batch 4 is cut off"),
     ];
-    for (input, wanted) in cases {
+    for (input, expected) in cases {
         let (output, error, ok) = run(&(batch(0, "") + &input));
-        assert!(error.contains(wanted) && !error.contains("panicked"), "{wanted}: {error}");
-        assert_eq!(error.lines().count(), 1, "{wanted}: {error}");
-        assert!(!ok, "{wanted}");
-        assert_eq!(output, "{\"t\":\"Yield\",\"batch\":0}\n", "an incomplete reply was written: {wanted}");
+        assert!(error.contains(expected) && !error.contains("panicked"), "{expected}: {error}");
+        assert_eq!(error.lines().count(), 1, "{expected}: {error}");
+        assert!(!ok, "{expected}");
+        assert_eq!(output, "{\"t\":\"Yield\",\"batch\":0}\n", "an incomplete reply was written: {expected}");
     }
 }
 
