--- a/src/admission/arrivals.rs
+++ b/src/admission/arrivals.rs
@@ -1,4 +1,4 @@
-//! Takes arrivals: works out their deadline and latency objective and feeds the measurements of the traffic.
+//! Takes arrivals: computes their deadline and latency objective and updates the traffic measurements.
 
 use super::filters::{OBSERVATION_WEIGHT, indicator, moving_average};
 use super::request_table::OpenRequest;
@@ -7,7 +7,7 @@
 /// Arrivals over which the share of retries is averaged: a few seconds of a small server.
 const RETRIES_OVER_ARRIVALS: f64 = 30.0;
 
-/// What arrivals have shown about the callers.
+/// Measurements of how callers behave, learned from arrivals.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallerBehaviour {
     /// Share of arrivals that are retries, 0 to 1.
@@ -17,7 +17,7 @@
 }
 
 impl CallerBehaviour {
-    /// Adds a class of which nothing was seen yet.
+    /// Adds a class without any observation.
     pub(super) fn add_class(&mut self, class: &Class) {
         self.first_attempt_wait_ms.push(class.timeout_ms);
     }
@@ -25,21 +25,22 @@
     /// Takes an arrival whose caller waits `wait_ms` for this attempt, and returns the age of the request
     /// before this attempt, ms.
     ///
-    /// A caller may give each attempt only a part of its deadline. A retry is as old as its caller waits less
-    /// than for first attempts; otherwise all retries would look hopeless beside idle cores.
+    /// A caller may give each attempt only a part of its deadline. The age of a retry is therefore the time
+    /// by which its caller waits less than for first attempts. Without this rule all retries would be
+    /// rejected as too late beside idle cores.
     fn record_arrival(&mut self, request: &Request, wait_ms: f64) -> f64 {
         self.retry_share += (indicator(request.retry) - self.retry_share) / RETRIES_OVER_ARRIVALS;
-        let usual_ms = &mut self.first_attempt_wait_ms[request.class];
+        let mean_wait_ms = &mut self.first_attempt_wait_ms[request.class];
         if request.retry {
-            return (*usual_ms - wait_ms).max(0.0);
+            return (*mean_wait_ms - wait_ms).max(0.0);
         }
-        *usual_ms = moving_average(*usual_ms, wait_ms, OBSERVATION_WEIGHT);
+        *mean_wait_ms = moving_average(*mean_wait_ms, wait_ms, OBSERVATION_WEIGHT);
         0.0
     }
 }
 
 impl AdmissionController {
-    /// Takes a request that was read; it is decided at the end of the batch.
+    /// Queues a request that was read. It is decided at the end of the batch.
     pub(super) fn take_arrival(&mut self, now_ms: f64, mut request: Request) {
         request.class = request.class.min(self.settings.classes.len() - 1);
         request.tenant = request.tenant.filter(|tenant| *tenant < self.settings.tenants.len());
@@ -47,10 +48,10 @@
         let read_delay_ms = request.queued_ms.max(0.0);
         let arrived_ms = now_ms - read_delay_ms;
         let deadline_ms = request.deadline_ms.unwrap_or(arrived_ms + class.timeout_ms);
-        let earlier_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
+        let prior_age_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
         let own_work_ms = class.objective_per_work * request.work_hint_ms.unwrap_or(0.0);
         let objective_ms =
-            (arrived_ms - earlier_ms + class.latency_objective_ms + own_work_ms).min(deadline_ms);
+            (arrived_ms - prior_age_ms + class.latency_objective_ms + own_work_ms).min(deadline_ms);
         self.loops.record_arrival();
         self.idle_policy.record_arrival();
         self.read_delay.record_arrival(read_delay_ms);
