--- a/src/server/core/actions.rs
+++ b/src/server/core/actions.rs
@@ -1,4 +1,4 @@
-//! The controller's side of a batch: events go in, and the actions that come out are executed.
+//! Passes the events of a batch to the admission controller and executes the actions that it returns.
 
 use std::collections::VecDeque;
 
@@ -12,12 +12,13 @@
 use crate::server::core::keys::IdempotencyKey;
 use crate::server::core::watchdog::WATCHDOG_INTERVAL_MS;
 
-/// What the core keeps for the length of one batch.
+/// State that the core keeps for one batch.
 #[derive(Default)]
 pub(super) struct Batch {
     /// Actions of the controller that are not executed yet.
     actions: Vec<Action>,
-    /// Events that follow from the execution of an action, for the controller once all actions are executed.
+    /// Events that result from executing an action. The controller receives them once all actions are
+    /// executed.
     pub(super) follow_up_events: VecDeque<Event>,
     /// Keys of the requests that were read in this batch.
     pub(super) keys: Vec<IdempotencyKey>,
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Ends a batch: moves the lifecycle on, fires due timers, lets the controller decide on what was handled, and executes
-    /// everything that it asks for.
+    /// Ends a batch: advances the lifecycle, fires due timers, lets the controller decide on the handled
+    /// inputs, and executes the actions that it returns.
     pub fn process_batch(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         self.advance_lifecycle();
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Gives the answer that the controller decided on. A request that was not started is over with it.
+    /// Sends the answer that the controller decided on, and removes the request if it was not started.
     fn answer_as_decided(&mut self, id: u32, decision: Decision, reply: Reply) {
         self.emit_for(id, |_| RequestEventKind::Decided(decision));
         self.answer(id, &reply, AnswerSource::Own);
         self.remove_if_unstarted(id);
     }
 
-    /// Whether the request's time is over before the watchdog looks at it again.
+    /// Whether the request's deadline passes before the watchdog checks it again.
     fn is_due_before_next_check(&self, id: u32) -> bool {
         self.requests.get(id).is_some_and(|open| self.now_ms + WATCHDOG_INTERVAL_MS >= open.deadline_ms)
     }
--- a/src/server/core/answers.rs
+++ b/src/server/core/answers.rs
@@ -1,4 +1,5 @@
-//! Answers: each request that was read gets exactly one, and every answer is counted and reported to the observer.
+//! Answers: each request that was read gets exactly one, and every answer is counted and reported to the
+//! observer.
 
 use pinepoint_events::{Answer, RequestEventKind};
 
@@ -8,17 +9,17 @@
 use crate::server::core::events::received_event;
 use crate::server::core::requests::{OpenRequest, RequestState};
 
-/// Whose attempt an answer was made by.
+/// The attempt that produced an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerSource {
-    /// The request's own.
+    /// The request's own attempt.
     Own,
     /// The attempt that the request duplicates.
     Original,
 }
 
 impl Core {
-    /// Gives the answer to an open request, unless it was given already or the caller is gone.
+    /// Answers an open request, unless it was answered already or its caller is gone.
     pub(super) fn answer(&mut self, id: u32, reply: &Reply, source: AnswerSource) {
         let Some(caller) = self.requests.take_caller(id) else { return };
         let Some(open) = self.requests.get(id) else { return };
@@ -27,7 +28,7 @@
         caller.answer(open.correlation_id, reply);
     }
 
-    /// Answers a request that the controller does not get to see.
+    /// Answers a request that is not passed to the controller.
     pub(super) fn answer_unadmitted(&self, arrival: &Arrival, reply: &Reply) {
         let took_ms = self.now_ms - arrival.arrived_ms;
         let served = Answer::Served { deduplicated: false, degraded: false };
@@ -45,14 +46,14 @@
         });
     }
 
-    /// Fails an open request in place of the controller, and ends what is left of it.
+    /// Fails an open request in place of the controller, and ends its remaining work.
     pub(super) fn fail_request(&mut self, id: u32, reply: &Reply) {
         self.answer(id, reply, AnswerSource::Own);
         self.abandon_request(id);
     }
 
-    /// Ends a request to which no answer is owed any more: at once if it was not started, at its call if it stands at one,
-    /// and otherwise with its run.
+    /// Ends a request that needs no answer any more. A request that was not started is removed at once, a run
+    /// that waits for a call is cancelled there, and any other run continues to its end.
     pub(super) fn abandon_request(&mut self, id: u32) {
         let state = self.requests.get(id).map(|open| open.state);
         self.dispatch(Event::CallerGone { id });
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Removes an answered request that was not started: nothing of it is left.
+    /// Removes an answered request that was not started.
     pub(super) fn remove_if_unstarted(&mut self, id: u32) {
         if self.requests.get(id).is_some_and(OpenRequest::is_unstarted) {
             self.remove_request(id);
@@ -77,7 +78,7 @@
     reply_event(reply, served, open.work_hint_ms, now_ms - open.arrived_ms)
 }
 
-/// The event of a reply; `served` is the answer that is reported if it carries a result.
+/// The event of a reply; `served` is the answer to report if the reply carries a result.
 fn reply_event(reply: &Reply, served: Answer, work_hint_ms: Option<f64>, took_ms: f64) -> RequestEventKind {
     let answer = match reply {
         Reply::Failed { late: true, reason } => {
--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -1,8 +1,8 @@
-//! The interface of the core: the inputs that reach it, and the traits through which it reaches callers, engine, store and the
-//! other processes of this server.
+//! The interface of the core: the inputs that reach it, and the traits through which it reaches callers,
+//! engine, store and the other processes of this server.
 //!
-//! These are plain types and traits. They hold no state of the core, know no wire format and decide nothing. All times are
-//! Unix ms, all durations ms.
+//! These are plain types and traits. They hold no state of the core, know no wire format and decide nothing.
+//! All times are Unix ms, all durations ms.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -21,41 +21,44 @@
     fn id(&self) -> u64;
     /// Queues the one answer to the request with this correlation id.
     fn answer(&self, correlation_id: u64, reply: &Reply);
-    /// Asks the caller to send no new request on this connection, which closes once all requests on it are answered.
+    /// Asks the caller to send no new request on this connection, which closes once all requests on it are
+    /// answered.
     fn go_away(&self);
-    /// The same, if nothing was carried since this time, Unix ms.
+    /// Does the same as [`Caller::go_away`] if the connection has carried nothing since this time, Unix ms.
     fn go_away_if_idle(&self, since_ms: f64);
 }
 
 /// The engine, as the core commands it. Commands are queued; while there is no connection they are dropped.
 pub trait Engine {
-    /// Starts a run; a run that is known already is left as it is.
+    /// Starts a run; a run that the engine already knows is left unchanged.
     fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]);
     /// Cancels a run.
     fn cancel_run(&self, attempt_id: &str);
-    /// Resumes a run with the reply to its call. Returns whether there is a connection that takes the command.
-    fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool;
-    /// Resumes a run without the call that this notice asked for. Returns whether there is a connection that takes the
+    /// Resumes a run with the reply to its call. Returns whether there is a connection that takes the
     /// command.
+    fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool;
+    /// Resumes a run without the call that this notice asked for. Returns whether there is a connection that
+    /// takes the command.
     fn skip_call(&self, attempt_id: &str, notice: u64) -> bool;
-    /// Requests the gauges, which come as [`CoreInput::Gauges`] with this tag, behind the effect of all earlier commands.
+    /// Requests the gauges. They arrive as [`CoreInput::Gauges`] with this tag, after all earlier commands
+    /// have taken effect.
     fn request_gauges(&self, tag: u64);
 }
 
 /// The store, as the core calls it. Each call ends with one [`CoreInput::CallEnded`], unless it is cancelled.
 ///
-/// Calls have numbers of their own, because an attempt id may stand for a later call of the same request, or for another
-/// request.
+/// Calls have numbers of their own, because an attempt id may stand for a later call of the same request, or
+/// for another request.
 pub trait Store {
-    /// Starts a call for this attempt, which is given up after `call_timeout_ms`. With `once` it must not be retried, because
-    /// it may have an effect.
+    /// Starts a call for this attempt, which is given up after `call_timeout_ms`. With `once` it must not be
+    /// retried, because it may have an effect.
     fn start_call(self: Rc<Self>, call: u64, attempt_id: &str, call_timeout_ms: f64, body: &[u8], once: bool);
     /// Cancels a call; its end is not reported.
     fn cancel_call(&self, call: u64);
 }
 
-/// The connections to the other processes of this server during an upgrade: to the predecessor that this process takes over
-/// from, and to the successor that takes over from it. No method waits.
+/// The connections to the other processes of this server during an upgrade: to the predecessor that this
+/// process takes over from, and to the successor that takes over from it. No method waits.
 pub trait HandoverTransport {
     /// Sends a message to the predecessor, if there is one.
     fn send_to_predecessor(&self, message: &Message);
@@ -71,7 +74,7 @@
     fn listen_for_successor(&self);
     /// Closes the copies of the listening sockets that were kept for a successor.
     fn release_listeners(&self);
-    /// Reports how many connections of callers the other process holds.
+    /// Reports the number of connections of callers that the other process has open.
     fn set_peer_connections(&self, connections: usize);
 }
 
@@ -94,8 +97,8 @@
     SuccessorLost,
 }
 
-/// Events that the core has not handled yet. They bypass the queue of requests; their number is bounded by what the other
-/// process may have in flight.
+/// Events that the core has not handled yet. They bypass the queue of requests. Their number is bounded by
+/// the number of messages that the other process may have in flight.
 #[derive(Debug, Default)]
 pub struct PeerInbox(RefCell<VecDeque<PeerEvent>>);
 
@@ -111,11 +114,11 @@
     }
 }
 
-/// The sockets of the process, on whose closing a drain waits.
+/// The sockets of the process. A drain waits until they are closed.
 pub trait OpenSockets {
     /// Listening sockets that are open, or have connections that are not accepted yet.
     fn listeners(&self) -> usize;
-    /// Connections of callers that are not closed, including those that the core was not told of yet.
+    /// Open connections of callers, including connections that were not reported to the core yet.
     fn connections(&self) -> usize;
 }
 
@@ -126,18 +129,18 @@
     Served(Rc<[u8]>),
     /// This attempt never ran.
     Rejected {
-        /// The caller should not retry before this time, ms; 0 for no advice.
+        /// Delay before which the caller should not retry, ms; 0 for no advice.
         retry_after_ms: f64,
-        /// The caller should not retry at another server either.
+        /// Whether the caller should not retry at another server either.
         no_retry: bool,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
     },
     /// The request failed; it may have had an effect.
     Failed {
-        /// Its deadline has passed.
+        /// Whether its deadline has passed.
         late: bool,
-        /// Why.
+        /// The reason.
         reason: FailureReason,
     },
 }
@@ -148,15 +151,15 @@
     pub caller: Rc<dyn Caller>,
     /// The frontend that read it.
     pub protocol: Protocol,
-    /// The caller's own name for the request; no open request of the caller has the same.
+    /// The caller's id for the request, unique among the caller's open requests.
     pub correlation_id: u64,
-    /// The name by which engine and store know the attempt; every retry has a new one.
+    /// The id by which engine and store identify the attempt; every retry has a new id.
     pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, Unix ms.
     pub arrived_ms: f64,
-    /// It is marked as a retry.
+    /// Whether the request is marked as a retry.
     pub retry: bool,
     /// Estimate of its work, ms on one core.
     pub work_hint_ms: Option<f64>,
@@ -175,21 +178,21 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunResult {
-    /// With this result.
+    /// The run succeeded with this result.
     Complete(Rc<[u8]>),
-    /// It failed.
+    /// The run failed.
     Error,
-    /// It was cancelled.
+    /// The run was cancelled.
     Cancelled,
-    /// The engine does not know it: it was never started.
+    /// The engine does not know the run: it was never started.
     Unknown,
 }
 
-/// What a reload changes for the core.
+/// The values that a reload changes in the core.
 pub struct Reconfiguration {
     /// Settings and names. Classes and tenants keep their indexes.
     pub site: Rc<Site>,
-    /// From the notice to terminate to the kill, ms.
+    /// Time from the termination notice to the kill, ms.
     pub stop_ms: f64,
     /// Memory limit of the process, MB.
     pub memory_mb: f64,
@@ -210,17 +213,17 @@
     CallerGone {
         /// [`Caller::id`] of the connection.
         caller: u64,
-        /// The caller's own name for the request.
+        /// The caller's id for the request.
         correlation_id: u64,
     },
-    /// Something came on a connection that violates its protocol: its open requests fail.
+    /// A connection carried data that violates its protocol: its open requests fail.
     ProtocolError {
         /// [`Caller::id`] of the connection.
         caller: u64,
     },
     /// The engine has accepted a connection.
     EngineAttached {
-        /// The engine started cold.
+        /// Whether the engine started cold.
         cold: bool,
         /// Time since the engine's start, ms.
         ms: f64,
@@ -238,9 +241,9 @@
     CallNeeded {
         /// The attempt that runs.
         attempt_id: String,
-        /// Number of the engine's notice, by which the engine knows the call.
+        /// Number of the engine's notice, by which the engine identifies the call.
         notice: u64,
-        /// What the call carries.
+        /// Body of the call.
         body: Vec<u8>,
     },
     /// The gauges that were requested with this tag.
@@ -268,6 +271,6 @@
     },
     /// Asks for a report of the core's state to the observer.
     ReportState,
-    /// Settings that hold for everything that follows in the queue.
+    /// New settings, which apply to every later input in the queue.
     Reconfigure(Reconfiguration),
 }
--- a/src/server/core/arrivals.rs
+++ b/src/server/core/arrivals.rs
@@ -1,4 +1,5 @@
-//! Admission: the checks that a request passes before the controller gets to see it, each with its own answer.
+//! Admission: the checks that a request passes before it reaches the controller. Each check has its own
+//! answer.
 
 use pinepoint_events::{FailureReason, RejectReason};
 use pinepoint_handover::ownership::UnknownKey;
@@ -12,12 +13,14 @@
 use crate::server::core::requests::{OpenRequest, RequestIdentity};
 use crate::server::observability::counters::count;
 
-/// How far ahead of the clock a request may say that it arrived, ms.
+/// How far ahead of the clock the arrival time of a request may be, ms.
 ///
-/// A request that claims more, or to have lain unread for longer than [`max_read_delay_ms`], did not come from a router. It
-/// would stretch deadlines and deduplication windows without bound, or be taken for a backlog that nobody could have read.
+/// A request with a later arrival time, or with one longer ago than [`max_read_delay_ms`], did not come from
+/// a router. It would extend deadlines and deduplication windows without bound, or be treated as a backlog
+/// that nobody could have read.
 const MAX_CLOCK_AHEAD_MS: f64 = 1000.0;
-/// How long a request may lie unread: this many times the timeout of its class, and [`READ_DELAY_MARGIN_MS`].
+/// How long a request may lie unread: this many times the timeout of its class, plus
+/// [`READ_DELAY_MARGIN_MS`].
 const MAX_READ_DELAY_FACTOR: f64 = 2.0;
 const READ_DELAY_MARGIN_MS: f64 = 1000.0;
 
@@ -26,12 +29,12 @@
     timeout_ms * MAX_READ_DELAY_FACTOR + READ_DELAY_MARGIN_MS
 }
 
-/// Whether the other process of this server has granted this one the key of a request.
+/// Whether the other process of this server has granted the key of a request to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeyClaim {
-    /// It was not asked.
+    /// The other process was not asked.
     NotClaimed,
-    /// It has.
+    /// The other process has granted the key.
     Granted,
 }
 
@@ -41,7 +44,8 @@
         self.admit(arrival, KeyClaim::NotClaimed);
     }
 
-    /// Queues a request and passes it to the controller, unless it is answered or has to wait for a claim before that.
+    /// Queues a request and passes it to the controller, unless a check answers it or it has to wait for a
+    /// claim first.
     pub(super) fn admit(&mut self, arrival: Arrival, claim: KeyClaim) {
         if let Err(reply) = self.check_arrival(&arrival) {
             self.answer_unadmitted(&arrival, &reply);
@@ -49,7 +53,7 @@
         }
         let key = self.key_of_arrival(&arrival);
         if let Some(key) = &key {
-            self.separate_from_batch(key);
+            self.flush_batch_with_key(key);
         }
         let identity = match self.identify(&arrival, key) {
             Ok(identity) => identity,
@@ -78,7 +82,7 @@
     }
 
     fn check_lifecycle(&self) -> Result<(), Reply> {
-        // All that was read before has its answer, and the process ends in a moment.
+        // All earlier requests are answered, and the process is about to end.
         if self.lifecycle.phase() >= LifecyclePhase::Finishing {
             return Err(Reply::Failed { late: true, reason: FailureReason::Shutdown });
         }
@@ -88,7 +92,8 @@
         Ok(())
     }
 
-    /// An attempt id in use would confuse two runs. This attempt has not run, but the other may have an effect.
+    /// Refuses an attempt id that is in use, because two runs could not be told apart. This attempt has not
+    /// run, but the other attempt may have an effect.
     fn check_attempt_id(&self, arrival: &Arrival) -> Result<(), Reply> {
         if self.requests.by_attempt_id(&arrival.attempt_id).is_none() {
             return Ok(());
@@ -110,7 +115,8 @@
         Err(Reply::Failed { late: false, reason: FailureReason::InvalidArrivalTime })
     }
 
-    /// The key by which duplicates of a request are known, if it has one: reads have one where they share results.
+    /// The key that identifies duplicates of a request, if it has one. Reads have a key only where they share
+    /// results.
     fn key_of_arrival(&self, arrival: &Arrival) -> Option<IdempotencyKey> {
         let reads_share_results = self.dependencies.site.settings.read_result_ttl_ms > 0.0;
         match self.class(arrival.class).idempotency {
@@ -122,17 +128,18 @@
         }
     }
 
-    /// Of two attempts of one key in one batch, the first is decided on before the second is read, so that the second can
-    /// name it as its original.
-    fn separate_from_batch(&mut self, key: &IdempotencyKey) {
+    /// Processes the batch if it already contains an attempt of this key. The first attempt is decided on
+    /// before the second is handled, so that the second can name it as its original.
+    fn flush_batch_with_key(&mut self, key: &IdempotencyKey) {
         if self.batch.keys.contains(key) {
             self.process_batch(self.now_ms);
         }
         self.batch.keys.push(key.clone());
     }
 
-    /// Compares a request with what is known of its key. Under a known key, another body is another request: its sender must
-    /// neither get the result of the first nor have it run.
+    /// Compares a request with the known attempt of its key. A different body under a known key is a
+    /// different request: its sender must neither receive the result of the first request nor have the second
+    /// one run.
     fn identify(&self, arrival: &Arrival, key: Option<IdempotencyKey>) -> Result<RequestIdentity, Reply> {
         let digest = self.keys.digest(&arrival.body);
         let Some(key) = key else { return Ok(RequestIdentity { key: None, digest, duplicate_of: None }) };
@@ -144,7 +151,7 @@
         Ok(RequestIdentity { key: Some(key), digest, duplicate_of })
     }
 
-    /// The key of a request that has an effect and duplicates nothing known to this process.
+    /// The key of a request that has an effect and duplicates no attempt known to this process.
     fn new_idempotency_key(&self, arrival: &Arrival, identity: &RequestIdentity) -> Option<IdempotencyKey> {
         let is_keyed = self.class(arrival.class).idempotency == Idempotency::Keyed;
         if is_keyed && identity.duplicate_of.is_none() { identity.key.clone() } else { None }
--- a/src/server/core/callers.rs
+++ b/src/server/core/callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: which are open, and what becomes of the requests on one that closes or fails.
+//! The open connections of callers, and the end of the requests on a connection that closes or fails.
 
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Fails all requests on a connection on which something came that is no message of its protocol.
+    /// Fails all requests on a connection that carried data that is not a message of its protocol.
     pub(super) fn handle_protocol_error(&mut self, caller: u64) {
         let reply = Reply::Failed { late: false, reason: FailureReason::ProtocolError };
         for id in self.requests.unanswered_of(caller) {
@@ -40,7 +40,7 @@
         self.fail_claims_of_caller(caller, &reply);
     }
 
-    /// The caller no longer waits for a request: no answer is given.
+    /// Ends a request whose caller no longer waits for it. The request gets no answer.
     fn cancel_request(&mut self, id: u32) {
         if self.requests.take_caller(id).is_none() {
             return;
--- a/src/server/core/calls.rs
+++ b/src/server/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: a run that needs one waits for it, and is resumed with the reply or without it.
+//! Calls to the store: a run that needs a call waits for it, and is resumed with the reply or without it.
 
 use pinepoint_events::{CallOutcome, RequestEventKind};
 
@@ -10,7 +10,7 @@
 use crate::server::observability::counters::count;
 
 impl Core {
-    /// A run needs a call. If one is in flight for it, that is cancelled.
+    /// Handles a run that needs a call. A call that is still in flight for the run is cancelled.
     pub(super) fn handle_call_needed(&mut self, attempt_id: &str, call_request: CallRequest) {
         let Some(id) = self.requests.by_attempt_id(attempt_id) else { return };
         let cancelled = self.cancel_call(id);
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn handle_call_ended(&mut self, call: u64, outcome: Outcome, reply: Option<Vec<u8>>) {
-        // A call that was cancelled is no longer in the table: its end is not that of a later call.
+        // A cancelled call is no longer in the table, so its end is not mistaken for the end of a later call.
         let Some(id) = self.requests.end_call(call) else { return };
         let Some(open) = self.requests.get_in_state(id, RequestState::InCall) else { return };
         let (class, took_ms) = (open.class, self.now_ms - open.call_started_ms);
@@ -77,12 +77,13 @@
         open.state = RequestState::Running;
         open.command_tag = 0;
         open.resume_with = Some(result);
-        // A connection that was lost a moment ago takes nothing, and the core hears of that later.
+        // A connection that was just lost takes no command, and its loss is reported to the core only later.
         let is_sent = self.engine.is_ready() && send_resume(open, &*self.dependencies.engine);
         open.resume_tag = is_sent.then_some(self.engine.last_tag());
     }
 
-    /// Cancels the call in flight for a request, if there is one. Returns the event of that, which the caller emits.
+    /// Cancels the call in flight for a request, if there is one. Returns the event of the cancellation,
+    /// which the calling function emits.
     pub(super) fn cancel_call(&mut self, id: u32) -> Option<RequestEventKind> {
         let open = self.requests.get_in_state(id, RequestState::InCall)?;
         self.dependencies.store.cancel_call(open.call_id);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Writes what a run is resumed with; returns whether there is a connection that takes it.
+/// Sends the command that resumes a run; returns whether there is a connection that takes the command.
 pub(super) fn send_resume(open: &OpenRequest, engine: &dyn Engine) -> bool {
     match &open.resume_with {
         Some(CallResult::Reply(reply)) => engine.deliver_reply(&open.attempt_id, reply),
--- a/src/server/core/drain.rs
+++ b/src/server/core/drain.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the notice to terminate, the drain that operators ask for, and what follows from each phase of the
-//! process's lifecycle.
+//! Graceful shutdown: the termination notice, the drain that operators request, and the effects of each phase
+//! of the process lifecycle.
 
 use pinepoint_events::{FailureReason, ProcessEvent};
 
@@ -10,8 +10,8 @@
 use crate::server::core::api::Reply;
 use crate::server::observability::counters::count;
 
-/// From the notice to the kill of a process with a successor, ms: the longest timeout of a class, which counts as no more
-/// than [`MAX_HANDOVER_TIMEOUT_MS`], and [`HANDOVER_MARGIN_MS`].
+/// Time from the notice to the kill of a process with a successor, ms: the longest timeout of a class, capped
+/// at [`MAX_HANDOVER_TIMEOUT_MS`], plus [`HANDOVER_MARGIN_MS`].
 const MAX_HANDOVER_TIMEOUT_MS: f64 = 3000.0;
 const HANDOVER_MARGIN_MS: f64 = 700.0;
 
@@ -23,7 +23,7 @@
 }
 
 impl Core {
-    /// Starts the drain of the process: the notice to terminate came at `notice_ms`.
+    /// Starts the drain of the process, whose termination notice came at `notice_ms`.
     pub fn start_drain(&mut self, now_ms: f64, notice_ms: f64) {
         self.now_ms = now_ms;
         if self.handover.is_some() {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Starts the drain of a process whose successor serves. Callers are asked to go at once: the successor is there for them.
+    /// Starts the drain of a process whose successor serves. Callers are asked to leave at once, as the
+    /// successor can serve them.
     pub(super) fn drain_after_handover(&mut self, notice_ms: f64) {
         if !self.lifecycle.mark_handed_over(notice_ms) {
             return;
@@ -65,21 +66,22 @@
         self.close_listeners();
     }
 
-    /// An operator drains the process, or takes it back into service.
+    /// Drains the process or takes it back into service, as an operator asks.
     pub fn set_lame_duck(&mut self, now_ms: f64, drained: bool) {
         self.now_ms = now_ms;
         self.apply_lame_duck(drained);
         self.send_lame_duck_to_peers(drained);
     }
 
-    /// Drains this process or takes it back into service, as an operator or another process of the server asks.
+    /// Drains this process or takes it back into service, as an operator or another process of the server
+    /// asks.
     pub(super) fn apply_lame_duck(&mut self, drained: bool) {
         let done = self.lifecycle.set_lame_duck(drained);
         tracing::info!(drained, done, phase = ?self.lifecycle.phase(), "drain");
         self.publish();
     }
 
-    /// Publishes the phase, and what follows from it for health checks and the membership service.
+    /// Publishes the phase, and the resulting state for health checks and the service registry.
     pub(super) fn publish(&self) {
         let (published, status) = (self.lifecycle.published(), &self.dependencies.status);
         status.phase.set(self.lifecycle.phase());
@@ -89,14 +91,14 @@
         }
     }
 
-    /// Closes the listening sockets and asks all callers to go.
+    /// Closes the listening sockets and asks all callers to leave.
     fn close_listeners(&self) {
         self.send_go_away();
         self.release_listeners();
         self.dependencies.status.stop_accepting.open();
     }
 
-    /// Moves through the phases of the lifecycle as far as time and outstanding work allow.
+    /// Advances the lifecycle through its phases as far as time and outstanding work allow.
     pub(super) fn advance_lifecycle(&mut self) {
         loop {
             let left = self.outstanding();
--- a/src/server/core/duplicates.rs
+++ b/src/server/core/duplicates.rs
@@ -1,4 +1,5 @@
-//! Duplicates: what the controller wants of the table of keys, and the answers to requests that repeat another attempt.
+//! Duplicates: the controller's decisions on the table of keys, and the answers to requests that repeat
+//! another attempt.
 
 use pinepoint_events::{Decision, FailureReason, ProcessEvent, RequestEventKind, ResourceLimit};
 
@@ -22,11 +23,11 @@
 }
 
 impl Core {
-    /// Key and digest of a request that is open, or ended in this batch.
+    /// Key and digest of a request that is open or ended in this batch.
     ///
-    /// What the controller wants of a key when its run ends, it says after that end. Were the request not found then, the
-    /// result of a read that should be shared for a moment would be lost, and its entry would stay in the table for as
-    /// long as the caller of the read may wait.
+    /// The controller decides on the key of a run only after the run has ended. If the request were not found
+    /// then, the result of a read that should be shared for a moment would be lost, and its entry would stay
+    /// in the table for as long as the caller of the read may wait.
     pub(super) fn keyed_request(&self, id: u32) -> Option<KeyedRequest> {
         if let Some(open) = self.requests.get(id)
             && let Some(key) = &open.identity.key
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Executes the controller's decision to retain the attempt of a request no longer.
+    /// Executes the controller's decision to stop retaining the attempt of a request.
     pub(super) fn release_key(&mut self, id: u32) {
         if let Some(KeyedRequest { key, .. }) = self.keyed_request(id) {
             self.mark_key_changed(&key);
@@ -90,11 +91,11 @@
         };
         self.answer(id, &reply, AnswerSource::Original);
         self.remove_request(id);
-        // Dispatched after the actions in hand, as this may be the execution of one of them.
+        // The event is dispatched after the current actions, as this function may be executing one of them.
         self.batch.follow_up_events.push_back(Event::RunEnded { id, outcome });
     }
 
-    /// An attempt of a key has ended: its duplicates are answered, and its result is retained for those to come.
+    /// Ends an attempt of a key: answers its duplicates, and retains its result for later duplicates.
     pub(super) fn finish_attempt(&mut self, key: &IdempotencyKey, id: u32, end: AttemptEnd) {
         self.mark_key_changed(key);
         let result = match &end {
@@ -111,8 +112,9 @@
         }
     }
 
-    /// A request was removed from the table: it neither waits for a result any more nor, if it was queued, stands for its key.
-    pub(super) fn leave_key(&mut self, id: u32, open: OpenRequest) {
+    /// Detaches a removed request from its key: the request no longer waits for a result and, if it was
+    /// queued, is no longer retained under its key.
+    pub(super) fn detach_from_key(&mut self, id: u32, open: OpenRequest) {
         let Some(key) = open.identity.key else { return };
         self.mark_key_changed(&key);
         if open.state == RequestState::Queued {
--- a/src/server/core/engine.rs
+++ b/src/server/core/engine.rs
@@ -1,4 +1,4 @@
-//! The connection to the engine, and the commands that are sent again after it was lost.
+//! The connection to the engine, and the commands that are sent again after a reconnect.
 
 use pinepoint_events::ProcessEvent;
 
@@ -11,20 +11,22 @@
 /// How the engine started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineStart {
-    /// It started cold.
+    /// Whether the engine started cold.
     pub(super) cold: bool,
-    /// When it started, Unix ms.
+    /// When the engine started, Unix ms.
     pub(super) started_ms: f64,
 }
 
 /// The connection to the engine, and how far the engine is known to have read the commands on it.
 ///
-/// The engine answers a gauge request behind every command that was written before it. So a command written when the tag of
-/// the last gauge request was `t` has been read once a request with a tag above `t` is answered.
+/// The engine answers a gauge request behind every command that was written before it. So a command written
+/// when the tag of the last gauge request was `t` has been read once a request with a tag above `t` is
+/// answered.
 #[derive(Debug, Default)]
 pub(super) struct EngineConnection {
     is_attached: bool,
-    /// While the answer to this gauge request is awaited after a reconnect, no run is started or resumed.
+    /// Tag of the gauge request whose answer ends a resync after a reconnect; until then no run is started or
+    /// resumed.
     resync_tag: Option<u64>,
     last_tag: u64,
     acknowledged_tag: u64,
@@ -46,23 +48,23 @@
         self.last_tag
     }
 
-    /// A tag for the next gauge request.
+    /// Allocates the tag of the next gauge request.
     pub(super) fn next_tag(&mut self) -> u64 {
         self.last_tag += 1;
         self.last_tag
     }
 
-    /// The gauge request with this tag was answered.
+    /// Records that the gauge request with this tag was answered.
     pub(super) fn acknowledge(&mut self, tag: u64) {
         self.acknowledged_tag = self.acknowledged_tag.max(tag);
     }
 
-    /// Whether the answer to this gauge request ends a resync; it is over then.
+    /// Ends the resync if it waits for the answer to this gauge request; returns whether it did.
     pub(super) fn ends_resync(&mut self, tag: u64) -> bool {
         self.resync_tag.take_if(|resync_tag| *resync_tag == tag).is_some()
     }
 
-    /// Whether a command written under this tag may not have been read.
+    /// Whether the engine may not have read a command that was written under this tag.
     fn may_be_unread(&self, command_tag: u64) -> bool {
         command_tag >= self.acknowledged_tag
     }
@@ -96,15 +98,16 @@
         self.engine.resync_tag = None;
     }
 
-    /// After a reconnect, what the engine read on the old connection and what was lost with it is known only after the notices
-    /// that it sends again; the gauges come behind them.
+    /// Starts a resync after a reconnect. Only the notices that the engine sends again show which commands it
+    /// read on the old connection and which were lost; the gauges come after these notices.
     fn begin_resync(&mut self) {
         let tag = self.engine.next_tag();
         self.engine.resync_tag = Some(tag);
         self.dependencies.engine.request_gauges(tag);
     }
 
-    /// Creates the admission controller, and begins to serve by that; a process that was told to terminate does not.
+    /// Creates the admission controller, with which the process begins to serve. A process that has received
+    /// its termination notice does not begin.
     pub(super) fn start_controller(&mut self, start: EngineStart) {
         if !self.lifecycle.engine_up() {
             return;
@@ -123,12 +126,13 @@
         }
     }
 
-    /// Sends again what the engine may not have read.
+    /// Sends again the commands that the engine may not have read.
     ///
-    /// To start a run that runs, or to cancel one again, changes nothing. Nor does a second reply to a call whose run has
-    /// reported nothing since: lost with the old connection, it would leave the run waiting until its deadline. Tests with
-    /// the engine showed that a run which was resumed ignores a second reply, and that a later call takes none but its own.
-    /// A command to skip a call names the notice of that call.
+    /// Starting a running run or cancelling a run again changes nothing. A reply is sent again if its run has
+    /// reported nothing since: if the reply was lost with the old connection, the run would wait until its
+    /// deadline. A second reply changes nothing either: tests with the engine showed that a resumed run
+    /// ignores a second reply, and that a later call takes only its own reply. A command to skip a call names
+    /// the notice of that call.
     pub(super) fn resend_commands(&mut self) {
         let last_tag = self.engine.last_tag;
         let engine = &*self.dependencies.engine;
--- a/src/server/core/events.rs
+++ b/src/server/core/events.rs
@@ -1,4 +1,4 @@
-//! What the core reports to the observer: events of requests and of the process, and its state.
+//! Reports to the observer: events of requests and of the process, and the state of the core.
 
 use pinepoint_events::{CallOutcome, CoreState, ProcessEvent, RequestEvent, RequestEventKind};
 
@@ -7,7 +7,7 @@
 use crate::server::core::requests::{OpenRequest, RequestState};
 
 impl Core {
-    /// Reports an event of a request; `id` is 0 for one that the controller does not get to see.
+    /// Reports an event of a request; `id` is 0 for a request that is not passed to the controller.
     pub(super) fn emit(&self, id: u32, class: usize, kind: RequestEventKind) {
         self.dependencies.observer.request_event(self.now_ms, RequestEvent { id, class, kind });
     }
@@ -24,7 +24,7 @@
         self.dependencies.observer.process_event(self.now_ms, event);
     }
 
-    /// What the tables hold now, and the controller's own figures.
+    /// The current sizes of the tables, and the controller's own figures.
     pub fn state(&self) -> CoreState {
         let mut state = CoreState {
             open: vec![0; self.dependencies.site.settings.classes.len()],
@@ -56,7 +56,7 @@
     }
 }
 
-/// The event that a request was read.
+/// The event of a request that was read.
 pub(super) fn received_event(now_ms: f64, arrival: &Arrival) -> RequestEventKind {
     RequestEventKind::Received {
         protocol: arrival.protocol,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The event that the call of a request was cancelled.
+/// The event of a cancelled call.
 pub(super) fn call_cancelled_event(now_ms: f64, open: &OpenRequest) -> RequestEventKind {
     RequestEventKind::CallEnded { outcome: CallOutcome::Dropped, duration_ms: now_ms - open.call_started_ms }
 }
--- a/src/server/core/inputs.rs
+++ b/src/server/core/inputs.rs
@@ -5,7 +5,8 @@
 use crate::server::core::requests::CallRequest;
 
 impl Core {
-    /// Handles one input. The actions that the controller asks for are executed by the next [`Core::process_batch`].
+    /// Handles one input. The next [`Core::process_batch`] executes the actions that the controller returns
+    /// for it.
     pub fn handle(&mut self, now_ms: f64, input: CoreInput) {
         self.now_ms = now_ms;
         match input {
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -1,13 +1,13 @@
-//! The core: the one task that owns the admission controller, the tables of requests, attempts and keys, the timers and the
-//! lifecycle of the process.
+//! The core: the one task that owns the admission controller, the tables of requests, attempts and keys, the
+//! timers and the lifecycle of the process.
 //!
-//! Frontends and upstream links reach it through its queue only, as [`api::CoreInput`]. It answers through the writer queue
-//! of each caller, and acts through the traits of [`api`]. It knows no wire format, waits for no socket, and leaves every
-//! decision to the admission controller: it makes sure that each request that was read gets exactly one answer and that no
-//! idempotency key runs twice.
+//! Frontends and upstream links reach it through its queue only, as [`api::CoreInput`]. It answers through
+//! the writer queue of each caller, and acts through the traits of [`api`]. It knows no wire format, waits
+//! for no socket, and leaves every decision to the admission controller: it makes sure that each request that
+//! was read gets exactly one answer and that no idempotency key runs twice.
 //!
-//! Work is done in batches: all inputs of one instant are handled one by one ([`Core::handle`]), then the controller decides
-//! on all of them at once and its actions are executed ([`Core::process_batch`]).
+//! Inputs are processed in batches: all inputs of one instant are handled one by one ([`Core::handle`]), then
+//! the controller decides on all of them at once and its actions are executed ([`Core::process_batch`]).
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -51,7 +51,8 @@
 use crate::server::core::requests::RequestTable;
 use crate::server::observability::counters::Counters;
 
-/// Share of the process memory that retained results may take; past it a duplicate is failed, and still never run.
+/// Share of the process memory that retained results may use. A result past this share is dropped: its
+/// duplicates fail, and still never run.
 const RESULT_MEMORY_SHARE: f64 = 0.25;
 
 /// Everything that the core needs from the rest of the process.
@@ -60,13 +61,13 @@
     pub site: Rc<Site>,
     /// Seed of the controller's random numbers.
     pub seed: u64,
-    /// From the notice to terminate to the kill, ms.
+    /// Time from the termination notice to the kill, ms.
     pub stop_ms: f64,
     /// Memory limit of the process, MB.
     pub memory_mb: f64,
     /// The clock.
     pub clock: Clock,
-    /// What the core publishes to the other parts.
+    /// State that the core publishes to the other parts of the process.
     pub status: Rc<Status>,
     /// Counters.
     pub counters: Rc<Counters>,
@@ -76,9 +77,9 @@
     pub engine: Rc<dyn Engine>,
     /// The store.
     pub store: Rc<dyn Store>,
-    /// Listening sockets and connections that are open.
+    /// The open listening sockets and connections.
     pub open_sockets: Rc<dyn OpenSockets>,
-    /// What a handover between two processes of this server needs; without it there is none.
+    /// Dependencies of a handover between two processes of this server; without them there is no handover.
     pub handover: Option<HandoverDependencies>,
 }
 
@@ -86,10 +87,10 @@
 pub struct Core {
     dependencies: CoreDependencies,
     lifecycle: Lifecycle,
-    /// Created when the engine reports how the machine started; without it nothing runs.
+    /// Created when the engine first reports how the machine started; until then nothing runs.
     controller: Option<AdmissionController>,
     callers: BTreeMap<u64, Rc<dyn Caller>>,
-    /// Callers' connections that carried nothing for so long are closed.
+    /// Connections of callers are closed after carrying nothing for this long, ms.
     caller_idle_timeout_ms: Option<f64>,
     requests: RequestTable,
     keys: KeyTable,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Serves until the process has drained. Each turn handles all that is queued, processes it as one batch, and sleeps.
-    /// Returns when the process will be killed, Unix ms.
+    /// Serves until the process has drained. Each iteration handles all queued inputs, processes them as one
+    /// batch, and sleeps. Returns the time at which the process will be killed, Unix ms.
     pub async fn run(mut self, queue: Receiver<CoreInput>) -> f64 {
         loop {
             let first = self.next_input(&queue).await;
@@ -167,7 +168,7 @@
         future::or(input, future::or(notice, timer)).await
     }
 
-    /// Handles what an operator or the platform asked for through [`Status`], past the queue.
+    /// Handles requests of an operator or the platform, which come through [`Status`] instead of the queue.
     fn handle_notices(&mut self, now_ms: f64) {
         let status = self.dependencies.status.clone();
         if let Some(notice_ms) = status.termination_notice_ms.take() {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The phase of the process's life.
+    /// The current phase of the process lifecycle.
     pub fn phase(&self) -> LifecyclePhase {
         self.lifecycle.phase()
     }
--- a/src/server/core/reconfigure.rs
+++ b/src/server/core/reconfigure.rs
@@ -1,21 +1,22 @@
-//! A reload: other settings are put in force.
+//! Reload: applies new settings.
 
 use crate::server::core::api::Reconfiguration;
 use crate::server::core::drain::drain_times;
 use crate::server::core::{Core, max_result_bytes};
 
 impl Core {
-    /// Puts other settings in force. Open requests keep their class and their deadline.
+    /// Applies new settings. Open requests keep their class and their deadline.
     pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let Reconfiguration { site, stop_ms, memory_mb } = reconfiguration;
         if let Some(controller) = &mut self.controller
             && let Err(error) = controller.reconfigure(site.settings.clone())
         {
-            // The tables use the new indexes all the same: requests under them are already on their way.
+            // The tables use the new indexes even so: requests with these indexes are already on their way.
             tracing::error!(%error, "settings-unusable");
         }
         let (old, new) = (&self.dependencies.site.settings, &site.settings);
-        // What the controller reported under the old settings had another meaning; it reports anew.
+        // Values that the controller reported under the old settings had another meaning; it reports new
+        // values.
         if old.load_report != new.load_report {
             self.dependencies.status.load_report.set(None);
         }
--- a/src/server/core/runs.rs
+++ b/src/server/core/runs.rs
@@ -53,7 +53,8 @@
         self.keys.start(key, attempt, open.arrived_ms)
     }
 
-    /// The controller would run a key twice: the request fails, and the controller is told that nothing ran.
+    /// Fails a request whose key the controller would run twice, and reports to the controller that it did
+    /// not run.
     fn fail_as_already_run(&mut self, id: u32) {
         count(&self.dependencies.counters.doubles_prevented);
         let reply = Reply::Failed { late: false, reason: FailureReason::AlreadyRan };
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Ends a run that waits for a call and whose request is answered. It stays in the table until the engine reports its end.
+    /// Cancels a run that waits for a call and whose request is answered. The request stays in the table
+    /// until the engine reports the end of the run.
     pub(super) fn cancel_run_at_call(&mut self, id: u32) {
         let cancelled_call = self.cancel_call(id);
         let may_cancel = self.dependencies.site.settings.preemption != Preemption::Never;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The engine did not carry out a command. Of the commands, only a start that failed ends a run.
+    /// Handles a command that the engine did not carry out. Only a failed start ends a run.
     pub(super) fn handle_command_rejected(&mut self, command: &str, attempt_id: &str) {
         count(&self.dependencies.counters.engine_refusals);
         tracing::warn!(command, attempt_id, "engine-refused");
@@ -117,10 +119,10 @@
         }
     }
 
-    /// Removes a request for good. What the controller still wants of its key follows within the batch.
+    /// Removes a request for good. The controller's remaining decisions on its key follow within the batch.
     pub(super) fn remove_request(&mut self, id: u32) {
         let Some(open) = self.requests.remove(id) else { return };
-        self.leave_key(id, open);
+        self.detach_from_key(id, open);
     }
 }
 
--- a/src/server/core/timers.rs
+++ b/src/server/core/timers.rs
@@ -1,5 +1,5 @@
-//! The controller's timers, each of which fires with fresh gauges of the engine, or with the last known ones if the engine
-//! does not answer in time.
+//! The controller's timers, each of which fires with fresh gauges of the engine, or with the last known ones
+//! if the engine does not answer in time.
 
 use std::collections::VecDeque;
 
@@ -7,14 +7,15 @@
 use crate::server::core::Core;
 use crate::server::observability::counters::count;
 
-/// How long a due timer waits for the gauges, ms: deadlines depend on timers, so an engine that does not answer must not
-/// delay them. Several round trips of a loaded loopback, and well under the slack of an answer.
+/// How long a due timer waits for the gauges, ms. Deadlines depend on timers, so an engine that does not
+/// answer must not delay them. The value is several round trips of a loaded loopback, and well under the
+/// answer slack.
 const GAUGE_TIMEOUT_MS: f64 = 25.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Timer {
     due_ms: f64,
-    /// Names the timer to the controller.
+    /// Identifies the timer to the controller.
     token: u32,
 }
 
@@ -24,7 +25,7 @@
     /// Tag of the gauge request.
     tag: u64,
     token: u32,
-    /// The timer fires with the last known gauges then, Unix ms.
+    /// When the timer fires with the last known gauges, Unix ms.
     deadline_ms: f64,
 }
 
@@ -42,7 +43,7 @@
         self.pending.push(Timer { due_ms, token });
     }
 
-    /// When a timer is due or stops waiting for gauges, Unix ms.
+    /// When the next timer is due or stops waiting for gauges, Unix ms.
     pub(super) fn next_due(&self) -> Option<f64> {
         let timers = self.pending.iter().map(|timer| timer.due_ms);
         let polls = self.polls.iter().map(|poll| poll.deadline_ms);
@@ -82,7 +83,7 @@
     fn poll_gauges(&mut self, token: u32) {
         let tag = self.engine.next_tag();
         let mut deadline_ms = self.now_ms;
-        // Without a connection nothing answers: the last known gauges have to do at once.
+        // Without a connection there is no answer: the last known gauges are used at once.
         if self.engine.is_attached() {
             self.dependencies.engine.request_gauges(tag);
             deadline_ms += GAUGE_TIMEOUT_MS;
@@ -93,8 +94,9 @@
     pub(super) fn handle_gauges(&mut self, tag: u64, gauges: Vec<f64>) {
         self.timers.gauges = gauges;
         if self.engine.ends_resync(tag) {
-            // Before the tag counts as acknowledged: it came over the new connection and proves nothing about what was lost
-            // with the old one. In the other order, a run started while there was no connection would never be started.
+            // This comes before the tag is acknowledged, because the answer came over the new connection and
+            // proves nothing about commands lost with the old one. In the other order, the engine would never
+            // start a run that was decided on while there was no connection.
             self.resend_commands();
         }
         self.engine.acknowledge(tag);
--- a/src/server/core/watchdog.rs
+++ b/src/server/core/watchdog.rs
@@ -1,5 +1,5 @@
-//! The watchdog: whatever the controller does, no request stays unanswered for long past its deadline, and the tables are
-//! cleaned up.
+//! The watchdog: whatever the controller does, it fails requests that stay unanswered past their deadline,
+//! and it cleans up the tables.
 
 use pinepoint_events::FailureReason;
 
@@ -15,7 +15,7 @@
 /// Time between two removals of expired keys, ms.
 const KEY_EXPIRY_INTERVAL_MS: f64 = 1000.0;
 
-/// When the watchdog acted last, Unix ms.
+/// When the watchdog last acted, Unix ms.
 #[derive(Debug, Default)]
 pub(super) struct Watchdog {
     last_check_ms: f64,
@@ -30,7 +30,7 @@
 }
 
 impl Core {
-    /// Checks what is overdue, if the time has come for that.
+    /// Fails overdue requests, closes idle connections and removes expired keys, if a check is due.
     pub(super) fn check_watchdog(&mut self) {
         if self.now_ms < self.watchdog.next_due() {
             return;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How long after its deadline a request is failed that is still unanswered, ms.
+    /// How long after its deadline an unanswered request fails, ms.
     pub(super) fn overdue_slack_ms(&self) -> f64 {
         self.dependencies.site.settings.rules.answer_slack_ms * OVERDUE_SLACK_SHARE
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! The server around the admission controller: the same decisions as in the simulator, on sockets.
+//! The server around the admission controller, which takes the same decisions here, on sockets, as in the
+//! simulator.
 //!
 //! A request passes through the folders in this order:
 //!
@@ -6,11 +7,12 @@
 //! - [`core`] owns the admission controller and the tables of requests and idempotency keys.
 //! - [`upstream`] holds the connections to the engine, the store and the service registry.
 //!
-//! Beside that way:
+//! Outside of this path:
 //!
-//! - [`control`] is the life of the process: its phases, the management port, reloads and the handover to a successor.
-//! - [`observability`] counts what happens and reports it.
-//! - [`sync`] and [`write_buffer`] are small parts that several of them use.
+//! - [`control`] manages the lifecycle of the process: its phases, the management port, reloads and the
+//!   handover to a successor.
+//! - [`observability`] counts events and reports them.
+//! - [`sync`] and [`write_buffer`] are small utilities that several of these modules share.
 
 pub mod control;
 pub mod core;
