--- a/src/server/core/handover/actions.rs
+++ b/src/server/core/handover/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of what the two state machines of a handover decide.
+//! Executes the actions of the two state machines of a handover.
 
 use pinepoint_handover::predecessor::{self, Predecessor};
 use pinepoint_handover::successor;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// This process owns the keys and can serve: from now on it may have a successor itself.
+    /// Begins to serve: this process owns the keys now, and may have a successor itself from now on.
     fn begin_serving(&mut self) {
         let drained = self.lifecycle.phase() == LifecyclePhase::StartingLameDuck;
         let digest_key = self.keys.digest_key();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Requests of keys that are not known here fail until then, Unix ms.
+    /// Fails requests of keys that this process does not know until this time, Unix ms.
     fn fail_unknown_keys_until(&mut self, until_ms: f64) {
         self.log_unknown_keys(until_ms);
         let Some(handover) = &mut self.handover else { return };
--- a/src/server/core/handover/claims.rs
+++ b/src/server/core/handover/claims.rs
@@ -1,5 +1,5 @@
-//! Claims: a process that has handed its keys over asks the successor before it runs a key that it does not know, and the
-//! requests of that key wait for the answer.
+//! Claims: a process that has handed its keys over asks the successor before it runs a key that it does not
+//! know, and the requests of that key wait for the answer.
 
 use pinepoint_events::{FailureReason, RequestEventKind};
 use pinepoint_handover::message::Claim;
@@ -17,7 +17,7 @@
 use crate::server::core::runs::window_end_ms;
 use crate::server::observability::counters::count;
 
-/// Requests of one key that wait until the successor says whether it may run here.
+/// Requests of one key that wait until the successor answers whether the key may run here.
 pub(super) struct WaitingClaim {
     key: IdempotencyKey,
     arrivals: Vec<Arrival>,
@@ -30,12 +30,12 @@
         claims.flat_map(|claim| &claim.arrivals)
     }
 
-    /// Whether a claim waits for its answer.
+    /// Whether any claim is unanswered.
     pub(in crate::server::core) fn has_waiting_claims(&self) -> bool {
         self.handover.as_ref().is_some_and(|handover| !handover.claims.is_empty())
     }
 
-    /// When a request that waits for a claim is failed in any case, Unix ms.
+    /// When a request that still waits for a claim fails, Unix ms.
     pub(super) fn claim_overdue_ms(&self, arrival: &Arrival) -> f64 {
         deadline_ms(&self.dependencies.site, arrival) + self.overdue_slack_ms()
     }
@@ -58,13 +58,13 @@
 
     // ---- requests that stop waiting for a claim ----
 
-    /// The connection of this caller is closed: none of its requests is run.
+    /// Removes the waiting requests of a caller whose connection is closed; none of them runs.
     pub(in crate::server::core) fn cancel_claims_of_caller(&mut self, caller: u64) {
         let claimants = self.remove_claimants(|arrival| arrival.caller.id() == caller);
         self.report_callers_gone(&claimants);
     }
 
-    /// The caller no longer waits for this request: it is not run.
+    /// Removes a waiting request that its caller gave up; it does not run.
     pub(in crate::server::core) fn cancel_claim_of_request(&mut self, caller: u64, correlation_id: u64) {
         let claimants = self.remove_claimants(|arrival| {
             arrival.caller.id() == caller && arrival.correlation_id == correlation_id
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Fails the requests of this caller.
+    /// Fails the requests of this caller that wait for a claim.
     pub(in crate::server::core) fn fail_claims_of_caller(&mut self, caller: u64, reply: &Reply) {
         for arrival in self.remove_claimants(|arrival| arrival.caller.id() == caller) {
             self.answer_unadmitted(&arrival, reply);
         }
     }
 
-    /// Fails the requests whose time is over.
+    /// Fails the overdue requests that wait for a claim.
     pub(super) fn fail_overdue_claims(&mut self) {
         let (site, slack_ms, now_ms) = (self.dependencies.site.clone(), self.overdue_slack_ms(), self.now_ms);
         let is_overdue = |arrival: &Arrival| now_ms >= deadline_ms(&site, arrival) + slack_ms;
@@ -99,16 +99,16 @@
         }
     }
 
-    /// Removes requests that wait for a claim, the last one first. Their claims stay until they are answered: a key that is
-    /// granted to no request is given back.
-    fn remove_claimants(&mut self, is_meant: impl Fn(&Arrival) -> bool) -> Vec<Arrival> {
+    /// Removes the matching requests that wait for a claim, last first. Their claims stay until they are
+    /// answered: a key that is granted to no request is given back.
+    fn remove_claimants(&mut self, matches: impl Fn(&Arrival) -> bool) -> Vec<Arrival> {
         let Some(handover) = &mut self.handover else { return Vec::new() };
         let mut removed = Vec::new();
         for claim in handover.claims.values_mut().rev() {
             let arrivals = std::mem::take(&mut claim.arrivals);
-            let (meant, others): (Vec<_>, Vec<_>) = arrivals.into_iter().partition(&is_meant);
+            let (matching, others): (Vec<_>, Vec<_>) = arrivals.into_iter().partition(&matches);
             claim.arrivals = others;
-            removed.extend(meant.into_iter().rev());
+            removed.extend(matching.into_iter().rev());
         }
         removed
     }
@@ -119,10 +119,11 @@
         self.handover.as_mut()?.claims.remove(&id)
     }
 
-    /// The key may run here: the first request of the claim is admitted as one of a new key, the others as its duplicates.
+    /// Admits the requests of a granted claim: the first as a request of a new key, the others as its
+    /// duplicates.
     pub(super) fn admit_claimants(&mut self, claim: u64) {
         let Some(WaitingClaim { key, arrivals }) = self.remove_claim(claim) else { return };
-        // If the request is rejected without having been retained, the key is to be given back.
+        // If the request is rejected without having been retained, the key has to be given back.
         self.mark_key_changed(&key);
         for (place, arrival) in arrivals.into_iter().enumerate() {
             let claim = if place == 0 { KeyClaim::Granted } else { KeyClaim::NotClaimed };
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The key may not run here: the requests of the claim fail.
+    /// Fails the requests of a denied claim.
     pub(super) fn fail_denied_claimants(&mut self, claim: u64, reason: Denial) {
         let Some(WaitingClaim { arrivals, .. }) = self.remove_claim(claim) else { return };
         tracing::info!(%reason, requests = arrivals.len(), "claim-denied");
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The process is about to end: all claims count as denied.
+    /// Treats all claims as denied, because the process is about to end.
     pub(in crate::server::core) fn deny_all_claims(&mut self) {
         let claims: Vec<u64> =
             self.handover.iter().flat_map(|handover| handover.claims.keys().copied()).collect();
@@ -160,7 +161,8 @@
         self.successor_event(successor::Event::ClaimDecided { id: claim.id, granted });
     }
 
-    /// Whether the predecessor may run this key: nothing of it is known here, and no key is unknown to this process.
+    /// Whether the predecessor may run this key: this process does not know the key, and its knowledge of
+    /// keys is complete.
     fn may_grant(&mut self, key: &IdempotencyKey) -> bool {
         if self.batch.keys.contains(key) {
             self.process_batch(self.now_ms);
@@ -172,7 +174,8 @@
             && self.unknown_key_policy() == UnknownKey::Run
     }
 
-    /// A claim does not say when its request arrived: it may have lain unread for as long as any request may.
+    /// The earliest possible arrival of a claimed request, Unix ms. A claim does not carry the arrival time
+    /// of its request, which may have been unread for as long as any request may.
     fn earliest_claim_arrival_ms(&self) -> f64 {
         self.now_ms - max_read_delay_ms(self.dependencies.site.settings.longest_timeout_ms())
     }
--- a/src/server/core/handover/mod.rs
+++ b/src/server/core/handover/mod.rs
@@ -1,9 +1,9 @@
-//! The core's side of a handover between two processes of one server: it feeds the two state machines of
-//! `pinepoint-handover`, as successor of an older process and as predecessor of a newer one, and executes what they decide on
-//! the tables of keys and requests.
+//! The core's side of a handover between two processes of one server. It passes events to the two state
+//! machines of `pinepoint-handover`, as successor of an older process and as predecessor of a newer one, and
+//! executes their actions on the tables of keys and requests.
 //!
-//! It owns the requests that wait for a claim. It does no I/O: messages go out through [`HandoverTransport`] and come in
-//! through [`PeerInbox`].
+//! The requests that wait for a claim are owned here. There is no I/O: messages go out through
+//! [`HandoverTransport`] and come in through [`PeerInbox`].
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -32,11 +32,11 @@
     windows.fold(0.0, f64::max) + WINDOW_MARGIN_MS
 }
 
-/// What a handover needs from the rest of the process.
+/// Dependencies of a handover on the rest of the process.
 pub struct HandoverDependencies {
     /// The connections to the other processes.
     pub transport: Rc<dyn HandoverTransport>,
-    /// What the other processes have sent.
+    /// Events from the other processes.
     pub inbox: Rc<PeerInbox>,
     /// Limits and timeouts.
     pub rules: Rules,
@@ -44,12 +44,12 @@
     pub listener_names: Vec<String>,
 }
 
-/// What a handover holds beside the tables of this process.
+/// State of a handover that is not in the tables of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandoverState {
     /// Requests that wait for a claim, by class index.
     pub waiting: Vec<u64>,
-    /// Attempts in flight in another process that still keep their keys from running.
+    /// Attempts in flight in another process that still prevent their keys from running.
     pub remote_attempts: usize,
 }
 
@@ -57,9 +57,9 @@
 pub(super) struct Handover {
     dependencies: HandoverDependencies,
     successor: Successor,
-    /// Present from the moment at which this process serves.
+    /// Present once this process serves.
     predecessor: Option<Predecessor>,
-    /// Requests of keys that are not known here fail until then, Unix ms.
+    /// Requests of keys that this process does not know fail until this time, Unix ms.
     keys_unknown_until_ms: f64,
     engine: Option<EngineStart>,
     /// When the notice to terminate came, Unix ms.
@@ -92,7 +92,7 @@
 }
 
 impl Core {
-    /// What the handover holds at this time, Unix ms.
+    /// The state of the handover at this time, Unix ms.
     pub fn handover_state(&self, now_ms: f64) -> HandoverState {
         let remote = self.keys.remote_attempts();
         let mut state = HandoverState {
@@ -105,11 +105,12 @@
         state
     }
 
-    /// Handles what the other processes have sent.
+    /// Handles the events from the other processes.
     pub fn handle_peer_events(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
-        // A successor that is found or takes over now is sent the count before it accepts: with an older one it would
-        // fill descriptors that this process holds, and the platform kills both at the limit that they share.
+        // A successor that connects or takes over now is sent the current count before it accepts. With an
+        // outdated count it would use descriptors that this process occupies, and the platform kills both
+        // processes at the limit that they share.
         self.update_connection_count();
         while let Some(event) = self.handover.as_ref().and_then(|handover| handover.dependencies.inbox.pop())
         {
@@ -140,14 +141,14 @@
         }
     }
 
-    /// The engine of a process that may have to take over first has started.
+    /// Handles the start of the engine in a process that may have to take over first.
     pub(super) fn engine_started_in_handover(&mut self, start: EngineStart) {
         let Some(handover) = &mut self.handover else { return };
         handover.engine = Some(start);
         self.successor_event(successor::Event::EngineUp);
     }
 
-    /// The notice to terminate came to a process that may have a successor.
+    /// Handles the termination notice in a process that may have a successor.
     pub(super) fn start_drain_in_handover(&mut self, notice_ms: f64) {
         let Some(handover) = &mut self.handover else { return };
         handover.notice_ms = notice_ms;
@@ -158,14 +159,14 @@
         }
     }
 
-    /// Tells the other processes that an operator drained this one, or took it back into service.
+    /// Notifies the other processes that an operator drained this process or took it back into service.
     pub(super) fn send_lame_duck_to_peers(&mut self, drained: bool) {
         self.successor_event(successor::Event::DrainChanged(drained));
         self.predecessor_event(predecessor::Event::DrainChanged(drained));
     }
 
-    /// Takes note of how many connections this process holds, which count against the limit of both: a successor is sent
-    /// each change, and one that comes later the latest count.
+    /// Records the number of open connections of this process, which count against the limit of both
+    /// processes. A connected successor is sent each change, and a later successor the latest count.
     pub(super) fn update_connection_count(&mut self) {
         if self.handover.is_some() {
             let open = u32::try_from(self.dependencies.open_sockets.connections()).unwrap_or(u32::MAX);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// When a wait of the handover ends, Unix ms.
+    /// When the next timeout of the handover ends, Unix ms.
     pub(super) fn handover_due(&self) -> Option<f64> {
         let handover = self.handover.as_ref()?;
         let predecessor = handover.predecessor.as_ref().and_then(Predecessor::next_due);
@@ -181,7 +182,7 @@
         handover.successor.next_due().into_iter().chain(predecessor).chain(overdue).min_by(f64::total_cmp)
     }
 
-    /// Ends the waits of the handover whose time is over.
+    /// Handles the timeouts of the handover that have ended.
     pub(super) fn handover_tick(&mut self) {
         if self.handover_due().is_some_and(|due_ms| self.now_ms >= due_ms) {
             self.successor_event(successor::Event::Tick);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Other settings are in force: no deduplication window may be longer than the handover reckons with.
+    /// Applies new settings: no deduplication window may be longer than the handover assumes.
     pub(super) fn reconfigure_handover(&mut self) {
         let longest_ms = longest_dedup_window_ms(&self.dependencies.site);
         let Some(handover) = &mut self.handover else { return };
@@ -210,13 +211,13 @@
         }
     }
 
-    /// What may be done with a request whose key this process does not know.
+    /// The policy for a request whose key this process does not know.
     pub(super) fn unknown_key_policy(&self) -> UnknownKey {
         let machine = self.handover.as_ref().and_then(|handover| handover.predecessor.as_ref());
         machine.map_or(UnknownKey::Run, |machine| machine.unknown_key(self.now_ms))
     }
 
-    /// Feeds the state machine of this process as a successor.
+    /// Passes an event to the state machine of this process as a successor.
     fn successor_event(&mut self, event: successor::Event) {
         let Some(handover) = &mut self.handover else { return };
         let mut actions = Vec::new();
@@ -229,7 +230,7 @@
         actions.into_iter().for_each(|action| self.execute_as_successor(action));
     }
 
-    /// Feeds the state machine of this process as a predecessor, once it serves.
+    /// Passes an event to the state machine of this process as a predecessor, once the process serves.
     fn predecessor_event(&mut self, event: predecessor::Event) {
         let Some(machine) = self.handover.as_mut().and_then(|handover| handover.predecessor.as_mut()) else {
             return;
--- a/src/server/core/handover/replication.rs
+++ b/src/server/core/handover/replication.rs
@@ -1,4 +1,4 @@
-//! Keys that the processes tell each other of, so that no key runs in both.
+//! Replication of keys between the processes of a server, so that no key runs in both.
 
 use pinepoint_handover::message::{Key as SharedKey, KeyRecord, KeyState};
 use pinepoint_handover::predecessor;
@@ -8,14 +8,14 @@
 use crate::server::core::keys::{Attempt, AttemptEnd, AttemptRecord, AttemptResult, IdempotencyKey};
 
 impl Core {
-    /// Records that a key has changed, for the successor. Nothing is copied where there is none.
+    /// Records that a key has changed, for the successor. Without a successor nothing is copied.
     pub(in crate::server::core) fn mark_key_changed(&mut self, key: &IdempotencyKey) {
         if let Some(handover) = self.handover.as_mut().filter(|handover| handover.has_successor()) {
             handover.changed_keys.push(key.clone());
         }
     }
 
-    /// The same for the key of a request.
+    /// Records that the key of a request has changed, for the successor.
     pub(in crate::server::core) fn mark_request_key_changed(&mut self, id: u32) {
         if self.handover.as_ref().is_some_and(Handover::has_successor)
             && let Some(request) = self.keyed_request(id)
@@ -53,13 +53,15 @@
             AttemptResult::Done(bytes) => KeyState::Done(bytes.to_vec()),
             AttemptResult::Failed => KeyState::Failed,
         };
-        // A request that is queued beyond the window of its key must not be overtaken by a run of the other process.
+        // A request that is queued beyond the window of its key must not be overtaken by a run of the other
+        // process.
         let deadline_ms = self.requests.get(attempt.id).map_or(0.0, |open| open.deadline_ms);
         let until_ms = attempt.window_end_ms.max(deadline_ms);
         KeyRecord { key: key_name, digest: attempt.digest, until_ms, state }
     }
 
-    /// Enters what the predecessor tells of a key. What this process knows itself stays as it is.
+    /// Enters the predecessor's record of a key. A key that this process already knows itself is left
+    /// unchanged.
     pub(super) fn import_record(&mut self, record: KeyRecord) {
         let key = local_key(record.key);
         let imported = self.keys.remote_attempt(&key);
@@ -91,7 +93,8 @@
     }
 }
 
-/// The key as the other process knows it. Idempotency keys count in all keyed classes, so no class is named.
+/// The key in the form that processes exchange. Idempotency keys apply to all keyed classes, so no class is
+/// named.
 pub(super) fn shared_key(key: &IdempotencyKey) -> SharedKey {
     SharedKey { class: String::new(), token: key.value.clone() }
 }
--- a/src/server/core/keys/entry.rs
+++ b/src/server/core/keys/entry.rs
@@ -2,25 +2,27 @@
 
 use super::types::{Attempt, AttemptResult, Waiter};
 
-/// How long an entry is kept after its window, ms, for attempts that arrived within the window and were read late: longer
-/// than any caller waits.
+/// How long an entry is kept after its window, ms, for attempts that arrived within the window and were read
+/// late: longer than any caller waits.
 const RETENTION_MARGIN_MS: f64 = 15_000.0;
 
-/// What is retained of one key.
+/// The retained state of one key.
 #[derive(Debug)]
 pub(super) struct Entry {
     /// The attempt that the admission controller wants retained.
     pub(super) retained: Option<Attempt>,
-    /// The attempt that was started, in keyed classes; no other may be before its window ends.
+    /// The attempt that was started, in keyed classes. No other attempt may be started before its window
+    /// ends.
     pub(super) started: Option<Attempt>,
-    /// The one that was started before that, past its window. Requests that arrived within that window may still be read,
-    /// and it counts again if the later attempt proves not to have run.
+    /// The attempt that was started before `started`, and whose window has ended. Requests that arrived
+    /// within that window may still be read, and this attempt counts again if the later attempt is proved not
+    /// to have run.
     pub(super) started_before: Option<Attempt>,
     /// The attempt that `result` belongs to.
     pub(super) result_of: u32,
     pub(super) result: AttemptResult,
     pub(super) waiters: Vec<Waiter>,
-    /// The attempt that is in flight in another process of this server: it counts as one that was started.
+    /// The attempt that is in flight in another process of this server. It counts as started.
     pub(super) remote: Option<u32>,
 }
 
@@ -47,12 +49,12 @@
         self.retained = self.retained.filter(|retained| retained.id != id);
     }
 
-    /// Whether nothing is known of the key any more and no duplicate waits.
+    /// Whether the entry has no attempt and no waiting duplicate.
     pub(super) fn is_empty(&self) -> bool {
         self.retained.is_none() && self.started.is_none() && self.waiters.is_empty()
     }
 
-    /// Whether a request that arrived in time may still name the entry.
+    /// Whether a request that arrived within the window may still refer to the entry.
     pub(super) fn is_alive(&self, now_ms: f64) -> bool {
         let alive = |attempt: Option<Attempt>| {
             attempt.is_some_and(|attempt| attempt.window_end_ms + RETENTION_MARGIN_MS > now_ms)
--- a/src/server/core/keys/mod.rs
+++ b/src/server/core/keys/mod.rs
@@ -1,8 +1,8 @@
-//! The table of idempotency keys: which attempt of a key is retained, which one was started and until when no other may
-//! be, its result, and the duplicates that wait for that result.
+//! The table of idempotency keys: which attempt of a key is retained, which attempt was started and until
+//! when no other may be started, its result, and the duplicates that wait for that result.
 //!
-//! It owns the rule that no key runs twice within its deduplication window. It does no I/O, reads no clock, and takes no
-//! decision of the admission controller. All times are Unix ms.
+//! The table enforces the rule that no key runs twice within its deduplication window. It does no I/O, reads
+//! no clock, and takes no decision of the admission controller. All times are Unix ms.
 
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -21,17 +21,20 @@
 
 /// The table shrinks when its capacity is more than this many times its length plus [`MIN_CAPACITY`].
 const MAX_CAPACITY_RATIO: usize = 4;
-/// Capacity that is never given back.
+/// Capacity that is never released.
 const MIN_CAPACITY: usize = 64;
 
-/// The table. Its results are bounded in bytes, its entries by the admission controller, which reserves memory for each.
+/// The table of idempotency keys. Its results are bounded in bytes. Its entries are bounded by the admission
+/// controller, which reserves memory for each entry.
 #[derive(Debug)]
 pub struct KeyTable {
     entries: HashMap<IdempotencyKey, Entry>,
-    /// Bytes of all results. What takes a result out of an entry, or an entry out of the table, subtracts them.
+    /// Bytes of all results. Code that removes a result from an entry, or an entry from the table, subtracts
+    /// the bytes of the result.
     result_bytes: usize,
     max_result_bytes: f64,
-    /// Drawn anew by each server, so that nobody can construct two bodies with one digest; its processes share it.
+    /// Drawn at random by each server, so that nobody can construct two bodies with one digest. All processes
+    /// of a server share it.
     digest_key: [u8; 16],
 }
 
@@ -46,7 +49,7 @@
 }
 
 impl KeyTable {
-    /// An empty table that retains up to so many bytes of results.
+    /// An empty table that retains up to this many bytes of results.
     pub fn new(max_result_bytes: f64) -> Self {
         KeyTable {
             entries: HashMap::new(),
@@ -56,7 +59,7 @@
         }
     }
 
-    /// Changes the bound on the bytes of results. Results that are retained already stay for their time.
+    /// Changes the bound on the bytes of results. Results that are already retained stay until they expire.
     pub fn set_max_result_bytes(&mut self, max_result_bytes: f64) {
         self.max_result_bytes = max_result_bytes;
     }
@@ -78,7 +81,8 @@
         self.digest_key
     }
 
-    /// Takes over the key of the digests of another process of this server. Digests made before no longer match any.
+    /// Takes over the key of the digests of another process of this server. Earlier digests no longer match
+    /// any body.
     pub fn set_digest_key(&mut self, digest_key: [u8; 16]) {
         self.digest_key = digest_key;
     }
@@ -88,7 +92,7 @@
         self.entries.keys()
     }
 
-    /// What another process has to know of this key; nothing if nothing is known of it.
+    /// The state of this key that another process has to know; `None` if the key is unknown.
     pub fn record(&self, key: &IdempotencyKey) -> Option<AttemptRecord> {
         let entry = self.entries.get(key)?;
         let attempt = entry.started.or(entry.retained)?;
@@ -106,7 +110,7 @@
         Some(self.covering(key, arrived_ms)?.id)
     }
 
-    /// Whether the key is known and stands for a request with another body than this one.
+    /// Whether the key is known for a request with another body than this one.
     pub fn has_other_body(&self, key: &IdempotencyKey, arrived_ms: f64, digest: u64) -> bool {
         self.covering(key, arrived_ms).is_some_and(|known| known.digest != digest)
     }
@@ -125,12 +129,13 @@
         self.entries.iter().filter_map(|(key, entry)| Some((key.clone(), entry.remote?))).collect()
     }
 
-    /// Enters an attempt that is in flight in another process, or extends its window. No attempt of this process may be
-    /// started before the window ends.
+    /// Enters an attempt that is in flight in another process, or extends its window. No attempt of this
+    /// process may be started before the window ends.
     pub fn insert_remote(&mut self, key: &IdempotencyKey, attempt: Attempt) {
         let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry::new(attempt.id));
         if entry.remote == Some(attempt.id) {
-            // Past that window an attempt of this process may have taken the entry: it is left alone.
+            // After the end of that window an attempt of this process may have taken over the entry; it is
+            // left unchanged.
             if let Some(started) = entry.started.as_mut().filter(|started| started.id == attempt.id) {
                 started.window_end_ms = started.window_end_ms.max(attempt.window_end_ms);
             }
@@ -147,11 +152,13 @@
 
     /// Enters an attempt that is about to be started and reached the machine at `arrived_ms`.
     ///
-    /// This enforces the rule on duplicates against every cause, including an admission controller that forgot the key.
+    /// This check enforces the rule on duplicates whatever the cause, including an admission controller that
+    /// forgot the key.
     ///
     /// # Errors
     ///
-    /// [`AlreadyRan`] if another attempt was started and its window covers `arrived_ms`; nothing changes then.
+    /// [`AlreadyRan`] if another attempt was started and its window covers `arrived_ms`; nothing changes
+    /// then.
     pub fn start(
         &mut self,
         key: &IdempotencyKey,
@@ -168,8 +175,8 @@
         Ok(())
     }
 
-    /// Retains this attempt as the one that stands for its key. The result of an attempt retained earlier is dropped:
-    /// otherwise duplicates would get it long after its time.
+    /// Retains this attempt as the original of later duplicates of its key. The result of an attempt retained
+    /// earlier is dropped; otherwise duplicates would receive it long after it expired.
     pub fn retain(&mut self, key: IdempotencyKey, attempt: Attempt) {
         let entry = self.entries.entry(key).or_insert_with(|| Entry::new(attempt.id));
         entry.retained = Some(attempt);
@@ -179,15 +186,16 @@
         }
     }
 
-    /// Retains this attempt no longer. That one was started stays known until its window ends, whatever is released: that
-    /// is what makes the effect happen once.
+    /// Stops retaining this attempt. A started attempt stays known until its window ends, whatever is
+    /// released; this makes the effect happen only once.
     pub fn release(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         entry.release(id);
         self.remove_if_empty(key);
     }
 
-    /// Lets a duplicate wait for the attempt that it names, if that is in flight, or returns how that ended.
+    /// Lets a duplicate wait for the attempt that it names if that attempt is in flight, or returns how that
+    /// attempt ended.
     pub fn join(&mut self, key: &IdempotencyKey, waiter: Waiter, original: OriginalState) -> JoinOutcome {
         let Some(entry) = self.entries.get_mut(key) else {
             return JoinOutcome::Over(AttemptResult::Failed);
@@ -204,7 +212,7 @@
         }
     }
 
-    /// An attempt of the key has ended.
+    /// Ends an attempt of the key, and removes the duplicates that waited for it.
     pub fn finish(&mut self, key: &IdempotencyKey, id: u32, end: AttemptEnd) -> FinishedAttempt {
         let Some(entry) = self.entries.get_mut(key) else { return FinishedAttempt::default() };
         entry.remote = entry.remote.filter(|remote| *remote != id);
@@ -234,14 +242,15 @@
         FinishedAttempt { waiters: waiters.into_iter().map(|waiter| waiter.id).collect(), result_dropped }
     }
 
-    /// A request of this key is over: it waits for no result any more.
+    /// Removes an ended request of this key from the waiting duplicates.
     pub fn remove_waiter(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         entry.waiters.retain(|waiter| waiter.id != id);
         self.remove_if_empty(key);
     }
 
-    /// A request of this key is over and was queued to the end: such an attempt leaves nothing to duplicate.
+    /// Removes an ended request of this key that never left the queue: such an attempt leaves nothing to
+    /// duplicate.
     pub fn remove_queued(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         entry.waiters.retain(|waiter| waiter.id != id);
@@ -257,7 +266,7 @@
         }
     }
 
-    /// Removes the entries that no request which arrived in time can name any more.
+    /// Removes the entries to which no request that arrived within the window can refer any more.
     pub fn remove_expired(&mut self, now_ms: f64) {
         let mut freed_bytes = 0;
         self.entries.retain(|_, entry| {
@@ -269,8 +278,8 @@
         self.shrink();
     }
 
-    /// Gives back the capacity that a peak has left: the table would otherwise keep its largest size for as long as the
-    /// process lives.
+    /// Releases the capacity that remains after a peak: otherwise the table would keep its largest size for
+    /// the lifetime of the process.
     fn shrink(&mut self) {
         let length = self.entries.len();
         if self.entries.capacity() > MAX_CAPACITY_RATIO * length + MIN_CAPACITY {
--- a/src/server/core/keys/types.rs
+++ b/src/server/core/keys/types.rs
@@ -7,15 +7,15 @@
 pub enum KeyScope {
     /// One class, by index: the subject of a read, by which reads share a result.
     Class(usize),
-    /// All keyed classes: an idempotency key. Attempts of one request may come under different classes, as a reload that
-    /// adds a class moves callers to it between two attempts.
+    /// All keyed classes: an idempotency key. Attempts of one request may come under different classes, as a
+    /// reload that adds a class moves callers to it between two attempts.
     KeyedClasses,
 }
 
 /// What identifies a request over all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey {
-    /// Where the value counts.
+    /// The classes within which the value identifies a request.
     pub scope: KeyScope,
     /// The idempotency key of the caller, or the subject of a read.
     pub value: String,
@@ -38,32 +38,32 @@
     }
 }
 
-/// The result of the attempt that was started.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptResult {
-    /// It is still in flight.
+    /// The attempt is still in flight.
     Pending,
-    /// It succeeded with this result.
+    /// The attempt succeeded with this result.
     Done(Rc<[u8]>),
-    /// It failed, or its result is no longer retained.
+    /// The attempt failed, or its result is no longer retained.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// It ran, or may have run.
+    /// The attempt ran, or may have run.
     Ran(AttemptResult),
-    /// It is proved not to have run: the next attempt is a first one.
+    /// The attempt is proved not to have run; the next attempt counts as the first.
     NeverRan,
 }
 
-/// An attempt that stands for its key.
+/// An attempt that is known under its key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
-    /// The request.
+    /// Number of the request.
     pub id: u32,
-    /// Digest of its body: all attempts of one request carry the same.
+    /// Digest of its body; all attempts of one request have the same digest.
     pub digest: u64,
     /// Requests of the key that arrived before this time are its duplicates; Unix ms.
     pub window_end_ms: f64,
@@ -72,50 +72,51 @@
 /// A duplicate that waits for the result of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// The duplicate.
+    /// Number of the duplicate.
     pub id: u32,
     /// The attempt whose result it waits for.
     pub original: u32,
 }
 
-/// Another attempt of the key was started, and its window has not ended.
+/// Error: another attempt of the key was started, and its window has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AlreadyRan;
 
 /// Whether the attempt that a duplicate names is still in flight, here or in another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OriginalState {
-    /// It is.
+    /// The attempt is in flight.
     InFlight,
-    /// It is not.
+    /// The attempt has ended.
     Ended,
 }
 
-/// What becomes of a duplicate.
+/// The outcome of joining a duplicate to its original.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JoinOutcome {
-    /// It waits for the attempt in flight.
+    /// The duplicate waits for the attempt in flight.
     Waits,
-    /// That attempt has ended with this result.
+    /// The attempt has ended with this result.
     Over(AttemptResult),
 }
 
-/// What follows from the end of an attempt.
+/// The effects of the end of an attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinishedAttempt {
-    /// The duplicates that waited for it, in the order in which they joined.
+    /// The duplicates that waited for the attempt, in the order in which they joined.
     pub waiters: Vec<u32>,
-    /// Its result was dropped because the table may take no more bytes. The entry stays, so that no duplicate runs.
+    /// Whether its result was dropped because the table may take no more bytes. The entry stays, so that no
+    /// duplicate runs.
     pub result_dropped: bool,
 }
 
-/// What another process of this server is told of a key.
+/// The state of a key that is reported to another process of this server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// The attempt that stands for the key.
+    /// The known attempt of the key.
     pub attempt: Attempt,
-    /// Whether it was started. One that was not may still be rejected.
+    /// Whether the attempt was started. An attempt that was not started may still be rejected.
     pub started: bool,
-    /// Its result.
+    /// The result of the attempt.
     pub result: AttemptResult,
 }
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -1,7 +1,9 @@
-//! The table of open requests: each from its reading until it is answered and its run has ended, by its number, by the
-//! id of its attempt, by the caller's correlation id, and by the number of its call.
+//! The table of open requests. A request is open from its reading until it is answered and its run has ended.
+//! It is found by its number, by its attempt id, by the caller's correlation id, and by the number of its
+//! call.
 //!
-//! It owns the state of each request. It answers none, commands no run and decides nothing. All times are Unix ms.
+//! The table owns the state of each request. It answers no request, commands no run and decides nothing. All
+//! times are Unix ms.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -12,7 +14,7 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Read, not started.
+    /// Read, but not started.
     Queued,
     /// A duplicate that waits for the result of the attempt it duplicates.
     AwaitingResult,
@@ -27,39 +29,39 @@
 /// The call that a run asked for.
 #[derive(Clone, Debug, Default)]
 pub struct CallRequest {
-    /// Number of the engine's notice, by which the engine knows the call.
+    /// Number of the engine's notice, by which the engine identifies the call.
     pub notice: u64,
-    /// What the call carries.
+    /// Body of the call.
     pub body: Vec<u8>,
 }
 
-/// What a run that waits for a call is resumed with.
+/// The result with which a run that waits for a call is resumed.
 pub enum CallResult {
     /// The reply of the store.
     Reply(Vec<u8>),
-    /// Nothing: the call is skipped.
+    /// No reply, because the call is skipped.
     Skipped,
 }
 
-/// What tells a request from others, and what it duplicates.
+/// The data that distinguishes a request from others, and its original if it is a duplicate.
 pub struct RequestIdentity {
     /// Its idempotency key, or the subject by which reads share a result.
     pub key: Option<IdempotencyKey>,
     /// Digest of its body.
     pub digest: u64,
-    /// The attempt whose result it asks for.
+    /// The attempt that the request duplicates.
     pub duplicate_of: Option<u32>,
 }
 
 /// A request from its reading until it is answered and its run has ended.
 pub struct OpenRequest {
-    /// Where the answer goes; nothing once it was given or the caller is gone.
+    /// Where the answer goes; `None` once the request is answered or its caller is gone.
     pub caller: Option<Rc<dyn Caller>>,
     /// [`Caller::id`] of the caller.
     pub caller_id: u64,
-    /// The caller's own name for the request.
+    /// The caller's id for the request.
     pub correlation_id: u64,
-    /// The name by which engine and store know the attempt.
+    /// The id by which engine and store identify the attempt.
     pub attempt_id: String,
     /// Index of its class.
     pub class: usize,
@@ -71,7 +73,7 @@
     pub run_started_ms: f64,
     /// Estimate of its work, ms on one core.
     pub work_hint_ms: Option<f64>,
-    /// Its run was resumed without a call that it asked for.
+    /// Whether its run was resumed without a call that the run asked for.
     pub degraded: bool,
     /// When its caller stops waiting.
     pub deadline_ms: f64,
@@ -83,9 +85,11 @@
     pub state: RequestState,
     /// The last call that its run asked for.
     pub call_request: CallRequest,
-    /// What the run is resumed with after its last call, until a later notice proves that the engine has it.
+    /// The result with which the run is resumed after its last call; kept until a later notice proves that
+    /// the engine has received it.
     pub resume_with: Option<CallResult>,
-    /// Tag of the last gauge request when that was written to the engine; nothing if it was not written.
+    /// Tag of the last gauge request when `resume_with` was written to the engine; `None` if it was not
+    /// written.
     pub resume_tag: Option<u64>,
     /// Number of its last call.
     pub call_id: u64,
@@ -93,7 +97,7 @@
     pub call_started_ms: f64,
     /// Tag of the last gauge request when the last command about the request was written to the engine.
     pub command_tag: u64,
-    /// The engine was told to cancel its run.
+    /// Whether the engine was commanded to cancel its run.
     pub cancelled: bool,
 }
 
@@ -131,7 +135,7 @@
     }
 }
 
-/// The table.
+/// The table of open requests.
 #[derive(Default)]
 pub struct RequestTable {
     open: BTreeMap<u32, OpenRequest>,
@@ -163,7 +167,7 @@
         self.open.get(&id)
     }
 
-    /// The request with this number, to be changed.
+    /// The request with this number, mutable.
     pub fn get_mut(&mut self, id: u32) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
@@ -194,7 +198,8 @@
         Some(self.last_call)
     }
 
-    /// Records that a call has ended or was cancelled; returns its request, or nothing if that was recorded before.
+    /// Records that a call has ended or was cancelled; returns its request, or nothing if that was recorded
+    /// before.
     pub fn end_call(&mut self, call: u64) -> Option<u32> {
         self.by_call.remove(&call)
     }
@@ -229,7 +234,7 @@
         self.open.iter().map(|(id, open)| (*id, open))
     }
 
-    /// All requests in that order, to be changed.
+    /// All requests in the order in which they were read, mutable.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest> {
         self.open.values_mut()
     }
