--- a/tests/core_harness/mod.rs
+++ b/tests/core_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A harness of the core without a socket: its ports are test doubles that record every call.
+//! A harness that drives the core without sockets. Its ports are test doubles that record every call.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub struct RecordingPorts {
     pub runs: RefCell<Vec<String>>,
-    /// Whether `run_classes` is recorded: in a long test it would only grow.
+    /// Whether `run_classes` is recorded; in a long test the map would grow without bound.
     pub records_classes: Cell<bool>,
     /// The class under which each run was started, by attempt id.
     pub run_classes: RefCell<BTreeMap<String, String>>,
@@ -96,14 +96,14 @@
     fn go_away_if_idle(&self, _: f64) {}
 }
 
-/// An element of a list, if it has any.
-fn picked<T: Clone>(list: &RefCell<Vec<T>>, n: u8) -> Option<T> {
+/// Picks an element of a list by this number, modulo the length; `None` if the list is empty.
+fn pick<T: Clone>(list: &RefCell<Vec<T>>, n: u8) -> Option<T> {
     let list = list.borrow();
     list.get(usize::from(n).checked_rem(list.len())?).cloned()
 }
 
-/// How a run ends: two of four values are results.
-pub fn run_end(how: u8) -> RunResult {
+/// Maps a number to the end of a run: two of four values are results.
+pub fn run_result(how: u8) -> RunResult {
     match how % 4 {
         0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
         2 => RunResult::Error,
@@ -125,8 +125,8 @@
         CoreHarness::with_memory(0.001, 2000.0)
     }
 
-    /// With these limits of memory: of the process, MB, of which retained results get a share, and of requests, kB. More
-    /// than 10,000 kB for requests comes with a quota of calls.
+    /// Creates a harness with a memory limit for the process, MB, of which retained results get a share, and
+    /// one for requests, kB. A limit above 10,000 kB for requests comes with a call quota.
     pub fn with_memory(memory_mb: f64, memory_kb: f64) -> Self {
         let mut site = Site::default();
         site.registry_follows_health = true;
@@ -158,11 +158,12 @@
         CoreHarness::with_site(site, memory_mb, 2000.0)
     }
 
-    /// With these settings, in a process that may take so much memory, MB, and is killed so long after the notice, ms.
+    /// Creates a harness with these settings, for a process that may use this much memory, MB, and is killed
+    /// this long after the termination notice, ms.
     pub fn with_site(site: Site, memory_mb: f64, stop_ms: f64) -> Self {
         let recorded = Rc::new(RecordingPorts::default());
         let classes = site.settings.classes.len();
-        let parts = CoreDependencies {
+        let dependencies = CoreDependencies {
             site: Rc::new(site),
             seed: 5,
             stop_ms,
@@ -177,7 +178,7 @@
             handover: None,
         };
         CoreHarness {
-            core: Core::new(parts),
+            core: Core::new(dependencies),
             recorded,
             now: 1_000_000.0,
             last_correlation_id: 0,
@@ -195,7 +196,7 @@
         self.arrive_from(u64::from(key % 3), class, format!("k{key}"), body, age_ms);
     }
 
-    /// Puts these settings in force, which must be merged from those in force before.
+    /// Applies these settings, which must be merged from the previous settings.
     pub fn reload(&mut self, site: Rc<Site>, memory_mb: f64, stop_ms: f64) {
         self.classes = site.settings.classes.len();
         self.handle(CoreInput::Reconfigure(Reconfiguration { site, stop_ms, memory_mb }));
@@ -229,7 +230,10 @@
         let mut batches = 0;
         while let Some(due) = self.core.next_due().filter(|due| *due <= until) {
             batches += 1;
-            assert!(f64::from(batches) < 1000.0 + ms, "{batches} batches in {ms} ms: it does not wait");
+            assert!(
+                f64::from(batches) < 1000.0 + ms,
+                "{batches} batches in {ms} ms: the core does not wait between batches"
+            );
             self.now = self.now.max(due);
             self.core.process_batch(self.now);
             let tag = self.recorded.last_gauge_tag.get();
@@ -246,13 +250,13 @@
             Step::Arrive { class, key, body, age } => self.arrive(class, key, body, f64::from(age)),
             Step::Advance { ms, busy } => self.advance(f64::from(ms), f64::from(busy) / 100.0),
             Step::EndRun { run, how } => {
-                if let Some(attempt_id) = picked(&self.recorded.runs, run) {
-                    self.handle(CoreInput::RunEnded { attempt_id, result: run_end(how) });
+                if let Some(attempt_id) = pick(&self.recorded.runs, run) {
+                    self.handle(CoreInput::RunEnded { attempt_id, result: run_result(how) });
                 }
             }
             Step::NeedCall { run } => {
                 self.last_notice += 1;
-                if let Some(attempt_id) = picked(&self.recorded.runs, run) {
+                if let Some(attempt_id) = pick(&self.recorded.runs, run) {
                     self.handle(CoreInput::CallNeeded {
                         attempt_id,
                         notice: self.last_notice,
@@ -261,7 +265,7 @@
                 }
             }
             Step::EndCall { call, how } => {
-                if let Some(call) = picked(&self.recorded.calls, call) {
+                if let Some(call) = pick(&self.recorded.calls, call) {
                     self.recorded.calls.borrow_mut().retain(|c| *c != call);
                     let (outcome, reply) = match how % 4 {
                         0 | 1 => (Outcome::Done, Some(vec![how])),
@@ -287,20 +291,24 @@
         }
     }
 
-    /// For each class, the numbers of requests that were received, answered, and left by their caller. Checks that no request
-    /// ends twice.
+    /// For each class, the numbers of requests that were received, answered, and given up by their caller.
+    /// Checks that no request ends twice.
     pub fn totals_by_class(&self) -> Vec<[u64; 3]> {
         let mut totals_by_class = vec![[0; 3]; self.classes];
         let mut ended = BTreeSet::new();
         for event in self.recorded.request_events.borrow().iter() {
-            let at = match event.kind {
+            let column = match event.kind {
                 RequestEventKind::Received { .. } => 0,
                 RequestEventKind::Answered { .. } | RequestEventKind::DeadlineExceeded { .. } => 1,
                 RequestEventKind::CallerGone { .. } => 2,
                 _ => continue,
             };
-            totals_by_class[event.class][at] += 1;
-            assert!(at == 0 || event.id == 0 || ended.insert(event.id), "{} ends twice", event.id);
+            totals_by_class[event.class][column] += 1;
+            assert!(
+                column == 0 || event.id == 0 || ended.insert(event.id),
+                "request {} ends twice",
+                event.id
+            );
         }
         totals_by_class
     }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,11 +1,13 @@
-//! The table of idempotency keys: what may run once, what duplicates get, and how much it retains.
+//! The table of idempotency keys: which attempts may run, the results that duplicates receive, and the bound
+//! on retained results.
 
 use pinepoint::server::core::keys::{
     AlreadyRan, Attempt, AttemptEnd, AttemptResult, FinishedAttempt, IdempotencyKey, JoinOutcome, KeyTable,
     OriginalState, Waiter,
 };
 
-/// An entry that no request which arrived in time can name is gone this long after its window, ms.
+/// An entry has expired this long after its window, ms: no request that arrived within the window can refer
+/// to it any more.
 const LONG_AFTER: f64 = 20_000.0;
 
 fn key() -> IdempotencyKey {
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_key_that_ran_is_not_started_again_in_its_window_whatever_is_forgotten() {
+fn rejects_second_run_within_window_after_release() {
     let mut keys = KeyTable::new(1000.0);
     keys.retain(key(), attempt(1, 7, 100.0));
     assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn results_are_bounded_and_their_entries_stay() {
+fn drops_results_over_limit_but_keeps_entries() {
     let mut keys = KeyTable::new(10.0);
     for (n, dropped) in [(1, false), (2, true)] {
         let key = IdempotencyKey::of_class(0, n.to_string());
@@ -62,25 +64,30 @@
     assert_eq!(keys.size(), (0, 0));
 }
 
-/// Reads that share results: the result of each retained attempt is its own, and takes no memory after it.
+/// Guards reads that share results: each retained attempt has its own result, and a replaced result takes no
+/// more memory.
 #[test]
-fn the_result_of_an_earlier_holder_is_neither_told_nor_counted() {
+fn replaces_result_of_previously_retained_attempt() {
     let mut keys = KeyTable::new(10.0);
     for id in 1..=20 {
-        let since = f64::from(id) * 50.0;
-        assert_eq!(keys.original_of(&key(), since), None, "the one before is no longer fresh");
-        keys.retain(key(), attempt(id, 7, since + 40.0));
+        let arrived_ms = f64::from(id) * 50.0;
+        assert_eq!(
+            keys.original_of(&key(), arrived_ms),
+            None,
+            "the window of the previous attempt has ended"
+        );
+        keys.retain(key(), attempt(id, 7, arrived_ms + 40.0));
         assert_eq!(join(&mut keys, 100 + id, id, OriginalState::InFlight), JoinOutcome::Waits);
         assert_eq!(keys.finish(&key(), id, AttemptEnd::Ran(done(6))), finished(&[100 + id], false));
         assert_eq!(keys.size(), (1, 6));
     }
     keys.release(&key(), 20);
-    assert_eq!(keys.size(), (0, 0), "with the entry goes its result");
+    assert_eq!(keys.size(), (0, 0), "the result is removed with its entry");
 }
 
 /// The window ends while the first attempt still runs, as it may if it is shorter than the timeout.
 #[test]
-fn repeats_get_the_result_of_the_try_that_they_wait_for() {
+fn duplicates_receive_result_of_their_original() {
     let mut keys = KeyTable::new(1000.0);
     keys.retain(key(), attempt(1, 7, 100.0));
     assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
@@ -91,7 +98,7 @@
     assert_eq!(
         keys.finish(&key(), 1, AttemptEnd::Ran(done(5))),
         finished(&[2], false),
-        "not those of the third"
+        "only the duplicates of the first attempt are returned"
     );
     assert_eq!(join(&mut keys, 5, 1, OriginalState::Ended), JoinOutcome::Over(AttemptResult::Failed));
     assert_eq!(keys.finish(&key(), 3, AttemptEnd::Ran(done(6))), finished(&[4], false));
@@ -101,18 +108,18 @@
 
 /// A later attempt that is rejected without having run must not stand for the key.
 #[test]
-fn one_that_left_the_hold_unrun_leaves_nothing_to_repeat() {
+fn removed_queued_attempt_has_no_duplicates() {
     let mut keys = KeyTable::new(1000.0);
     assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
     keys.retain(key(), attempt(2, 7, 250.0));
     assert_eq!(keys.original_of(&key(), 150.0), Some(2));
     keys.remove_queued(&key(), 2);
     assert_eq!(keys.original_of(&key(), 150.0), None);
-    assert_eq!(keys.original_of(&key(), 99.0), Some(1), "and the window of the one that ran goes on");
+    assert_eq!(keys.original_of(&key(), 99.0), Some(1), "the window of the attempt that ran is still open");
 }
 
 #[test]
-fn what_is_proved_not_to_have_run_may_run() {
+fn allows_run_after_attempt_that_never_ran() {
     let mut keys = KeyTable::new(1000.0);
     keys.retain(key(), attempt(1, 7, 100.0));
     assert_eq!(start(&mut keys, &key(), 1, 0.0), Ok(()));
--- a/tests/long_life.rs
+++ b/tests/long_life.rs
@@ -1,5 +1,6 @@
-//! A long run in simulated time: after rounds of varied load, each followed by an idle period, every table is empty again,
-//! and the memory in use is what it was after the first rounds. `GROWTH_SEED` sets the seed.
+//! A long run in simulated time: after rounds of varied load, each followed by an idle period, all tables are
+//! empty again, and memory use has not grown since the first rounds. The environment variable `GROWTH_SEED`
+//! sets the seed.
 
 mod core_harness;
 
@@ -7,7 +8,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use core_harness::{CoreHarness, RecordingCaller, Step, run_end};
+use core_harness::{CoreHarness, RecordingCaller, Step, run_result};
 use pinepoint::admission::{AdmissionSnapshot, Outcome};
 use pinepoint::server::core::api::CoreInput;
 use pinepoint_telemetry::accounts::{Accounts, Class};
@@ -21,19 +22,20 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-fn taken() -> isize {
+fn heap_bytes() -> isize {
     let stats = HEAP.stats();
     stats.bytes_allocated as isize - stats.bytes_deallocated as isize
 }
 
-/// A step of the machine, and steps in a second.
+/// Length of a step of the simulated machine, ms, and the number of steps in a second.
 const STEP_MS: f64 = 50.0;
 const STEPS: u64 = 20;
 const ROUND_S: u32 = 1200;
 const INTERVAL_S: u32 = 10;
 const SPOOL_BYTES: usize = 256 * 1024;
 
-/// The most that the tables held at once: the load has to fill what it is to leave empty.
+/// The largest sizes of the tables. The load has to fill the tables, as otherwise empty tables at the end
+/// prove nothing.
 #[derive(Debug, Default)]
 struct Peak {
     keys: u64,
@@ -41,8 +43,8 @@
     result_bytes: u64,
 }
 
-/// The core, its callers and machine, and what telemetry keeps of it.
-struct Life {
+/// The core, its simulated callers and machine, and the telemetry of the core.
+struct LongRun {
     harness: CoreHarness,
     random: Pcg64Mcg,
     accounts: Accounts,
@@ -53,15 +55,15 @@
     peak: Peak,
 }
 
-/// Takes one out of a list of the stand-ins, if there is one.
-fn taken_out<T>(list: &RefCell<Vec<T>>, pick: usize) -> Option<T> {
+/// Removes an element from a list of the test doubles; `None` if the list is empty.
+fn remove_picked<T>(list: &RefCell<Vec<T>>, pick: usize) -> Option<T> {
     let mut list = list.borrow_mut();
     let at = pick.checked_rem(list.len())?;
     Some(list.remove(at))
 }
 
-impl Life {
-    fn new(seed: u64) -> Life {
+impl LongRun {
+    fn new(seed: u64) -> LongRun {
         let mut harness = CoreHarness::with_memory(0.1, 40_000.0);
         harness.apply(&Step::AttachEngine);
         let schema = Rc::new(Schema::new(&["look".into(), "write".into()], &[], &AdmissionSnapshot::NAMES));
@@ -76,14 +78,14 @@
         let bounds = Bounds { bytes: SPOOL_BYTES, age_ms: 86_400_000.0, window: 8 };
         let spool = Spool::new(bounds, vec![0.0; schema.counts()].into());
         let (random, gauges) = (Pcg64Mcg::seed_from_u64(seed), schema.gauges());
-        Life { harness, random, accounts, gauges, spool, keys: 0, callers: 0..0, peak: Peak::default() }
+        LongRun { harness, random, accounts, gauges, spool, keys: 0, callers: 0..0, peak: Peak::default() }
     }
 
-    fn below(&mut self, n: u64) -> u64 {
+    fn random_below(&mut self, n: u64) -> u64 {
         self.random.next_u64() % n
     }
 
-    /// A connection comes, and of more than 40 the oldest goes.
+    /// Opens a connection, and closes the oldest if there are more than 40.
     fn connect(&mut self) {
         let client = RecordingCaller(self.callers.end, self.harness.recorded.clone());
         self.callers.end += 1;
@@ -94,16 +96,16 @@
         }
     }
 
-    /// The engine ends one of its runs.
+    /// Ends one run of the engine.
     fn end_run(&mut self, pick: usize, how: u8) {
-        if let Some(attempt_id) = taken_out(&self.harness.recorded.runs, pick) {
-            self.harness.handle(CoreInput::RunEnded { attempt_id, result: run_end(how) });
+        if let Some(attempt_id) = remove_picked(&self.harness.recorded.runs, pick) {
+            self.harness.handle(CoreInput::RunEnded { attempt_id, result: run_result(how) });
         }
     }
 
-    /// The store ends one of its calls: most go well.
+    /// Ends one call of the store. Most calls succeed.
     fn end_call(&mut self, pick: usize, how: u8) {
-        let Some(call) = taken_out(&self.harness.recorded.calls, pick) else { return };
+        let Some(call) = remove_picked(&self.harness.recorded.calls, pick) else { return };
         let (outcome, reply) = match how % 16 {
             0 => (Outcome::Rejected, None),
             1 => (Outcome::Reset, None),
@@ -112,9 +114,10 @@
         self.harness.handle(CoreInput::CallEnded { call, outcome, reply });
     }
 
-    /// A step of the machine: its two cores end one run of 100 ms, after a call or without; calls end.
+    /// Simulates one step of the machine: all calls end, and its two cores end one run of 100 ms or bring it
+    /// to a call.
     fn step(&mut self) {
-        let (a, b) = (self.below(256) as u8, self.below(256) as u8);
+        let (a, b) = (self.random_below(256) as u8, self.random_below(256) as u8);
         while !self.harness.recorded.calls.borrow().is_empty() {
             self.end_call(0, b);
         }
@@ -127,38 +130,38 @@
         self.harness.advance(STEP_MS, (runs / 2.0).min(1.0));
     }
 
-    /// One second with about this many arrivals.
+    /// Simulates one second with about this many arrivals.
     fn second(&mut self, arrivals: u64) {
         for step in 0..STEPS {
             for _ in arrivals * step / STEPS..arrivals * (step + 1) / STEPS {
-                let caller = self.callers.start + self.below(self.callers.end - self.callers.start);
-                // A fifth repeats one of the last keys, some of them with another body.
-                let again = self.below(5) == 0 && self.keys > 8;
-                let key = if again { self.keys - self.below(8) } else { self.keys + 1 };
+                let caller = self.callers.start + self.random_below(self.callers.end - self.callers.start);
+                // A fifth of the arrivals repeat one of the last keys, some of them with another body.
+                let again = self.random_below(5) == 0 && self.keys > 8;
+                let key = if again { self.keys - self.random_below(8) } else { self.keys + 1 };
                 self.keys = self.keys.max(key);
-                let (class, body) = ((key % 2) as usize, (key + u64::from(self.below(9) == 0)) as u8);
-                let age = if self.below(50) == 0 { 9000.0 } else { self.below(40) as f64 };
+                let (class, body) = ((key % 2) as usize, (key + u64::from(self.random_below(9) == 0)) as u8);
+                let age = if self.random_below(50) == 0 { 9000.0 } else { self.random_below(40) as f64 };
                 self.harness.arrive_from(caller, class, format!("k{key}"), body, age);
-                if self.below(12) == 0 {
+                if self.random_below(12) == 0 {
                     let correlation_id = self.harness.last_correlation_id
-                        - self.below(8.min(self.harness.last_correlation_id));
+                        - self.random_below(8.min(self.harness.last_correlation_id));
                     self.harness.handle(CoreInput::CallerGone { caller, correlation_id });
                 }
-                if self.below(12) == 0 {
+                if self.random_below(12) == 0 {
                     self.connect();
                 }
             }
             self.step();
         }
-        if self.below(300) == 0 {
+        if self.random_below(300) == 0 {
             self.harness.apply(&Step::DetachEngine);
             self.harness.apply(&Step::AttachEngine);
-            // The answer to what is asked behind the notices that come again.
+            // The answer to the gauge request that follows the repeated notices after a reconnect.
             let tag = self.harness.recorded.last_gauge_tag.get();
             self.harness.handle(CoreInput::Gauges { tag, values: vec![0.5, 1.0] });
         }
-        let facts = std::mem::take(&mut *self.harness.recorded.request_events.borrow_mut());
-        facts.iter().for_each(|fact| self.accounts.record(fact));
+        let events = std::mem::take(&mut *self.harness.recorded.request_events.borrow_mut());
+        events.iter().for_each(|event| self.accounts.record(event));
         self.harness.recorded.answers.borrow_mut().clear();
         self.harness.recorded.delivered_replies.borrow_mut().clear();
         self.harness.recorded.process_events.borrow_mut().clear();
@@ -168,7 +171,7 @@
         self.peak.result_bytes = self.peak.result_bytes.max(state.results_bytes);
     }
 
-    fn interval(&mut self, slot_s: u64) {
+    fn finish_interval(&mut self, slot_s: u64) {
         let now = self.harness.now;
         let state = self.harness.core.state();
         assert_eq!(self.accounts.accounting_error(&state), 0.0);
@@ -179,7 +182,7 @@
         assert!(self.spool.size().1 <= SPOOL_BYTES);
     }
 
-    /// Twenty minutes of load that rises and falls, then a quiet while.
+    /// Simulates a round of twenty minutes: load that rises and falls, then an idle period.
     fn round(&mut self, number: u32) {
         for _ in 0..40 {
             self.connect();
@@ -187,9 +190,9 @@
         for second in 0..ROUND_S {
             let level =
                 if second < ROUND_S - 120 { [0, 2, 8, 20, 40][(second / 60 % 5) as usize] } else { 0 };
-            let arrivals = if level == 0 { 0 } else { level / 2 + self.below(level) };
+            let arrivals = if level == 0 { 0 } else { level / 2 + self.random_below(level) };
             if second > ROUND_S - 120 {
-                // Runs end; the connections close.
+                // All runs end, and all connections are closed.
                 while !self.harness.recorded.runs.borrow().is_empty() {
                     self.end_run(0, 2);
                 }
@@ -200,23 +203,27 @@
             }
             self.second(arrivals);
             if second % INTERVAL_S == INTERVAL_S - 1 {
-                self.interval(u64::from(number * ROUND_S + second));
+                self.finish_interval(u64::from(number * ROUND_S + second));
             }
         }
     }
 }
 
 #[test]
-fn after_a_long_varied_load_tables_and_memory_are_where_they_began() {
+fn tables_are_empty_and_memory_is_stable_after_long_load() {
     let seed = std::env::var("GROWTH_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(11);
     println!("GROWTH_SEED={seed}");
-    let mut life = Life::new(seed);
-    let mut after = Vec::new();
+    let mut long_run = LongRun::new(seed);
+    let mut heap_bytes_after = Vec::new();
     for number in 0..5 {
-        life.round(number);
-        let state = life.harness.core.state();
-        assert!(state.open.iter().all(|open| *open == 0), "open after round {number}: {:?}", state.open);
-        let left = [
+        long_run.round(number);
+        let state = long_run.harness.core.state();
+        assert!(
+            state.open.iter().all(|open| *open == 0),
+            "open requests after round {number}: {:?}",
+            state.open
+        );
+        let remaining = [
             state.queued,
             state.awaiting_result,
             state.running,
@@ -225,19 +232,23 @@
             state.results_bytes,
         ];
         assert_eq!(
-            left, [0; 6],
-            "held, waiting, running, calls, keys, bytes of results after round {number}"
+            remaining, [0; 6],
+            "queued, awaiting a result, running, calls, keys, bytes of results after round {number}"
         );
-        assert_eq!(state.connections, 0, "callers after round {number}");
-        after.push(taken());
+        assert_eq!(state.connections, 0, "connections after round {number}");
+        heap_bytes_after.push(heap_bytes());
     }
-    let peak = &life.peak;
+    let peak = &long_run.peak;
     assert!(
         peak.keys > 50 && peak.open_requests > 10 && peak.result_bytes > 2000,
-        "the load fills nothing: {peak:?}"
+        "the load does not fill the tables: {peak:?}"
+    );
+    println!("memory after each round, bytes: {heap_bytes_after:?}; {peak:?}");
+    // Capacity that a table or spool keeps after it was full once is not growth. A leak of one byte per
+    // request would be over 50 kB.
+    let (first, last) = (heap_bytes_after[1], heap_bytes_after[4]);
+    assert!(
+        last - first < 32 * 1024,
+        "memory grew by 32 KiB or more, bytes after each round: {heap_bytes_after:?}"
     );
-    println!("memory after each round, bytes: {after:?}; {peak:?}");
-    // What a table or a spool that is full once keeps for later is no growth; one byte a request would be over 50 kB.
-    let (first, last) = (after[1], after[4]);
-    assert!(last - first < 32 * 1024, "grows: {after:?}");
 }
--- a/tests/request_events.rs
+++ b/tests/request_events.rs
@@ -1,5 +1,5 @@
-//! The events that the core reports: whatever reaches it and in which order, they add up, and each request that was
-//! received ends exactly once.
+//! The events that the core reports: for any sequence of inputs the events add up, and each received request
+//! ends exactly once.
 
 mod core_harness;
 
@@ -30,7 +30,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn facts_add_up_whatever_happens(mut steps in proptest::collection::vec(step(), 1..150)) {
+    fn events_add_up_under_random_inputs(mut steps in proptest::collection::vec(step(), 1..150)) {
         let mut harness = CoreHarness::new();
         steps.insert(0, Step::AttachEngine);
         for step in &steps {
@@ -41,26 +41,28 @@
                 prop_assert_eq!(read, answered + gone + open[class], "class {} after {:?}", class, step);
             }
         }
-        // The events report what was answered, once each.
+        // The events report each answer exactly once.
         let answers = harness.recorded.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
         let answered: u64 = harness.totals_by_class().iter().map(|totals_by_class| totals_by_class[1]).sum();
         prop_assert_eq!(answers.len() as u64, answered);
         let events = harness.recorded.request_events.borrow();
         let served = |reply: &&Vec<Reply>| matches!(reply[0], Reply::Served(_));
-        let reported = events.iter().filter(|f| {
-            matches!(f.kind, RequestEventKind::Answered { answer: Answer::Served { .. }, .. })
+        let reported = events.iter().filter(|event| {
+            matches!(event.kind, RequestEventKind::Answered { answer: Answer::Served { .. }, .. })
         });
         prop_assert_eq!(answers.values().filter(served).count(), reported.count());
-        // Calls that were started have ended or are in flight.
-        let started = events.iter().filter(|f| matches!(f.kind, RequestEventKind::CallStarted)).count();
-        let ended = events.iter().filter(|f| matches!(f.kind, RequestEventKind::CallEnded { .. })).count();
+        // Each started call has ended or is in flight.
+        let started =
+            events.iter().filter(|event| matches!(event.kind, RequestEventKind::CallStarted)).count();
+        let ended =
+            events.iter().filter(|event| matches!(event.kind, RequestEventKind::CallEnded { .. })).count();
         prop_assert_eq!(started, ended + harness.recorded.calls.borrow().len());
     }
 }
 
 #[test]
-fn a_request_tells_its_life_in_order() {
+fn reports_request_events_in_order() {
     let mut harness = CoreHarness::new();
     harness.apply(&Step::AttachEngine);
     harness.arrive(0, 1, 1, 5.0);
@@ -68,18 +70,22 @@
     harness.apply(&Step::EndCall { call: 0, how: 0 });
     harness.apply(&Step::EndRun { run: 0, how: 0 });
     let events = harness.recorded.request_events.borrow();
-    let words: Vec<String> =
-        events.iter().map(|f| format!("{:?}", f.kind).split([' ', '(']).next().unwrap().to_owned()).collect();
+    let kinds: Vec<String> = events
+        .iter()
+        .map(|event| format!("{:?}", event.kind).split([' ', '(']).next().unwrap().to_owned())
+        .collect();
     let expected = ["Received", "Decided", "RunStarted", "CallStarted", "CallEnded", "RunEnded", "Answered"];
-    assert_eq!(words, expected);
+    assert_eq!(kinds, expected);
     assert!(events.iter().all(|event| event.id == 1));
     assert_eq!(*harness.recorded.process_events.borrow(), [ProcessEvent::Started { cold: false }]);
 }
 
-/// The engine asks for a second call while the end of the first is queued behind that, and two attempts of one key, which are
-/// processed in two batches, are queued between them: the second call is started before the end of the first is handled.
+/// Guards against taking the end of a cancelled call for the end of the next call. The engine asks for a
+/// second call while the end of the first is queued behind that request. Two attempts of one key, which are
+/// processed in two batches, are queued between them, so the second call is started before the end of the
+/// first is handled.
 #[test]
-fn the_end_of_a_call_is_not_taken_for_that_of_its_successor() {
+fn ignores_end_of_cancelled_call() {
     let mut harness = CoreHarness::new();
     harness.apply(&Step::AttachEngine);
     harness.arrive(0, 1, 1, 0.0);
@@ -88,7 +94,7 @@
     let first = harness.recorded.calls.borrow()[0];
     let now = harness.now;
     harness.core.handle(now, CoreInput::CallNeeded { attempt_id, notice: 2, body: vec![2] });
-    // What the core does between two attempts of one key in one batch.
+    // The core processes the batch here, as it does between two attempts of one key.
     harness.core.process_batch(now);
     let second = harness.recorded.calls.borrow()[0];
     assert_ne!(first, second);
@@ -99,7 +105,7 @@
     assert_eq!(
         *harness.recorded.delivered_replies.borrow(),
         Vec::<Vec<u8>>::new(),
-        "the reply to the first is no reply to the second"
+        "the reply to the first call must not be delivered for the second"
     );
     harness.handle(CoreInput::CallEnded { call: second, outcome: Outcome::Done, reply: Some(vec![7]) });
     assert_eq!(*harness.recorded.delivered_replies.borrow(), [vec![7]]);
