--- a/tests/handover_simulation/links.rs
+++ b/tests/handover_simulation/links.rs
@@ -1,4 +1,5 @@
-//! The links between the simulated processes: queues of encoded messages with a delay, which can be cut at any point.
+//! The links between the simulated processes: queues of encoded messages with a delay, which can be cut at
+//! any point.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,7 +12,7 @@
 
 use super::Simulation;
 
-/// What a core asked of its links; the simulation executes it after the batch.
+/// A command of a core to its links. The simulation executes it after the batch.
 enum Command {
     Send(Side, Vec<u8>),
     Drop(Side),
@@ -63,17 +64,17 @@
     fn set_peer_connections(&self, _: usize) {}
 }
 
-/// One end of a link: what is in flight to a process.
+/// One end of a link, with the frames in flight to its owner.
 pub(super) struct LinkEnd {
     pub(super) owner: usize,
-    /// What the owner takes the other process for.
+    /// The role of the other process for the owner.
     side: Side,
     frames: VecDeque<(f64, Vec<u8>)>,
-    /// Nothing comes behind the frames.
+    /// Whether the link is closed: no frame follows the queued ones.
     pub(super) closed: bool,
-    /// The owner has dropped it, or heard of its end.
+    /// Whether the owner has dropped the link or was notified of its end.
     pub(super) abandoned: bool,
-    /// A successor does not see the link before the hello.
+    /// Whether the owner is a successor that waits for the hello; it does not see the link before.
     awaits_hello: bool,
     decoder: wire::Decoder,
 }
@@ -82,7 +83,8 @@
 pub(super) struct Link(pub(super) [LinkEnd; 2]);
 
 impl Link {
-    /// Nothing more is sent; of what is in flight, so many messages still arrive in each direction.
+    /// Closes the link: nothing more is sent. Of the messages in flight, this many still arrive in each
+    /// direction.
     pub(super) fn close(&mut self, kept: usize) {
         for end in &mut self.0 {
             if !end.closed {
@@ -99,7 +101,7 @@
         LinkEnd { owner, side, frames, closed: false, abandoned: false, awaits_hello, decoder }
     }
 
-    /// In order: not before what was sent earlier.
+    /// Queues a frame, which arrives no earlier than the frames sent before it.
     fn send(&mut self, at_ms: f64, frame: Vec<u8>) {
         if !self.closed {
             let after = self.frames.back().map_or(at_ms, |(at, _)| at.max(at_ms));
@@ -133,18 +135,18 @@
                 return;
             }
         };
-        self.processes[index].has_looked = true;
+        self.processes[index].has_searched_predecessor = true;
         self.processes[index].inbox.push(PeerEvent::NoPredecessor(reason));
     }
 
-    /// The link of a process to that side, by its place and the place of the end.
+    /// The index of the link of a process to this side, and the index of the process's end of the link.
     fn open_end(&self, owner: usize, side: Side) -> Option<(usize, usize)> {
-        let is = |end: &LinkEnd| end.owner == owner && end.side == side && !end.abandoned;
+        let is_open_end = |end: &LinkEnd| end.owner == owner && end.side == side && !end.abandoned;
         let mut links = self.links.iter().enumerate();
-        links.find_map(|(at, link)| Some((at, link.0.iter().position(is)?)))
+        links.find_map(|(at, link)| Some((at, link.0.iter().position(is_open_end)?)))
     }
 
-    /// Puts what has arrived into the inbox of a process.
+    /// Moves arrived messages into the inbox of a process.
     pub(super) fn deliver(&mut self, index: usize) {
         let now = self.now;
         let process = &mut self.processes[index];
@@ -153,11 +155,13 @@
             while end.frames.front().is_some_and(|(at, _)| *at <= now) {
                 let Some((_, frame)) = end.frames.pop_front() else { break };
                 end.decoder.push(&frame);
-                while let Some(message) = end.decoder.next_message().expect("what was encoded is read") {
+                while let Some(message) =
+                    end.decoder.next_message().expect("an encoded message can be decoded")
+                {
                     process.inbox.push(match (end.side, message) {
                         (Side::Predecessor, Message::Hello(hello)) if end.awaits_hello => {
                             end.awaits_hello = false;
-                            process.has_looked = true;
+                            process.has_searched_predecessor = true;
                             PeerEvent::PredecessorFound(hello)
                         }
                         (Side::Predecessor, message) => PeerEvent::FromPredecessor(message),
@@ -169,7 +173,7 @@
                 end.abandoned = true;
                 process.inbox.push(match end.side {
                     Side::Predecessor if end.awaits_hello => {
-                        process.has_looked = true;
+                        process.has_searched_predecessor = true;
                         PeerEvent::NoPredecessor(NoPredecessor::Closed)
                     }
                     Side::Predecessor => PeerEvent::PredecessorLost,
--- a/tests/handover_simulation/mod.rs
+++ b/tests/handover_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation of the processes of one server during upgrades: each is a core without a socket, with recording ports, and all
-//! share one manual clock. Callers, engines and the platform are driven by the tests.
+//! A simulation of the processes of one server during upgrades. Each process is a core without sockets, with
+//! recording ports. All processes share one manual clock. The tests drive callers, engines and the platform.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -31,8 +31,8 @@
 const MEMORY_MB: f64 = 50.0;
 const START_MS: f64 = 1_000_000.0;
 
-/// What identifies a request in all processes.
-struct RequestName {
+/// The identity of a request in all processes.
+struct RequestIdentity {
     /// Its idempotency key, in a keyed class.
     key: Option<String>,
     arrived_ms: f64,
@@ -43,21 +43,21 @@
     pub now: f64,
     pub processes: Vec<Process>,
     pub runs: Vec<Run>,
-    /// Delay of what is sent from now on, ms.
+    /// Delay of messages that are sent from now on, ms.
     pub delay_ms: f64,
     /// Links that were closed while both processes were alive.
     pub cuts: usize,
     pub crashes: usize,
-    /// The core listening at the common path.
+    /// Index of the process that listens at the common path.
     pub listening: Option<usize>,
     links: Vec<Link>,
     last_correlation_id: u64,
     /// By attempt id.
-    names: BTreeMap<String, RequestName>,
+    identities: BTreeMap<String, RequestIdentity>,
 }
 
 impl Simulation {
-    /// A simulation with a first process, which serves.
+    /// A simulation with a first process, which already serves.
     pub fn serving(classes: &[ClassSpec]) -> Simulation {
         let mut simulation = Simulation {
             now: START_MS,
@@ -69,16 +69,17 @@
             listening: None,
             links: Vec::new(),
             last_correlation_id: 0,
-            names: BTreeMap::new(),
+            identities: BTreeMap::new(),
         };
         let first = simulation.start(classes);
         simulation.engine_up(first);
-        simulation.pass(10.0);
+        simulation.advance(10.0);
         assert!(simulation.serves(first));
         simulation
     }
 
-    /// Starts another process, which looks for the one that listens for a successor. Returns its index.
+    /// Starts another process, which looks for the process that listens for a successor. Returns the index of
+    /// the new process.
     pub fn start(&mut self, classes: &[ClassSpec]) -> usize {
         let site = Rc::new(site::site(classes));
         let (recorded, status, counters) =
@@ -117,7 +118,7 @@
             alive: true,
             notice_ms: None,
             had_successor_at_notice: false,
-            has_looked: false,
+            has_searched_predecessor: false,
             counters,
             clock,
             port,
@@ -127,7 +128,7 @@
             reconnect_ms: Some(self.now),
             kill_ms: None,
         });
-        self.pass(0.0);
+        self.advance(0.0);
         index
     }
 
@@ -137,21 +138,21 @@
         });
     }
 
-    pub fn life(&self, index: usize) -> LifecyclePhase {
+    pub fn phase(&self, index: usize) -> LifecyclePhase {
         self.processes[index].core.phase()
     }
 
     pub fn serves(&self, index: usize) -> bool {
         self.processes[index].alive
-            && matches!(self.life(index), LifecyclePhase::Serving | LifecyclePhase::LameDuck)
+            && matches!(self.phase(index), LifecyclePhase::Serving | LifecyclePhase::LameDuck)
     }
 
     pub fn handover_state(&self, index: usize) -> HandoverState {
         self.processes[index].core.handover_state(self.now)
     }
 
-    /// The process receives a request of the class of this name; nothing happens if it does not know the class. Returns the
-    /// attempt id.
+    /// Sends the process a request of the class of this name; does nothing if the process does not know the
+    /// class. Returns the attempt id.
     pub fn arrive(
         &mut self,
         index: usize,
@@ -168,7 +169,7 @@
         let attempt_id = format!("r{correlation_id}");
         let arrived_ms = self.now - age_ms;
         let token = keyed.then(|| format!("k{token}"));
-        self.names.insert(attempt_id.clone(), RequestName { key: token.clone(), arrived_ms });
+        self.identities.insert(attempt_id.clone(), RequestIdentity { key: token.clone(), arrived_ms });
         let arrival = Arrival {
             caller: Rc::new(RecordingCaller(caller, process.recorded.clone())),
             protocol: Protocol::Rpc,
@@ -239,7 +240,7 @@
         self.runs.iter().filter(|run| run.attempt_id == attempt_id).count()
     }
 
-    /// Ends a run in flight, one of those of living processes.
+    /// Ends a run in flight in a living process.
     pub fn end_run(&mut self, pick: usize, end: RunResult) {
         let running = |run: &Run| !run.over && self.processes[run.process].alive;
         let running: Vec<usize> = (0..self.runs.len()).filter(|at| running(&self.runs[*at])).collect();
@@ -254,7 +255,7 @@
         self.run_batch(index, |core, now| core.set_lame_duck(now, drained));
     }
 
-    /// The platform sends SIGTERM; SIGKILL follows in time.
+    /// Sends SIGTERM, as the platform does; SIGKILL follows after [`HANDOVER_KILL_MS`].
     pub fn terminate(&mut self, index: usize) {
         let now = self.now;
         let successor = index + 1;
@@ -269,25 +270,25 @@
         }
     }
 
-    /// A reload that puts these classes in force.
+    /// Reloads the process with these classes.
     pub fn reload(&mut self, index: usize, classes: &[ClassSpec]) {
         let merged = self.processes[index].site.merged_with(site::site(classes), self.now);
-        let site = Rc::new(merged.expect("there is room for a few classes"));
+        let site = Rc::new(merged.expect("the site has space for a few classes"));
         self.processes[index].site = site.clone();
         let settings = Reconfiguration { site, stop_ms: STOP_MS, memory_mb: MEMORY_MB };
         self.run_batch(index, |core, now| core.handle(now, CoreInput::Reconfigure(settings)));
     }
 
-    /// SIGKILL. Of the messages that it has sent, `kept` still arrive.
+    /// Kills the process with SIGKILL. Of the messages that it has sent, `kept` still arrive.
     pub fn crash(&mut self, index: usize, kept: usize) {
         if !self.processes[index].alive {
             return;
         }
         self.crashes += 1;
         self.end_process(index, kept);
-        let told = |process: &Process| process.alive && process.has_looked;
-        // Nobody knows what the only process knew.
-        if !self.processes.iter().any(told) {
+        let knows_runs = |process: &Process| process.alive && process.has_searched_predecessor;
+        // No process is left that knows of these runs.
+        if !self.processes.iter().any(knows_runs) {
             self.runs.iter_mut().for_each(|run| run.never_ran = true);
         }
     }
@@ -313,21 +314,25 @@
 
     /// Whether these processes are connected.
     pub fn is_linked(&self, older: usize, newer: usize) -> bool {
-        let is = |link: &Link| {
+        let matches_link = |link: &Link| {
             let [to_newer, to_older] = &link.0;
             (to_newer.owner, to_older.owner) == (newer, older)
                 && link.0.iter().all(|end| !end.closed && !end.abandoned)
         };
-        self.links.iter().any(is)
+        self.links.iter().any(matches_link)
     }
 
-    /// Lets time pass: links deliver, cores act when they are due, the platform kills.
-    pub fn pass(&mut self, ms: f64) {
+    /// Advances the clock: links deliver messages, cores act when they are due, and the platform kills
+    /// processes.
+    pub fn advance(&mut self, ms: f64) {
         let until = self.now + ms;
         let mut batches = 0;
         while let Some(at) = self.next_event().filter(|at| *at <= until) {
             batches += 1;
-            assert!(f64::from(batches) < 2000.0 + 4.0 * ms, "{batches} turns in {ms} ms: it does not wait");
+            assert!(
+                f64::from(batches) < 2000.0 + 4.0 * ms,
+                "{batches} batches in {ms} ms: the cores do not wait between batches"
+            );
             self.now = self.now.max(at);
             self.run_due();
         }
@@ -343,7 +348,7 @@
         cores.chain(others).chain(links).min_by(f64::total_cmp)
     }
 
-    /// Everything that is due now.
+    /// Runs everything that is due now.
     fn run_due(&mut self) {
         for index in 0..self.processes.len() {
             if !self.processes[index].alive {
@@ -367,7 +372,7 @@
         }
     }
 
-    /// One batch of a core, in the order of its task.
+    /// Runs one batch of a core, in the order of the core's task.
     fn run_batch(&mut self, index: usize, input: impl FnOnce(&mut Core, f64)) {
         if !self.processes[index].alive {
             return;
@@ -382,14 +387,14 @@
         self.execute_commands(index);
         self.record_runs(index);
         self.check(index);
-        if self.life(index) == LifecyclePhase::Terminated {
+        if self.phase(index) == LifecyclePhase::Terminated {
             self.end_process(index, usize::MAX);
         }
     }
 }
 
-/// How a run ends: two of four values are results.
-pub fn run_end(how: u8) -> RunResult {
+/// Maps a number to the end of a run: two of four values are results.
+pub fn run_result(how: u8) -> RunResult {
     match how % 4 {
         0 | 1 => RunResult::Complete(vec![how; 200].as_slice().into()),
         2 => RunResult::Error,
--- a/tests/handover_simulation/process.rs
+++ b/tests/handover_simulation/process.rs
@@ -17,12 +17,12 @@
     pub correlation_id: u64,
     pub read_ms: f64,
     pub deadline_ms: f64,
-    /// Its caller cancelled it or closed its connection.
+    /// Whether its caller cancelled the request or closed the connection.
     pub cancelled: bool,
     pub(super) caller: u64,
 }
 
-/// A run that an engine was told to start.
+/// A run that an engine was commanded to start.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub process: usize,
@@ -42,19 +42,19 @@
     pub site: Rc<Site>,
     pub received: Vec<ReceivedRequest>,
     pub alive: bool,
-    /// When it was told to terminate.
+    /// When the process received its termination notice.
     pub notice_ms: Option<f64>,
-    /// A successor served at that time.
+    /// Whether a successor served at that time.
     pub had_successor_at_notice: bool,
-    /// It has connected to a predecessor, or proved that there is none.
-    pub has_looked: bool,
+    /// Whether the process has connected to a predecessor or proved that there is none.
+    pub has_searched_predecessor: bool,
     pub(super) counters: Rc<Counters>,
     pub(super) clock: Clock,
     pub(super) port: Rc<Port>,
     pub(super) inbox: Rc<PeerInbox>,
     pub(super) runs_seen: usize,
     pub(super) is_released: bool,
-    /// When it looks for a predecessor again.
+    /// When the process looks for a predecessor again.
     pub(super) reconnect_ms: Option<f64>,
     pub(super) kill_ms: Option<f64>,
 }
--- a/tests/handover_simulation/site.rs
+++ b/tests/handover_simulation/site.rs
@@ -14,7 +14,7 @@
 pub const LOOK: ClassSpec = ("look", "read_like");
 pub const WRITE: ClassSpec = ("write", "idempotency_key");
 pub const PAY: ClassSpec = ("pay", "idempotency_key");
-/// The name of a keyed class, as a reload may give it to another kind.
+/// A class of another kind under the name of a keyed class, as a reload may define it.
 pub const WRITE_AS_READ: ClassSpec = ("write", "read_like");
 
 /// The settings of a site with these classes.
@@ -28,5 +28,5 @@
         .collect();
     let info = json!({"services": services, "contract": {"answerSlackMs": 100, "drainGraceMs": 1000},
         "specifics": {"cores": 2, "heapKb": 100_000, "gauges": ["cpu_busy", "runnable"], "runFactor": 2}});
-    Site::from_json(&info).expect("the settings of the test can be read")
+    Site::from_json(&info).expect("the settings of the test are valid")
 }
