--- a/src/server/core/calls.rs
+++ b/src/server/core/calls.rs
@@ -18,12 +18,12 @@
         open.state = RequestState::AwaitingCall;
         open.call_request = call_request;
         open.resume_with = None;
-        let (is_over, class) = (open.caller.is_none(), open.class);
+        let (needs_no_answer, class) = (open.caller.is_none(), open.class);
         if let Some(event) = cancelled {
             self.emit(id, class, event);
         }
         self.dispatch(Event::CallNeeded { id });
-        if is_over {
+        if needs_no_answer {
             self.cancel_run_at_call(id);
         }
     }
--- a/src/server/core/drain.rs
+++ b/src/server/core/drain.rs
@@ -101,8 +101,8 @@
     /// Advances the lifecycle through its phases as far as time and outstanding work allow.
     pub(super) fn advance_lifecycle(&mut self) {
         loop {
-            let left = self.outstanding();
-            let Some(phase) = self.lifecycle.advance(self.now_ms, left) else { return };
+            let outstanding = self.outstanding();
+            let Some(phase) = self.lifecycle.advance(self.now_ms, outstanding) else { return };
             self.enter_phase(phase);
             self.dependencies.status.phase.set(phase);
         }
--- a/src/server/core/duplicates.rs
+++ b/src/server/core/duplicates.rs
@@ -61,9 +61,9 @@
         self.emit_for(id, |_| RequestEventKind::Decided(Decision::ReuseResult));
         let outcome = match (key, original) {
             (Some(key), Some(original)) => self.join_original(&key, Waiter { id, original }),
-            _ => JoinOutcome::Over(AttemptResult::Failed),
+            _ => JoinOutcome::Finished(AttemptResult::Failed),
         };
-        if let JoinOutcome::Over(result) = outcome {
+        if let JoinOutcome::Finished(result) = outcome {
             self.answer_duplicate(id, &result);
         }
     }
--- a/src/server/core/handover/claims.rs
+++ b/src/server/core/handover/claims.rs
@@ -125,8 +125,8 @@
         let Some(WaitingClaim { key, arrivals }) = self.remove_claim(claim) else { return };
         // If the request is rejected without having been retained, the key has to be given back.
         self.mark_key_changed(&key);
-        for (place, arrival) in arrivals.into_iter().enumerate() {
-            let claim = if place == 0 { KeyClaim::Granted } else { KeyClaim::NotClaimed };
+        for (index, arrival) in arrivals.into_iter().enumerate() {
+            let claim = if index == 0 { KeyClaim::Granted } else { KeyClaim::NotClaimed };
             self.admit(arrival, claim);
         }
     }
--- a/src/server/core/handover/replication.rs
+++ b/src/server/core/handover/replication.rs
@@ -43,9 +43,9 @@
     }
 
     fn key_record(&self, key: &IdempotencyKey) -> KeyRecord {
-        let key_name = shared_key(key);
+        let shared_name = shared_key(key);
         let Some(AttemptRecord { attempt, started, result }) = self.keys.record(key) else {
-            return KeyRecord { key: key_name, digest: 0, until_ms: 0.0, state: KeyState::Released };
+            return KeyRecord { key: shared_name, digest: 0, until_ms: 0.0, state: KeyState::Released };
         };
         let state = match result {
             _ if !started => KeyState::Held,
@@ -57,7 +57,7 @@
         // process.
         let deadline_ms = self.requests.get(attempt.id).map_or(0.0, |open| open.deadline_ms);
         let until_ms = attempt.window_end_ms.max(deadline_ms);
-        KeyRecord { key: key_name, digest: attempt.digest, until_ms, state }
+        KeyRecord { key: shared_name, digest: attempt.digest, until_ms, state }
     }
 
     /// Enters the predecessor's record of a key. A key that this process already knows itself is left
--- a/src/server/core/keys/entry.rs
+++ b/src/server/core/keys/entry.rs
@@ -17,7 +17,7 @@
     /// The attempt that was started before `started`, and whose window has ended. Requests that arrived
     /// within that window may still be read, and this attempt counts again if the later attempt is proved not
     /// to have run.
-    pub(super) started_before: Option<Attempt>,
+    pub(super) previous_started: Option<Attempt>,
     /// The attempt that `result` belongs to.
     pub(super) result_of: u32,
     pub(super) result: AttemptResult,
@@ -31,7 +31,7 @@
         Entry {
             retained: None,
             started: None,
-            started_before: None,
+            previous_started: None,
             result_of: id,
             result: AttemptResult::Pending,
             waiters: Vec::new(),
--- a/src/server/core/keys/mod.rs
+++ b/src/server/core/keys/mod.rs
@@ -146,7 +146,7 @@
             (entry.result_of, entry.result) = (attempt.id, AttemptResult::Pending);
         }
         entry.retained = None;
-        entry.started_before = entry.started.replace(attempt);
+        entry.previous_started = entry.started.replace(attempt);
         entry.remote = Some(attempt.id);
     }
 
@@ -169,7 +169,7 @@
         if entry.started.is_some_and(|started| arrived_ms < started.window_end_ms) {
             return Err(AlreadyRan);
         }
-        entry.started_before = entry.started.replace(attempt);
+        entry.previous_started = entry.started.replace(attempt);
         self.result_bytes -= entry.result_bytes();
         (entry.result_of, entry.result) = (attempt.id, AttemptResult::Pending);
         Ok(())
@@ -198,17 +198,17 @@
     /// attempt ended.
     pub fn join(&mut self, key: &IdempotencyKey, waiter: Waiter, original: OriginalState) -> JoinOutcome {
         let Some(entry) = self.entries.get_mut(key) else {
-            return JoinOutcome::Over(AttemptResult::Failed);
+            return JoinOutcome::Finished(AttemptResult::Failed);
         };
         if entry.result_of == waiter.original && entry.result != AttemptResult::Pending {
-            return JoinOutcome::Over(entry.result.clone());
+            return JoinOutcome::Finished(entry.result.clone());
         }
         match original {
             OriginalState::InFlight => {
                 entry.waiters.push(waiter);
                 JoinOutcome::Waits
             }
-            OriginalState::Ended => JoinOutcome::Over(AttemptResult::Failed),
+            OriginalState::Ended => JoinOutcome::Finished(AttemptResult::Failed),
         }
     }
 
@@ -223,7 +223,7 @@
         match end {
             AttemptEnd::NeverRan => {
                 if entry.started.is_some_and(|started| started.id == id) {
-                    entry.started = entry.started_before.take();
+                    entry.started = entry.previous_started.take();
                 }
                 entry.release(id);
             }
--- a/src/server/core/keys/types.rs
+++ b/src/server/core/keys/types.rs
@@ -97,7 +97,7 @@
     /// The duplicate waits for the attempt in flight.
     Waits,
     /// The attempt has ended with this result.
-    Over(AttemptResult),
+    Finished(AttemptResult),
 }
 
 /// The effects of the end of an attempt.
--- a/src/server/core/timers.rs
+++ b/src/server/core/timers.rs
@@ -63,8 +63,8 @@
     }
 
     fn take_poll(&mut self, tag: u64) -> Option<GaugePoll> {
-        let place = self.polls.iter().position(|poll| poll.tag == tag)?;
-        self.polls.remove(place)
+        let index = self.polls.iter().position(|poll| poll.tag == tag)?;
+        self.polls.remove(index)
     }
 }
 
--- a/tests/handover_simulation/checks.rs
+++ b/tests/handover_simulation/checks.rs
@@ -43,7 +43,7 @@
             self.runs.push(Run {
                 process: index,
                 attempt_id,
-                over: false,
+                ended: false,
                 key,
                 arrived_ms,
                 until_ms,
@@ -84,7 +84,7 @@
     pub fn finish_and_check(&mut self) {
         self.delay_ms = 1.0;
         for _ in 0..400 {
-            if !self.runs.iter().any(|run| !run.over && self.processes[run.process].alive) {
+            if !self.runs.iter().any(|run| !run.ended && self.processes[run.process].alive) {
                 break;
             }
             self.end_run(0, RunResult::Complete([1].as_slice().into()));
--- a/tests/handover_simulation/links.rs
+++ b/tests/handover_simulation/links.rs
@@ -123,7 +123,7 @@
         let reason = match self.listening {
             None => NoPredecessor::NoSocket,
             Some(older) if older == index || !self.processes[older].alive => NoPredecessor::Refused,
-            Some(older) if self.processes[older].is_released => NoPredecessor::BadListeners,
+            Some(older) if self.processes[older].has_released_listeners => NoPredecessor::BadListeners,
             Some(older) if self.open_end(older, Side::Successor).is_some() => NoPredecessor::Closed,
             Some(older) => {
                 self.links.push(Link([
@@ -200,7 +200,7 @@
                 }
                 Command::Find => self.processes[index].reconnect_ms = Some(self.now + RECONNECT_MS),
                 Command::Listen => self.listening = Some(index),
-                Command::Release => self.processes[index].is_released = true,
+                Command::Release => self.processes[index].has_released_listeners = true,
             }
         }
     }
--- a/tests/handover_simulation/mod.rs
+++ b/tests/handover_simulation/mod.rs
@@ -124,7 +124,7 @@
             port,
             inbox,
             runs_seen: 0,
-            is_released: false,
+            has_released_listeners: false,
             reconnect_ms: Some(self.now),
             kill_ms: None,
         });
@@ -242,11 +242,11 @@
 
     /// Ends a run in flight in a living process.
     pub fn end_run(&mut self, pick: usize, end: RunResult) {
-        let running = |run: &Run| !run.over && self.processes[run.process].alive;
+        let running = |run: &Run| !run.ended && self.processes[run.process].alive;
         let running: Vec<usize> = (0..self.runs.len()).filter(|at| running(&self.runs[*at])).collect();
         let Some(&at) = running.get(pick.checked_rem(running.len()).unwrap_or(0)) else { return };
         let run = &mut self.runs[at];
-        (run.over, run.never_ran) = (true, end == RunResult::Unknown);
+        (run.ended, run.never_ran) = (true, end == RunResult::Unknown);
         let (index, attempt_id) = (run.process, run.attempt_id.clone());
         self.run_batch(index, |core, now| core.handle(now, CoreInput::RunEnded { attempt_id, result: end }));
     }
--- a/tests/handover_simulation/process.rs
+++ b/tests/handover_simulation/process.rs
@@ -27,7 +27,7 @@
 pub struct Run {
     pub process: usize,
     pub attempt_id: String,
-    pub over: bool,
+    pub ended: bool,
     /// Its idempotency key, in a keyed class.
     pub(super) key: Option<String>,
     pub(super) arrived_ms: f64,
@@ -53,7 +53,7 @@
     pub(super) port: Rc<Port>,
     pub(super) inbox: Rc<PeerInbox>,
     pub(super) runs_seen: usize,
-    pub(super) is_released: bool,
+    pub(super) has_released_listeners: bool,
     /// When the process looks for a predecessor again.
     pub(super) reconnect_ms: Option<f64>,
     pub(super) kill_ms: Option<f64>,
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -100,9 +100,9 @@
         finished(&[2], false),
         "only the duplicates of the first attempt are returned"
     );
-    assert_eq!(join(&mut keys, 5, 1, OriginalState::Ended), JoinOutcome::Over(AttemptResult::Failed));
+    assert_eq!(join(&mut keys, 5, 1, OriginalState::Ended), JoinOutcome::Finished(AttemptResult::Failed));
     assert_eq!(keys.finish(&key(), 3, AttemptEnd::Ran(done(6))), finished(&[4], false));
-    assert_eq!(join(&mut keys, 6, 3, OriginalState::Ended), JoinOutcome::Over(done(6)));
+    assert_eq!(join(&mut keys, 6, 3, OriginalState::Ended), JoinOutcome::Finished(done(6)));
     assert_eq!(keys.size(), (1, 6));
 }
 
