--- a/crates/pinepoint-handover/src/io.rs
+++ b/crates/pinepoint-handover/src/io.rs
@@ -1,7 +1,8 @@
-//! The Unix socket between the two processes: all I/O of this crate. It decides only which peers it talks to.
+//! All I/O of this crate, over a Unix socket between the two processes. The module decides only which peers
+//! are accepted.
 //!
-//! The predecessor runs an [`Acceptor`]; a successor calls [`connect`]. Both sides exchange a preamble, to which the predecessor
-//! attaches its listening sockets, and then send messages over a [`Link`].
+//! The predecessor runs an [`Acceptor`]; a successor calls [`connect`]. Both sides exchange a preamble, to
+//! which the predecessor attaches its listening sockets, and then send messages over a [`Link`].
 
 mod acceptor;
 mod fd_passing;
@@ -17,7 +18,7 @@
 
 /// Name of the socket in the directory that both processes share.
 const SOCKET_NAME: &str = "pinepoint-handover.sock";
-/// Bytes that are read at once.
+/// Size of a read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Path of the socket on which the predecessor listens.
--- a/crates/pinepoint-handover/src/io/acceptor.rs
+++ b/crates/pinepoint-handover/src/io/acceptor.rs
@@ -22,14 +22,15 @@
 use super::link::{Link, LinkTask};
 use crate::wire::Decoder;
 
-/// Prefix of the socket's temporary name, followed by the process id. It is shorter than the final name for any id.
+/// Prefix of the socket's temporary name, which ends in the process id. That name is shorter
+/// than the final one for any id.
 const TEMPORARY_PREFIX: &str = ".pphandover";
-/// Maximum number of handshakes at once.
+/// Maximum number of concurrent handshakes.
 const MAX_PENDING_HANDSHAKES: usize = 8;
 
 /// A successor that has received the listening sockets and waits for the `Hello`.
 pub struct Accepted {
-    /// Sends messages to it.
+    /// Sends messages to the successor.
     pub link: Link,
     /// Has to be run for the link to work.
     pub task: LinkTask,
@@ -37,26 +38,27 @@
 
 /// The socket on which a predecessor waits for its successor.
 ///
-/// The file is never removed: a stale one refuses connections, and the next process replaces it atomically.
+/// The socket file is never removed: a stale file refuses connections, and the next process replaces it
+/// atomically.
 pub struct Acceptor {
     socket: Async<UnixListener>,
     listeners: RefCell<Vec<OwnedFd>>,
-    /// Tasks of pending handshakes by link number, which is in the order of their arrival.
+    /// Tasks of pending handshakes by link number; the numbers increase in order of arrival.
     handshakes: RefCell<BTreeMap<u64, Task<()>>>,
 }
 
 impl Acceptor {
-    /// Listens at this path, replacing whatever is there. The listening sockets are passed to each successor, in this order.
+    /// Listens at `path`, replacing any existing file. Each successor is passed `listeners`, in this order.
     ///
     /// # Errors
-    /// More than [`MAX_LISTENERS`] sockets, a path that is too long, or an error of the system.
+    /// More than [`MAX_LISTENERS`] sockets, a path that is too long, or a system error.
     pub fn bind(path: &Path, listeners: &[&TcpListener]) -> io::Result<Acceptor> {
         if listeners.len() > MAX_LISTENERS {
             let message =
-                format!("{} listening sockets: {MAX_LISTENERS} can be passed at most", listeners.len());
+                format!("{} listening sockets given: at most {MAX_LISTENERS} can be passed", listeners.len());
             return Err(io::Error::new(io::ErrorKind::InvalidInput, message));
         }
-        // The temporary name is shorter: binding it does not prove that the path can be connected to.
+        // The temporary name is shorter: binding it does not prove that the final path is short enough.
         SocketAddr::from_pathname(path)?;
         let listeners = listeners
             .iter()
@@ -69,13 +71,13 @@
         Ok(Acceptor { socket, listeners: RefCell::new(listeners), handshakes: RefCell::default() })
     }
 
-    /// Closes its copies of the listening sockets: later successors are passed none.
+    /// Closes the copies of the listening sockets: later successors are passed none.
     pub fn release(&self) {
         self.listeners.borrow_mut().clear();
     }
 
-    /// Accepts connections, does each handshake in a task of its own, and sends the successors to `peers`. Links are numbered
-    /// from `first_number` on. Ends when the receiver of `peers` is dropped.
+    /// Accepts connections, runs each handshake in its own task, and sends the successors to `peers`. Links
+    /// are numbered from `first_number` on. Ends when the receiver of `peers` is dropped.
     pub async fn run(
         self: Rc<Self>,
         first_number: u64,
@@ -97,7 +99,7 @@
                     self.handshakes.borrow_mut().insert(number, task);
                     number += 1;
                 }
-                // Out of file descriptors, or the peer is gone already.
+                // The process is out of file descriptors, or the peer has already disconnected.
                 Some(Err(error)) => {
                     tracing::warn!(%error, "handover-accept");
                     Timer::after(HANDSHAKE_TIMEOUT).await;
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Cancels the oldest handshake if too many are pending. A successor sends its preamble at once: one that has been pending
-    /// for long is not a successor.
+    /// Cancels the oldest handshake if too many are pending. A successor sends its preamble at once, so a
+    /// peer whose handshake has been pending for long is not a successor.
     fn evict_oldest_handshake(&self) {
         let mut handshakes = self.handshakes.borrow_mut();
         if handshakes.len() >= MAX_PENDING_HANDSHAKES {
@@ -124,7 +126,7 @@
     ) {
         let handshake = self.handshake_with_successor(number, stream);
         let result = with_handshake_timeout(handshake, HandshakeError::TimedOut).await;
-        // This task is not to be evicted any more, nor to be cancelled by dropping its handle.
+        // From here on this task can neither be evicted nor be cancelled by dropping its handle.
         if let Some(task) = self.handshakes.borrow_mut().remove(&number) {
             task.detach();
         }
@@ -150,7 +152,7 @@
 
 /// Binds under a temporary name and renames, so that a stale socket at the path is replaced atomically.
 fn bind_and_rename(path: &Path, temporary: &Path) -> io::Result<Async<UnixListener>> {
-    // An earlier process with this id may have left one.
+    // An earlier process with this id may have left a temporary file.
     let _ = std::fs::remove_file(temporary);
     let socket = Async::<UnixListener>::bind(temporary)?;
     std::fs::set_permissions(temporary, std::fs::Permissions::from_mode(0o600))?;
--- a/crates/pinepoint-handover/src/io/fd_passing.rs
+++ b/crates/pinepoint-handover/src/io/fd_passing.rs
@@ -1,4 +1,4 @@
-//! Bytes with file descriptors attached (`SCM_RIGHTS`).
+//! Sending and receiving of bytes with attached file descriptors (`SCM_RIGHTS`).
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -13,7 +13,7 @@
 /// Maximum number of listening sockets that can be passed.
 pub const MAX_LISTENERS: usize = 8;
 
-/// Sends bytes with these descriptors attached; returns how many bytes were sent.
+/// Sends `bytes` with `fds` attached; returns the number of bytes sent.
 pub(super) fn send_with_fds(stream: &UnixStream, bytes: &[u8], fds: &[OwnedFd]) -> io::Result<usize> {
     let borrowed: Vec<_> = fds.iter().map(AsFd::as_fd).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
@@ -25,7 +25,8 @@
     Ok(sent)
 }
 
-/// Receives bytes, and adds the descriptors attached to them to `fds`; returns how many bytes were received, 0 at the end.
+/// Receives bytes and appends the attached descriptors to `fds`; returns the number of bytes received, 0 at
+/// end of stream.
 pub(super) fn receive_with_fds(
     stream: &UnixStream,
     buffer: &mut [u8],
--- a/crates/pinepoint-handover/src/io/handshake.rs
+++ b/crates/pinepoint-handover/src/io/handshake.rs
@@ -20,10 +20,10 @@
 use crate::ownership::NoPredecessor;
 use crate::wire::{self, Decoder, PREAMBLE_LENGTH, WireError};
 
-/// How long a handshake may take: the preamble, and on the successor's side the `Hello` too.
+/// Timeout of a handshake: of the preamble, and on the successor's side of the `Hello` as well.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The outcome of `work`, or `timeout_error` after [`HANDSHAKE_TIMEOUT`].
+/// Returns the outcome of `work`, or `timeout_error` after [`HANDSHAKE_TIMEOUT`].
 pub(super) async fn with_handshake_timeout<T, E>(
     work: impl Future<Output = Result<T, E>>,
     timeout_error: E,
@@ -43,11 +43,11 @@
 
 /// A predecessor that has sent its `Hello`.
 pub struct Connected {
-    /// Its `Hello`: the first event of the successor's state machine.
+    /// The predecessor's `Hello`: the first event of the successor's state machine.
     pub hello: Hello,
-    /// Its listening sockets with their names, in the order of the `Hello`.
+    /// The predecessor's listening sockets with their names, in the order of the `Hello`.
     pub listeners: Vec<(String, TcpListener)>,
-    /// Sends messages to it.
+    /// Sends messages to the predecessor.
     pub link: Link,
     /// Has to be run for the link to work.
     pub task: LinkTask,
@@ -56,7 +56,7 @@
 /// Connects to a predecessor, within one second. `number` identifies the link.
 ///
 /// # Errors
-/// Why there is no predecessor to talk to.
+/// The reason why no predecessor is connected.
 pub async fn connect(path: &Path, number: u64) -> Result<Connected, NoPredecessor> {
     with_handshake_timeout(handshake_with_predecessor(path, number), NoPredecessor::TimedOut).await
 }
@@ -165,13 +165,13 @@
         OtherUser = "other-user",
         /// The peer sent no preamble in time.
         TimedOut = "no-preamble-in-time",
-        /// What the peer sent is not a preamble of the handover.
+        /// The peer did not send a preamble of the handover protocol.
         ProtocolMismatch = "not-a-handover",
-        /// The peer speaks another version.
+        /// The peer speaks another protocol version.
         OtherVersion = "other-version",
         /// The connection failed.
         ConnectionLost = "closed-in-preamble",
-        /// Too many handshakes were pending, and this was the oldest.
+        /// Too many handshakes were pending, and this one was the oldest.
         TooManyPending = "too-many-greeted",
     }
 }
@@ -185,7 +185,8 @@
     }
 }
 
-/// Receives a successor's preamble and checks it. A peer of another version is told this version, and gets no sockets.
+/// Receives a successor's preamble and checks it. A peer of another version is sent the preamble
+/// of this version, and no sockets.
 pub(super) async fn receive_successor_preamble(stream: &mut Async<UnixStream>) -> Result<(), HandshakeError> {
     if !is_same_user(stream) {
         return Err(HandshakeError::OtherUser);
@@ -199,7 +200,8 @@
     Err(error.into())
 }
 
-/// Sends the predecessor's preamble with the listening sockets attached that are there once the stream is writable.
+/// Sends the predecessor's preamble with the listening sockets attached: those that are not released when the
+/// stream becomes writable.
 pub(super) async fn send_preamble(
     stream: &mut Async<UnixStream>,
     listeners: &RefCell<Vec<OwnedFd>>,
--- a/crates/pinepoint-handover/src/io/link.rs
+++ b/crates/pinepoint-handover/src/io/link.rs
@@ -1,4 +1,4 @@
-//! A link: queued sending and receiving of messages over a connected stream.
+//! A link: sends messages through a bounded queue, and receives messages, over a connected stream.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,13 +15,13 @@
 use crate::message::Message;
 use crate::wire::{self, Decoder};
 
-/// Maximum length of all queued frames, bytes.
+/// Maximum total length of the queued frames, bytes.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 reason_codes! {
     /// Why a link is closed.
     LinkCloseReason {
-        /// The peer closed it or died.
+        /// The peer closed the link or died.
         PeerClosed = "peer-closed",
         /// The peer sent bytes that are not a message.
         Malformed = "peer-malformed",
@@ -29,9 +29,9 @@
         QueueFull = "peer-queue-full",
         /// A message to be sent does not fit into a frame.
         MessageTooLong = "message-too-long",
-        /// An error of the system.
+        /// A system error.
         System = "link-system-error",
-        /// This side closed it.
+        /// This side closed the link.
         ClosedLocally = "self-closed",
     }
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     Open,
-    /// Queued frames are still sent.
+    /// No more messages are accepted, but queued frames are still sent.
     Finishing,
     Closed(LinkCloseReason),
 }
@@ -48,7 +48,7 @@
     number: u64,
     state: Cell<LinkState>,
     queue: RefCell<VecDeque<Vec<u8>>>,
-    /// Length of the queued frames and the one that is being sent, bytes.
+    /// Total length of the queued frames and the frame that is being sent, bytes.
     queued_bytes: Cell<usize>,
     wake_sender: Sender<()>,
 }
@@ -73,12 +73,13 @@
         (link.clone(), LinkTask { link, stream, decoder, wake_receiver })
     }
 
-    /// Identifies this link among those of the process.
+    /// Identifies this link among all links of the process.
     pub fn number(&self) -> u64 {
         self.inner.number
     }
 
-    /// Queues a message. If it does not fit, the link is closed, and [`LinkTask::run`] returns why.
+    /// Queues a message. If the message exceeds a frame or the queue is full, the link is closed, and
+    /// [`LinkTask::run`] returns the reason.
     pub fn send(&self, message: &Message) {
         if self.inner.state.get() != LinkState::Open {
             return;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Closes the link at once.
+    /// Closes the link immediately.
     pub fn close(&self) {
         self.close_with(LinkCloseReason::ClosedLocally);
     }
@@ -151,7 +152,7 @@
 }
 
 impl LinkTask {
-    /// Delivers each message that is received, until the link is closed; returns why.
+    /// Passes each received message to `deliver` until the link is closed; returns the reason.
     pub async fn run(self, mut deliver: impl FnMut(Message)) -> LinkCloseReason {
         let LinkTask { link, stream, mut decoder, wake_receiver } = self;
         let reason = future::or(
@@ -164,7 +165,8 @@
     }
 }
 
-/// Sends queued frames. After a write error it waits for the reader, which still reads what the peer sent before it was gone.
+/// Sends queued frames. After a write error the reader closes the link, once it has read everything that the
+/// peer sent before it disconnected.
 async fn write_messages(
     link: &Link,
     mut stream: &Async<UnixStream>,
@@ -215,7 +217,7 @@
             Ok(0) => return LinkCloseReason::PeerClosed,
             Ok(received) => {
                 decoder.push(&buffer[..received]);
-                // Other tasks get their turn, however much the peer sends.
+                // Lets other tasks run, however much the peer sends.
                 future::yield_now().await;
             }
             Err(error) if error.kind() == io::ErrorKind::ConnectionReset => {
