--- a/crates/pinepoint-handover/src/message.rs
+++ b/crates/pinepoint-handover/src/message.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum size of a result in a message, bytes; a key with a longer one is sent as [`KeyState::Failed`].
+/// Maximum size of a result in a message, bytes; a key with a larger result is sent as [`KeyState::Failed`].
 pub const MAX_RESULT_BYTES: usize = 32 << 10;
-/// Size of the records in one message, bytes; a message exceeds it only with a single record.
+/// Maximum total size of the records in one message, bytes; only a single record may exceed it.
 const MAX_BATCH_BYTES: usize = 24 << 10;
-/// Upper bound of a record's size beside its key and result, bytes.
+/// Upper bound of a record's size without its key and result, bytes.
 const RECORD_OVERHEAD_BYTES: usize = 48;
 
 /// An idempotency key; tokens are unique within their class.
@@ -18,23 +18,23 @@
     pub token: String,
 }
 
-/// What is known of a key.
+/// The state of the request that a key stands for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum KeyState {
     /// The request is admitted and queued; it may still be rejected without having run.
     Held,
-    /// The request runs; there is no result yet.
+    /// The request was started and has no result yet.
     Ran,
     /// The request ran, with this result.
     Done(Vec<u8>),
-    /// The request ran or may have run, and no result is retained. It is not run again in its window.
+    /// The request ran or may have run, and no result is retained. It is not run again within its window.
     Failed,
-    /// The request certainly never ran; the key is forgotten.
+    /// The request certainly never ran; the key is deleted.
     Released,
 }
 
 impl KeyState {
-    /// Whether the request is not finished: only the process that admitted it can change the state.
+    /// Whether the request is unfinished; only the process that admitted it can change this state.
     pub fn is_open(&self) -> bool {
         matches!(self, KeyState::Held | KeyState::Ran)
     }
@@ -47,14 +47,16 @@
     pub key: Key,
     /// Digest of the request's body, under the digest key of [`Hello`].
     pub digest: u64,
-    /// Until when no other attempt of the key may run, Unix ms. Not before the request's deadline, beyond which it is not queued.
+    /// Time until which no other attempt with the key may run, Unix ms. It is no earlier than the request's
+    /// deadline, after which the request is no longer queued.
     pub until_ms: f64,
     /// The state of the request.
     pub state: KeyState,
 }
 
 impl KeyRecord {
-    /// The record as it can be sent: one with a larger result than this, or than a message may hold, becomes failed.
+    /// Prepares the record for sending: the state becomes [`KeyState::Failed`] if the result exceeds
+    /// `max_result_bytes` or [`MAX_RESULT_BYTES`].
     pub(crate) fn sendable(mut self, max_result_bytes: usize) -> KeyRecord {
         if self.result_bytes() > max_result_bytes.min(MAX_RESULT_BYTES) {
             self.state = KeyState::Failed;
@@ -62,7 +64,7 @@
         self
     }
 
-    /// Size of its result, bytes.
+    /// Size of the retained result, bytes; 0 without a result.
     pub(crate) fn result_bytes(&self) -> usize {
         if let KeyState::Done(result) = &self.state { result.len() } else { 0 }
     }
@@ -81,24 +83,24 @@
     pub digest_key: [u8; 16],
     /// Whether an operator has drained the server.
     pub drained: bool,
-    /// Until when the predecessor does not know all keys itself, Unix ms; 0 if it does.
+    /// Time until which the predecessor itself does not know all keys, Unix ms; 0 if it knows all keys.
     pub keys_unknown_until_ms: f64,
 }
 
 /// The predecessor's request for permission to run a key that it does not know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Identifies the claim in its answer.
+    /// Identifies the claim in [`Message::ClaimAnswer`].
     pub id: u64,
     /// The key.
     pub key: Key,
     /// Digest of the request's body.
     pub digest: u64,
-    /// Until when no other attempt of the key may run, Unix ms.
+    /// Time until which no other attempt with the key may run, Unix ms.
     pub until_ms: f64,
 }
 
-/// A message. Each is sent in one direction only, except [`Message::Drained`].
+/// A protocol message. Each message has one sender, except [`Message::Drained`], which both processes send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Predecessor: the first message.
@@ -107,17 +109,17 @@
     Keys(Vec<KeyRecord>),
     /// Predecessor: the snapshot is complete.
     SnapshotEnd,
-    /// Successor: it is ready to serve, and asks for ownership.
+    /// Successor: it is ready to serve, and requests ownership of the keys.
     TakeOver,
     /// Predecessor: it has stopped accepting connections, and the successor owns all keys.
     Yielded,
-    /// Predecessor: asks to run a key.
+    /// Predecessor: requests permission to run a key.
     Claim(Claim),
     /// Successor: the answer to a claim.
     ClaimAnswer {
         /// Identifies the claim.
         id: u64,
-        /// Whether the predecessor may run it.
+        /// Whether the predecessor may run the key.
         granted: bool,
     },
     /// Both: an operator drained the server, or ended the drain.
@@ -126,7 +128,7 @@
     Connections(u32),
 }
 
-/// Distributes records over messages, each of which fits into a frame.
+/// Packs records into [`Message::Keys`] messages, each of which fits into a frame.
 pub(crate) fn key_messages(records: impl IntoIterator<Item = KeyRecord>) -> Vec<Message> {
     let mut messages = Vec::new();
     let (mut batch, mut bytes) = (Vec::new(), 0);
--- a/crates/pinepoint-handover/src/ownership.rs
+++ b/crates/pinepoint-handover/src/ownership.rs
@@ -1,4 +1,4 @@
-//! What both state machines share: limits and timeouts, reasons, and the rule for keys that a process does not know.
+//! Definitions shared by both state machines: limits, timeouts, reasons, and the handling of unknown keys.
 
 use pinepoint_events::reason_codes;
 
@@ -7,19 +7,19 @@
 pub struct Rules {
     /// The longest deduplication window of all classes, ms.
     pub longest_window_ms: f64,
-    /// How long an unreachable peer may go on running requests, ms.
+    /// How long an unreachable peer may continue to run requests, ms.
     pub peer_exit_ms: f64,
-    /// How long a claim may take to be answered, ms.
+    /// Timeout for the answer to a claim, ms.
     pub claim_ms: f64,
     /// Maximum number of pending claims.
     pub claims: usize,
-    /// Maximum size of all results in a snapshot, bytes.
+    /// Maximum total size of the results in a snapshot, bytes.
     pub snapshot_result_bytes: usize,
-    /// How long the transfer of a snapshot may take, ms.
+    /// Timeout for the transfer of a snapshot, ms.
     pub snapshot_ms: f64,
-    /// How long the predecessor may take to answer `TakeOver`, ms.
+    /// Timeout for the predecessor's answer to `TakeOver`, ms.
     pub yield_ms: f64,
-    /// Maximum number of attempts to connect to a predecessor that exists.
+    /// Maximum number of attempts to connect to an existing predecessor.
     pub attempts: u32,
     #[doc(hidden)]
     pub fault: Option<Fault>,
@@ -41,24 +41,24 @@
     }
 }
 
-/// A fault that tests inject and have to find.
+/// A fault that tests inject to verify that they detect it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The predecessor runs unknown keys without a claim, although it has yielded.
+    /// The predecessor runs unknown keys without a claim after it has yielded.
     RunUnclaimed,
-    /// The predecessor stops accepting connections at its `Hello`.
+    /// The predecessor stops accepting connections when it sends its `Hello`.
     StopAtHello,
 }
 
 /// How to handle a request whose key this process does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownKey {
-    /// The key is certainly new: run it.
+    /// The key is certainly new: run the request.
     Run,
-    /// The successor owns the keys: claim it first.
+    /// The successor owns the keys: claim the key first.
     Claim,
-    /// It may have run in a process that is unreachable: fail it.
+    /// The key may have run in an unreachable process: fail the request.
     Fail,
 }
 
@@ -69,7 +69,7 @@
         Known = "claim-denied",
         /// The successor did not answer within [`Rules::claim_ms`].
         NoAnswer = "claim-no-answer",
-        /// [`Rules::claims`] are pending already.
+        /// The maximum of [`Rules::claims`] claims are already pending.
         TooMany = "claims-full",
         /// The link to the successor was lost while the claim was pending.
         PeerLost = "claim-peer-lost",
@@ -87,7 +87,7 @@
         SnapshotLate = "snapshot-late",
         /// The predecessor did not answer `TakeOver` within [`Rules::yield_ms`].
         YieldLate = "yield-late",
-        /// This process exits.
+        /// This process is exiting.
         Leaving = "self-leaving",
     }
 }
@@ -99,27 +99,27 @@
         NoSocket = "no-socket",
         /// No process listens on the socket.
         Refused = "socket-refused",
-        /// The path cannot be used: too long, no permission, or not a directory.
+        /// The path cannot be used: it is too long, access is denied, or its parent is not a directory.
         BadPath = "socket-path-unusable",
-        /// It closed the connection before its `Hello`.
+        /// The peer closed the connection before its `Hello`.
         Closed = "closed-before-hello",
-        /// It did not send its `Hello` in time.
+        /// The peer did not send its `Hello` in time.
         TimedOut = "no-hello-in-time",
-        /// What it sent is not the handover protocol.
+        /// The peer does not speak the handover protocol.
         ProtocolMismatch = "not-a-handover",
-        /// It speaks another version.
+        /// The peer speaks another protocol version.
         OtherVersion = "other-version",
-        /// It runs as another user.
+        /// The peer runs as another user.
         OtherUser = "other-user",
         /// The passed sockets do not match the names in the `Hello`.
         BadListeners = "bad-listeners",
-        /// An error of the system.
+        /// A system error.
         System = "handover-system-error",
     }
 }
 
 impl NoPredecessor {
-    /// Whether it proves that no predecessor is alive.
+    /// Whether this reason proves that no predecessor is alive.
     pub fn is_absent(self) -> bool {
         matches!(self, NoPredecessor::NoSocket | NoPredecessor::Refused | NoPredecessor::BadPath)
     }
--- a/crates/pinepoint-handover/src/predecessor.rs
+++ b/crates/pinepoint-handover/src/predecessor.rs
@@ -1,7 +1,8 @@
-//! The state machine of the process that serves. It hands the ownership of its keys to a successor, and from then on claims each
-//! key that it does not know before running it. If the successor is lost, it owns the keys again.
+//! The state machine of the serving process. The process hands the ownership of its keys to a successor. From
+//! then on it claims each unknown key before running it. If the successor is lost, the process owns the keys
+//! again.
 //!
-//! Events and the time go in, actions come out; no I/O, no clock.
+//! The machine maps events and the time to actions; it does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,9 +15,9 @@
 pub enum Phase {
     /// No successor is connected.
     NoSuccessor,
-    /// A successor was sent the `Hello`; the server's [`Event::Snapshot`] is pending.
+    /// `Hello` was sent to a successor; the server's [`Event::Snapshot`] is pending.
     Greeted,
-    /// The successor was sent the snapshot, and is sent each change of a key.
+    /// The snapshot was sent to the successor, and each key change is sent as well.
     Streaming,
     /// The successor owns all keys, and this process does not accept connections.
     Yielded,
@@ -25,19 +26,21 @@
 /// An input of the predecessor.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A successor has connected. Its link is to be used for [`Action::Send`] unless [`Action::RefusePeer`] comes back.
+    /// A successor has connected. Use its link for [`Action::Send`] unless the machine answers with
+    /// [`Action::RefusePeer`].
     PeerConnected,
     /// The successor sent a message.
     Message(Message),
-    /// The link to the successor is closed. Not to be sent after [`Action::DropPeer`].
+    /// The link to the successor is closed. Must not be sent after [`Action::DropPeer`].
     PeerLost,
-    /// All keys of this process: the answer to [`Action::SendSnapshot`], without any event in between.
+    /// All keys of this process, in answer to [`Action::SendSnapshot`] and without any event in between.
     Snapshot(Vec<KeyRecord>),
     /// A key of this process, or an imported one, has changed.
     KeyChanged(KeyRecord),
-    /// A request arrived whose key is unknown, or whose window is over. One claim at a time for each key.
+    /// A request arrived whose key is unknown or whose window is over. A key has at most one pending claim.
     ClaimWanted(Claim),
-    /// Until when this process does not know all keys, Unix ms: from [`crate::successor::Action::KeysUnknownUntil`].
+    /// Time until which this process does not know all keys, Unix ms, as given by
+    /// [`crate::successor::Action::KeysUnknownUntil`].
     KeysUnknownUntil(f64),
     /// An operator drained this process, or ended the drain.
     DrainChanged(bool),
@@ -56,7 +59,7 @@
     Send(Message),
     /// Answer immediately with [`Event::Snapshot`].
     SendSnapshot,
-    /// Close the link of the last [`Event::PeerConnected`]: a successor is connected already.
+    /// Close the link of the last [`Event::PeerConnected`]: another successor is already connected.
     RefusePeer,
     /// Close the link to the successor, and forget it.
     DropPeer(DropReason),
@@ -64,7 +67,7 @@
     StopAccepting,
     /// Accept connections again.
     ResumeAccepting,
-    /// Bind the handover socket again: the lost successor has replaced it by its own.
+    /// Bind the handover socket again: the lost successor has replaced it with its own.
     BindAcceptor,
     /// The claim is granted: run its request.
     Grant(u64),
@@ -72,9 +75,11 @@
     Deny(u64, Denial),
     /// An operator drained the server through the other process, or ended the drain.
     SetDrained(bool),
-    /// Unknown keys fail until then, Unix ms. Only for the log: [`Predecessor::unknown_key`] takes it into account.
+    /// Unknown keys fail until this time, Unix ms. Only for the log: [`Predecessor::unknown_key`] takes it
+    /// into account.
     KeysUnknownUntil(f64),
-    /// Exit gracefully. After a handover the list service is not notified. May be repeated with `handed_over` set.
+    /// Exit gracefully. After a handover, the service registry is not notified. May be repeated with
+    /// `handed_over` set.
     Leave {
         /// Whether a successor serves the clients from now on.
         handed_over: bool,
@@ -87,7 +92,7 @@
     digest: u64,
     until_ms: f64,
     due_ms: f64,
-    /// Denied after a timeout; if the successor grants it later, it is released.
+    /// Whether the claim was denied after a timeout. If the successor grants it later, the key is released.
     denied: bool,
 }
 
@@ -96,7 +101,7 @@
 pub struct Predecessor {
     rules: Rules,
     phase: Phase,
-    /// The successor has asked for the ownership: it is ready, and serves once it has it.
+    /// Whether the successor has requested ownership: it is ready, and serves once it owns the keys.
     successor_serves: bool,
     is_leaving: bool,
     listeners: Vec<String>,
@@ -107,7 +112,8 @@
     claims: BTreeMap<u64, PendingClaim>,
 }
 
-/// Only what changes: the digest key is a secret, and the rest is constant.
+/// Prints only the state of the handover: the digest key is secret, and the other omitted fields are
+/// configuration.
 impl fmt::Debug for Predecessor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Predecessor {
@@ -135,7 +141,8 @@
 }
 
 impl Predecessor {
-    /// For a process that starts to serve, with the names of its listening sockets and the secret key of its body digests.
+    /// For a process that starts to serve; `listeners` names its listening sockets, `digest_key` is the
+    /// secret key of its body digests.
     pub fn new(rules: Rules, listeners: Vec<String>, digest_key: [u8; 16]) -> Predecessor {
         Predecessor {
             rules,
@@ -161,12 +168,13 @@
         self.successor_serves
     }
 
-    /// Raises the longest deduplication window of all classes to this, ms. It is never lowered: earlier keys keep their windows.
+    /// Raises the longest deduplication window of all classes to `window_ms`. The window is never lowered,
+    /// because earlier keys keep theirs.
     pub fn set_longest_window(&mut self, window_ms: f64) {
         self.rules.longest_window_ms = self.rules.longest_window_ms.max(window_ms);
     }
 
-    /// How to handle a request whose key is unknown, or whose window is over.
+    /// How to handle a request whose key is unknown or whose window is over.
     pub fn unknown_key(&self, now_ms: f64) -> UnknownKey {
         if self.phase == Phase::Yielded && self.rules.fault != Some(Fault::RunUnclaimed) {
             UnknownKey::Claim
@@ -182,7 +190,7 @@
         self.claims.values().filter(|claim| !claim.denied).map(|claim| claim.due_ms).min_by(f64::total_cmp)
     }
 
-    /// Handles one event at this time, Unix ms, and appends the actions that follow from it.
+    /// Handles one event at `now_ms` (Unix ms) and appends the resulting actions.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::PeerConnected => self.peer_connected(actions),
@@ -207,7 +215,7 @@
         self.keys_unknown_until_ms = self.keys_unknown_until_ms.max(until_ms);
     }
 
-    // ---- the successor comes and goes ----
+    // ---- connecting to, yielding to and losing the successor ----
 
     fn peer_connected(&mut self, actions: &mut Vec<Action>) {
         if self.phase != Phase::NoSuccessor {
@@ -248,14 +256,15 @@
 
     fn handle_message(&mut self, now_ms: f64, message: Message, actions: &mut Vec<Action>) {
         match (self.phase, message) {
-            // From a successor that was dropped.
+            // A late message of a successor that was dropped.
             (Phase::NoSuccessor, _) => {}
             (Phase::Streaming, Message::TakeOver) => {
                 self.successor_serves = true;
                 actions.push(Action::StopAccepting);
                 self.yield_ownership(actions);
             }
-            // It crossed the unrequested `Yielded` of a terminating process: the successor serves from now on.
+            // `TakeOver` crossed the unrequested `Yielded` of this terminating process, or answers it: the
+            // successor serves from now on.
             (Phase::Yielded, Message::TakeOver) if self.is_leaving => {
                 self.successor_serves = true;
                 actions.push(Action::Leave { handed_over: true });
@@ -290,7 +299,8 @@
         }
     }
 
-    /// The lost successor may have run any key, and may go on to do so until it is killed.
+    /// Unknown keys fail for now: the lost successor may have run any key, and may continue to do so until it
+    /// is killed.
     fn resume_key_ownership(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         self.extend_unknown_window(now_ms + self.rules.longest_window_ms + self.rules.peer_exit_ms);
         actions.push(Action::KeysUnknownUntil(self.keys_unknown_until_ms));
@@ -366,7 +376,7 @@
         }
     }
 
-    // ---- what both processes share ----
+    // ---- state shared by both processes ----
 
     fn drain_changed(&mut self, drained: bool, actions: &mut Vec<Action>) {
         if drained == self.drained {
--- a/crates/pinepoint-handover/src/successor.rs
+++ b/crates/pinepoint-handover/src/successor.rs
@@ -1,14 +1,14 @@
-//! The state machine of the process that starts beside another one. It imports the predecessor's keys, takes over their
-//! ownership, and from then on decides the predecessor's claims.
+//! The state machine of a starting process. The process imports the keys of its predecessor, if there is one,
+//! and takes over their ownership. From then on it decides the predecessor's claims.
 //!
-//! Events and the time go in, actions come out; no I/O, no clock.
+//! The machine maps events and the time to actions; it does no I/O and reads no clock.
 
 use std::fmt;
 
 use crate::message::{Claim, Hello, KeyRecord, Message};
 use crate::ownership::{DropReason, NoPredecessor, Rules, UnknownKey};
 
-/// Delay before another attempt to connect, ms.
+/// Delay before the next attempt to connect, ms.
 pub const RECONNECT_MS: f64 = 50.0;
 
 /// The progress of the take-over.
@@ -16,15 +16,16 @@
 pub enum Phase {
     /// Connecting to a predecessor.
     Connecting,
-    /// The predecessor sends its snapshot, which has to be complete by then, Unix ms.
+    /// The predecessor sends its snapshot, which has to be complete by this time, Unix ms.
     Importing(f64),
     /// The snapshot is complete; this process is not ready to serve yet.
     Imported,
-    /// `TakeOver` was sent, and has to be answered by then, Unix ms.
+    /// `TakeOver` was sent, and has to be answered by this time, Unix ms.
     TakingOver(f64),
-    /// The predecessor has yielded: this process owns all keys, while the predecessor serves its remaining connections.
+    /// The predecessor has yielded: this process owns all keys, while the predecessor serves its remaining
+    /// connections.
     Owning,
-    /// There is no predecessor, or none any more.
+    /// No predecessor is linked: none exists, it has ended, or it cannot be reached.
     Alone,
     /// This process was terminated before it served.
     Left,
@@ -33,13 +34,13 @@
 /// An input of the successor.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A predecessor is connected, and sent this `Hello`.
+    /// A predecessor is connected and has sent this `Hello`.
     PeerConnected(Hello),
     /// No predecessor could be connected.
     NoPredecessor(NoPredecessor),
     /// The predecessor sent a message.
     Message(Message),
-    /// The link to the predecessor is closed. Not to be sent after [`Action::DropPeer`].
+    /// The link to the predecessor is closed. Must not be sent after [`Action::DropPeer`].
     PeerLost,
     /// This process is ready to serve.
     EngineUp,
@@ -47,7 +48,7 @@
     ClaimDecided {
         /// Identifies the claim.
         id: u64,
-        /// Whether the predecessor may run it.
+        /// Whether the predecessor may run the key.
         granted: bool,
     },
     /// An operator drained this process, or ended the drain.
@@ -63,21 +64,23 @@
 pub enum Action {
     /// Send a message to the predecessor.
     Send(Message),
-    /// Connect again after [`RECONNECT_MS`]: the predecessor may not have noticed yet that the link is closed.
+    /// Connect again after [`RECONNECT_MS`]: the predecessor may not yet have noticed the closed link.
     Reconnect,
     /// Close the link to the predecessor, and forget it.
     DropPeer(DropReason),
     /// Accept connections, on the passed listening sockets if there are any. Occurs once.
     BeginServing,
-    /// Enter this record as the predecessor's, unless this process has a record of its own for the key.
+    /// Store this record as the predecessor's, unless this process has its own record of the key.
     Import(KeyRecord),
-    /// Forget all imported records: they are sent again.
+    /// Discard all imported records: the predecessor sends its records again.
     DiscardImports,
-    /// Set all records of the predecessor that are held or ran to failed.
+    /// Set the predecessor's records in the states `Held` and `Ran` to `Failed`.
     FailPeerKeys,
-    /// Unknown keys fail until then, Unix ms. To be passed on to this process's own [`crate::predecessor::Predecessor`].
+    /// Unknown keys fail until this time, Unix ms. Pass the time on to this process's own
+    /// [`crate::predecessor::Predecessor`].
     KeysUnknownUntil(f64),
-    /// Decide whether the predecessor may run a key: if it is unknown, enter it as held by the predecessor, and grant the claim.
+    /// Decide whether the predecessor may run a key: if the key is unknown, store it as `Held` by the
+    /// predecessor and grant the claim.
     DecideClaim(Claim),
     /// An operator drained the server through the other process, or ended the drain.
     SetDrained(bool),
@@ -94,16 +97,16 @@
     phase: Phase,
     is_ready_to_serve: bool,
     is_serving: bool,
-    /// Attempts to connect so far.
+    /// Number of attempts to connect so far.
     attempts: u32,
-    /// A predecessor was seen at some time.
+    /// Whether any attempt to connect has detected a predecessor.
     has_seen_predecessor: bool,
-    /// Whether the server is drained, once an operator or the predecessor has said so.
+    /// Whether the server is drained; `None` until an operator or the predecessor has reported it.
     drained: Option<bool>,
     keys_unknown_until_ms: f64,
 }
 
-/// Only what changes: the rules are constant.
+/// Prints only the state of the handover; the rules are configuration.
 impl fmt::Debug for Successor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Successor {
@@ -129,7 +132,7 @@
 }
 
 impl Successor {
-    /// For a process that starts and connects to a predecessor.
+    /// For a process that starts and tries to connect to a predecessor.
     pub fn new(rules: Rules) -> Successor {
         Successor {
             rules,
@@ -153,12 +156,13 @@
         self.is_serving
     }
 
-    /// Raises the longest deduplication window of all classes to this, ms. It is never lowered: earlier keys keep their windows.
+    /// Raises the longest deduplication window of all classes to `window_ms`. The window is never lowered,
+    /// because earlier keys keep theirs.
     pub fn set_longest_window(&mut self, window_ms: f64) {
         self.rules.longest_window_ms = self.rules.longest_window_ms.max(window_ms);
     }
 
-    /// How to handle a request whose key is unknown, or whose window is over.
+    /// How to handle a request whose key is unknown or whose window is over.
     pub fn unknown_key(&self, now_ms: f64) -> UnknownKey {
         if now_ms < self.keys_unknown_until_ms { UnknownKey::Fail } else { UnknownKey::Run }
     }
@@ -171,11 +175,11 @@
         }
     }
 
-    /// Handles one event at this time, Unix ms, and appends the actions that follow from it.
+    /// Handles one event at `now_ms` (Unix ms) and appends the resulting actions.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::PeerConnected(hello) => self.peer_connected(now_ms, hello, actions),
-            Event::NoPredecessor(why) => self.connect_failed(now_ms, why, actions),
+            Event::NoPredecessor(reason) => self.connect_failed(now_ms, reason, actions),
             Event::Message(message) => self.handle_message(now_ms, message, actions),
             Event::PeerLost => self.peer_lost(now_ms, actions),
             Event::EngineUp => self.ready_to_serve(now_ms, actions),
@@ -190,7 +194,7 @@
         matches!(self.phase, Phase::Importing(_) | Phase::Imported | Phase::TakingOver(_) | Phase::Owning)
     }
 
-    // ---- the predecessor is found, lost, or not there ----
+    // ---- connecting to the predecessor and losing it ----
 
     fn peer_connected(&mut self, now_ms: f64, hello: Hello, actions: &mut Vec<Action>) {
         if self.phase != Phase::Connecting {
@@ -215,16 +219,16 @@
         }
     }
 
-    fn connect_failed(&mut self, now_ms: f64, why: NoPredecessor, actions: &mut Vec<Action>) {
+    fn connect_failed(&mut self, now_ms: f64, reason: NoPredecessor, actions: &mut Vec<Action>) {
         if self.phase != Phase::Connecting {
             return;
         }
         self.attempts += 1;
-        if why.is_absent() {
-            // A predecessor that was seen before is dead now, and may have run keys without having sent them.
+        if reason.is_absent() {
+            // A predecessor that was detected before is dead now, and may have run keys that it did not send.
             let unknown_for = self.has_seen_predecessor.then_some(self.rules.longest_window_ms);
             self.serve_alone(now_ms, unknown_for, actions);
-        } else if why.is_transient() && self.attempts < self.rules.attempts {
+        } else if reason.is_transient() && self.attempts < self.rules.attempts {
             self.has_seen_predecessor = true;
             actions.push(Action::Reconnect);
         } else {
@@ -234,7 +238,7 @@
 
     fn peer_lost(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         match self.phase {
-            // It runs only keys that it has sent or claimed.
+            // A predecessor that has yielded runs only keys that it has sent or claimed.
             Phase::Owning => self.serve_alone(now_ms, None, actions),
             Phase::Importing(_) | Phase::Imported | Phase::TakingOver(_) => {
                 self.reconnect(now_ms, actions);
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Whether the predecessor is dead or serves on, only a new connection shows.
+    /// Only a new connection shows whether the predecessor is dead or still serves.
     fn reconnect(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         if self.attempts < self.rules.attempts {
             self.phase = Phase::Connecting;
@@ -253,8 +257,8 @@
         }
     }
 
-    fn drop_peer(&mut self, now_ms: f64, why: DropReason, actions: &mut Vec<Action>) {
-        actions.push(Action::DropPeer(why));
+    fn drop_peer(&mut self, now_ms: f64, reason: DropReason, actions: &mut Vec<Action>) {
+        actions.push(Action::DropPeer(reason));
         if self.phase == Phase::Owning {
             self.serve_alone(now_ms, None, actions);
         } else {
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Serves although a predecessor may be alive that cannot be reached.
+    /// Serves although an unreachable predecessor may be alive.
     fn serve_beside_unreachable(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let unknown_for = self.rules.longest_window_ms + self.rules.peer_exit_ms;
         self.serve_alone(now_ms, Some(unknown_for), actions);
@@ -303,7 +307,8 @@
             (Phase::Owning, Message::Claim(claim)) => actions.push(Action::DecideClaim(claim)),
             (_, Message::Drained(drained)) => {
                 self.set_drained(drained, actions);
-                // Echoed, so that both processes agree if operators told them different things at the same time.
+                // Echoed, so that both processes agree even if operators send them different commands at
+                // once.
                 actions.push(Action::Send(Message::Drained(drained)));
             }
             (_, Message::Connections(open)) => actions.push(Action::PeerConnections(open)),
@@ -314,7 +319,8 @@
     fn ready_to_serve(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         self.is_ready_to_serve = true;
         if self.phase == Phase::Owning && !self.is_serving {
-            // The predecessor yielded unrequested, as it was terminating: it learns that there is a successor after all.
+            // The terminating predecessor yielded without a request. `TakeOver` notifies it that a successor
+            // serves after all.
             actions.push(Action::Send(Message::TakeOver));
         }
         self.take_over_if_ready(now_ms, actions);
@@ -365,7 +371,7 @@
         actions.push(Action::Leave);
     }
 
-    // ---- what both processes share ----
+    // ---- state shared by both processes ----
 
     fn drain_changed(&mut self, drained: bool, actions: &mut Vec<Action>) {
         if self.drained == Some(drained) {
--- a/crates/pinepoint-handover/src/wire.rs
+++ b/crates/pinepoint-handover/src/wire.rs
@@ -1,11 +1,11 @@
-//! The encoding of the protocol: a preamble (magic and u16 version), then frames of a u32 length and a postcard message. All
-//! integers outside messages are big endian. No I/O.
+//! The encoding of the protocol: a preamble (magic and u16 version), then frames of a u32 length and a
+//! postcard message. All integers outside messages are big endian. No I/O.
 
 use pinepoint_events::reason_codes;
 
 use crate::message::Message;
 
-/// Version of the protocol. Processes of different versions hand over nothing.
+/// Version of the protocol. Processes of different versions do not hand over.
 pub const VERSION: u16 = 1;
 /// The first bytes that each side sends.
 const MAGIC: [u8; 4] = *b"PPHO";
@@ -16,7 +16,7 @@
 const LENGTH_BYTES: usize = 4;
 
 reason_codes! {
-    /// Why bytes cannot be decoded, or a message not be encoded.
+    /// Why bytes cannot be decoded or a message cannot be encoded.
     WireError {
         /// The peer speaks another protocol.
         Magic = "wrong-magic",
@@ -24,21 +24,21 @@
         Version = "wrong-version",
         /// A frame exceeds [`MAX_FRAME_BYTES`].
         TooLong = "frame-too-long",
-        /// A frame does not hold a message, or one with a time that is not finite.
+        /// A frame does not contain exactly one message, or a time in its message is not finite.
         Malformed = "frame-malformed",
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// The preamble of this version.
+/// The preamble of [`VERSION`].
 pub fn preamble() -> [u8; PREAMBLE_LENGTH] {
     let [m0, m1, m2, m3] = MAGIC;
     let [v0, v1] = VERSION.to_be_bytes();
     [m0, m1, m2, m3, v0, v1]
 }
 
-/// Checks that this is the preamble of this version.
+/// Checks that `bytes` is the preamble of [`VERSION`].
 pub fn check_preamble(bytes: &[u8; PREAMBLE_LENGTH]) -> Result<(), WireError> {
     if bytes[..MAGIC.len()] != MAGIC {
         return Err(WireError::Magic);
@@ -69,14 +69,15 @@
 }
 
 impl Decoder {
-    /// Appends bytes that were received.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
         self.start = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next message, if all of it was received. After an error the stream cannot be decoded any further.
+    /// Returns the next message, or `None` until all of its bytes are received. After an error, decoding
+    /// cannot continue.
     pub fn next_message(&mut self) -> Result<Option<Message>, WireError> {
         let rest = &self.bytes[self.start..];
         let Some((length, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
