--- a/crates/pinepoint-handover/tests/transitions.rs
+++ b/crates/pinepoint-handover/tests/transitions.rs
@@ -1,12 +1,13 @@
-//! Each hard case of a handover by its name: who is killed or told to go at which step, which key is tried where, and what the two
-//! machines do about it. Both are run against each other; messages are handed over one by one.
+//! Scenarios of a handover: either process is killed or terminated at each step, and attempts with a key
+//! reach either process. The two state machines run against each other, and the test delivers their messages
+//! one by one.
 
 use pinepoint_handover::message::{Claim, Hello, Key, KeyRecord, KeyState, MAX_RESULT_BYTES, Message};
 use pinepoint_handover::ownership::{Denial, DropReason, NoPredecessor, Rules, UnknownKey};
-use pinepoint_handover::predecessor::{self, Action as Old, Predecessor};
-use pinepoint_handover::successor::{self, Action as New, Successor};
+use pinepoint_handover::predecessor::{self, Action as PredecessorAction, Predecessor};
+use pinepoint_handover::successor::{self, Action as SuccessorAction, Successor};
 
-const NOW: f64 = 1e12;
+const NOW_MS: f64 = 1e12;
 
 fn rules() -> Rules {
     Rules { longest_window_ms: 60_000.0, ..Rules::default() }
@@ -17,516 +18,567 @@
 }
 
 fn record(token: &str, state: KeyState) -> KeyRecord {
-    KeyRecord { key: key(token), digest: 9, until_ms: NOW + 60_000.0, state }
+    KeyRecord { key: key(token), digest: 9, until_ms: NOW_MS + 60_000.0, state }
 }
 
 fn claim(id: u64, token: &str) -> Claim {
-    Claim { id, key: key(token), digest: 9, until_ms: NOW + 60_000.0 }
+    Claim { id, key: key(token), digest: 9, until_ms: NOW_MS + 60_000.0 }
 }
 
-/// Both machines, what is under way between them, and what else they said.
+/// Both state machines, the messages in transit between them, and their other actions.
 struct Pair {
-    now: f64,
-    old: Predecessor,
-    new: Successor,
-    to_old: Vec<Message>,
-    to_new: Vec<Message>,
-    old_said: Vec<Old>,
-    new_said: Vec<New>,
+    now_ms: f64,
+    predecessor: Predecessor,
+    successor: Successor,
+    to_predecessor: Vec<Message>,
+    to_successor: Vec<Message>,
+    predecessor_actions: Vec<PredecessorAction>,
+    successor_actions: Vec<SuccessorAction>,
 }
 
 impl Pair {
     fn start() -> Pair {
         Pair {
-            now: NOW,
-            old: Predecessor::new(rules(), vec!["rpc".into()], [1; 16]),
-            new: Successor::new(rules()),
-            to_old: Vec::new(),
-            to_new: Vec::new(),
-            old_said: Vec::new(),
-            new_said: Vec::new(),
+            now_ms: NOW_MS,
+            predecessor: Predecessor::new(rules(), vec!["rpc".into()], [1; 16]),
+            successor: Successor::new(rules()),
+            to_predecessor: Vec::new(),
+            to_successor: Vec::new(),
+            predecessor_actions: Vec::new(),
+            successor_actions: Vec::new(),
         }
     }
 
-    /// Up to the end of the snapshot of these keys.
+    /// Runs a handover until the snapshot with `records` is imported.
     fn imported(records: &[KeyRecord]) -> Pair {
         let mut pair = Pair::start();
-        pair.tell_old(predecessor::Event::PeerConnected);
-        pair.tell_old(predecessor::Event::Snapshot(records.to_vec()));
+        pair.notify_predecessor(predecessor::Event::PeerConnected);
+        pair.notify_predecessor(predecessor::Event::Snapshot(records.to_vec()));
         pair.deliver();
         pair
     }
 
-    /// Up to the beginning of the new one's service.
+    /// Runs a handover until the successor serves, and clears the recorded actions.
     fn taken_over(records: &[KeyRecord]) -> Pair {
         let mut pair = Pair::imported(records);
-        pair.tell_new(successor::Event::EngineUp);
+        pair.notify_successor(successor::Event::EngineUp);
         pair.deliver();
-        pair.old_said.clear();
-        pair.new_said.clear();
+        pair.predecessor_actions.clear();
+        pair.successor_actions.clear();
         pair
     }
 
-    fn tell_old(&mut self, event: predecessor::Event) {
+    fn notify_predecessor(&mut self, event: predecessor::Event) {
         let mut actions = Vec::new();
-        self.old.handle(self.now, event, &mut actions);
+        self.predecessor.handle(self.now_ms, event, &mut actions);
         for action in actions {
             match action {
-                Old::Send(message) => self.to_new.push(message),
-                other => self.old_said.push(other),
+                PredecessorAction::Send(message) => self.to_successor.push(message),
+                other => self.predecessor_actions.push(other),
             }
         }
     }
 
-    fn tell_new(&mut self, event: successor::Event) {
+    fn notify_successor(&mut self, event: successor::Event) {
         let mut actions = Vec::new();
-        self.new.handle(self.now, event, &mut actions);
+        self.successor.handle(self.now_ms, event, &mut actions);
         for action in actions {
             match action {
-                New::Send(message) => self.to_old.push(message),
-                other => self.new_said.push(other),
+                SuccessorAction::Send(message) => self.to_predecessor.push(message),
+                other => self.successor_actions.push(other),
             }
         }
     }
 
-    fn deliver_to_new(&mut self) {
-        for message in std::mem::take(&mut self.to_new) {
+    fn deliver_to_successor(&mut self) {
+        for message in std::mem::take(&mut self.to_successor) {
             match message {
-                Message::Hello(hello) => self.tell_new(successor::Event::PeerConnected(hello)),
-                message => self.tell_new(successor::Event::Message(message)),
+                Message::Hello(hello) => self.notify_successor(successor::Event::PeerConnected(hello)),
+                message => self.notify_successor(successor::Event::Message(message)),
             }
         }
     }
 
-    fn deliver_to_old(&mut self) {
-        for message in std::mem::take(&mut self.to_old) {
-            self.tell_old(predecessor::Event::Message(message));
+    fn deliver_to_predecessor(&mut self) {
+        for message in std::mem::take(&mut self.to_predecessor) {
+            self.notify_predecessor(predecessor::Event::Message(message));
         }
     }
 
     fn deliver(&mut self) {
-        while !self.to_new.is_empty() || !self.to_old.is_empty() {
-            self.deliver_to_new();
-            self.deliver_to_old();
+        while !self.to_successor.is_empty() || !self.to_predecessor.is_empty() {
+            self.deliver_to_successor();
+            self.deliver_to_predecessor();
         }
     }
 
-    fn lose_old(&mut self) {
-        self.to_new.clear();
-        self.tell_new(successor::Event::PeerLost);
+    fn lose_predecessor(&mut self) {
+        self.to_successor.clear();
+        self.notify_successor(successor::Event::PeerLost);
     }
 
-    fn lose_new(&mut self) {
-        self.to_old.clear();
-        self.tell_old(predecessor::Event::PeerLost);
+    fn lose_successor(&mut self) {
+        self.to_predecessor.clear();
+        self.notify_predecessor(predecessor::Event::PeerLost);
     }
 
-    fn unknown_until_new(&self) -> Option<f64> {
-        self.new_said.iter().find_map(|action| match action {
-            New::KeysUnknownUntil(until_ms) => Some(*until_ms),
+    fn successor_unknown_until(&self) -> Option<f64> {
+        self.successor_actions.iter().find_map(|action| match action {
+            SuccessorAction::KeysUnknownUntil(until_ms) => Some(*until_ms),
             _ => None,
         })
     }
 }
 
-fn unknown_for(rules: &Rules) -> f64 {
-    NOW + rules.longest_window_ms + rules.peer_exit_ms
+fn unknown_window_end(rules: &Rules) -> f64 {
+    NOW_MS + rules.longest_window_ms + rules.peer_exit_ms
 }
 
-// ---- the ordinary course ----
+// ---- ordinary handover ----
 
 #[test]
-fn keys_come_whole_and_the_old_stops_accepting_before_the_new_begins() {
+fn transfers_keys_and_stops_accepting_before_successor_serves() {
     let records = [record("a", KeyState::Held), record("b", KeyState::Done(vec![1, 2]))];
     let mut pair = Pair::imported(&records);
     for record in records {
-        assert!(pair.new_said.contains(&New::Import(record)));
+        assert!(pair.successor_actions.contains(&SuccessorAction::Import(record)));
     }
-    assert!(!pair.new.is_serving() && !pair.old_said.contains(&Old::StopAccepting));
-    pair.tell_new(successor::Event::EngineUp);
-    pair.deliver_to_old();
-    assert!(pair.old_said.contains(&Old::StopAccepting) && !pair.new.is_serving());
-    pair.deliver_to_new();
-    assert_eq!(pair.new_said.last(), Some(&New::BeginServing));
-    pair.tell_old(predecessor::Event::Terminate);
-    assert_eq!(pair.old_said.last(), Some(&Old::Leave { handed_over: true }));
-    pair.lose_old();
-    assert_eq!((pair.new.phase(), pair.unknown_until_new()), (successor::Phase::Alone, None));
-    assert!(pair.new_said.contains(&New::FailPeerKeys));
+    assert!(
+        !pair.successor.is_serving() && !pair.predecessor_actions.contains(&PredecessorAction::StopAccepting)
+    );
+    pair.notify_successor(successor::Event::EngineUp);
+    pair.deliver_to_predecessor();
+    assert!(
+        pair.predecessor_actions.contains(&PredecessorAction::StopAccepting) && !pair.successor.is_serving()
+    );
+    pair.deliver_to_successor();
+    assert_eq!(pair.successor_actions.last(), Some(&SuccessorAction::BeginServing));
+    pair.notify_predecessor(predecessor::Event::Terminate);
+    assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::Leave { handed_over: true }));
+    pair.lose_predecessor();
+    assert_eq!((pair.successor.phase(), pair.successor_unknown_until()), (successor::Phase::Alone, None));
+    assert!(pair.successor_actions.contains(&SuccessorAction::FailPeerKeys));
 }
 
 #[test]
-fn the_first_process_serves_alone_and_knows_all_keys() {
-    for why in [NoPredecessor::NoSocket, NoPredecessor::Refused, NoPredecessor::BadPath] {
+fn serves_alone_and_knows_all_keys_without_predecessor() {
+    for reason in [NoPredecessor::NoSocket, NoPredecessor::Refused, NoPredecessor::BadPath] {
         let mut pair = Pair::start();
-        pair.tell_new(successor::Event::NoPredecessor(why));
-        assert!(!pair.new.is_serving());
-        pair.tell_new(successor::Event::EngineUp);
-        assert_eq!(pair.new_said, [New::BeginServing], "{why}");
-        assert_eq!(pair.new.unknown_key(NOW), UnknownKey::Run);
+        pair.notify_successor(successor::Event::NoPredecessor(reason));
+        assert!(!pair.successor.is_serving());
+        pair.notify_successor(successor::Event::EngineUp);
+        assert_eq!(pair.successor_actions, [SuccessorAction::BeginServing], "{reason}");
+        assert_eq!(pair.successor.unknown_key(NOW_MS), UnknownKey::Run);
     }
 }
 
 #[test]
-fn two_upgrades_in_a_row_hand_the_keys_and_what_is_unknown_on() {
+fn second_upgrade_passes_on_keys_and_unknown_window() {
     let mut first = Pair::taken_over(&[record("a", KeyState::Done(vec![1]))]);
-    first.lose_old();
+    first.lose_predecessor();
     let mut second = Pair::start();
-    second.tell_old(predecessor::Event::KeysUnknownUntil(NOW + 5.0));
-    second.tell_old(predecessor::Event::PeerConnected);
-    second.tell_old(predecessor::Event::Snapshot(vec![record("a", KeyState::Done(vec![1]))]));
-    second.tell_new(successor::Event::EngineUp);
+    second.notify_predecessor(predecessor::Event::KeysUnknownUntil(NOW_MS + 5.0));
+    second.notify_predecessor(predecessor::Event::PeerConnected);
+    second.notify_predecessor(predecessor::Event::Snapshot(vec![record("a", KeyState::Done(vec![1]))]));
+    second.notify_successor(successor::Event::EngineUp);
     second.deliver();
-    assert!(second.new_said.contains(&New::Import(record("a", KeyState::Done(vec![1])))));
-    assert_eq!(second.unknown_until_new(), Some(NOW + 5.0));
-    assert_eq!(second.new.unknown_key(NOW), UnknownKey::Fail);
-    assert_eq!(second.new.unknown_key(NOW + 5.0), UnknownKey::Run);
-    assert!(second.new.is_serving());
+    assert!(
+        second.successor_actions.contains(&SuccessorAction::Import(record("a", KeyState::Done(vec![1]))))
+    );
+    assert_eq!(second.successor_unknown_until(), Some(NOW_MS + 5.0));
+    assert_eq!(second.successor.unknown_key(NOW_MS), UnknownKey::Fail);
+    assert_eq!(second.successor.unknown_key(NOW_MS + 5.0), UnknownKey::Run);
+    assert!(second.successor.is_serving());
 }
 
 // ---- keys ----
 
 #[test]
-fn a_try_first_at_the_old_and_repeated_at_the_new_gets_the_result_that_comes_after_the_take_over() {
+fn imports_key_changes_after_take_over() {
     let mut pair = Pair::taken_over(&[record("a", KeyState::Held)]);
     for state in [KeyState::Ran, KeyState::Done(vec![4])] {
-        pair.tell_old(predecessor::Event::KeyChanged(record("a", state.clone())));
+        pair.notify_predecessor(predecessor::Event::KeyChanged(record("a", state.clone())));
         pair.deliver();
-        assert_eq!(pair.new_said.pop(), Some(New::Import(record("a", state))));
+        assert_eq!(pair.successor_actions.pop(), Some(SuccessorAction::Import(record("a", state))));
     }
 }
 
 #[test]
-fn a_try_first_at_the_new_and_repeated_at_the_old_is_claimed_and_denied() {
+fn denies_claim_of_key_known_to_successor() {
     let mut pair = Pair::taken_over(&[]);
-    assert_eq!(pair.old.unknown_key(NOW), UnknownKey::Claim);
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(1, "a")));
-    pair.deliver_to_new();
-    assert_eq!(pair.new_said, [New::DecideClaim(claim(1, "a"))]);
-    pair.tell_new(successor::Event::ClaimDecided { id: 1, granted: false });
+    assert_eq!(pair.predecessor.unknown_key(NOW_MS), UnknownKey::Claim);
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(1, "a")));
+    pair.deliver_to_successor();
+    assert_eq!(pair.successor_actions, [SuccessorAction::DecideClaim(claim(1, "a"))]);
+    pair.notify_successor(successor::Event::ClaimDecided { id: 1, granted: false });
     pair.deliver();
-    assert_eq!(pair.old_said, [Old::Deny(1, Denial::Known)]);
+    assert_eq!(pair.predecessor_actions, [PredecessorAction::Deny(1, Denial::Known)]);
 }
 
 #[test]
-fn of_tries_at_both_in_one_instant_the_new_ones_order_decides() {
+fn successor_decides_concurrent_claims() {
     let mut pair = Pair::taken_over(&[]);
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(1, "a")));
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(2, "b")));
-    pair.deliver_to_new();
-    // "a" was first at the new one, "b" at the old one.
-    pair.tell_new(successor::Event::ClaimDecided { id: 1, granted: false });
-    pair.tell_new(successor::Event::ClaimDecided { id: 2, granted: true });
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(1, "a")));
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(2, "b")));
+    pair.deliver_to_successor();
+    // Key "a" reached the successor first, key "b" the predecessor.
+    pair.notify_successor(successor::Event::ClaimDecided { id: 1, granted: false });
+    pair.notify_successor(successor::Event::ClaimDecided { id: 2, granted: true });
     pair.deliver();
-    assert_eq!(pair.old_said, [Old::Deny(1, Denial::Known), Old::Grant(2)]);
+    assert_eq!(
+        pair.predecessor_actions,
+        [PredecessorAction::Deny(1, Denial::Known), PredecessorAction::Grant(2)]
+    );
 }
 
 #[test]
-fn before_the_take_over_the_old_runs_unknown_keys_without_asking() {
+fn grants_claims_locally_before_take_over() {
     let mut pair = Pair::imported(&[]);
-    pair.old_said.clear();
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(1, "a")));
-    assert_eq!((pair.old_said.as_slice(), pair.to_new.as_slice()), (&[Old::Grant(1)][..], &[][..]));
+    pair.predecessor_actions.clear();
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(1, "a")));
+    assert_eq!(
+        (pair.predecessor_actions.as_slice(), pair.to_successor.as_slice()),
+        (&[PredecessorAction::Grant(1)][..], &[][..])
+    );
 }
 
 #[test]
-fn a_claim_without_an_answer_is_denied_in_time_and_a_late_grant_is_given_back() {
+fn denies_unanswered_claim_and_releases_late_grant() {
     let mut pair = Pair::taken_over(&[]);
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(1, "a")));
-    let due = pair.old.next_due().expect("a claim waits");
-    assert_eq!(due, NOW + rules().claim_ms);
-    pair.now = due;
-    pair.tell_old(predecessor::Event::Tick);
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(1, "a")));
+    let due = pair.predecessor.next_due().expect("a claim is pending");
+    assert_eq!(due, NOW_MS + rules().claim_ms);
+    pair.now_ms = due;
+    pair.notify_predecessor(predecessor::Event::Tick);
     assert_eq!(
-        (pair.old_said.as_slice(), pair.old.next_due()),
-        (&[Old::Deny(1, Denial::NoAnswer)][..], None)
+        (pair.predecessor_actions.as_slice(), pair.predecessor.next_due()),
+        (&[PredecessorAction::Deny(1, Denial::NoAnswer)][..], None)
     );
-    pair.to_new.clear();
-    pair.tell_old(predecessor::Event::Message(Message::ClaimAnswer { id: 1, granted: true }));
-    assert_eq!(pair.to_new, [Message::Keys(vec![record("a", KeyState::Released)])]);
-    assert_eq!(pair.old_said.len(), 1);
+    pair.to_successor.clear();
+    pair.notify_predecessor(predecessor::Event::Message(Message::ClaimAnswer { id: 1, granted: true }));
+    assert_eq!(pair.to_successor, [Message::Keys(vec![record("a", KeyState::Released)])]);
+    assert_eq!(pair.predecessor_actions.len(), 1);
 }
 
 #[test]
-fn beyond_the_bound_claims_are_denied_at_once_and_all_are_when_the_new_is_lost() {
+fn denies_claims_over_limit_and_on_successor_loss() {
     let mut pair = Pair::taken_over(&[]);
-    let most = rules().claims as u64;
-    for id in 0..=most {
-        pair.tell_old(predecessor::Event::ClaimWanted(claim(id, &id.to_string())));
+    let max_claims = rules().claims as u64;
+    for id in 0..=max_claims {
+        pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(id, &id.to_string())));
     }
-    assert_eq!(pair.old_said, [Old::Deny(most, Denial::TooMany)]);
-    pair.lose_new();
-    let lost = pair.old_said.iter().filter(|action| matches!(action, Old::Deny(_, Denial::PeerLost))).count();
-    assert_eq!(lost as u64, most);
+    assert_eq!(pair.predecessor_actions, [PredecessorAction::Deny(max_claims, Denial::TooMany)]);
+    pair.lose_successor();
+    let lost = pair
+        .predecessor_actions
+        .iter()
+        .filter(|action| matches!(action, PredecessorAction::Deny(_, Denial::PeerLost)))
+        .count();
+    assert_eq!(lost as u64, max_claims);
 }
 
 #[test]
-fn results_beyond_the_bounds_are_sent_as_failed() {
+fn sends_oversized_results_as_failed() {
     let count = rules().snapshot_result_bytes / MAX_RESULT_BYTES + 3;
     let mut records: Vec<_> =
         (0..count).map(|n| record(&n.to_string(), KeyState::Done(vec![1; MAX_RESULT_BYTES]))).collect();
     records.insert(0, record("long", KeyState::Done(vec![1; MAX_RESULT_BYTES + 1])));
     let pair = Pair::imported(&records);
-    let imported = pair.new_said.iter().filter_map(|action| match action {
-        New::Import(record) => Some(&record.state),
+    let imported = pair.successor_actions.iter().filter_map(|action| match action {
+        SuccessorAction::Import(record) => Some(&record.state),
         _ => None,
     });
     let (failed, done): (Vec<_>, Vec<_>) = imported.partition(|state| **state == KeyState::Failed);
     assert_eq!((failed.len(), done.len()), (4, count - 3));
 }
 
-// ---- the old one is killed ----
+// ---- loss of the predecessor ----
 
 #[test]
-fn the_old_killed_before_its_hello_is_looked_for_again_and_then_its_keys_are_unknown() {
+fn reconnects_and_fails_unknown_keys_if_predecessor_dies_before_hello() {
     let mut pair = Pair::start();
-    pair.tell_new(successor::Event::EngineUp);
-    pair.tell_new(successor::Event::NoPredecessor(NoPredecessor::Closed));
-    assert_eq!(pair.new_said, [New::Reconnect]);
-    pair.tell_new(successor::Event::NoPredecessor(NoPredecessor::Refused));
-    assert_eq!(pair.unknown_until_new(), Some(NOW + rules().longest_window_ms));
-    assert_eq!(pair.new_said.last(), Some(&New::BeginServing));
+    pair.notify_successor(successor::Event::EngineUp);
+    pair.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Closed));
+    assert_eq!(pair.successor_actions, [SuccessorAction::Reconnect]);
+    pair.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Refused));
+    assert_eq!(pair.successor_unknown_until(), Some(NOW_MS + rules().longest_window_ms));
+    assert_eq!(pair.successor_actions.last(), Some(&SuccessorAction::BeginServing));
 }
 
 #[test]
-fn the_old_killed_in_its_snapshot_after_it_or_before_it_yields_leaves_unknown_keys() {
+fn fails_unknown_keys_if_predecessor_dies_before_yield() {
     let mut in_snapshot = Pair::start();
-    in_snapshot.tell_old(predecessor::Event::PeerConnected);
-    in_snapshot.deliver_to_new();
+    in_snapshot.notify_predecessor(predecessor::Event::PeerConnected);
+    in_snapshot.deliver_to_successor();
     let after_snapshot = Pair::imported(&[record("a", KeyState::Ran)]);
     let mut before_yield = Pair::imported(&[record("a", KeyState::Ran)]);
-    before_yield.tell_new(successor::Event::EngineUp);
+    before_yield.notify_successor(successor::Event::EngineUp);
     for mut pair in [in_snapshot, after_snapshot, before_yield] {
-        pair.lose_old();
-        assert_eq!(pair.new_said.last(), Some(&New::Reconnect));
-        pair.tell_new(successor::Event::NoPredecessor(NoPredecessor::Refused));
-        assert_eq!(pair.unknown_until_new(), Some(NOW + rules().longest_window_ms));
-        assert!(pair.new_said.contains(&New::FailPeerKeys));
-        pair.tell_new(successor::Event::EngineUp);
-        assert!(pair.new.is_serving());
+        pair.lose_predecessor();
+        assert_eq!(pair.successor_actions.last(), Some(&SuccessorAction::Reconnect));
+        pair.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Refused));
+        assert_eq!(pair.successor_unknown_until(), Some(NOW_MS + rules().longest_window_ms));
+        assert!(pair.successor_actions.contains(&SuccessorAction::FailPeerKeys));
+        pair.notify_successor(successor::Event::EngineUp);
+        assert!(pair.successor.is_serving());
     }
 }
 
 #[test]
-fn an_old_one_that_lives_after_the_link_is_lost_sends_all_keys_anew() {
+fn predecessor_resends_keys_after_link_loss() {
     let mut pair = Pair::imported(&[record("a", KeyState::Held)]);
-    pair.lose_new();
-    pair.lose_old();
-    pair.tell_old(predecessor::Event::PeerConnected);
-    pair.tell_old(predecessor::Event::Snapshot(Vec::new()));
-    pair.tell_new(successor::Event::EngineUp);
+    pair.lose_successor();
+    pair.lose_predecessor();
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    pair.notify_predecessor(predecessor::Event::Snapshot(Vec::new()));
+    pair.notify_successor(successor::Event::EngineUp);
     pair.deliver();
-    assert!(pair.new_said.contains(&New::DiscardImports) && pair.new.is_serving());
-    assert_eq!(pair.unknown_until_new(), None);
+    assert!(pair.successor_actions.contains(&SuccessorAction::DiscardImports) && pair.successor.is_serving());
+    assert_eq!(pair.successor_unknown_until(), None);
 }
 
 #[test]
-fn an_old_one_that_stops_answering_is_dropped_and_unknown_keys_fail_until_it_must_be_gone() {
+fn drops_unresponsive_predecessor_and_fails_unknown_keys() {
     let mut pair = Pair::start();
-    pair.tell_new(successor::Event::EngineUp);
-    pair.tell_old(predecessor::Event::PeerConnected);
-    pair.deliver_to_new();
+    pair.notify_successor(successor::Event::EngineUp);
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    pair.deliver_to_successor();
     let in_snapshot = (pair, DropReason::SnapshotLate, rules().snapshot_ms);
     let mut pair = Pair::imported(&[]);
-    pair.tell_new(successor::Event::EngineUp);
+    pair.notify_successor(successor::Event::EngineUp);
     let in_yield = (pair, DropReason::YieldLate, rules().yield_ms);
-    for (mut pair, why, wait_ms) in [in_snapshot, in_yield] {
-        assert_eq!(pair.new.next_due(), Some(NOW + wait_ms));
-        pair.now = NOW + wait_ms;
-        pair.tell_new(successor::Event::Tick);
-        assert!(pair.new_said.contains(&New::DropPeer(why)) && pair.new.is_serving());
-        assert_eq!(pair.unknown_until_new(), Some(unknown_for(&rules()) + wait_ms));
+    for (mut pair, reason, wait_ms) in [in_snapshot, in_yield] {
+        assert_eq!(pair.successor.next_due(), Some(NOW_MS + wait_ms));
+        pair.now_ms = NOW_MS + wait_ms;
+        pair.notify_successor(successor::Event::Tick);
+        assert!(
+            pair.successor_actions.contains(&SuccessorAction::DropPeer(reason))
+                && pair.successor.is_serving()
+        );
+        assert_eq!(pair.successor_unknown_until(), Some(unknown_window_end(&rules()) + wait_ms));
     }
 }
 
-// ---- the new one is killed ----
+// ---- loss of the successor ----
 
 #[test]
-fn the_new_killed_before_it_takes_over_changes_nothing() {
+fn predecessor_keeps_ownership_if_successor_dies_before_take_over() {
     let mut greeted = Pair::start();
-    greeted.tell_old(predecessor::Event::PeerConnected);
+    greeted.notify_predecessor(predecessor::Event::PeerConnected);
     for mut pair in [greeted, Pair::imported(&[])] {
-        pair.old_said.clear();
-        pair.lose_new();
-        assert_eq!(pair.old_said, []);
-        assert_eq!(pair.old.unknown_key(NOW), UnknownKey::Run);
-        pair.tell_old(predecessor::Event::PeerConnected);
-        assert_eq!(pair.old.phase(), predecessor::Phase::Greeted);
+        pair.predecessor_actions.clear();
+        pair.lose_successor();
+        assert_eq!(pair.predecessor_actions, []);
+        assert_eq!(pair.predecessor.unknown_key(NOW_MS), UnknownKey::Run);
+        pair.notify_predecessor(predecessor::Event::PeerConnected);
+        assert_eq!(pair.predecessor.phase(), predecessor::Phase::Greeted);
     }
 }
 
 #[test]
-fn the_new_killed_after_it_took_over_is_replaced_and_unknown_keys_fail_for_a_window() {
+fn predecessor_resumes_and_fails_unknown_keys_if_successor_dies() {
     let mut pair = Pair::taken_over(&[]);
-    pair.lose_new();
-    let until = unknown_for(&rules());
-    assert_eq!(pair.old_said, [Old::KeysUnknownUntil(until), Old::ResumeAccepting, Old::BindAcceptor]);
-    pair.old_said.clear();
-    pair.tell_old(predecessor::Event::ClaimWanted(claim(1, "a")));
-    assert_eq!(pair.old_said, [Old::Deny(1, Denial::UnknownWindow)]);
-    assert_eq!(pair.old.unknown_key(until), UnknownKey::Run);
-    // The next one is told.
-    pair.tell_old(predecessor::Event::PeerConnected);
-    let Some(Message::Hello(Hello { keys_unknown_until_ms, .. })) = pair.to_new.first() else {
-        panic!("no hello in {:?}", pair.to_new);
+    pair.lose_successor();
+    let until = unknown_window_end(&rules());
+    assert_eq!(
+        pair.predecessor_actions,
+        [
+            PredecessorAction::KeysUnknownUntil(until),
+            PredecessorAction::ResumeAccepting,
+            PredecessorAction::BindAcceptor
+        ]
+    );
+    pair.predecessor_actions.clear();
+    pair.notify_predecessor(predecessor::Event::ClaimWanted(claim(1, "a")));
+    assert_eq!(pair.predecessor_actions, [PredecessorAction::Deny(1, Denial::UnknownWindow)]);
+    assert_eq!(pair.predecessor.unknown_key(until), UnknownKey::Run);
+    // The next successor is notified.
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    let Some(Message::Hello(Hello { keys_unknown_until_ms, .. })) = pair.to_successor.first() else {
+        panic!("no Hello in {:?}", pair.to_successor);
     };
     assert_eq!(*keys_unknown_until_ms, until);
 }
 
 #[test]
-fn the_new_killed_while_the_old_leaves_makes_it_an_ordinary_drain() {
+fn drains_normally_if_successor_dies_while_predecessor_leaves() {
     let mut pair = Pair::taken_over(&[]);
-    pair.tell_old(predecessor::Event::Terminate);
-    pair.old_said.clear();
-    pair.lose_new();
-    assert_eq!(pair.old_said.last(), Some(&Old::Leave { handed_over: false }));
-    assert!(!pair.old_said.contains(&Old::ResumeAccepting));
+    pair.notify_predecessor(predecessor::Event::Terminate);
+    pair.predecessor_actions.clear();
+    pair.lose_successor();
+    assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::Leave { handed_over: false }));
+    assert!(!pair.predecessor_actions.contains(&PredecessorAction::ResumeAccepting));
 }
 
-/// While it serves, connections that wait in the backlog are its business, and the old one only makes room for them.
+/// While the successor serves, it accepts the connections in the backlog, and the predecessor only evicts
+/// connections for them.
 #[test]
-fn the_new_serves_from_its_take_over_until_it_is_lost() {
+fn successor_serves_from_take_over_until_lost() {
     let mut pair = Pair::imported(&[]);
-    assert!(!pair.old.successor_serves());
-    pair.tell_new(successor::Event::EngineUp);
+    assert!(!pair.predecessor.successor_serves());
+    pair.notify_successor(successor::Event::EngineUp);
     pair.deliver();
-    assert!(pair.old.successor_serves());
-    pair.lose_new();
-    assert!(!pair.old.successor_serves());
+    assert!(pair.predecessor.successor_serves());
+    pair.lose_successor();
+    assert!(!pair.predecessor.successor_serves());
 }
 
 // ---- SIGTERM ----
 
 #[test]
-fn sigterm_before_the_new_is_ready_gives_it_the_keys_and_drains_as_ever() {
+fn sigterm_before_successor_is_ready_yields_keys_and_drains() {
     let mut pair = Pair::imported(&[]);
-    pair.old_said.clear();
-    pair.tell_old(predecessor::Event::Terminate);
-    assert_eq!(pair.old_said, [Old::Leave { handed_over: false }, Old::StopAccepting]);
+    pair.predecessor_actions.clear();
+    pair.notify_predecessor(predecessor::Event::Terminate);
+    assert_eq!(
+        pair.predecessor_actions,
+        [PredecessorAction::Leave { handed_over: false }, PredecessorAction::StopAccepting]
+    );
     pair.deliver();
-    assert_eq!((pair.new.phase(), pair.new.is_serving()), (successor::Phase::Owning, false));
-    pair.lose_old();
-    pair.tell_new(successor::Event::EngineUp);
-    assert_eq!((pair.new_said.last(), pair.unknown_until_new()), (Some(&New::BeginServing), None));
+    assert_eq!((pair.successor.phase(), pair.successor.is_serving()), (successor::Phase::Owning, false));
+    pair.lose_predecessor();
+    pair.notify_successor(successor::Event::EngineUp);
+    assert_eq!(
+        (pair.successor_actions.last(), pair.successor_unknown_until()),
+        (Some(&SuccessorAction::BeginServing), None)
+    );
 }
 
 #[test]
-fn sigterm_before_the_new_is_ready_is_handed_over_once_it_is() {
+fn sigterm_before_successor_is_ready_hands_over_once_it_is_ready() {
     let mut pair = Pair::imported(&[]);
-    pair.tell_old(predecessor::Event::Terminate);
+    pair.notify_predecessor(predecessor::Event::Terminate);
     pair.deliver();
-    assert!(!pair.old.successor_serves(), "it owns the keys, and accepts nothing yet");
-    pair.tell_new(successor::Event::EngineUp);
+    assert!(
+        !pair.predecessor.successor_serves(),
+        "the successor owns the keys, but does not accept connections yet"
+    );
+    pair.notify_successor(successor::Event::EngineUp);
     pair.deliver();
-    assert!(pair.old.successor_serves());
-    assert!(pair.new.is_serving());
-    assert_eq!(pair.old_said.last(), Some(&Old::Leave { handed_over: true }));
+    assert!(pair.predecessor.successor_serves());
+    assert!(pair.successor.is_serving());
+    assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::Leave { handed_over: true }));
 }
 
 #[test]
-fn sigterm_in_the_instant_of_the_take_over_is_handed_over_in_either_order() {
+fn sigterm_during_take_over_hands_over_in_either_order() {
     for sigterm_first in [true, false] {
         let mut pair = Pair::imported(&[]);
-        pair.tell_new(successor::Event::EngineUp);
+        pair.notify_successor(successor::Event::EngineUp);
         if sigterm_first {
-            pair.tell_old(predecessor::Event::Terminate);
+            pair.notify_predecessor(predecessor::Event::Terminate);
         }
         pair.deliver();
-        pair.tell_old(predecessor::Event::Terminate);
-        assert!(pair.new.is_serving());
-        assert_eq!(pair.old_said.last(), Some(&Old::Leave { handed_over: true }), "{sigterm_first}");
+        pair.notify_predecessor(predecessor::Event::Terminate);
+        assert!(pair.successor.is_serving());
+        assert_eq!(
+            pair.predecessor_actions.last(),
+            Some(&PredecessorAction::Leave { handed_over: true }),
+            "{sigterm_first}"
+        );
     }
 }
 
 #[test]
-fn sigterm_without_a_successor_or_in_its_greeting_is_an_ordinary_drain() {
+fn sigterm_without_successor_drains_and_yields_to_late_successor() {
     let mut pair = Pair::start();
-    pair.tell_old(predecessor::Event::Terminate);
-    assert_eq!(pair.old_said, [Old::Leave { handed_over: false }]);
-    // One that comes now gets the keys at once.
-    pair.tell_old(predecessor::Event::PeerConnected);
-    pair.tell_old(predecessor::Event::Snapshot(vec![record("a", KeyState::Ran)]));
-    assert_eq!(pair.to_new.last(), Some(&Message::Yielded));
+    pair.notify_predecessor(predecessor::Event::Terminate);
+    assert_eq!(pair.predecessor_actions, [PredecessorAction::Leave { handed_over: false }]);
+    // A successor that connects now is given ownership of the keys at once.
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    pair.notify_predecessor(predecessor::Event::Snapshot(vec![record("a", KeyState::Ran)]));
+    assert_eq!(pair.to_successor.last(), Some(&Message::Yielded));
 }
 
 #[test]
-fn sigterm_to_the_new_before_it_serves_lets_the_old_go_on() {
+fn sigterm_to_starting_successor_drops_link_and_leaves() {
     let mut pair = Pair::imported(&[]);
-    pair.new_said.clear();
-    pair.tell_new(successor::Event::Terminate);
-    assert_eq!(pair.new_said, [New::DropPeer(DropReason::Leaving), New::Leave]);
-    pair.tell_new(successor::Event::EngineUp);
-    assert!(!pair.new.is_serving());
+    pair.successor_actions.clear();
+    pair.notify_successor(successor::Event::Terminate);
+    assert_eq!(
+        pair.successor_actions,
+        [SuccessorAction::DropPeer(DropReason::Leaving), SuccessorAction::Leave]
+    );
+    pair.notify_successor(successor::Event::EngineUp);
+    assert!(!pair.successor.is_serving());
 }
 
-// ---- an operator's drain ----
+// ---- drain by an operator ----
 
 #[test]
-fn a_drain_before_during_and_after_the_take_over_reaches_both() {
+fn drain_reaches_both_processes_in_every_phase() {
     let mut before = Pair::start();
-    before.tell_old(predecessor::Event::DrainChanged(true));
-    before.tell_old(predecessor::Event::PeerConnected);
-    before.deliver_to_new();
-    assert_eq!(before.new_said, [New::SetDrained(true)]);
+    before.notify_predecessor(predecessor::Event::DrainChanged(true));
+    before.notify_predecessor(predecessor::Event::PeerConnected);
+    before.deliver_to_successor();
+    assert_eq!(before.successor_actions, [SuccessorAction::SetDrained(true)]);
     for mut pair in [Pair::imported(&[]), Pair::taken_over(&[])] {
-        pair.tell_old(predecessor::Event::DrainChanged(true));
+        pair.notify_predecessor(predecessor::Event::DrainChanged(true));
         pair.deliver();
-        assert_eq!(pair.new_said.last(), Some(&New::SetDrained(true)));
-        pair.tell_new(successor::Event::DrainChanged(false));
+        assert_eq!(pair.successor_actions.last(), Some(&SuccessorAction::SetDrained(true)));
+        pair.notify_successor(successor::Event::DrainChanged(false));
         pair.deliver();
-        assert_eq!(pair.old_said.last(), Some(&Old::SetDrained(false)));
+        assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::SetDrained(false)));
     }
 }
 
 #[test]
-fn drains_that_cross_settle_on_the_old_ones_word_at_both() {
+fn crossing_drains_settle_on_predecessors_value() {
     let mut pair = Pair::taken_over(&[]);
-    pair.tell_old(predecessor::Event::DrainChanged(true));
+    pair.notify_predecessor(predecessor::Event::DrainChanged(true));
     pair.deliver();
-    pair.tell_old(predecessor::Event::DrainChanged(false));
-    pair.tell_new(successor::Event::DrainChanged(false));
-    pair.tell_new(successor::Event::DrainChanged(true));
+    pair.notify_predecessor(predecessor::Event::DrainChanged(false));
+    pair.notify_successor(successor::Event::DrainChanged(false));
+    pair.notify_successor(successor::Event::DrainChanged(true));
     pair.deliver();
-    let old = pair.old_said.iter().rev().find_map(|action| match action {
-        Old::SetDrained(drained) => Some(*drained),
+    let predecessor_drained = pair.predecessor_actions.iter().rev().find_map(|action| match action {
+        PredecessorAction::SetDrained(drained) => Some(*drained),
         _ => None,
     });
-    let new = pair.new_said.iter().rev().find_map(|action| match action {
-        New::SetDrained(drained) => Some(*drained),
+    let successor_drained = pair.successor_actions.iter().rev().find_map(|action| match action {
+        SuccessorAction::SetDrained(drained) => Some(*drained),
         _ => None,
     });
-    assert_eq!((old, new), (Some(false), Some(false)));
+    assert_eq!((predecessor_drained, successor_drained), (Some(false), Some(false)));
 }
 
-// ---- connections, and peers that are none ----
+// ---- connections and rejected peers ----
 
 #[test]
-fn the_connections_of_the_old_are_told_until_it_is_gone() {
+fn reports_predecessor_connections_until_it_is_lost() {
     let mut pair = Pair::start();
-    pair.tell_old(predecessor::Event::Connections(7));
-    pair.tell_old(predecessor::Event::PeerConnected);
-    pair.tell_old(predecessor::Event::Snapshot(Vec::new()));
-    pair.tell_old(predecessor::Event::Connections(6));
-    pair.tell_new(successor::Event::EngineUp);
+    pair.notify_predecessor(predecessor::Event::Connections(7));
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    pair.notify_predecessor(predecessor::Event::Snapshot(Vec::new()));
+    pair.notify_predecessor(predecessor::Event::Connections(6));
+    pair.notify_successor(successor::Event::EngineUp);
     pair.deliver();
-    pair.lose_old();
-    let told: Vec<_> = pair.new_said.iter().filter(|a| matches!(a, New::PeerConnections(_))).collect();
-    assert_eq!(told, [&New::PeerConnections(7), &New::PeerConnections(6), &New::PeerConnections(0)]);
+    pair.lose_predecessor();
+    let reported: Vec<_> =
+        pair.successor_actions.iter().filter(|a| matches!(a, SuccessorAction::PeerConnections(_))).collect();
+    assert_eq!(
+        reported,
+        [
+            &SuccessorAction::PeerConnections(7),
+            &SuccessorAction::PeerConnections(6),
+            &SuccessorAction::PeerConnections(0)
+        ]
+    );
 }
 
 #[test]
-fn a_second_successor_is_refused_and_the_first_goes_on() {
+fn refuses_second_successor() {
     let mut pair = Pair::imported(&[]);
-    pair.old_said.clear();
-    pair.tell_old(predecessor::Event::PeerConnected);
-    assert_eq!(pair.old_said, [Old::RefusePeer]);
-    pair.tell_new(successor::Event::EngineUp);
+    pair.predecessor_actions.clear();
+    pair.notify_predecessor(predecessor::Event::PeerConnected);
+    assert_eq!(pair.predecessor_actions, [PredecessorAction::RefusePeer]);
+    pair.notify_successor(successor::Event::EngineUp);
     pair.deliver();
-    assert!(pair.new.is_serving());
+    assert!(pair.successor.is_serving());
 }
 
 #[test]
-fn an_older_a_newer_or_a_silent_one_and_a_stranger_make_unknown_keys_fail() {
+fn fails_unknown_keys_if_peer_is_unusable() {
     let reasons = [
         NoPredecessor::OtherVersion,
         NoPredecessor::TimedOut,
@@ -534,25 +586,25 @@
         NoPredecessor::OtherUser,
         NoPredecessor::BadListeners,
     ];
-    for why in reasons {
+    for reason in reasons {
         let mut pair = Pair::start();
-        pair.tell_new(successor::Event::EngineUp);
-        pair.tell_new(successor::Event::NoPredecessor(why));
-        assert_eq!(pair.unknown_until_new(), Some(unknown_for(&rules())), "{why}");
-        assert_eq!(pair.new_said.last(), Some(&New::BeginServing));
+        pair.notify_successor(successor::Event::EngineUp);
+        pair.notify_successor(successor::Event::NoPredecessor(reason));
+        assert_eq!(pair.successor_unknown_until(), Some(unknown_window_end(&rules())), "{reason}");
+        assert_eq!(pair.successor_actions.last(), Some(&SuccessorAction::BeginServing));
     }
 }
 
 #[test]
-fn messages_out_of_turn_drop_the_peer_and_late_ones_do_nothing() {
+fn drops_peer_on_unexpected_message_and_ignores_late_ones() {
     let mut pair = Pair::imported(&[]);
-    pair.tell_old(predecessor::Event::Message(Message::ClaimAnswer { id: 1, granted: true }));
-    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(DropReason::Protocol)));
-    pair.tell_old(predecessor::Event::Message(Message::TakeOver));
-    assert_eq!(pair.old_said.last(), Some(&Old::DropPeer(DropReason::Protocol)));
-    pair.tell_new(successor::Event::Message(Message::TakeOver));
-    assert!(pair.new_said.contains(&New::DropPeer(DropReason::Protocol)));
-    let said = pair.new_said.len();
-    pair.tell_new(successor::Event::Message(Message::Yielded));
-    assert_eq!(pair.new_said.len(), said);
+    pair.notify_predecessor(predecessor::Event::Message(Message::ClaimAnswer { id: 1, granted: true }));
+    assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::DropPeer(DropReason::Protocol)));
+    pair.notify_predecessor(predecessor::Event::Message(Message::TakeOver));
+    assert_eq!(pair.predecessor_actions.last(), Some(&PredecessorAction::DropPeer(DropReason::Protocol)));
+    pair.notify_successor(successor::Event::Message(Message::TakeOver));
+    assert!(pair.successor_actions.contains(&SuccessorAction::DropPeer(DropReason::Protocol)));
+    let action_count = pair.successor_actions.len();
+    pair.notify_successor(successor::Event::Message(Message::Yielded));
+    assert_eq!(pair.successor_actions.len(), action_count);
 }
