--- a/crates/pinepoint-handover/tests/io.rs
+++ b/crates/pinepoint-handover/tests/io.rs
@@ -1,5 +1,5 @@
-//! Real Unix sockets in a directory of each test's own: the listening sockets pass with their backlogs, stale and unusable paths,
-//! strangers, silent peers and full queues.
+//! Tests over real Unix sockets, each in its own directory: passing of listening sockets with their backlogs,
+//! stale and unusable paths, unknown and silent peers, and full queues.
 
 use std::future::Future;
 use std::io::{Read, Write};
@@ -18,16 +18,16 @@
 use pinepoint_handover::ownership::NoPredecessor;
 use pinepoint_handover::wire;
 
-/// A directory that is removed at the end.
-struct Directory(PathBuf);
+/// A temporary directory that is removed when dropped.
+struct TempDirectory(PathBuf);
 
-impl Directory {
-    fn new() -> Directory {
+impl TempDirectory {
+    fn new() -> TempDirectory {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let name = format!("pph{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir(&path).expect("a new directory");
-        Directory(path)
+        std::fs::create_dir(&path).expect("create a directory");
+        TempDirectory(path)
     }
 
     fn socket(&self) -> PathBuf {
@@ -35,14 +35,14 @@
     }
 }
 
-impl Drop for Directory {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 fn listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+    TcpListener::bind("127.0.0.1:0").expect("bind a free port")
 }
 
 fn hello(listeners: &[&str]) -> Hello {
@@ -50,28 +50,28 @@
     Hello { listeners, digest_key: [3; 16], drained: false, keys_unknown_until_ms: 0.0 }
 }
 
-/// A predecessor that passes one socket, in a directory of its own.
-struct World {
-    directory: Directory,
+/// A predecessor that passes one listening socket, in its own directory.
+struct Fixture {
+    directory: TempDirectory,
     executor: Rc<LocalExecutor<'static>>,
     accepted: Receiver<Accepted>,
 }
 
-/// One end of a link that runs.
-struct End {
+/// One end of a link whose task is running.
+struct LinkEnd {
     link: Link,
     messages: Receiver<Message>,
     task: Task<LinkCloseReason>,
 }
 
-impl World {
-    fn new(socket: &TcpListener) -> World {
-        let directory = Directory::new();
-        let acceptor = Rc::new(Acceptor::bind(&directory.socket(), &[socket]).expect("it can be used"));
+impl Fixture {
+    fn new(socket: &TcpListener) -> Fixture {
+        let directory = TempDirectory::new();
+        let acceptor = Rc::new(Acceptor::bind(&directory.socket(), &[socket]).expect("bind the acceptor"));
         let executor = Rc::new(LocalExecutor::new());
         let (send, accepted) = async_channel::bounded(1);
         executor.spawn(acceptor.run(10, executor.clone(), send)).detach();
-        World { directory, executor, accepted }
+        Fixture { directory, executor, accepted }
     }
 
     fn block_on<T>(&self, work: impl Future<Output = T>) -> T {
@@ -82,103 +82,104 @@
         io::connect(&self.directory.socket(), 1).await
     }
 
-    fn run(&self, link: Link, task: LinkTask) -> End {
+    fn run(&self, link: Link, task: LinkTask) -> LinkEnd {
         let (send, messages) = async_channel::unbounded();
         let task = self.executor.spawn(task.run(move |message| {
             let _ = send.try_send(message);
         }));
-        End { link, messages, task }
+        LinkEnd { link, messages, task }
     }
 
-    async fn accept(&self, hello: Hello) -> End {
-        let Accepted { link, task } = self.accepted.recv().await.expect("the acceptor runs");
+    async fn accept(&self, hello: Hello) -> LinkEnd {
+        let Accepted { link, task } = self.accepted.recv().await.expect("the acceptor is running");
         link.send(&Message::Hello(hello));
         self.run(link, task)
     }
 
-    async fn linked(&self) -> (End, End, Vec<(String, TcpListener)>) {
-        let (old, connected) = future::zip(self.accept(hello(&["rpc"])), self.connect()).await;
-        let Connected { hello: told, listeners, link, task } = connected.expect("a predecessor");
-        assert_eq!(told, hello(&["rpc"]));
-        (old, self.run(link, task), listeners)
+    async fn linked(&self) -> (LinkEnd, LinkEnd, Vec<(String, TcpListener)>) {
+        let (predecessor, connected) = future::zip(self.accept(hello(&["rpc"])), self.connect()).await;
+        let Connected { hello: received_hello, listeners, link, task } =
+            connected.expect("connect to the predecessor");
+        assert_eq!(received_hello, hello(&["rpc"]));
+        (predecessor, self.run(link, task), listeners)
     }
 }
 
-// ---- sockets pass ----
+// ---- passed sockets and links ----
 
 #[test]
-fn a_connection_in_the_backlog_is_accepted_by_the_successor_after_the_predecessor_closed_its_socket() {
+fn successor_accepts_backlog_after_predecessor_closes_socket() {
     let socket = listener();
-    let address = socket.local_addr().expect("it listens");
-    let world = World::new(&socket);
-    let mut client = TcpStream::connect(address).expect("the backlog has room");
-    client.write_all(b"request").expect("it is connected");
-    let (old, new, listeners) = world.block_on(world.linked());
+    let address = socket.local_addr().expect("read the address");
+    let fixture = Fixture::new(&socket);
+    let mut client = TcpStream::connect(address).expect("connect through the backlog");
+    client.write_all(b"request").expect("send the request");
+    let (predecessor, successor, listeners) = fixture.block_on(fixture.linked());
     drop(socket);
-    drop((old, world));
+    drop((predecessor, fixture));
     let [(name, passed)] = &listeners[..] else { panic!("{listeners:?}") };
     assert_eq!((name.as_str(), passed.local_addr().ok()), ("rpc", Some(address)));
-    let (mut served, _) = passed.accept().expect("it waits in the backlog");
+    let (mut served, _) = passed.accept().expect("accept from the backlog");
     let mut request = [0; 7];
-    served.read_exact(&mut request).expect("nothing is lost");
+    served.read_exact(&mut request).expect("read the request");
     assert_eq!(&request, b"request");
-    drop(new);
+    drop(successor);
 }
 
 #[test]
-fn messages_go_both_ways_in_order_and_what_was_sent_before_the_end_is_read() {
-    let world = World::new(&listener());
-    world.block_on(async {
-        let (old, new, _) = world.linked().await;
-        assert_eq!((old.link.number(), new.link.number()), (10, 1));
-        new.link.send(&Message::TakeOver);
-        assert_eq!(old.messages.recv().await, Ok(Message::TakeOver));
+fn delivers_messages_both_ways_in_order_until_closed() {
+    let fixture = Fixture::new(&listener());
+    fixture.block_on(async {
+        let (predecessor, successor, _) = fixture.linked().await;
+        assert_eq!((predecessor.link.number(), successor.link.number()), (10, 1));
+        successor.link.send(&Message::TakeOver);
+        assert_eq!(predecessor.messages.recv().await, Ok(Message::TakeOver));
         for open in 0..500 {
-            old.link.send(&Message::Connections(open));
+            predecessor.link.send(&Message::Connections(open));
         }
-        old.link.finish();
+        predecessor.link.finish();
         assert_eq!(
-            (old.task.await, new.task.await),
+            (predecessor.task.await, successor.task.await),
             (LinkCloseReason::ClosedLocally, LinkCloseReason::PeerClosed)
         );
         for open in 0..500 {
-            assert_eq!(new.messages.recv().await, Ok(Message::Connections(open)));
+            assert_eq!(successor.messages.recv().await, Ok(Message::Connections(open)));
         }
     });
 }
 
 #[test]
-fn a_peer_that_reads_nothing_is_dropped_when_the_queue_is_full_and_nobody_waits_for_it() {
-    let world = World::new(&listener());
-    world.block_on(async {
-        let (old, connected) = future::zip(world.accept(hello(&["rpc"])), world.connect()).await;
-        let connected = connected.expect("a predecessor");
+fn closes_link_when_queue_is_full() {
+    let fixture = Fixture::new(&listener());
+    fixture.block_on(async {
+        let (predecessor, connected) = future::zip(fixture.accept(hello(&["rpc"])), fixture.connect()).await;
+        let connected = connected.expect("connect to the predecessor");
         let key = Key { class: "c".into(), token: "t".into() };
         let state = KeyState::Done(vec![0; 30_000]);
         let record = KeyRecord { key, digest: 1, until_ms: 1.0, state };
         for _ in 0..400 {
-            old.link.send(&Message::Keys(vec![record.clone()]));
+            predecessor.link.send(&Message::Keys(vec![record.clone()]));
         }
-        assert_eq!(old.task.await, LinkCloseReason::QueueFull);
+        assert_eq!(predecessor.task.await, LinkCloseReason::QueueFull);
         drop(connected);
     });
 }
 
 #[test]
-fn a_message_that_is_too_long_and_a_close_end_the_link() {
-    let world = World::new(&listener());
-    world.block_on(async {
-        let (old, new, _) = world.linked().await;
+fn closes_link_on_oversized_message_and_on_close() {
+    let fixture = Fixture::new(&listener());
+    fixture.block_on(async {
+        let (predecessor, successor, _) = fixture.linked().await;
         let hello = hello(&[&"n".repeat(wire::MAX_FRAME_BYTES)]);
-        old.link.send(&Message::Hello(hello));
+        predecessor.link.send(&Message::Hello(hello));
         assert_eq!(
-            (old.task.await, new.task.await),
+            (predecessor.task.await, successor.task.await),
             (LinkCloseReason::MessageTooLong, LinkCloseReason::PeerClosed)
         );
-        let (old, new, _) = world.linked().await;
-        new.link.close();
+        let (predecessor, successor, _) = fixture.linked().await;
+        successor.link.close();
         assert_eq!(
-            (old.task.await, new.task.await),
+            (predecessor.task.await, successor.task.await),
             (LinkCloseReason::PeerClosed, LinkCloseReason::ClosedLocally)
         );
     });
@@ -191,43 +192,43 @@
 }
 
 #[test]
-fn no_socket_and_a_stale_one_mean_that_nobody_is_there_and_a_stale_one_is_replaced() {
-    let directory = Directory::new();
+fn replaces_stale_socket_and_reports_absent_predecessor() {
+    let directory = TempDirectory::new();
     assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::NoSocket));
-    drop(Acceptor::bind(&directory.socket(), &[]).expect("it can be used"));
+    drop(Acceptor::bind(&directory.socket(), &[]).expect("bind the first acceptor"));
     assert!(directory.socket().exists());
     assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::Refused));
-    let _acceptor = Acceptor::bind(&directory.socket(), &[]).expect("the stale one is replaced");
-    let mode = std::fs::metadata(directory.socket()).expect("it is there").permissions().mode();
+    let _acceptor = Acceptor::bind(&directory.socket(), &[]).expect("replace the stale socket");
+    let mode = std::fs::metadata(directory.socket()).expect("read the metadata").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    let left = std::fs::read_dir(&directory.0).expect("it is there").count();
-    assert_eq!(left, 1, "only the socket is there");
-    // Nobody runs the acceptor: it is silent.
+    let file_count = std::fs::read_dir(&directory.0).expect("list the directory").count();
+    assert_eq!(file_count, 1, "only the socket remains");
+    // The acceptor is not running, so it never answers.
     assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::TimedOut));
 }
 
 #[test]
-fn a_successors_acceptor_replaces_the_predecessors() {
-    let directory = Directory::new();
-    let old = Acceptor::bind(&directory.socket(), &[]).expect("it can be used");
-    let _new = Acceptor::bind(&directory.socket(), &[]).expect("it replaces the other");
-    drop(old);
+fn successors_acceptor_replaces_predecessors() {
+    let directory = TempDirectory::new();
+    let predecessor = Acceptor::bind(&directory.socket(), &[]).expect("bind the predecessor's acceptor");
+    let _successor = Acceptor::bind(&directory.socket(), &[]).expect("replace the predecessor's acceptor");
+    drop(predecessor);
     assert_eq!(connect_to(&directory.socket()), Some(NoPredecessor::TimedOut));
 }
 
 #[test]
-fn a_path_that_is_too_long_or_no_directory_can_neither_be_bound_nor_connected_to() {
-    let directory = Directory::new();
+fn rejects_unusable_socket_paths() {
+    let directory = TempDirectory::new();
     let long = directory.0.join("d".repeat(100));
-    // Too long by one byte, where the temporary name would do.
+    // The socket path is too long by one byte, while the temporary name would fit.
     let by_one = directory.0.join("d".repeat(84 - directory.0.as_os_str().len() - 1));
     for path in [&long, &by_one] {
-        std::fs::create_dir(path).expect("a new directory");
+        std::fs::create_dir(path).expect("create a directory");
     }
     let file = directory.0.join("file");
-    std::fs::write(&file, "").expect("a new file");
-    for bad in [long, by_one, file] {
-        let path = io::socket_path(&bad);
+    std::fs::write(&file, "").expect("create a file");
+    for parent in [long, by_one, file] {
+        let path = io::socket_path(&parent);
         assert!(Acceptor::bind(&path, &[]).is_err(), "{}", path.display());
         assert_eq!(connect_to(&path), Some(NoPredecessor::BadPath), "{}", path.display());
     }
@@ -237,54 +238,56 @@
 }
 
 #[test]
-fn a_directory_that_is_not_writable_is_an_error_and_leaves_nothing_behind() {
-    let directory = Directory::new();
-    let set = |mode| std::fs::set_permissions(&directory.0, std::fs::Permissions::from_mode(mode));
-    set(0o500).expect("it is ours");
-    // The superuser may write everywhere.
+fn bind_fails_in_unwritable_directory() {
+    let directory = TempDirectory::new();
+    let set_mode = |mode| std::fs::set_permissions(&directory.0, std::fs::Permissions::from_mode(mode));
+    set_mode(0o500).expect("make the directory read-only");
+    // The superuser can write in spite of the mode.
     let may_write = std::fs::write(directory.0.join("file"), "").is_ok();
     let bound = Acceptor::bind(&directory.socket(), &[]);
-    set(0o700).expect("it is ours");
+    set_mode(0o700).expect("make the directory writable");
     assert_eq!(bound.is_ok(), may_write);
     assert_eq!(directory.socket().exists(), may_write);
 }
 
 #[test]
-fn more_listening_sockets_than_can_be_passed_are_an_error() {
-    let directory = Directory::new();
+fn bind_rejects_too_many_listening_sockets() {
+    let directory = TempDirectory::new();
     let sockets: Vec<_> = (0..=io::MAX_LISTENERS).map(|_| listener()).collect();
     assert!(Acceptor::bind(&directory.socket(), &sockets.iter().collect::<Vec<_>>()).is_err());
 }
 
-// ---- strangers ----
+// ---- unknown and malformed peers ----
 
-/// What a successor finds where somebody else answers its preamble with this.
-fn answered_with(answer: &[u8], closes: bool) -> Option<NoPredecessor> {
-    let directory = Directory::new();
-    let stranger = UnixListener::bind(directory.socket()).expect("a new path");
+/// Connects a successor to a peer that answers its preamble with `answer`, and returns the error. The peer
+/// then closes the connection if `closes` is set, and otherwise stays silent.
+fn connect_answered_with(answer: &[u8], closes: bool) -> Option<NoPredecessor> {
+    let directory = TempDirectory::new();
+    let listener = UnixListener::bind(directory.socket()).expect("bind the socket");
     std::thread::scope(|scope| {
-        let held = scope.spawn(|| {
-            let (mut stream, _) = stranger.accept().expect("a successor");
-            stream.read_exact(&mut [0; wire::PREAMBLE_LENGTH]).expect("its preamble");
-            stream.write_all(answer).expect("it reads");
+        let peer = scope.spawn(|| {
+            let (mut stream, _) = listener.accept().expect("accept the successor");
+            stream.read_exact(&mut [0; wire::PREAMBLE_LENGTH]).expect("read its preamble");
+            stream.write_all(answer).expect("send the answer");
             if !closes {
-                // Until it gives up.
+                // Waits until the successor closes the connection.
                 let _ = stream.read(&mut [0; 1]);
             }
         });
-        let found = connect_to(&directory.socket());
-        held.join().expect("no panic");
-        found
+        let error = connect_to(&directory.socket());
+        peer.join().expect("the peer did not panic");
+        error
     })
 }
 
 #[test]
-fn a_stranger_an_older_a_silent_and_a_dying_predecessor_are_told_apart() {
+fn connect_distinguishes_unusable_peers() {
     let own = wire::preamble();
     let mut older = own;
     older[5] ^= 1;
-    let with_hello = |message: Message| [&own[..], &wire::encode(&message).expect("fits")].concat();
-    let no_sockets = with_hello(Message::Hello(hello(&["rpc"])));
+    let with_preamble =
+        |message: Message| [&own[..], &wire::encode(&message).expect("encode the message")].concat();
+    let no_sockets = with_preamble(Message::Hello(hello(&["rpc"])));
     let cases: [(&[u8], bool, NoPredecessor); 9] = [
         (b"HTTP/1.1 400 Bad Request", false, NoPredecessor::ProtocolMismatch),
         (&older, false, NoPredecessor::OtherVersion),
@@ -293,50 +296,53 @@
         (b"", true, NoPredecessor::Closed),
         (&own, true, NoPredecessor::Closed),
         (&[&own[..], &[0xff; 8]].concat(), false, NoPredecessor::ProtocolMismatch),
-        (&with_hello(Message::Yielded), false, NoPredecessor::ProtocolMismatch),
+        (&with_preamble(Message::Yielded), false, NoPredecessor::ProtocolMismatch),
         (&no_sockets, false, NoPredecessor::BadListeners),
     ];
     for (answer, closes, expected) in cases {
-        assert_eq!(answered_with(answer, closes), Some(expected), "{answer:?}");
+        assert_eq!(connect_answered_with(answer, closes), Some(expected), "{answer:?}");
     }
 }
 
 #[test]
-fn strangers_and_silent_ones_are_closed_and_hold_no_successor_up() {
-    let world = World::new(&listener());
-    let open = || UnixStream::connect(world.directory.socket()).expect("it listens");
+fn acceptor_closes_invalid_peers_without_delaying_successor() {
+    let fixture = Fixture::new(&listener());
+    let open = || UnixStream::connect(fixture.directory.socket()).expect("connect to the acceptor");
     let silent = open();
-    let mut stranger = open();
-    stranger.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("it is connected");
+    let mut http_client = open();
+    http_client.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("send an HTTP request");
     let mut newer = open();
     let mut preamble = wire::preamble();
     preamble[5] += 1;
-    newer.write_all(&preamble).expect("it is connected");
-    world.block_on(async {
-        let (_old, _new, listeners) = world.linked().await;
+    newer.write_all(&preamble).expect("send a newer preamble");
+    fixture.block_on(async {
+        let (_predecessor, _successor, listeners) = fixture.linked().await;
         assert_eq!(listeners.len(), 1);
-        for stream in [silent, stranger] {
-            let mut stream = async_io::Async::new(stream).expect("a socket");
-            // Closed over what was not read it is reset.
+        for stream in [silent, http_client] {
+            let mut stream = async_io::Async::new(stream).expect("register the socket");
+            // The connection is reset if it is closed with unread bytes.
             let read = stream.read(&mut [0; 8]).await;
             assert!(read.as_ref().is_ok_and(|n| *n == 0) || read.is_err(), "{read:?}");
         }
-        let mut newer = async_io::Async::new(newer).expect("a socket");
+        let mut newer = async_io::Async::new(newer).expect("register the socket");
         let mut answer = Vec::new();
-        newer.read_to_end(&mut answer).await.expect("it is closed");
+        newer.read_to_end(&mut answer).await.expect("read until the acceptor closes the connection");
         assert_eq!(answer, wire::preamble());
     });
 }
 
 #[test]
-fn a_peer_that_turns_to_garbage_ends_the_link() {
-    let world = World::new(&listener());
-    world.block_on(async {
-        let mut peer =
-            async_io::Async::<UnixStream>::connect(world.directory.socket()).await.expect("it listens");
-        futures_lite::AsyncWriteExt::write_all(&mut peer, &wire::preamble()).await.expect("it is connected");
-        let old = world.accept(hello(&["rpc"])).await;
-        futures_lite::AsyncWriteExt::write_all(&mut peer, &[0xff; 64]).await.expect("it is connected");
-        assert_eq!(old.task.await, LinkCloseReason::Malformed);
+fn closes_link_on_malformed_bytes() {
+    let fixture = Fixture::new(&listener());
+    fixture.block_on(async {
+        let mut peer = async_io::Async::<UnixStream>::connect(fixture.directory.socket())
+            .await
+            .expect("connect to the acceptor");
+        futures_lite::AsyncWriteExt::write_all(&mut peer, &wire::preamble())
+            .await
+            .expect("send the preamble");
+        let predecessor = fixture.accept(hello(&["rpc"])).await;
+        futures_lite::AsyncWriteExt::write_all(&mut peer, &[0xff; 64]).await.expect("send malformed bytes");
+        assert_eq!(predecessor.task.await, LinkCloseReason::Malformed);
     });
 }
--- a/crates/pinepoint-handover/tests/wire.rs
+++ b/crates/pinepoint-handover/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Bytes that are cut, changed, too long or of others: no message comes of them, and nothing is read beyond the bounds.
+//! Decoding of truncated, changed, oversized or foreign bytes: no message is decoded from them, and no limit
+//! is exceeded.
 
 use pinepoint_handover::message::{Claim, Hello, Key, KeyRecord, KeyState, Message};
 use pinepoint_handover::wire::{self, Decoder, MAX_FRAME_BYTES, PREAMBLE_LENGTH, WireError};
@@ -37,29 +38,30 @@
     ]
 }
 
-fn drain(decoder: &mut Decoder) -> Result<Vec<Message>, WireError> {
-    let mut all = Vec::new();
+fn decode_all(decoder: &mut Decoder) -> Result<Vec<Message>, WireError> {
+    let mut decoded = Vec::new();
     while let Some(message) = decoder.next_message()? {
-        all.push(message);
+        decoded.push(message);
     }
-    Ok(all)
+    Ok(decoded)
 }
 
 #[test]
-fn what_is_encoded_is_decoded_wherever_the_bytes_are_cut() {
-    let bytes: Vec<u8> = messages().iter().flat_map(|message| wire::encode(message).expect("fits")).collect();
-    for cut in 0..=bytes.len() {
+fn decodes_messages_split_at_any_byte() {
+    let bytes: Vec<u8> =
+        messages().iter().flat_map(|message| wire::encode(message).expect("encode the message")).collect();
+    for split in 0..=bytes.len() {
         let mut decoder = Decoder::default();
-        decoder.push(&bytes[..cut]);
-        let mut read = drain(&mut decoder).expect("a part is no error");
-        decoder.push(&bytes[cut..]);
-        read.extend(drain(&mut decoder).expect("whole"));
-        assert_eq!(read, messages(), "cut at {cut}");
+        decoder.push(&bytes[..split]);
+        let mut decoded_messages = decode_all(&mut decoder).expect("decode the first part");
+        decoder.push(&bytes[split..]);
+        decoded_messages.extend(decode_all(&mut decoder).expect("decode the rest"));
+        assert_eq!(decoded_messages, messages(), "split at byte {split}");
     }
 }
 
 #[test]
-fn a_preamble_of_others_or_of_another_version_is_told_apart() {
+fn distinguishes_wrong_magic_and_version() {
     let own = wire::preamble();
     assert_eq!(wire::check_preamble(&own), Ok(()));
     for at in 0..PREAMBLE_LENGTH {
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_frame_beyond_the_bound_is_neither_sent_nor_awaited() {
+fn rejects_oversized_frames() {
     let large = Message::Keys(vec![record(KeyState::Done(vec![0; MAX_FRAME_BYTES]), 1.0)]);
     assert_eq!(wire::encode(&large), Err(WireError::TooLong));
     let mut decoder = Decoder::default();
@@ -80,14 +82,14 @@
 }
 
 #[test]
-fn a_frame_with_more_than_its_message_or_with_a_time_that_is_none_is_malformed() {
-    let mut longer = wire::encode(&Message::TakeOver).expect("fits");
+fn rejects_trailing_bytes_and_non_finite_times() {
+    let mut longer = wire::encode(&Message::TakeOver).expect("encode the message");
     longer[3] += 1;
     longer.push(0);
-    let no_times =
+    let non_finite =
         [hello(f64::NAN), claim(f64::INFINITY), Message::Keys(vec![record(KeyState::Held, f64::NAN)])];
-    let no_times = no_times.iter().map(|message| wire::encode(message).expect("fits"));
-    for bytes in no_times.chain([longer, vec![0; 4]]) {
+    let non_finite = non_finite.iter().map(|message| wire::encode(message).expect("encode the message"));
+    for bytes in non_finite.chain([longer, vec![0; 4]]) {
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
         assert_eq!(decoder.next_message(), Err(WireError::Malformed), "{bytes:?}");
@@ -96,23 +98,23 @@
 
 proptest! {
     #[test]
-    fn random_bytes_end_in_an_error_or_wait_for_more(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..64), 0..8)) {
+    fn decoding_random_bytes_terminates(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..64), 0..8)) {
         let mut decoder = Decoder::default();
         for part in parts {
             decoder.push(&part);
-            if drain(&mut decoder).is_err() {
+            if decode_all(&mut decoder).is_err() {
                 break;
             }
         }
     }
 
     #[test]
-    fn random_bodies_are_read_as_what_is_encoded_the_same_or_not_at_all(body in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn decoded_random_bodies_survive_reencoding(body in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut decoder = Decoder::default();
         decoder.push(&(body.len() as u32).to_be_bytes());
         decoder.push(&body);
         if let Ok(Some(message)) = decoder.next_message() {
-            let bytes = wire::encode(&message).expect("it fitted");
+            let bytes = wire::encode(&message).expect("encode the message again");
             let mut again = Decoder::default();
             again.push(&bytes);
             prop_assert_eq!(again.next_message(), Ok(Some(message)));
