--- a/crates/pinepoint-handover/tests/model/main.rs
+++ b/crates/pinepoint-handover/tests/model/main.rs
@@ -1,7 +1,11 @@
-//! Every course of two processes, one key, tries at either, one crash at any step, one cut of the link, SIGTERM at any step, and
-//! time that passes: at most one effect of the key in its window, one answer for each try that a living process has read, and
-//! somebody accepts whenever somebody can. The program's own machines are run; the key tables around them are the least that a
-//! core has to do. Two faults that are built in have to be found. `HANDOVER_TRIES` sets the number of tries.
+//! Exhaustive model check of the handover. It explores every sequence of steps of two processes with one key:
+//! attempts at either process, one crash at any step, one cut of the link, SIGTERM at any step, and passing
+//! time.
+//!
+//! Invariants: the key has at most one effect within its window; each attempt that a living process has read
+//! is answered once; and a process accepts connections whenever any process can. The search runs the state
+//! machines of the program; the key tables around them are a minimal core. The search has to find each of two
+//! injected faults. `HANDOVER_TRIES` sets the number of attempts.
 
 mod key_table;
 mod world;
@@ -9,65 +13,65 @@
 use std::collections::HashSet;
 
 use pinepoint_handover::ownership::{Fault, Rules};
-use world::{Choice, EXIT_MS, WINDOW_MS, World};
+use world::{EXIT_MS, Step, WINDOW_MS, World};
 
-/// Tries, where `HANDOVER_TRIES` says nothing else.
-const ATTEMPTS: usize = 2;
+/// Number of attempts unless `HANDOVER_TRIES` sets another one.
+const DEFAULT_ATTEMPTS: usize = 2;
 
 struct Search {
-    seen: HashSet<u64>,
-    wrong: Option<(Vec<Choice>, String)>,
-    attempts: usize,
+    visited: HashSet<u64>,
+    violation: Option<(Vec<Step>, String)>,
+    max_attempts: usize,
 }
 
 impl Search {
-    fn go(&mut self, world: &World, path: &mut Vec<Choice>) {
-        for choice in world.choices(self.attempts) {
+    fn explore(&mut self, world: &World, path: &mut Vec<Step>) {
+        for step in world.possible_steps(self.max_attempts) {
             let mut next = world.clone();
-            next.step(choice);
-            next.check();
-            path.push(choice);
-            if let Some(wrong) = next.wrong.take() {
-                self.wrong = Some((path.clone(), wrong));
+            next.apply(step);
+            next.check_invariants();
+            path.push(step);
+            if let Some(violation) = next.violation.take() {
+                self.violation = Some((path.clone(), violation));
             }
-            if self.wrong.is_none() && self.seen.insert(next.fingerprint()) {
-                self.go(&next, path);
+            if self.violation.is_none() && self.visited.insert(next.fingerprint()) {
+                self.explore(&next, path);
             }
             path.pop();
-            if self.wrong.is_some() {
+            if self.violation.is_some() {
                 return;
             }
         }
     }
 }
 
-fn search(fault: Option<Fault>, attempts: usize) -> Search {
+fn search(fault: Option<Fault>, max_attempts: usize) -> Search {
     let rules =
         Rules { longest_window_ms: WINDOW_MS, peer_exit_ms: EXIT_MS, attempts: 2, fault, ..Rules::default() };
-    let mut search = Search { seen: HashSet::new(), wrong: None, attempts };
-    search.go(&World::new(&rules), &mut Vec::new());
+    let mut search = Search { visited: HashSet::new(), violation: None, max_attempts };
+    search.explore(&World::new(&rules), &mut Vec::new());
     search
 }
 
-fn attempts() -> usize {
-    std::env::var("HANDOVER_TRIES").ok().and_then(|text| text.parse().ok()).unwrap_or(ATTEMPTS)
+fn max_attempts() -> usize {
+    std::env::var("HANDOVER_TRIES").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_ATTEMPTS)
 }
 
 #[test]
-fn no_course_runs_a_key_twice_leaves_a_try_unanswered_or_leaves_nobody_accepting() {
-    let search = search(None, attempts());
-    println!("{} states", search.seen.len());
-    assert!(search.wrong.is_none(), "after {} states: {:#?}", search.seen.len(), search.wrong);
+fn every_sequence_keeps_the_invariants() {
+    let search = search(None, max_attempts());
+    println!("{} states visited", search.visited.len());
+    assert!(search.violation.is_none(), "after {} states: {:#?}", search.visited.len(), search.violation);
 }
 
 #[test]
-fn runs_without_a_claim_and_a_stop_at_hello_are_found() {
+fn search_finds_injected_faults() {
     for (fault, expected) in
-        [(Fault::RunUnclaimed, "a second effect"), (Fault::StopAtHello, "nobody accepts")]
+        [(Fault::RunUnclaimed, "a second effect"), (Fault::StopAtHello, "no process accepts connections")]
     {
-        let search = search(Some(fault), attempts());
-        println!("{fault:?} after {} states: {:?}", search.seen.len(), search.wrong);
-        let wrong = search.wrong.map(|(_, wrong)| wrong).unwrap_or_default();
-        assert!(wrong.contains(expected), "{fault:?} in {} states: {wrong}", search.seen.len());
+        let search = search(Some(fault), max_attempts());
+        println!("{fault:?} after {} states: {:?}", search.visited.len(), search.violation);
+        let violation = search.violation.map(|(_, violation)| violation).unwrap_or_default();
+        assert!(violation.contains(expected), "{fault:?} in {} states: {violation}", search.visited.len());
     }
 }
--- a/crates/pinepoint-handover/tests/model/world.rs
+++ b/crates/pinepoint-handover/tests/model/world.rs
@@ -1,4 +1,5 @@
-//! Two processes around the two state machines: what may happen next, what happens, and what has to hold.
+//! The modelled world: two processes around the two state machines, the possible next steps, their effects,
+//! and the invariants.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -13,23 +14,24 @@
 
 pub const WINDOW_MS: f64 = 10_000.0;
 pub const EXIT_MS: f64 = 5_000.0;
-/// Longer than any wait of the machines, shorter than a window.
-pub const LATE_MS: f64 = 5_000.0;
-pub const OLD: usize = 0;
-pub const NEW: usize = 1;
+/// Longer than any timeout of the state machines, shorter than a window.
+pub const TIMEOUT_STEP_MS: f64 = 5_000.0;
+pub const PREDECESSOR: usize = 0;
+pub const SUCCESSOR: usize = 1;
 
-/// One step of the world around the machines.
+/// One step of the world around the state machines. An operand is the index of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Choice {
-    /// A try is read by this process.
+pub enum Step {
+    /// The process reads an attempt.
     Attempt(usize),
-    /// Its held request starts, is refused, or ends.
+    /// The held request of the process starts, is rejected, or finishes.
     Start(usize),
-    Refuse(usize),
+    Reject(usize),
     Finish(usize),
-    /// The new process connects.
+    /// The successor connects.
     Connect,
-    /// The next message reaches this process, or the end of the link does, in front of what is still under way.
+    /// The next message reaches the process, or the end of the link does, ahead of the messages still in
+    /// transit.
     Deliver(usize),
     LinkEnds(usize),
     Crash(usize),
@@ -37,20 +39,20 @@
     EngineUp,
     Terminate,
     Exit,
-    /// The waits of the machines run out.
-    Late,
-    /// A window passes, and the time for which a peer may go on.
-    Pass,
+    /// The timeouts of the state machines expire.
+    TimeoutsExpire,
+    /// A window passes, and the time for which an unreachable peer may continue to run requests.
+    WindowPasses,
 }
 
-/// A process: what is of its core.
+/// The state of a process outside its state machine.
 #[derive(Clone, Debug, Default)]
 pub struct Process {
     pub is_alive: bool,
     pub is_accepting: bool,
     pub is_leaving: bool,
     pub entry: Option<Entry>,
-    /// A claim that waits, and its tries.
+    /// The id of the pending claim, and the attempts that wait for it.
     pub claim: Option<(u64, Vec<usize>)>,
 }
 
@@ -68,30 +70,31 @@
     pub is_answered: bool,
 }
 
+/// Which of the steps that may occur once have occurred, and the number of claims so far.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
-    pub crash: bool,
-    pub cut: bool,
-    pub late: bool,
-    pub pass: bool,
+pub struct OneTimeSteps {
+    pub crashed: bool,
+    pub link_cut: bool,
+    pub timeouts_expired: bool,
+    pub window_passed: bool,
     pub engine_up: bool,
-    pub connect: bool,
+    pub connected: bool,
     pub claims: u64,
 }
 
 #[derive(Clone, Debug)]
 pub struct World {
     pub now_ms: f64,
-    pub old: Predecessor,
-    pub new: Successor,
+    pub predecessor: Predecessor,
+    pub successor: Successor,
     pub processes: [Process; 2],
     pub link: Link,
     pub wants_to_connect: bool,
     pub attempts: Vec<Attempt>,
-    /// Arrivals of the tries that had an effect.
+    /// Arrival times of the attempts that had an effect, Unix ms.
     pub effects: Vec<f64>,
-    pub spent: Spent,
-    pub wrong: Option<String>,
+    pub occurred: OneTimeSteps,
+    pub violation: Option<String>,
 }
 
 impl World {
@@ -100,137 +103,138 @@
         let starting = Process { is_alive: true, ..Process::default() };
         World {
             now_ms: 1e9,
-            old: Predecessor::new(rules.clone(), vec!["rpc".into()], [0; 16]),
-            new: Successor::new(rules.clone()),
+            predecessor: Predecessor::new(rules.clone(), vec!["rpc".into()], [0; 16]),
+            successor: Successor::new(rules.clone()),
             processes: [serving, starting],
             link: Link::default(),
             wants_to_connect: true,
             attempts: Vec::new(),
             effects: Vec::new(),
-            spent: Spent::default(),
-            wrong: None,
+            occurred: OneTimeSteps::default(),
+            violation: None,
         }
     }
 
-    // ---- what may happen ----
+    // ---- possible steps ----
 
-    pub fn choices(&self, attempts: usize) -> Vec<Choice> {
-        let mut all = Vec::new();
-        for side in [OLD, NEW] {
-            self.process_choices(side, attempts, &mut all);
+    pub fn possible_steps(&self, max_attempts: usize) -> Vec<Step> {
+        let mut steps = Vec::new();
+        for side in [PREDECESSOR, SUCCESSOR] {
+            self.possible_process_steps(side, max_attempts, &mut steps);
         }
-        let [old, new] = &self.processes;
-        if new.is_alive && self.wants_to_connect {
-            all.push(Choice::Connect);
+        let [predecessor, successor] = &self.processes;
+        if successor.is_alive && self.wants_to_connect {
+            steps.push(Step::Connect);
         }
-        if new.is_alive && !self.spent.engine_up {
-            all.push(Choice::EngineUp);
+        if successor.is_alive && !self.occurred.engine_up {
+            steps.push(Step::EngineUp);
         }
-        if old.is_alive && !old.is_leaving {
-            all.push(Choice::Terminate);
+        if predecessor.is_alive && !predecessor.is_leaving {
+            steps.push(Step::Terminate);
         }
-        if old.is_alive && old.is_leaving && self.owes_nothing(OLD) {
-            all.push(Choice::Exit);
+        if predecessor.is_alive && predecessor.is_leaving && self.has_answered_all(PREDECESSOR) {
+            steps.push(Step::Exit);
         }
         let is_linked = self.link.is_open == [true, true] && !self.link.is_cut;
-        if is_linked && !self.spent.cut {
-            all.push(Choice::Cut);
+        if is_linked && !self.occurred.link_cut {
+            steps.push(Step::Cut);
         }
-        if !self.spent.late {
-            all.push(Choice::Late);
+        if !self.occurred.timeouts_expired {
+            steps.push(Step::TimeoutsExpire);
         }
-        // Two that cannot talk do not outlive the time that is allowed for: the platform ends the old one.
-        if !self.spent.pass && (is_linked || !old.is_alive || !new.is_alive) {
-            all.push(Choice::Pass);
+        // Two processes without a link do not both outlive `EXIT_MS`: the platform ends the predecessor.
+        if !self.occurred.window_passed && (is_linked || !predecessor.is_alive || !successor.is_alive) {
+            steps.push(Step::WindowPasses);
         }
-        all
+        steps
     }
 
-    fn process_choices(&self, side: usize, attempts: usize, all: &mut Vec<Choice>) {
+    fn possible_process_steps(&self, side: usize, max_attempts: usize, steps: &mut Vec<Step>) {
         let process = &self.processes[side];
         if !process.is_alive {
             return;
         }
-        // The old one has connections from before.
-        if self.attempts.len() < attempts && (side == OLD || process.is_accepting) {
-            all.push(Choice::Attempt(side));
+        // The predecessor has connections from before the handover.
+        if self.attempts.len() < max_attempts && (side == PREDECESSOR || process.is_accepting) {
+            steps.push(Step::Attempt(side));
         }
         match process.entry.as_ref().filter(|entry| entry.is_own).map(|entry| &entry.state) {
-            Some(KeyState::Held) => all.extend([Choice::Start(side), Choice::Refuse(side)]),
-            Some(KeyState::Ran) => all.push(Choice::Finish(side)),
+            Some(KeyState::Held) => steps.extend([Step::Start(side), Step::Reject(side)]),
+            Some(KeyState::Ran) => steps.push(Step::Finish(side)),
             _ => {}
         }
         if self.link.is_open[side] {
             if !self.link.queues[side].is_empty() {
-                all.push(Choice::Deliver(side));
+                steps.push(Step::Deliver(side));
             }
             if self.link.is_cut || !self.link.is_open[1 - side] {
-                all.push(Choice::LinkEnds(side));
+                steps.push(Step::LinkEnds(side));
             }
         }
-        if !self.spent.crash {
-            all.push(Choice::Crash(side));
+        if !self.occurred.crashed {
+            steps.push(Step::Crash(side));
         }
     }
 
-    fn owes_nothing(&self, side: usize) -> bool {
+    fn has_answered_all(&self, side: usize) -> bool {
         self.attempts.iter().all(|attempt| attempt.at != side || attempt.is_answered)
     }
 
-    // ---- what happens ----
+    // ---- effects of the steps ----
 
-    pub fn step(&mut self, choice: Choice) {
-        match choice {
-            Choice::Attempt(side) => self.attempt_at(side),
-            Choice::Start(side) => self.start(side),
-            Choice::Refuse(side) => self.set_own(side, KeyState::Released),
-            Choice::Finish(side) => self.set_own(side, KeyState::Done(vec![7])),
-            Choice::Connect => self.connect(),
-            Choice::Deliver(side) => self.deliver(side),
-            Choice::LinkEnds(side) => {
+    pub fn apply(&mut self, step: Step) {
+        match step {
+            Step::Attempt(side) => self.attempt_at(side),
+            Step::Start(side) => self.start_run(side),
+            Step::Reject(side) => self.set_own_state(side, KeyState::Released),
+            Step::Finish(side) => self.set_own_state(side, KeyState::Done(vec![7])),
+            Step::Connect => self.connect(),
+            Step::Deliver(side) => self.deliver(side),
+            Step::LinkEnds(side) => {
                 self.link.is_open[side] = false;
                 self.link.queues[side].clear();
                 self.notify_link_ended(side);
             }
-            Choice::Crash(side) => {
-                self.spent.crash = true;
+            Step::Crash(side) => {
+                self.occurred.crashed = true;
                 self.end_process(side);
             }
-            Choice::Exit => self.end_process(OLD),
-            Choice::Cut => {
-                self.spent.cut = true;
+            Step::Exit => self.end_process(PREDECESSOR),
+            Step::Cut => {
+                self.occurred.link_cut = true;
                 self.link.is_cut = true;
             }
-            Choice::EngineUp => {
-                self.spent.engine_up = true;
-                self.notify_new(successor::Event::EngineUp);
+            Step::EngineUp => {
+                self.occurred.engine_up = true;
+                self.notify_successor(successor::Event::EngineUp);
             }
-            Choice::Terminate => self.notify_old(predecessor::Event::Terminate),
-            Choice::Late => {
-                self.spent.late = true;
-                self.pass(LATE_MS);
+            Step::Terminate => self.notify_predecessor(predecessor::Event::Terminate),
+            Step::TimeoutsExpire => {
+                self.occurred.timeouts_expired = true;
+                self.advance_time(TIMEOUT_STEP_MS);
             }
-            Choice::Pass => {
-                self.spent.pass = true;
-                self.pass(WINDOW_MS + EXIT_MS);
+            Step::WindowPasses => {
+                self.occurred.window_passed = true;
+                self.advance_time(WINDOW_MS + EXIT_MS);
             }
         }
     }
 
     fn notify_link_ended(&mut self, side: usize) {
-        if side == OLD {
-            self.notify_old(predecessor::Event::PeerLost);
-        } else if self.new.phase() == successor::Phase::Connecting {
-            self.notify_new(successor::Event::NoPredecessor(NoPredecessor::Closed));
+        if side == PREDECESSOR {
+            self.notify_predecessor(predecessor::Event::PeerLost);
+        } else if self.successor.phase() == successor::Phase::Connecting {
+            self.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Closed));
         } else {
-            self.notify_new(successor::Event::PeerLost);
+            self.notify_successor(successor::Event::PeerLost);
         }
     }
 
     fn end_process(&mut self, side: usize) {
         self.processes[side] = Process::default();
-        if side == OLD && !self.spent.connect {
-            // What the only process ran is not known after it, with or without a handover.
+        if side == PREDECESSOR && !self.occurred.connected {
+            // Keys that a process ran before any successor connected are lost with it, with or without a
+            // handover.
             self.effects.clear();
         }
         self.link.is_open[side] = false;
@@ -241,49 +245,49 @@
             .for_each(|attempt| attempt.is_answered = true);
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance_time(&mut self, ms: f64) {
         self.now_ms += ms;
-        self.release_late_held();
-        if self.processes[OLD].is_alive {
-            self.notify_old(predecessor::Event::Tick);
+        self.release_overdue_held();
+        if self.processes[PREDECESSOR].is_alive {
+            self.notify_predecessor(predecessor::Event::Tick);
         }
-        if self.processes[NEW].is_alive {
-            self.notify_new(successor::Event::Tick);
+        if self.processes[SUCCESSOR].is_alive {
+            self.notify_successor(successor::Event::Tick);
         }
     }
 
-    /// A held request does not outlive its window: it is given up before.
-    fn release_late_held(&mut self) {
-        for side in [OLD, NEW] {
-            let is_late = self.processes[side].entry.as_ref().is_some_and(|entry| {
+    /// Rejects held requests whose window is over: a request is not queued for longer.
+    fn release_overdue_held(&mut self) {
+        for side in [PREDECESSOR, SUCCESSOR] {
+            let is_overdue = self.processes[side].entry.as_ref().is_some_and(|entry| {
                 entry.is_own && entry.state == KeyState::Held && self.now_ms >= entry.until_ms
             });
-            if is_late {
-                self.set_own(side, KeyState::Released);
+            if is_overdue {
+                self.set_own_state(side, KeyState::Released);
             }
         }
     }
 
     fn connect(&mut self) {
         self.wants_to_connect = false;
-        self.spent.connect |= self.processes[OLD].is_alive;
-        if !self.processes[OLD].is_alive {
-            self.notify_new(successor::Event::NoPredecessor(NoPredecessor::Refused));
-        } else if self.old.phase() != predecessor::Phase::NoSuccessor {
-            self.notify_old(predecessor::Event::PeerConnected);
-            self.notify_new(successor::Event::NoPredecessor(NoPredecessor::Closed));
+        self.occurred.connected |= self.processes[PREDECESSOR].is_alive;
+        if !self.processes[PREDECESSOR].is_alive {
+            self.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Refused));
+        } else if self.predecessor.phase() != predecessor::Phase::NoSuccessor {
+            self.notify_predecessor(predecessor::Event::PeerConnected);
+            self.notify_successor(successor::Event::NoPredecessor(NoPredecessor::Closed));
         } else {
             self.link = Link { is_open: [true, true], ..Link::default() };
-            self.notify_old(predecessor::Event::PeerConnected);
+            self.notify_predecessor(predecessor::Event::PeerConnected);
         }
     }
 
     fn deliver(&mut self, side: usize) {
         let Some(message) = self.link.queues[side].pop_front() else { return };
         match (side, message) {
-            (OLD, message) => self.notify_old(predecessor::Event::Message(message)),
-            (_, Message::Hello(hello)) => self.notify_new(successor::Event::PeerConnected(hello)),
-            (_, message) => self.notify_new(successor::Event::Message(message)),
+            (PREDECESSOR, message) => self.notify_predecessor(predecessor::Event::Message(message)),
+            (_, Message::Hello(hello)) => self.notify_successor(successor::Event::PeerConnected(hello)),
+            (_, message) => self.notify_successor(successor::Event::Message(message)),
         }
     }
 
@@ -293,26 +297,26 @@
         }
     }
 
-    pub fn notify_old(&mut self, event: predecessor::Event) {
+    pub fn notify_predecessor(&mut self, event: predecessor::Event) {
         use predecessor::Action;
         let mut actions = Vec::new();
-        self.old.handle(self.now_ms, event, &mut actions);
+        self.predecessor.handle(self.now_ms, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send(message) => self.send(OLD, message),
+                Action::Send(message) => self.send(PREDECESSOR, message),
                 Action::SendSnapshot => {
-                    let entry = self.processes[OLD].entry.iter();
+                    let entry = self.processes[PREDECESSOR].entry.iter();
                     let records = entry.map(|entry| record(entry.state.clone(), entry.until_ms)).collect();
-                    self.notify_old(predecessor::Event::Snapshot(records));
+                    self.notify_predecessor(predecessor::Event::Snapshot(records));
                 }
-                Action::DropPeer(_) => self.link.is_open[OLD] = false,
-                Action::StopAccepting => self.processes[OLD].is_accepting = false,
-                Action::ResumeAccepting => self.processes[OLD].is_accepting = true,
+                Action::DropPeer(_) => self.link.is_open[PREDECESSOR] = false,
+                Action::StopAccepting => self.processes[PREDECESSOR].is_accepting = false,
+                Action::ResumeAccepting => self.processes[PREDECESSOR].is_accepting = true,
                 Action::Grant(id) => self.claim_decided(id, true),
                 Action::Deny(id, _) => self.claim_decided(id, false),
                 Action::Leave { .. } => {
-                    self.processes[OLD].is_leaving = true;
-                    self.processes[OLD].is_accepting = false;
+                    self.processes[PREDECESSOR].is_leaving = true;
+                    self.processes[PREDECESSOR].is_accepting = false;
                 }
                 Action::RefusePeer
                 | Action::BindAcceptor
@@ -322,27 +326,27 @@
         }
     }
 
-    fn notify_new(&mut self, event: successor::Event) {
+    fn notify_successor(&mut self, event: successor::Event) {
         use successor::Action;
         let mut actions = Vec::new();
-        self.new.handle(self.now_ms, event, &mut actions);
+        self.successor.handle(self.now_ms, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send(message) => self.send(NEW, message),
+                Action::Send(message) => self.send(SUCCESSOR, message),
                 Action::Reconnect => self.wants_to_connect = true,
                 Action::DropPeer(_) => {
-                    self.link.is_open[NEW] = false;
-                    self.link.queues[NEW].clear();
+                    self.link.is_open[SUCCESSOR] = false;
+                    self.link.queues[SUCCESSOR].clear();
                 }
-                Action::BeginServing => self.processes[NEW].is_accepting = true,
+                Action::BeginServing => self.processes[SUCCESSOR].is_accepting = true,
                 Action::Import(record) => self.import(record),
                 Action::DiscardImports => {
-                    self.processes[NEW].entry.take_if(|entry| !entry.is_own);
+                    self.processes[SUCCESSOR].entry.take_if(|entry| !entry.is_own);
                 }
                 Action::FailPeerKeys => self.fail_peer_keys(),
                 Action::DecideClaim(claim) => {
-                    let granted = self.decide(&claim);
-                    self.notify_new(successor::Event::ClaimDecided { id: claim.id, granted });
+                    let granted = self.decide_claim(&claim);
+                    self.notify_successor(successor::Event::ClaimDecided { id: claim.id, granted });
                 }
                 Action::KeysUnknownUntil(_)
                 | Action::SetDrained(_)
@@ -352,48 +356,50 @@
         }
     }
 
-    /// Of all that what follows depends on: not the machine of a process that is gone. The time follows from what is spent.
+    /// A hash of all state that later steps depend on. The state machine of an ended process is not part of
+    /// it, and the time follows from the steps that have occurred.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = HashWriter(DefaultHasher::new());
-        let old = self.processes[OLD].is_alive.then_some(&self.old);
-        let new = self.processes[NEW].is_alive.then_some(&self.new);
+        let predecessor = self.processes[PREDECESSOR].is_alive.then_some(&self.predecessor);
+        let successor = self.processes[SUCCESSOR].is_alive.then_some(&self.successor);
         let link = if self.link.is_open == [false, false] { &Link::default() } else { &self.link };
-        let rest = (&self.processes, self.wants_to_connect, &self.attempts, &self.effects, &self.spent);
-        let _ = write!(hasher, "{old:?}{new:?}{link:?}{rest:?}");
+        let rest = (&self.processes, self.wants_to_connect, &self.attempts, &self.effects, &self.occurred);
+        let _ = write!(hasher, "{predecessor:?}{successor:?}{link:?}{rest:?}");
         hasher.0.finish()
     }
 
-    // ---- what has to hold ----
+    // ---- invariants ----
 
-    pub fn check(&mut self) {
-        let is_moving = self.wants_to_connect && self.processes[NEW].is_alive
+    pub fn check_invariants(&mut self) {
+        let has_pending_steps = self.wants_to_connect && self.processes[SUCCESSOR].is_alive
             || (0..2).any(|side| {
                 let (is_open, queue) = (self.link.is_open[side], &self.link.queues[side]);
                 is_open && (!queue.is_empty() || self.link.is_cut || !self.link.is_open[1 - side])
             });
-        if is_moving {
+        if has_pending_steps {
             return;
         }
-        let [old, new] = &self.processes;
-        let can_accept = old.is_alive && !old.is_leaving || new.is_alive && self.spent.engine_up;
-        if can_accept && !old.is_accepting && !new.is_accepting {
-            self.wrong = Some("nobody accepts".into());
+        let [predecessor, successor] = &self.processes;
+        let can_accept =
+            predecessor.is_alive && !predecessor.is_leaving || successor.is_alive && self.occurred.engine_up;
+        if can_accept && !predecessor.is_accepting && !successor.is_accepting {
+            self.violation = Some("no process accepts connections".into());
         }
         let is_running = |process: &Process| {
             process.entry.as_ref().is_some_and(|entry| entry.is_own && entry.state.is_open())
         };
-        let is_waiting =
-            old.is_alive && self.old.next_due().is_some() || new.is_alive && self.new.next_due().is_some();
-        if is_running(old) || is_running(new) || is_waiting {
+        let is_waiting = predecessor.is_alive && self.predecessor.next_due().is_some()
+            || successor.is_alive && self.successor.next_due().is_some();
+        if is_running(predecessor) || is_running(successor) || is_waiting {
             return;
         }
         if let Some(number) = self.attempts.iter().position(|attempt| !attempt.is_answered) {
-            self.wrong = Some(format!("try {number} waits for nothing"));
+            self.violation = Some(format!("attempt {number} stays without an answer"));
         }
     }
 }
 
-/// Feeds what is formatted to a hasher.
+/// Feeds formatted text to a hasher.
 struct HashWriter(DefaultHasher);
 
 impl Write for HashWriter {
