--- a/crates/pinepoint-events/src/lib.rs
+++ b/crates/pinepoint-events/src/lib.rs
@@ -1,8 +1,8 @@
-//! The event vocabulary of pinepoint: what happens to requests and to the process, as small typed values, and
-//! the [`Observer`] trait through which the core reports them.
+//! The events of pinepoint: small typed values for everything that happens to requests and to the process,
+//! and the [`Observer`] trait through which the core reports them.
 //!
-//! A reason code ([`ReasonCode`]) reads the same in the log, the counters, the trace and the operators'
-//! pages. The crate allocates nothing while an event is reported, does no I/O and depends on no other crate
+//! A reason code ([`ReasonCode`]) is spelled the same in the log, the counters, the trace and the operators'
+//! pages. The crate does not allocate while an event is reported, does no I/O and depends on no other crate
 //! of the workspace.
 //!
 //! ```
@@ -15,7 +15,8 @@
 //!     }
 //! }
 //! let last = LastEvent(None.into());
-//! last.request_event(1.0, RequestEvent { id: 7, class: 0, kind: RequestEventKind::CallerGone { took_ms: 12.0 } });
+//! let kind = RequestEventKind::CallerGone { took_ms: 12.0 };
+//! last.request_event(1.0, RequestEvent { id: 7, class: 0, kind });
 //! assert_eq!(last.0.get().map(|event| event.id), Some(7));
 //! assert_eq!(RejectReason::TooLate.code(), "too-late");
 //! ```
--- a/crates/pinepoint-events/src/observer.rs
+++ b/crates/pinepoint-events/src/observer.rs
@@ -6,15 +6,15 @@
 ///
 /// An implementation must neither block nor panic: the core waits for each call.
 pub trait Observer {
-    /// An event of one request, at `now_ms` (Unix ms).
+    /// Receives an event of one request, at `now_ms` (Unix ms).
     fn request_event(&self, now_ms: f64, event: RequestEvent);
 
-    /// An event of the process, at `now_ms` (Unix ms). Ignored by default.
+    /// Receives an event of the process, at `now_ms` (Unix ms). Ignored by default.
     fn process_event(&self, now_ms: f64, event: ProcessEvent) {
         let _ = (now_ms, event);
     }
 
-    /// The state of the core at `now_ms` (Unix ms), sent after it was requested. Ignored by default.
+    /// Receives the requested state of the core at `now_ms` (Unix ms). Ignored by default.
     fn core_state(&self, now_ms: f64, state: &CoreState) {
         let _ = (now_ms, state);
     }
--- a/crates/pinepoint-events/src/process_event.rs
+++ b/crates/pinepoint-events/src/process_event.rs
@@ -1,8 +1,8 @@
-//! Events in the life of the process.
+//! Events of the process.
 
 use crate::ResourceLimit;
 
-/// What happened to the process.
+/// An event of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessEvent {
     /// The engine is up and the admission controller was created.
@@ -26,14 +26,15 @@
 /// The membership view in numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipSummary {
-    /// Members that are up, this one and suspected ones included.
+    /// Members that are up, including this member and suspected members.
     pub up: u32,
-    /// Of these, the suspected ones.
+    /// Suspected members, which also count as up.
     pub suspected: u32,
     /// Members that failed and are still probed.
     pub lost: u32,
     /// Verdicts in force.
     pub verdicts: u32,
-    /// Whether the view has converged: it is stable here and equal on all members heard from recently.
+    /// Whether the view has converged: it is stable on this member and equal on all members from which a
+    /// message was received recently.
     pub settled: bool,
 }
--- a/crates/pinepoint-events/src/reason_code.rs
+++ b/crates/pinepoint-events/src/reason_code.rs
@@ -1,13 +1,13 @@
-//! Enums whose variants each have a stable code, and the macro that defines them.
+//! The trait of enums with stable codes, and the macro that defines such enums.
 
-/// An enum of reasons, each with a stable code.
+/// An enum whose variants each have a stable code.
 pub trait ReasonCode: Copy + Eq + 'static {
     /// All variants in declaration order, which is the order of [`ReasonCode::index`].
     const ALL: &'static [Self];
     /// The code: lower-case letters and hyphens. Codes are part of metric names and log lines and never
     /// change.
     fn code(self) -> &'static str;
-    /// The position in [`ReasonCode::ALL`].
+    /// The position of the variant in [`ReasonCode::ALL`].
     fn index(self) -> usize;
 }
 
@@ -33,7 +33,7 @@
             }
         }
 
-        /// Prints the code, as everywhere else.
+        /// Prints the code, like `Display`.
         impl std::fmt::Debug for $name {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str($crate::ReasonCode::code(*self))
--- a/crates/pinepoint-events/src/request_event.rs
+++ b/crates/pinepoint-events/src/request_event.rs
@@ -1,29 +1,29 @@
-//! Events in the life of one request.
+//! Events of one request.
 
 use crate::{CallOutcome, FailureReason, Protocol, RejectReason, RunOutcome};
 
-/// What was decided about a queued request.
+/// The decision about a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is run.
+    /// The request is run.
     Run,
-    /// It gets the result of the attempt that it retries.
+    /// The request is answered with the result of the attempt that it retries.
     ReuseResult,
-    /// It is rejected.
+    /// The request is rejected.
     Reject(RejectReason),
-    /// It is failed.
+    /// The request is failed.
     Fail(FailureReason),
 }
 
-/// A final answer that was sent before the deadline; see [`RequestEventKind::DeadlineExceeded`] for the
-/// others.
+/// A final answer that was sent before the deadline; [`RequestEventKind::DeadlineExceeded`] reports the other
+/// final answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With a result.
+    /// The request was answered with a result.
     Served {
-        /// The result was produced for another attempt of the same request.
+        /// Whether the result was produced for another attempt of the same request.
         deduplicated: bool,
-        /// The result was produced without a downstream call that the run asked for.
+        /// Whether the result was produced without a downstream call that the run requested.
         degraded: bool,
     },
     /// This attempt never ran.
@@ -32,14 +32,14 @@
     Failed(FailureReason),
 }
 
-/// One event in the life of one request.
+/// One event of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestEvent {
-    /// The core's number for the request; 0 for one that never reached the admission controller.
+    /// The core's number for the request; 0 if the request never reached the admission controller.
     pub id: u32,
     /// Index of its request class.
     pub class: usize,
-    /// What happened.
+    /// What happened to the request.
     pub kind: RequestEventKind,
 }
 
@@ -47,7 +47,7 @@
 /// machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEventKind {
-    /// It was read completely and passed to the core.
+    /// The request was read completely and passed to the core.
     Received {
         /// The frontend that read it.
         protocol: Protocol,
@@ -55,53 +55,53 @@
         retry: bool,
         /// Work hint, ms on one core.
         work_hint_ms: Option<f64>,
-        /// Time that it waited in the socket before it was read, ms.
+        /// Time that the request waited in the socket before it was read, ms.
         read_delay_ms: f64,
     },
-    /// The admission controller decided about it.
+    /// The admission controller decided about the request.
     Decided(Decision),
-    /// Its run was started.
+    /// The run of the request was started.
     RunStarted {
-        /// Time since it was read, ms.
+        /// Time since the request was read, ms.
         queue_wait_ms: f64,
     },
-    /// Its run ended.
+    /// The run of the request ended.
     RunEnded {
-        /// How it ended.
+        /// How the run ended.
         outcome: RunOutcome,
         /// Time since the run was started, ms.
         duration_ms: f64,
     },
-    /// A downstream call was started for it.
+    /// A downstream call was started for the request.
     CallStarted,
     /// A downstream call ended.
     CallEnded {
-        /// How it ended.
+        /// How the call ended.
         outcome: CallOutcome,
         /// Time since the call was started, ms.
         duration_ms: f64,
     },
-    /// Its run continues without the downstream call that it asked for.
+    /// The run continues without a downstream call that it requested.
     CallSkipped,
-    /// It got its final answer.
+    /// The final answer was sent.
     Answered {
         /// The answer.
         answer: Answer,
         /// Work hint, ms on one core.
         work_hint_ms: Option<f64>,
-        /// Time since it arrived at the machine, ms.
+        /// Time since the request arrived at the machine, ms.
         took_ms: f64,
     },
-    /// It was answered that its deadline had passed, which is a final answer too.
+    /// The final answer was that the deadline had passed.
     DeadlineExceeded {
-        /// Where that was detected.
+        /// The reason code, which shows what detected the missed deadline.
         reason: FailureReason,
-        /// Time since it arrived at the machine, ms.
+        /// Time since the request arrived at the machine, ms.
         took_ms: f64,
     },
-    /// Its caller disconnected or cancelled it; no answer is sent.
+    /// The caller disconnected or cancelled the request; no answer is sent.
     CallerGone {
-        /// Time since it arrived at the machine, ms.
+        /// Time since the request arrived at the machine, ms.
         took_ms: f64,
     },
 }
