--- a/crates/pinepoint-clock/src/lib.rs
+++ b/crates/pinepoint-clock/src/lib.rs
@@ -1,16 +1,17 @@
-//! The clock of all crates of the workspace: Unix milliseconds as `f64` that never go back, settable in tests. No other code
-//! reads a system clock.
+//! The clock of all crates of the workspace: non-decreasing Unix milliseconds as `f64`, settable in tests. No
+//! other code reads a system clock.
 //!
 //! ```
 //! let clock = pinepoint_clock::Clock::fixed(1_000.0);
 //! clock.set(2_500.0);
 //! assert_eq!(clock.now(), 2_500.0);
 //! clock.set(1.0);
-//! assert_eq!(clock.now(), 2_500.0, "it never goes back");
+//! assert_eq!(clock.now(), 2_500.0, "the clock never goes back");
 //! ```
 //!
-//! Tests of several processes give each process a clock offset through a file, whose path is in the environment variable
-//! `PINEPOINT_TEST_CLOCK` and which holds milliseconds. Release builds do not contain this.
+//! Tests of several processes can give each process its own clock offset: the environment variable
+//! `PINEPOINT_TEST_CLOCK` contains the path of a file with the offset in milliseconds. Release builds ignore
+//! the variable.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -23,7 +24,7 @@
 
 use async_io::Timer;
 
-/// Longest time that [`Clock::until`] waits, ms: one day.
+/// Maximum time that [`Clock::until`] waits, ms: one day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 
 /// A handle on a clock; clones share it.
@@ -34,24 +35,27 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// Stands at this time, Unix ms.
-    Fixed { now_ms: f64 },
-    /// Follows the system's clock.
+    /// A clock that stands still.
+    Fixed {
+        /// The current time, Unix ms.
+        now_ms: f64,
+    },
+    /// A clock that follows the system's Unix clock.
     System {
-        /// The last time that was returned, Unix ms.
+        /// The last returned time, Unix ms.
         last_ms: f64,
-        /// When it was returned, on the monotonic clock.
+        /// When that time was returned, on the monotonic clock.
         read_at: Instant,
     },
 }
 
 impl Clock {
-    /// The system's Unix clock.
+    /// A clock that follows the system's Unix clock.
     pub fn system() -> Self {
         Clock::with_state(State::System { last_ms: 0.0, read_at: Instant::now() })
     }
 
-    /// A clock that stands at this time, Unix ms, until it is set.
+    /// A clock that stands at `ms` (Unix ms) until it is set.
     pub fn fixed(ms: f64) -> Self {
         Clock::with_state(State::Fixed { now_ms: ms })
     }
@@ -60,15 +64,17 @@
         Clock { state: Rc::new(Cell::new(state)) }
     }
 
-    /// Sets a fixed clock to this time, Unix ms, unless it is earlier than the current one. Does nothing to the system's clock.
+    /// Sets a fixed clock to `ms` (Unix ms), unless its current time is later. Has no effect on a system
+    /// clock.
     pub fn set(&self, ms: f64) {
         if let State::Fixed { now_ms } = self.state.get() {
             self.state.set(State::Fixed { now_ms: ms.max(now_ms) });
         }
     }
 
-    /// The current time, Unix ms. After the system's clock was set back, this one goes on from the last time at the pace of the
-    /// monotonic clock: time never goes back, and does not stand still either, so that timers go on to fire.
+    /// The current time, Unix ms. After the system's clock was set back, this clock continues from the last
+    /// returned time at the pace of the monotonic clock. Time never goes back and never stands still, so that
+    /// timers continue to fire.
     pub fn now(&self) -> f64 {
         let (last_ms, read_at) = match self.state.get() {
             State::Fixed { now_ms } => return now_ms,
@@ -80,13 +86,13 @@
         now_ms
     }
 
-    /// Waits until this time, Unix ms, but at most one day.
+    /// Waits until `ms` (Unix ms), but at most one day.
     pub async fn until(&self, ms: f64) {
         let wait_ms = (ms - self.now()).clamp(0.0, MAX_WAIT_MS);
         Timer::at(Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0)).await;
     }
 
-    /// Waits for this long, ms.
+    /// Waits for `ms` milliseconds.
     pub async fn pause(&self, ms: f64) {
         self.until(self.now() + ms).await;
     }
--- a/crates/pinepoint-clock/src/test_offset.rs
+++ b/crates/pinepoint-clock/src/test_offset.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The environment variable with the path of the file that holds the offset, ms.
+/// The environment variable with the path of the file that contains the offset, ms.
 const FILE_VARIABLE: &str = "PINEPOINT_TEST_CLOCK";
-/// How long an offset is used before the file is read again.
+/// How long an offset is cached before the file is read again.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy)]
@@ -20,7 +20,7 @@
     static CACHED: Cell<CachedOffset> = const { Cell::new(CachedOffset { read_at: None, ms: 0.0 }) };
 }
 
-/// The offset of this process's clock, ms; 0 without a file.
+/// The clock offset of this process, ms; 0 without a file.
 pub fn offset_ms() -> f64 {
     FILE.with(|file| {
         let Some(file) = file else { return 0.0 };
@@ -28,7 +28,7 @@
         if cached.read_at.is_some_and(|read_at| read_at.elapsed() < REFRESH_INTERVAL) {
             return cached.ms;
         }
-        // While the file is being replaced, the last offset stays.
+        // The last offset stays in use if the file cannot be parsed, as while it is being replaced.
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let ms = text.trim().parse().unwrap_or(cached.ms);
         CACHED.set(CachedOffset { read_at: Some(Instant::now()), ms });
