--- a/crates/pinepoint-log/src/lib.rs
+++ b/crates/pinepoint-log/src/lib.rs
@@ -1,12 +1,13 @@
 //! The log: structured lines on standard error, as logfmt or JSON.
 //!
-//! It owns the format of a line, and the guarantee that a slow reader of the log never blocks the service: a line that does not
-//! fit into the pipe at once is dropped and counted. It does not decide what is logged. Timestamps are those of the system clock
-//! and only informative.
+//! The crate defines the format of a line and guarantees that a slow reader of the log never blocks the
+//! service: a line that cannot be written immediately is dropped and counted. It does not decide what is
+//! logged. Timestamps are those of the system clock and only informative.
 //!
 //! ```
-//! let options = pinepoint_log::Options { level: "warn".parse().expect("a level"), ..Default::default() };
-//! pinepoint_log::init(&options).expect("no other log is set up");
+//! let level = "warn".parse().expect("parse the level");
+//! let options = pinepoint_log::Options { level, ..Default::default() };
+//! pinepoint_log::init(&options).expect("set up the only log");
 //! tracing::warn!(conn = 7, reason = "peer-reset", "conn-ended");
 //! assert_eq!(pinepoint_log::lines_left_out(), 0);
 //! ```
@@ -27,9 +28,9 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry};
 
-/// The process has a log already.
+/// A log is already set up in this process.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("a log is set up already in this process")]
+#[error("a log is already set up in this process")]
 pub struct AlreadyInitialized;
 
 /// Sets up the log of this process on standard error.
@@ -40,7 +41,7 @@
     subscriber(options, MakeNonBlockingWriter(io::stderr)).try_init().map_err(|_| AlreadyInitialized)
 }
 
-/// A subscriber that writes lines to writers of `make_writer`.
+/// Returns a subscriber that writes each line to a writer of `make_writer`.
 pub fn subscriber<M>(options: &Options, make_writer: M) -> impl tracing::Subscriber + Send + Sync
 where
     M: for<'a> MakeWriter<'a> + Send + Sync + 'static,
--- a/crates/pinepoint-log/src/options.rs
+++ b/crates/pinepoint-log/src/options.rs
@@ -1,4 +1,4 @@
-//! What an operator configures: the format of lines, and which of them are written.
+//! Settings of the log: the format of lines, and which lines are written.
 
 use std::str::FromStr;
 
@@ -28,7 +28,7 @@
     Json,
 }
 
-/// A default level, and levels for parts of the program: `info,pinepoint::node::links=debug`.
+/// A default level, and levels for single modules: `info,pinepoint::node::links=debug`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(try_from = "String")]
 pub struct LevelFilter(Targets);
@@ -54,7 +54,8 @@
     type Err = ParseLevelError;
 
     fn from_str(text: &str) -> Result<Self, ParseLevelError> {
-        // `Targets` takes a single word for the name of a part: a misspelt level would be accepted without an effect.
+        // `Targets` treats a single word as the name of a module: a misspelt level would be accepted without
+        // effect.
         let is_valid =
             |word: &str| word.contains('=') || word.parse::<tracing::Level>().is_ok() || word == "off";
         match text.parse::<Targets>() {
--- a/crates/pinepoint-log/src/writer.rs
+++ b/crates/pinepoint-log/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writers that drop a line where writing it would block.
+//! Writers that drop a line if writing it would block.
 
 use std::io::{self, Write};
 use std::os::fd::AsFd;
@@ -12,12 +12,13 @@
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Number of lines that this process has dropped, because the log's reader was too slow or they were too long.
+/// Number of lines that this process has dropped, because the reader of the log was too slow or the lines
+/// were too long.
 pub fn lines_left_out() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Makes a [`NonBlockingWriter`] for each line, over what the function returns.
+/// Makes a [`NonBlockingWriter`] for each line, over a writer that the function returns.
 #[derive(Clone, Copy, Debug)]
 pub struct MakeNonBlockingWriter<F>(pub F);
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Writes a line if that does not block; otherwise the line is dropped and counted. It never fails.
+/// Writes a line if that does not block; otherwise drops and counts the line. Writing never fails.
 #[derive(Debug)]
 pub struct NonBlockingWriter<W>(W);
 
@@ -38,7 +39,7 @@
         let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
         let ready = poll(&mut [PollFd::new(&self.0, PollFlags::OUT)], Some(&no_wait));
         let is_writable = ready.is_ok_and(|count| count > 0);
-        // A log that cannot be written must not stop the service either.
+        // A write error is not returned: an unwritable log must not stop the service.
         if line.len() > MAX_LINE_BYTES || !is_writable || self.0.write_all(line).is_err() {
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/pinepoint-log/src/writer/tests.rs
+++ b/crates/pinepoint-log/src/writer/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn a_pipe_that_nobody_reads_is_not_waited_for() {
-    let (reader, writer) = std::io::pipe().expect("a pipe");
-    let before = lines_left_out();
+fn drops_lines_if_pipe_is_full_or_closed() {
+    let (reader, writer) = std::io::pipe().expect("open a pipe");
+    let dropped_before = lines_left_out();
     let mut writer = NonBlockingWriter(writer);
-    let text = [b'x'; 1000];
+    let line = [b'x'; 1000];
     for _ in 0..1000 {
-        writer.write_all(&text).expect("never fails");
+        writer.write_all(&line).expect("write or drop a line");
     }
-    let left_out = lines_left_out() - before;
-    assert!((900..1000).contains(&left_out), "a pipe takes 64 KiB: {left_out}");
+    let dropped_lines = lines_left_out() - dropped_before;
+    assert!((900..1000).contains(&dropped_lines), "a pipe buffers 64 KiB: {dropped_lines} lines dropped");
     drop(reader);
-    writer.write_all(&text).expect("nor does it without a reader");
+    writer.write_all(&line).expect("drop a line without a reader");
 }
