--- a/crates/pinepoint-log/src/options.rs
+++ b/crates/pinepoint-log/src/options.rs
@@ -47,7 +47,9 @@
 
 /// The text is not a [`LevelFilter`].
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{0} is no level: write error, warn, info, debug or trace, or PART=LEVEL, with commas")]
+#[error(
+    "{0} is not a log level: expected error, warn, info, debug, trace, off or MODULE=LEVEL, comma-separated"
+)]
 pub struct ParseLevelError(String);
 
 impl FromStr for LevelFilter {
--- a/crates/pinepoint-log/src/options/tests.rs
+++ b/crates/pinepoint-log/src/options/tests.rs
@@ -7,7 +7,7 @@
     }
     for invalid in ["", "loud", "info,loud", "links=loud"] {
         let error = invalid.parse::<LevelFilter>().expect_err(invalid);
-        assert!(error.to_string().contains("is no level"), "{error}");
+        assert!(error.to_string().contains("is not a log level"), "{error}");
     }
 }
 
--- a/src/bin/pinepoint/edge_config/tests.rs
+++ b/src/bin/pinepoint/edge_config/tests.rs
@@ -14,7 +14,10 @@
     let unknown = edge("\n[log]\nlevels = \"info\"\n");
     assert!(unknown.starts_with("edge.toml:3:1: log.levels: unknown field `levels`"), "{unknown}");
     let level = edge("[log]\nlevel = \"loud\"");
-    assert!(level.starts_with("edge.toml:2:9: log.level: \"loud\" is no level: write error,"), "{level}");
+    assert!(
+        level.starts_with("edge.toml:2:9: log.level: \"loud\" is not a log level: expected error,"),
+        "{level}"
+    );
     let cut = edge("[ajp\n");
     assert!(cut.starts_with("edge.toml:1:5: "), "{cut}");
 }
