--- a/crates/pinepoint-handover/tests/model/key_table.rs
+++ b/crates/pinepoint-handover/tests/model/key_table.rs
@@ -68,13 +68,11 @@
     }
 
     pub fn claim_decided(&mut self, id: u64, granted: bool) {
-        let Some((_, attempts)) = self.processes[PREDECESSOR].claim.take_if(|(of, _)| *of == id) else {
-            return;
-        };
+        let Some((_, waiting)) = self.processes[PREDECESSOR].claim.take_if(|(c, _)| *c == id) else { return };
         if granted {
-            self.admit(PREDECESSOR, attempts);
+            self.admit(PREDECESSOR, waiting);
         } else {
-            attempts.into_iter().for_each(|number| self.answer(number));
+            waiting.into_iter().for_each(|number| self.answer(number));
         }
     }
 
