--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -1,5 +1,5 @@
-//! The transport of a handover: the links to the other process of this server, and the socket on which a successor is
-//! awaited. It owns their tasks. The core decides which process serves and which one owns a key.
+//! The transport of a handover: the links to the other process of this server, and the socket that accepts a
+//! successor. It owns the tasks of both. The core decides which process serves and which process owns a key.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpListener;
@@ -18,14 +18,14 @@
 use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::sync::Notify;
 
-/// Descriptors that the other process holds beside its client connections.
+/// Descriptors that the other process uses in addition to its client connections.
 const PEER_RESERVED_DESCRIPTORS: usize = 20;
-/// Successors that may have connected and wait to be taken.
+/// Maximum number of connected successors that wait to be processed.
 const MAX_PENDING_SUCCESSORS: usize = 4;
 
-/// What the links share with the rest of the process.
+/// The parts of the process that the links use.
 pub struct HandoverContext {
-    /// The path of the socket on which a process awaits its successor.
+    /// The path of the socket on which a process accepts its successor.
     pub path: PathBuf,
     /// Where tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
@@ -35,11 +35,11 @@
     pub status: Rc<Status>,
     /// The limit of connections, which both processes share.
     pub limiter: Rc<ConnectionLimiter>,
-    /// Where the core receives the events of the links.
+    /// Queue through which the core receives the events of the links.
     pub inbox: Rc<PeerInbox>,
 }
 
-/// Which other process a link leads to. The variants' names are words of the log.
+/// The process at the other end of a link. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Peer {
     Predecessor,
@@ -47,14 +47,14 @@
 }
 
 impl Peer {
-    fn message(self, message: Message) -> PeerEvent {
+    fn message_received(self, message: Message) -> PeerEvent {
         match self {
             Peer::Predecessor => PeerEvent::FromPredecessor(message),
             Peer::Successor => PeerEvent::FromSuccessor(message),
         }
     }
 
-    fn lost(self) -> PeerEvent {
+    fn link_lost(self) -> PeerEvent {
         match self {
             Peer::Predecessor => PeerEvent::PredecessorLost,
             Peer::Successor => PeerEvent::SuccessorLost,
@@ -65,25 +65,25 @@
 /// The links to the other process, at most one to a predecessor and one to a successor.
 pub struct HandoverLinks {
     context: HandoverContext,
-    /// For the tasks of the links, which keep this value alive.
+    /// Upgraded for the tasks of the links, which keep this value alive.
     this: Weak<HandoverLinks>,
     predecessor: RefCell<Option<Link>>,
     successor: RefCell<Option<Link>>,
-    /// The listening sockets that a successor is passed.
+    /// The listening sockets that are passed to a successor.
     listeners: RefCell<Vec<TcpListener>>,
-    /// The socket on which a successor is awaited, with its task.
+    /// The socket on which a successor is accepted, with its task.
     acceptor: RefCell<Option<(Rc<Acceptor>, Task<()>)>>,
     /// The number of the next link.
     next_number: Cell<u64>,
-    /// Links whose tasks are running.
+    /// Number of links whose tasks are running.
     running: Cell<usize>,
-    /// A task of a link has ended.
+    /// Woken when the task of a link has ended.
     link_ended: Notify,
 }
 
 impl HandoverLinks {
-    /// Begins with the link to the predecessor that was found at the start, if any. A successor is passed `listeners` in this
-    /// order.
+    /// Starts with the link to the predecessor that was found at startup, if any. `listeners` are passed to a
+    /// successor in this order.
     pub fn new(
         context: HandoverContext,
         listeners: Vec<TcpListener>,
@@ -106,7 +106,7 @@
         links
     }
 
-    /// Sends what is queued and ends the links, within `timeout_ms`.
+    /// Sends the queued messages and ends the links, within `timeout_ms`.
     pub async fn finish(&self, timeout_ms: f64) {
         for peer in [Peer::Predecessor, Peer::Successor] {
             if let Some(link) = &*self.current(peer).borrow() {
@@ -142,7 +142,7 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Makes this the current link to that process, and runs it.
+    /// Makes `link` the current link to `peer` and runs it.
     fn attach(&self, peer: Peer, link: Link, task: LinkTask) {
         let Some(this) = self.this.upgrade() else { return };
         let number = link.number();
@@ -155,14 +155,14 @@
     async fn run_link(self: Rc<Self>, peer: Peer, number: u64, task: LinkTask) {
         let deliver = |message| {
             if self.is_current(peer, number) {
-                self.notify_core(peer.message(message));
+                self.notify_core(peer.message_received(message));
             }
         };
         let end = task.run(deliver).await;
         tracing::info!(side = ?peer, reason = %end, "handover-link-ended");
         if self.is_current(peer, number) {
             *self.current(peer).borrow_mut() = None;
-            self.notify_core(peer.lost());
+            self.notify_core(peer.link_lost());
         }
         self.running.set(self.running.get() - 1);
         self.link_ended.wake();
@@ -180,10 +180,10 @@
         }
     }
 
-    /// Takes one successor at a time.
+    /// Accepts successors, one at a time.
     async fn accept(self: Rc<Self>, acceptor: Rc<Acceptor>) {
         let (accepted, successors) = async_channel::bounded(MAX_PENDING_SUCCESSORS);
-        // Each link has a number of its own: an acceptor numbers its links from here on.
+        // Link numbers are unique: the acceptor numbers its links upwards from here.
         let first_number = self.take_number() << 32;
         let accept = acceptor.run(first_number, self.context.executor.clone(), accepted);
         let take = async {
@@ -223,7 +223,7 @@
         let find = async move {
             this.context.clock.pause(RECONNECT_MS).await;
             match connect(&this.context.path, this.take_number()).await {
-                // Its listening sockets are those that this process has already.
+                // This process already has the listening sockets of its predecessor.
                 Ok(Connected { hello, listeners: _, link, task }) => {
                     this.attach(Peer::Predecessor, link, task);
                     this.notify_core(PeerEvent::PredecessorFound(hello));
@@ -244,7 +244,7 @@
                 let task = self.context.executor.spawn(this.accept(acceptor.clone()));
                 *self.acceptor.borrow_mut() = Some((acceptor, task));
             }
-            // The next upgrade will have no handover; nothing else depends on this socket.
+            // Without this socket the next upgrade has no handover; nothing else depends on it.
             Err(error) => {
                 tracing::warn!(path = %self.context.path.display(), %error, "handover-off");
             }
@@ -259,7 +259,7 @@
     }
 
     fn set_peer_connections(&self, connections: usize) {
-        let own = if self.predecessor.borrow().is_some() { PEER_RESERVED_DESCRIPTORS } else { 0 };
-        self.context.limiter.set_peer_connections(connections + own);
+        let reserved = if self.predecessor.borrow().is_some() { PEER_RESERVED_DESCRIPTORS } else { 0 };
+        self.context.limiter.set_peer_connections(connections + reserved);
     }
 }
--- a/src/server/control/lifecycle.rs
+++ b/src/server/control/lifecycle.rs
@@ -1,24 +1,27 @@
-//! The phases of the process from start to end, with their legal transitions: when it serves, when it asks clients to
-//! disconnect, when its listeners close, and when it may end. It owns the published health and registration. It does no
-//! I/O, reads no clock, and decides nothing about requests.
+//! The phases of the process from start to end, with their legal transitions: when it serves, when it asks
+//! clients to disconnect, when its listeners close, and when it may end. It owns the published health and
+//! registration. It does no I/O, reads no clock, and decides nothing about requests.
 
-/// Part of the drain grace period after which clients are asked to disconnect. Clients learn of a draining server
-/// seconds late: disconnected at once, they would overload the others while this one is idle.
+/// Part of the drain grace period after which clients are asked to disconnect. Clients learn of a draining
+/// server seconds late. If all were disconnected at once, they would overload the other servers while this
+/// one is idle.
 const GO_AWAY_GRACE_FRACTION: f64 = 0.8;
-/// Clients are asked to disconnect after this part of the time to the kill at the latest.
+/// Part of the time to the kill after which clients are asked to disconnect at the latest.
 const GO_AWAY_STOP_FRACTION: f64 = 0.6;
-/// The listeners close after this part of the time to the kill at the latest, however long the grace period is.
+/// Part of the time to the kill after which the listeners close at the latest, however long the grace period
+/// is.
 const CLOSING_STOP_FRACTION: f64 = 0.8;
 /// How long before the kill all outstanding requests are answered, ms.
 const FINAL_ANSWERS_BEFORE_KILL_MS: f64 = 200.0;
-/// How long before the kill the process ends, ms. Between the final answers and the end, answers are written and
-/// whatever clients still send is read and discarded: a reset would destroy answers that are on their way.
+/// How long before the kill the process ends, ms. Between the final answers and the end, answers are written
+/// and data that clients still send is read and discarded: a reset would destroy answers that are in transit.
 const EXIT_BEFORE_KILL_MS: f64 = 60.0;
-/// Minimum time between the final answers and the end, ms: a process that was stopped until the kill was near, or past
-/// it, still writes its answers. It lives only until the kill comes.
+/// Minimum time between the final answers and the end, ms. A process that was stopped until the kill was
+/// near, or past it, still writes its answers if the kill does not come first.
 const MIN_FINAL_WRITE_MS: f64 = 100.0;
 
-/// The phases in the order of the process's life. None comes back, except that operators may end lame duck mode.
+/// The phases in the order of the process lifetime. The process never returns to an earlier phase, except
+/// that operators may end lame duck mode.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// The engine is not up yet: nothing runs, and the process is not registered.
@@ -34,8 +37,8 @@
     Draining,
     /// Clients were asked to disconnect.
     GoAwaySent,
-    /// Another process of this server has taken over and the termination notice has arrived: clients are asked to
-    /// disconnect, arriving requests are served, and the registration is the other process's business.
+    /// Another process of this server has taken over and the termination notice has arrived. Clients are
+    /// asked to disconnect, arriving requests are served, and the other process controls the registration.
     HandedOver,
     /// The listeners close once their backlog is accepted. Arriving requests are rejected.
     Closing,
@@ -72,24 +75,24 @@
 pub struct DrainTimes {
     /// Grace period: requests that arrive later than this after the termination notice are rejected.
     pub grace_ms: f64,
-    /// From the termination notice to the kill.
+    /// Time from the termination notice to the kill.
     pub stop_ms: f64,
-    /// From the termination notice to the kill where another process has taken over.
+    /// Time from the termination notice to the kill if another process has taken over.
     pub handover_stop_ms: f64,
 }
 
-/// What a draining process still has to finish.
+/// The work that a draining process still has to finish.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
     /// Listening sockets that are open or have a backlog.
     pub listeners: usize,
-    /// Client connections that are not closed, including those that the core has not heard of.
+    /// Client connections that are not closed, including those not yet reported to the core.
     pub connections: usize,
-    /// Requests are unanswered.
+    /// Whether requests are unanswered.
     pub answers_pending: bool,
 }
 
-/// What the phase publishes outside of the process.
+/// The state that the phase publishes outside of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Published {
     /// The answer to health checks.
@@ -98,16 +101,16 @@
     pub registered: Option<bool>,
 }
 
-/// The state machine of one process's life.
+/// The state machine of one process lifetime.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     phase: Phase,
     times: DrainTimes,
-    /// The registration follows the health answer.
+    /// Whether the registration follows the health answer.
     registry_follows_health: bool,
     /// The health that the admission controller reports.
     healthy: bool,
-    /// It was in lame duck mode when it was handed over.
+    /// Whether the process was in lame duck mode when it was handed over.
     handed_over_as_lame_duck: bool,
     handed_over: bool,
     termination_notice_ms: Option<f64>,
@@ -116,7 +119,7 @@
 }
 
 impl Lifecycle {
-    /// The life of a process that has just started.
+    /// The lifecycle of a process that has just started.
     pub fn new(times: DrainTimes, registry_follows_health: bool) -> Self {
         Lifecycle {
             phase: Phase::Starting,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Replaces the settings. A drain that has begun keeps those it began with.
+    /// Replaces the settings. A drain that has begun keeps its initial settings.
     pub fn reconfigure(&mut self, times: DrainTimes, registry_follows_health: bool) {
         if self.termination_notice_ms.is_none() {
             self.times = times;
@@ -152,8 +155,9 @@
         legal
     }
 
-    /// The engine is up. Returns whether the process begins to serve by that: not if it serves already, nor if the
-    /// termination notice came first, as everything it accepted would have to leave in a moment.
+    /// Notes that the engine is up. Returns whether the process begins to serve as a result. It does not if
+    /// it serves already or if the termination notice came first: all clients that it accepted would have to
+    /// disconnect shortly after.
     pub fn engine_up(&mut self) -> bool {
         match self.phase {
             Phase::Starting => self.transition_to(Phase::Serving),
@@ -162,8 +166,9 @@
         }
     }
 
-    /// Enters or leaves lame duck mode at an operator's request. Returns whether the request is fulfilled: one for the
-    /// current state changes nothing, and a draining process cannot return to service.
+    /// Enters or leaves lame duck mode at an operator's request. Returns whether the request is fulfilled. A
+    /// request for the current state succeeds and changes nothing. A draining process cannot return to
+    /// service.
     pub fn set_lame_duck(&mut self, enabled: bool) -> bool {
         match (self.phase, enabled) {
             (Phase::Starting, true) => self.transition_to(Phase::StartingLameDuck),
@@ -175,9 +180,9 @@
         }
     }
 
-    /// Begins the drain at a termination notice that arrived at `notice_ms` (Unix ms): the grace period and the kill
-    /// count from then, however late it is handled. Returns whether it is the first notice. A process that never served
-    /// goes straight to closing, as it has no clients.
+    /// Begins the drain at a termination notice that arrived at `notice_ms` (Unix ms): the grace period and
+    /// the kill count from then, however late it is handled. Returns whether this is the first notice. A
+    /// process that never served goes straight to closing, as it has no clients.
     pub fn begin_drain(&mut self, notice_ms: f64) -> bool {
         let first = match self.phase {
             Phase::Starting | Phase::StartingLameDuck => self.transition_to(Phase::Closing),
@@ -190,8 +195,9 @@
         first
     }
 
-    /// Another process has taken over and the termination notice has arrived, at `notice_ms` (Unix ms). Also legal after
-    /// [`Lifecycle::begin_drain`], whose notice then counts. Returns whether the phase changed.
+    /// Notes that another process has taken over and that the termination notice has arrived, at `notice_ms`
+    /// (Unix ms). Also legal after [`Lifecycle::begin_drain`]; the time of that notice then counts. Returns
+    /// whether the phase changed.
     pub fn mark_handed_over(&mut self, notice_ms: f64) -> bool {
         let was_lame_duck = self.phase == Phase::LameDuck;
         let changed = self.transition_to(Phase::HandedOver);
@@ -203,12 +209,13 @@
         changed
     }
 
-    /// Takes the health that the admission controller reports.
+    /// Sets the health that the admission controller reports.
     pub fn set_healthy(&mut self, healthy: bool) {
         self.healthy = healthy;
     }
 
-    /// What to publish. It follows from the phase alone, so that no event can publish past it.
+    /// The state to publish. It is derived from the phase in one place, so that no event can publish anything
+    /// else.
     pub fn published(&self) -> Published {
         match self.phase {
             Phase::Starting | Phase::StartingLameDuck => Published { healthy: false, registered: None },
@@ -260,7 +267,8 @@
         }
     }
 
-    /// Advances by one phase if its deadline has passed or nothing is outstanding; returns the new phase, if any.
+    /// Advances by one phase if its deadline has passed or nothing is outstanding; returns the new phase, if
+    /// any.
     pub fn advance(&mut self, now_ms: f64, outstanding: Outstanding) -> Option<Phase> {
         let due = self.next_deadline_ms().is_some_and(|deadline_ms| now_ms >= deadline_ms);
         let done = outstanding == Outstanding::default();
--- a/src/server/control/management/command.rs
+++ b/src/server/control/management/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the management port and the errors that answer them. The words are the wire's.
+//! The commands of the management port and its error answers, in the words of the wire.
 
 use crate::server::control::lifecycle::Phase;
 
@@ -7,7 +7,7 @@
 pub enum Command {
     /// Asks whether the process can serve.
     Ping,
-    /// Asks for the figures.
+    /// Asks for the metrics.
     Info,
     /// Enters lame duck mode.
     LameDuck,
@@ -15,16 +15,16 @@
     Rejoin,
 }
 
-/// Why a command is answered with `-ERR`. The text is what follows that word.
+/// Why a command is answered with `-ERR`. The text follows that word in the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The line is no command.
+    /// The line is not a command.
     #[error("unknown call: PING, INFO, LAMEDUCK or REJOIN")]
     Unknown,
     /// The line is longer than any command.
     #[error("line too long")]
     TooLong,
-    /// The connection ended before its line did.
+    /// The connection ended before the end of the line.
     #[error("line without an end")]
     Incomplete,
     /// The process does not serve yet.
@@ -36,7 +36,7 @@
 }
 
 impl Command {
-    /// Parses a line without its end; spaces around the command are ignored.
+    /// Parses a line without its line ending; spaces around the command are ignored.
     pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
         match line.trim_ascii() {
             b"PING" => Ok(Command::Ping),
--- a/src/server/control/management/connections.rs
+++ b/src/server/control/management/connections.rs
@@ -1,4 +1,4 @@
-//! The table of open management connections, which bounds their number.
+//! The bounded table of open management connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 }
 
 impl Connections {
-    /// An empty table for this many connections.
+    /// An empty table for at most `max` connections.
     pub(super) fn new(max: usize) -> Self {
         Connections { max, open: RefCell::default(), last_id: Cell::new(0) }
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// A connection in the table; dropping it removes it.
+/// A connection in the table; dropping this value removes the connection.
 pub(super) struct OpenConnection {
     id: u64,
     evicted: Rc<Notify>,
@@ -43,7 +43,7 @@
 }
 
 impl OpenConnection {
-    /// Completes when the connection has to make room for another one.
+    /// Completes when the connection is evicted for a newer one.
     pub(super) async fn evicted(&self) {
         self.evicted.wait().await;
     }
--- a/src/server/control/management/mod.rs
+++ b/src/server/control/management/mod.rs
@@ -1,6 +1,6 @@
-//! The management port: operators ask whether the process can serve, read its figures, and control lame duck mode. A
-//! connection carries one line and one answer, and is closed. The port never waits for the core and never touches a
-//! request.
+//! The management port: operators ask whether the process can serve, read its metrics, and control lame duck
+//! mode. A connection carries one line and one answer, and is then closed. The port never waits for the core
+//! and never touches a request.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -24,39 +24,39 @@
 pub mod command;
 mod connections;
 
-/// Connections at a time, as a part of all descriptors and between two bounds. A new connection evicts the oldest one, so
-/// that silent clients lock nobody out.
+/// Bounds of the number of concurrent connections, which is a part of all descriptors. Beyond it a new
+/// connection evicts the oldest one, so that silent clients cannot block others.
 const CONNECTIONS_DIVISOR: usize = 16;
 const MIN_CONNECTIONS: usize = 4;
 const MAX_CONNECTIONS: usize = 16;
-/// Longest line, bytes, its end included.
+/// Longest line, bytes, including its line ending.
 const MAX_LINE_BYTES: usize = 256;
-/// Time in which a connection has to send its line, ms.
+/// Time within which a connection has to send its line, ms.
 const LINE_TIMEOUT_MS: f64 = 5000.0;
-/// Time for the answer, and for reading and discarding what comes after the line, ms: closing a socket with unread bytes
-/// resets the connection, which would destroy the answer.
+/// Time for writing the answer and for discarding the data after the line, ms: closing a socket with unread
+/// bytes resets the connection, which would destroy the answer.
 const LINGER_MS: f64 = 500.0;
-/// Bytes that are discarded at most.
+/// Maximum number of bytes that are discarded.
 const MAX_LINGER_BYTES: usize = 16 * 1024;
-/// Pause after a connection that could not be accepted, ms.
+/// Pause after a failed accept, ms.
 const ACCEPT_RETRY_MS: f64 = 50.0;
 /// The first line of a positive answer.
 const OK: &str = "+OK\n";
-/// The last line of an answer of several lines.
+/// The last line of a multi-line answer.
 const END: &str = ".\n";
 
-/// Management connections at a time in a process that may hold so many descriptors.
+/// Maximum number of concurrent management connections in a process that may open `descriptors` descriptors.
 pub fn max_connections(descriptors: usize) -> usize {
     (descriptors / CONNECTIONS_DIVISOR).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
 }
 
-/// What the port reads and sets.
+/// The state that the port reads and sets.
 pub struct Management {
-    /// The names of the classes.
+    /// The settings, for the names of the classes.
     pub active_settings: Rc<ActiveSettings>,
     /// The phase of the process; lame duck mode is requested here.
     pub status: Rc<Status>,
-    /// The figures.
+    /// The metrics.
     pub counters: Rc<Counters>,
     /// The clock.
     pub clock: Clock,
@@ -67,21 +67,22 @@
     pub fn answer(&self, line: Result<&[u8], CommandError>) -> String {
         match line.and_then(|line| self.accept(line)) {
             Ok(Command::Ping) => OK.to_owned(),
-            Ok(Command::Info) => self.figures(),
+            Ok(Command::Info) => self.metrics(),
             Ok(Command::LameDuck) => self.request_lame_duck(true),
             Ok(Command::Rejoin) => self.request_lame_duck(false),
             Err(error) => format!("-ERR {error}\n"),
         }
     }
 
-    /// The command on a line, if it may be carried out now.
+    /// Parses a line into its command if that may be carried out now.
     fn accept(&self, line: &[u8]) -> Result<Command, CommandError> {
         let command = Command::parse(line)?;
         command.check(self.phase())?;
         Ok(command)
     }
 
-    /// The phase of the process, with a termination notice that the core has not seen yet.
+    /// The phase of the process, taking into account a termination notice that the core has not processed
+    /// yet.
     fn phase(&self) -> Phase {
         let phase = self.status.phase.get();
         let is_notified = self.status.termination_notice_ms.get().is_some();
@@ -91,29 +92,30 @@
     fn request_lame_duck(&self, enabled: bool) -> String {
         self.status.lame_duck_request.set(Some(enabled));
         if enabled {
-            // In force with the answer: a health check may be read before the core has its turn.
+            // Takes effect before the answer: a health check may be read before the core runs.
             self.status.healthy.set(false);
         }
         self.status.core_wakeup.wake();
         OK.to_owned()
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let mut text = OK.to_owned();
         for (name, class) in self.counters_by_name() {
-            write_figure(&mut text, &format!("calls.{name}.success"), class.served.get(), Kind::Counter);
-            write_figure(&mut text, &format!("calls.{name}.busy"), class.refused.get(), Kind::Counter);
-            write_figure(&mut text, &format!("calls.{name}.failure"), class.failed.get(), Kind::Counter);
-            write_figure(&mut text, &format!("calls.{name}.backend_calls"), class.runs.get(), Kind::Counter);
+            write_metric(&mut text, &format!("calls.{name}.success"), class.served.get(), Kind::Counter);
+            write_metric(&mut text, &format!("calls.{name}.busy"), class.refused.get(), Kind::Counter);
+            write_metric(&mut text, &format!("calls.{name}.failure"), class.failed.get(), Kind::Counter);
+            write_metric(&mut text, &format!("calls.{name}.backend_calls"), class.runs.get(), Kind::Counter);
         }
-        write_figure(&mut text, "inflight", self.counters.all_classes().open(), Kind::Gauge);
-        write_figure(&mut text, "reconfig_ok", self.counters.reloads.get(), Kind::Counter);
-        write_figure(&mut text, "reconfig_failed", self.counters.reloads_failed.get(), Kind::Counter);
+        write_metric(&mut text, "inflight", self.counters.all_classes().open(), Kind::Gauge);
+        write_metric(&mut text, "reconfig_ok", self.counters.reloads.get(), Kind::Counter);
+        write_metric(&mut text, "reconfig_failed", self.counters.reloads_failed.get(), Kind::Counter);
         text.push_str(END);
         text
     }
 
-    /// The counters of all classes since the start. A name has several class indexes if its idempotency has changed.
+    /// The counters of all classes since the start. A name has several class indexes if its idempotency has
+    /// changed.
     fn counters_by_name(&self) -> BTreeMap<String, ClassCounters> {
         let site = self.active_settings.site();
         let mut by_name: BTreeMap<String, ClassCounters> = BTreeMap::new();
@@ -125,16 +127,16 @@
     }
 }
 
-/// The kind of a figure.
+/// The kind of a metric.
 #[derive(Clone, Copy)]
 enum Kind {
     /// Counts up from the start of the process.
     Counter,
-    /// The present value.
+    /// The current value.
     Gauge,
 }
 
-fn write_figure(text: &mut String, name: &str, value: u64, kind: Kind) {
+fn write_metric(text: &mut String, name: &str, value: u64, kind: Kind) {
     let kind = match kind {
         Kind::Counter => 'c',
         Kind::Gauge => 'g',
@@ -143,7 +145,7 @@
     let _ = writeln!(text, "relay.{name}:{value}|{kind}");
 }
 
-/// Accepts up to `max` connections at a time, for as long as the process lives.
+/// Accepts up to `max` concurrent connections until the process ends.
 pub async fn listen(
     listener: Async<TcpListener>,
     max: usize,
@@ -167,7 +169,7 @@
     }
 }
 
-/// Reads a line, answers it and ends the connection. An error of the socket ends it, too.
+/// Reads a line, answers it and ends the connection. A socket error also ends the connection.
 async fn serve(mut stream: &Async<TcpStream>, management: &Management) {
     let _ = stream.get_ref().set_nodelay(true);
     let mut line = [0; MAX_LINE_BYTES];
@@ -187,7 +189,7 @@
     future::or(write, management.clock.pause(LINGER_MS)).await;
 }
 
-/// Reads up to the end of the first line; returns the length of the line without its end.
+/// Reads up to the end of the first line; returns the length of the line without its line ending.
 async fn read_line(
     mut stream: &Async<TcpStream>,
     line: &mut [u8; MAX_LINE_BYTES],
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -1,5 +1,6 @@
-//! Reads the configuration again and applies it, in the order that keeps all parts consistent. It owns the configuration in
-//! force. It never applies a part of a file, touches no request, and waits for nothing but the core's queue.
+//! Reads the configuration again and applies it to all parts in an order that keeps them consistent. It owns
+//! the configuration in force. It never applies a file partially, touches no request, and waits only for the
+//! core's queue.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -18,7 +19,7 @@
 
 /// Reads the configuration again at each call of [`Reloader::reload`].
 pub struct Reloader {
-    /// The file.
+    /// The configuration file.
     pub file: PathBuf,
     /// The configuration in force.
     pub config: Config,
@@ -26,11 +27,11 @@
     pub active_settings: Rc<ActiveSettings>,
     /// The addresses that the upstream connections use.
     pub addresses: Rc<UpstreamAddresses>,
-    /// The limit of connections, which depends on the memory.
+    /// The limiter of connections, whose limits depend on the memory.
     pub limiter: Rc<ConnectionLimiter>,
-    /// Telemetry, which counts by class, if it is on.
+    /// Telemetry, which counts by class; `None` if it is off.
     pub telemetry: Option<Rc<Telemetry>>,
-    /// Counters.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
     /// The clock.
     pub clock: Clock,
@@ -39,8 +40,8 @@
 }
 
 impl Reloader {
-    /// Reads the file and applies it. A file that cannot be used changes nothing: it may be half written, or meant for another
-    /// process, and then its addresses are no better than its settings.
+    /// Reads the file and applies it. An invalid file changes nothing, not even the addresses: it may be half
+    /// written or meant for another process, and then its addresses are as unreliable as its settings.
     pub async fn reload(&mut self) {
         match self.config.read_next(&self.file, self.clock.now()) {
             Ok(config) => {
@@ -62,8 +63,8 @@
         let config = self.without_settings_of_another_process(new);
         let Config { engine, store, registry, memory_mb, stop_ms, .. } = config;
         let settings = Reconfiguration { site: config.site.clone(), stop_ms, memory_mb };
-        // Telemetry first, before any event of a new class. The core before the frontends: a request of a new class, which they
-        // accept once they know it, comes behind this in the queue.
+        // Telemetry comes first, before any event of a new class. The core comes before the frontends: they
+        // accept requests of a new class once they know it, and those requests then queue behind this input.
         if let Some(telemetry) = &self.telemetry {
             telemetry::set_classes(telemetry, &config.site);
         }
@@ -76,8 +77,8 @@
         self.config = config;
     }
 
-    /// A file with another management address was written for a process that is started beside this one: its engine is not
-    /// this one's.
+    /// Keeps the engine if the management address differs: such a file was written for a process that is
+    /// started beside this one and uses another engine.
     fn without_settings_of_another_process(&self, mut config: Config) -> Config {
         if config.management != self.config.management {
             config.engine = self.config.engine;
--- a/src/server/control/status.rs
+++ b/src/server/control/status.rs
@@ -1,4 +1,4 @@
-//! The state that the core publishes and the other tasks read, and the requests that reach the core beside its queue:
+//! The state that the core publishes and the other tasks read, and the requests that bypass the core's queue:
 //! the termination notice and the operators' lame duck mode. It owns these cells and decides nothing.
 
 use std::cell::Cell;
@@ -11,27 +11,30 @@
 pub struct Status {
     /// The answer to health checks.
     pub healthy: Cell<bool>,
-    /// The load report that goes with each answer; `None` before the first.
+    /// The load report that is sent with each answer; `None` before the first report.
     pub load_report: Cell<Option<f64>>,
-    /// When the termination notice arrived, Unix ms; the core takes it out. It does not queue behind the core's inputs.
+    /// When the termination notice arrived, Unix ms; the core takes the value. It does not queue behind the
+    /// core's inputs.
     pub termination_notice_ms: Cell<Option<f64>>,
-    /// The latest request of an operator to enter (`true`) or leave lame duck mode; the core takes it out.
+    /// The latest request of an operator to enter (`true`) or leave (`false`) lame duck mode; the core takes
+    /// the value.
     pub lame_duck_request: Cell<Option<bool>>,
-    /// Wakes the core to look at the two requests above, and at the messages of the other process.
+    /// Wakes the core to check the two requests above and the messages of the other process.
     pub core_wakeup: Notify,
     /// The current phase of the process.
     pub phase: Cell<Phase>,
-    /// What is reported to the service registry: nothing, or whether requests are accepted.
+    /// The report to the service registry: none, or whether requests are accepted.
     pub registered: Cell<Option<bool>>,
     /// Wakes the task that reports to the service registry.
     pub registry_wakeup: Notify,
-    /// Connections are accepted. Off while another process accepts on the shared listening sockets.
+    /// Whether connections are accepted. Off while another process accepts on the shared listening sockets.
     pub accepting: Flag,
-    /// Another process accepts in place of this one, on the shared listening sockets.
+    /// Whether a successor accepts in place of this process, on the shared listening sockets.
     pub successor_serves: Flag,
-    /// Opens when the listeners have to close, once their backlog is accepted.
+    /// Opens when the listeners have to accept their backlog and then close.
     pub stop_accepting: Latch,
-    /// Opens when everything that was read is answered and nothing more is read: the process is about to end.
+    /// Opens when all requests that were read are answered and nothing more is read: the process is about to
+    /// end.
     pub finishing: Latch,
 }
 
