--- a/src/server/observability/counters.rs
+++ b/src/server/observability/counters.rs
@@ -1,11 +1,11 @@
-//! Counters of the process and of each class of requests, for telemetry, the log and the management port. They count up from
-//! the start of the process. The names of the fields are metric names.
+//! Counters of the process and of each class of requests, for telemetry, the log and the management port.
+//! They count up from the start of the process. The names of the fields are metric names.
 
 use std::cell::{Cell, RefCell};
 
-/// Defines both structs, and the list of their names and values. A counter is added by one line with its documentation; it
-/// then appears in telemetry and the log under its name. `process` are the counters of [`Counters`] itself, `class` those
-/// of each [`ClassCounters`].
+/// Defines both structs, and the list of their names and values. To add a counter, add one line with its
+/// documentation; the counter then appears in telemetry and the log under its name. `process` lists the
+/// counters of [`Counters`] itself, `class` the counters of each [`ClassCounters`].
 macro_rules! counters {
     (
         process { $($(#[$process_doc:meta])* $process:ident),+ $(,)? }
@@ -18,13 +18,14 @@
             classes: RefCell<Vec<ClassCounters>>,
         }
 
-        /// Counters of the requests of one class. At any time, `requests` is the sum of `served`, `refused`, `failed`, `gone`
-        /// and the open requests.
+        /// Counters of the requests of one class. At any time, `requests` is the sum of `served`, `refused`,
+        /// `failed`, `gone` and the open requests.
         #[derive(Clone, Debug, Default)]
         pub struct ClassCounters { $($(#[$class_doc])* pub $class: Cell<u64>,)+ }
 
         impl Counters {
-            /// Name and value of each counter, in a fixed order; those of classes as sums over all classes.
+            /// Name and value of each counter, in a fixed order; the class counters are summed over all
+            /// classes.
             pub fn list(&self) -> Vec<(&'static str, u64)> {
                 let all = self.all_classes();
                 vec![
@@ -44,7 +45,7 @@
         }
 
         impl ClassCounters {
-            /// Adds those of another class.
+            /// Adds the counters of another class.
             pub fn add(&self, other: &ClassCounters) {
                 $(self.$class.set(self.$class.get() + other.$class.get());)+
             }
@@ -58,17 +59,17 @@
         connections,
         /// Client connections that ended.
         connections_ended,
-        /// Requests that were well framed but invalid, answered by the frontend.
+        /// Well-framed but invalid requests, answered by the frontend.
         bad_requests,
-        /// Requests with a key that is known already.
+        /// Requests with an idempotency key that is already known.
         repeats,
-        /// Requests with a known key and another body.
+        /// Requests with a known idempotency key and a different body.
         refused_bodies,
-        /// Requests with an impossible time of arrival.
+        /// Requests with an impossible arrival time.
         bad_times,
         /// Answers with the retained result of another attempt.
         reused,
-        /// Answers that the core gave as the admission controller had not in time.
+        /// Answers that the core sent because the admission controller had not answered in time.
         overdue,
         /// Health checks answered.
         pings,
@@ -76,19 +77,19 @@
         runs_ended,
         /// Runs cancelled.
         halts,
-        /// Starts that the core skipped as another attempt had run.
+        /// Starts that the core skipped because another attempt had run.
         doubles_prevented,
         /// Times that the engine was attached.
         engine_links,
         /// Commands that the engine rejected.
         engine_refusals,
-        /// Timers handled with old gauges as the engine was silent.
+        /// Timers handled with stale gauges because the engine was silent.
         stale_gauges,
         /// Calls made to the store.
         calls,
         /// Calls that succeeded.
         calls_done,
-        /// Calls that ended otherwise.
+        /// Calls that ended in any other way.
         calls_failed,
         /// Runs that continued without their call.
         calls_left_out,
@@ -96,7 +97,7 @@
         store_links,
         /// Reports sent to the service registry.
         reports,
-        /// Retained results dropped for their size.
+        /// Retained results dropped because of their size.
         results_dropped,
         /// Configurations applied at a reload.
         reloads,
@@ -125,7 +126,7 @@
 }
 
 impl ClassCounters {
-    /// Requests that were read and have not ended.
+    /// Number of requests that were read and have not ended.
     pub fn open(&self) -> u64 {
         let ended = self.served.get() + self.refused.get() + self.failed.get() + self.gone.get();
         self.requests.get().saturating_sub(ended)
--- a/src/server/observability/mod.rs
+++ b/src/server/observability/mod.rs
@@ -1,5 +1,5 @@
-//! What the server reports about itself: [`counters`] to the log and the management port, [`telemetry`] to Graphite and
-//! collectd, and [`membership`] to the other members of the fleet.
+//! Reports of the server about itself: [`counters`] for the log and the management port, [`telemetry`] for
+//! Graphite and collectd, and [`membership`] for the other members of the fleet.
 
 pub mod counters;
 pub mod membership;
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -1,5 +1,5 @@
-//! Connects the server to the telemetry crate: the classes and counters that it exports, and the state that it polls. It
-//! counts and decides nothing.
+//! Connects the server to the telemetry crate: the classes and counters that it exports, and the state that
+//! it polls. It counts and decides nothing.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 use crate::server::core::api::CoreInput;
 use crate::server::observability::counters::Counters;
 
-/// What telemetry polls.
+/// The state that telemetry polls.
 struct TelemetrySource {
     queue: Sender<CoreInput>,
     counters: Rc<Counters>,
@@ -23,7 +23,7 @@
 
 impl Source for TelemetrySource {
     fn ask(&self) {
-        // The core is busy if its queue is full; the next poll requests the state again.
+        // A full queue means that the core is busy; the next poll requests the state again.
         let _ = self.queue.try_send(CoreInput::ReportState);
     }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// What telemetry shares with the rest of the process.
+/// The parts of the process that telemetry uses.
 pub struct TelemetryContext {
     /// The name of this server.
     pub name: String,
@@ -62,15 +62,15 @@
     pub counters: Rc<Counters>,
 }
 
-/// Sets the classes in force. Has to come before any event of a request of a new class.
+/// Sets the classes in force. Has to be called before any event of a request of a new class.
 pub fn set_classes(telemetry: &Telemetry, site: &Site) {
     let (names, classes) = classes_of(site);
     telemetry.set_classes(&names, classes, site.settings.weight_by_work);
 }
 
-/// Name and terms of each class, by index.
+/// Names and parameters of the classes, by index.
 fn classes_of(site: &Site) -> (Vec<String>, Vec<Class>) {
-    let terms = |class: &crate::admission::Class| Class {
+    let parameters = |class: &crate::admission::Class| Class {
         latency_objective_ms: class.latency_objective_ms,
         objective_per_work: class.objective_per_work,
         weight: class.weight,
@@ -78,10 +78,10 @@
         weight_without_call: class.weight_without_call,
     };
     let classes = site.settings.classes.iter();
-    classes.enumerate().map(|(at, class)| (site.class_name(at).to_owned(), terms(class))).unzip()
+    classes.enumerate().map(|(index, class)| (site.class_name(index).to_owned(), parameters(class))).unzip()
 }
 
-/// Starts to count and to send as the setup says.
+/// Starts counting and sending as configured by `setup`.
 pub fn start(setup: &Setup, context: TelemetryContext) -> Rc<Telemetry> {
     let TelemetryContext { name, site, seed, clock, executor, queue, counters } = context;
     let (names, classes) = classes_of(&site);
--- a/src/server/sync.rs
+++ b/src/server/sync.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use event_listener::Event;
 
-/// A wake-up for one task. It is kept until it is awaited; several count as one.
+/// A wake-up for one task. It is kept until it is awaited; several pending wake-ups count as one.
 #[derive(Debug)]
 pub struct Notify {
     sender: Sender<()>,
@@ -20,15 +20,15 @@
 }
 
 impl Notify {
-    /// Wakes the task that waits, or the next to wait.
+    /// Wakes the waiting task, or the next task that waits.
     pub fn wake(&self) {
-        // The channel is full where a wake-up is already kept.
+        // The channel is full if a wake-up is already pending.
         let _ = self.sender.try_send(());
     }
 
     /// Completes after the next wake-up.
     pub async fn wait(&self) {
-        // Both ends live in this value, so the channel cannot be closed while it is awaited.
+        // This value owns both ends, so the channel cannot be closed while it is awaited.
         let _ = self.receiver.recv().await;
     }
 }
@@ -48,19 +48,19 @@
 }
 
 impl Latch {
-    /// Opens it; tells whether it was closed before.
+    /// Opens the latch; returns whether it was closed before.
     pub fn open(&self) -> bool {
         self.sender.close()
     }
 
-    /// Completes once it is open.
+    /// Completes once the latch is open.
     pub async fn wait(&self) {
         // Nothing is ever sent: the channel is closed when the latch opens.
         let _ = self.receiver.recv().await;
     }
 }
 
-/// A state that is on or off, and that any number of tasks may wait for.
+/// A flag that is on or off; any number of tasks may wait for either state.
 #[derive(Debug)]
 pub struct Flag {
     on: Cell<bool>,
@@ -68,27 +68,28 @@
 }
 
 impl Flag {
-    /// A flag in this state.
+    /// A flag in the given state.
     pub fn new(on: bool) -> Self {
         Flag { on: Cell::new(on), changed: Event::new() }
     }
 
-    /// Its state.
+    /// Whether the flag is on.
     pub fn is_on(&self) -> bool {
         self.on.get()
     }
 
-    /// Sets its state.
+    /// Sets the state and wakes the waiting tasks if it changes.
     pub fn set(&self, on: bool) {
         if self.on.replace(on) != on {
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// Completes once it is in this state.
+    /// Completes once the flag is in the given state.
     pub async fn wait_for(&self, on: bool) {
         while self.on.get() != on {
-            // One thread: nothing changes between the check and the registration of the listener.
+            // All tasks run on one thread: nothing changes between the check and the registration of the
+            // listener.
             self.changed.listen().await;
         }
     }
--- a/src/server/write_buffer.rs
+++ b/src/server/write_buffer.rs
@@ -1,4 +1,5 @@
-//! A queue of bytes that wait to be written to one connection. Its bound is its user's. Whoever fills it never waits.
+//! A queue of bytes that wait to be written to one connection. Pushing never waits; the user of the queue
+//! bounds its length.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -10,38 +11,38 @@
 /// The bytes that wait to be written to one connection.
 #[derive(Debug, Default)]
 pub struct WriteBuffer {
-    /// Bytes that no flush has taken yet.
+    /// Bytes that no flush has taken out yet.
     queued: RefCell<Vec<u8>>,
     wakeup: Notify,
-    /// Bytes that a flush has taken and not written yet.
+    /// Number of bytes that a flush has taken out and not written yet.
     being_written: Cell<usize>,
 }
 
 impl WriteBuffer {
-    /// Appends what `fill` writes and wakes the writer.
+    /// Appends the bytes that `fill` writes and wakes the writer.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
         fill(&mut self.queued.borrow_mut());
         self.wakeup.wake();
     }
 
-    /// Bytes that have not been handed to the socket.
+    /// Number of bytes that have not been passed to the socket.
     pub fn backlog(&self) -> usize {
         self.queued.borrow().len() + self.being_written.get()
     }
 
-    /// Wakes the writer without bytes, so that it checks whether it is done.
+    /// Wakes the writer without new bytes, so that it checks whether it is done.
     pub fn wake(&self) {
         self.wakeup.wake();
     }
 
-    /// Drops what was not written.
+    /// Drops the bytes that were not written.
     pub fn clear(&self) {
         self.queued.borrow_mut().clear();
         self.being_written.set(0);
     }
 
-    /// Waits for a wake-up and writes all there is, in order. Errors are those of the stream, and `WriteZero` where it takes
-    /// nothing more.
+    /// Waits for a wake-up and writes all queued bytes in order. Returns the errors of the stream, and
+    /// `WriteZero` if the stream accepts no more bytes.
     pub async fn flush(&self, mut stream: impl AsyncWrite + Unpin) -> io::Result<()> {
         self.wakeup.wait().await;
         loop {
