--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,5 +1,5 @@
-//! What is known of one connection of a caller, whatever its protocol: how it was used, and when it should close. It never
-//! touches a socket.
+//! The state of one connection of a caller, for any protocol: how it was used, and when it should close. It
+//! never touches a socket.
 
 use std::cell::Cell;
 
@@ -9,21 +9,23 @@
 
 use crate::server::sync::Notify;
 
-/// Time in which a new connection has to bring its first complete message, and any connection the rest of one that has
-/// begun, ms. A router connects when it has something to send; one that sends nothing must be closed within 3 s.
+/// Time within which a new connection has to deliver its first complete message, and any connection the rest
+/// of a partial message, ms. A router connects when it has something to send; a silent connection must be
+/// closed within 3 s.
 pub const MESSAGE_TIMEOUT_MS: f64 = 1500.0;
-/// Idle time after the go-away notification after which a connection is closed from here, ms. A router that was notified
-/// closes first; one that stays would hold its descriptor for good.
+/// Idle time after the go-away notification after which this process closes a connection, ms. A notified
+/// router closes it earlier; a connection that stays open would occupy its descriptor forever.
 pub const GO_AWAY_TIMEOUT_MS: f64 = 1000.0;
-/// Least interval of the checks whether a connection is due to close, ms: whatever the settings say, none may spin.
+/// Minimum interval of the checks whether a connection is due to close, ms: the loop must not spin under any
+/// settings.
 const MIN_CHECK_INTERVAL_MS: f64 = 5.0;
 
-/// The notification that no new request should come.
+/// The notification that the caller should send no new request.
 #[derive(Clone, Copy, Debug)]
 struct GoAway {
-    /// When it was sent, or decided where the protocol has none, Unix ms.
+    /// When the notification was sent, or decided if the protocol has no such message, Unix ms.
     sent_ms: f64,
-    /// Idle time after which the connection is closed from here, ms.
+    /// Idle time after which this process closes the connection, ms.
     timeout_ms: f64,
 }
 
@@ -32,25 +34,25 @@
 pub struct ConnectionState {
     /// Number of the connection, unique over all frontends.
     pub id: u64,
-    /// The protocol that is spoken on it.
+    /// The protocol of the connection.
     pub protocol: Protocol,
     /// Requests and health checks that were read.
     pub requests_read: Cell<u64>,
     /// Requests that were answered.
     pub requests_answered: Cell<u64>,
-    /// When it last carried a complete message of the caller or an answer, Unix ms.
+    /// When the connection last carried a complete message of the caller or an answer, Unix ms.
     pub last_active_ms: Cell<f64>,
-    /// It has brought a complete message.
+    /// Whether a complete message was received.
     pub received_message: Cell<bool>,
-    /// An answer is owed, or a body was asked for.
+    /// Whether an answer is pending or a body was requested.
     pub request_in_flight: Cell<bool>,
-    /// A part of a message has come, and the rest has not.
+    /// Whether a message was received in part only.
     pub partial_message: Cell<bool>,
-    /// No new request should come on it.
+    /// Set when no new request should come on the connection.
     go_away: Cell<Option<GoAway>>,
-    /// It was asked to close for another connection.
+    /// Whether the connection was asked to close for another one.
     eviction_requested: Cell<bool>,
-    /// Its writing half is shut down; it only waits for the other side to close.
+    /// Whether the write half is shut down and the connection only waits for the other side to close.
     lingering: Cell<bool>,
     changed: Notify,
 }
@@ -74,14 +76,14 @@
         }
     }
 
-    /// Notes that a complete message was read, which takes back a request to close for another connection.
+    /// Records that a complete message was read; this cancels a request to close for another connection.
     pub fn message_received(&self, now: f64) {
         self.received_message.set(true);
         self.last_active_ms.set(now);
         self.eviction_requested.set(false);
     }
 
-    /// Counts a request or a health check that was read, and returns their number.
+    /// Counts a request or a health check that was read; returns the number of both so far.
     pub fn count_read(&self) -> u64 {
         let read = self.requests_read.get() + 1;
         self.requests_read.set(read);
@@ -93,18 +95,19 @@
         self.requests_answered.set(self.requests_answered.get() + 1);
     }
 
-    /// Whether no new request should come on it.
+    /// Whether no new request should come on the connection.
     pub fn is_going_away(&self) -> bool {
         self.go_away.get().is_some()
     }
 
-    /// Notes that the other side is notified that no new request should come; tells whether that is new. It has a while to
-    /// close the connection.
+    /// Records that the caller is notified to send no new request; returns whether it was not notified
+    /// before. The caller has [`GO_AWAY_TIMEOUT_MS`] to close the connection.
     pub fn mark_go_away_sent(&self, now: f64) -> bool {
         self.mark_going_away(now, GO_AWAY_TIMEOUT_MS)
     }
 
-    /// The same in a protocol without such a notification: the connection is closed as soon as it is idle.
+    /// As [`ConnectionState::mark_go_away_sent`], for a protocol without such a notification: the connection
+    /// is closed as soon as it is idle.
     pub fn mark_going_away_unannounced(&self, now: f64) -> bool {
         self.mark_going_away(now, 0.0)
     }
@@ -118,53 +121,53 @@
         true
     }
 
-    /// Whether nothing was carried since this time, Unix ms, and nothing is in flight.
+    /// Whether the connection has carried nothing since `since_ms`, Unix ms, and no request is in flight.
     pub fn is_idle_since(&self, since_ms: f64) -> bool {
         self.timeout_start_ms() < since_ms && !self.request_in_flight.get()
     }
 
-    /// From when its idle timeout counts, Unix ms: the last message, or the go-away notification that came after it.
+    /// Start of the idle timeout, Unix ms: the last message, or a later go-away notification.
     fn timeout_start_ms(&self) -> f64 {
         let go_away_ms = self.go_away.get().map_or(f64::NEG_INFINITY, |go_away| go_away.sent_ms);
         self.last_active_ms.get().max(go_away_ms)
     }
 
-    /// Notes that its writing half is shut down.
+    /// Records that the write half is shut down.
     pub fn set_lingering(&self) {
         self.lingering.set(true);
     }
 
-    /// Whether its writing half is shut down.
+    /// Whether the write half is shut down.
     pub fn is_lingering(&self) -> bool {
         self.lingering.get()
     }
 
-    /// Asks it to close for another connection.
+    /// Asks the connection to close for another one.
     pub fn request_eviction(&self) {
         self.eviction_requested.set(true);
         self.changed.wake();
     }
 
-    /// Takes that back: it has something to send.
+    /// Cancels the request to close, because the caller has sent something.
     pub fn cancel_eviction(&self) {
         self.eviction_requested.set(false);
     }
 
-    /// Whether it was asked to close, and has neither closed nor sent anything since.
+    /// Whether the connection was asked to close and the caller has sent nothing since.
     pub fn is_eviction_requested(&self) -> bool {
         self.eviction_requested.get()
     }
 
-    /// Completes when it is asked to close.
+    /// Completes when the connection is asked to close for another one.
     pub async fn eviction_request(&self) {
         while !self.eviction_requested.get() {
             self.changed.wait().await;
         }
     }
 
-    /// Completes, with the reason code, when the connection should close: nothing is in flight, and it is evicted or was
-    /// idle for too long. Callers close connections that are idle for `caller_idle_timeout_ms` themselves: one that is
-    /// left after it belongs to no caller that is alive.
+    /// Completes with the reason code when the connection should close: no request is in flight, and the
+    /// connection is evicted or was idle for too long. Callers themselves close connections that are idle for
+    /// `caller_idle_timeout_ms`: the caller of a connection that is still open after that time is dead.
     pub async fn close_due(&self, clock: &Clock, caller_idle_timeout_ms: f64) -> &'static str {
         loop {
             let (timeout_ms, reason) = self.idle_timeout(caller_idle_timeout_ms);
@@ -184,7 +187,7 @@
         }
     }
 
-    /// The idle time after which it should close, ms, and the reason code of that.
+    /// The idle time after which the connection should close, ms, and the reason code for closing it.
     fn idle_timeout(&self, caller_idle_timeout_ms: f64) -> (f64, &'static str) {
         match (self.received_message.get(), self.go_away.get()) {
             (false, _) => (MESSAGE_TIMEOUT_MS, "silent"),
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Whether a part of a message has come behind a complete one. It has a deadline of its own and must not be taken for
-    /// an idle connection.
+    /// Whether a part of a message was received after a complete one. Partial messages have a deadline of
+    /// their own, and the connection must not be treated as idle.
     fn has_partial_later_message(&self) -> bool {
         self.received_message.get() && self.partial_message.get()
     }
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -1,4 +1,5 @@
-//! What the connections of all frontends share. It knows nothing of protocols and requests.
+//! The parts of the process that the connections of all frontends share. Independent of protocols and
+//! requests.
 
 use std::rc::Rc;
 
@@ -12,15 +13,15 @@
 use crate::server::frontend::limiter::ConnectionLimiter;
 use crate::server::observability::counters::Counters;
 
-/// What every connection of every frontend needs.
+/// The parts of the process that every connection of every frontend uses.
 pub struct FrontendContext {
-    /// Settings, and the names of classes and tenants.
+    /// The settings, and the names of classes and tenants.
     pub active_settings: Rc<ActiveSettings>,
-    /// What the core publishes.
+    /// The state that the core publishes.
     pub status: Rc<Status>,
-    /// Counters.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
-    /// Notified of limits that are reached.
+    /// Notified when a limit is reached.
     pub observer: Rc<dyn Observer>,
     /// The clock.
     pub clock: Clock,
@@ -31,8 +32,8 @@
 }
 
 impl FrontendContext {
-    /// Idle time after which callers close connections, ms. It is infinite where the settings have none: callers close them,
-    /// or they are evicted for others.
+    /// Idle time after which callers close connections, ms. Infinite if the settings have none: connections
+    /// then stay open until callers close them or they are evicted for others.
     pub fn caller_idle_timeout_ms(&self) -> f64 {
         let timeout_ms = self.active_settings.site().settings.caller_idle_timeout_ms;
         if timeout_ms > 0.0 { timeout_ms } else { f64::INFINITY }
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -1,5 +1,5 @@
-//! The limits on the connections of all frontends together: how many there may be, which one is evicted for another, and
-//! how much they may have queued. It never touches a socket.
+//! The limits on the connections of all frontends together: their number, the choice of the connection to
+//! evict, and the bytes that they may have queued. It never touches a socket.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,36 +11,39 @@
 use crate::server::frontend::connection_state::ConnectionState;
 use crate::server::sync::Notify;
 
-/// Bytes that may be queued over all connections, as a fraction of the memory of the process: hundreds that read nothing
-/// must not fill it. Past it each may still queue an even share, so that those who read don't pay for those who don't.
+/// Bytes that may be queued over all connections, as a fraction of the memory of the process: hundreds of
+/// callers that read nothing must not exhaust it. Above this limit each connection may still queue an even
+/// share, so that callers that read are not cut off because of callers that do not.
 const QUEUED_MEMORY_FRACTION: f64 = 0.125;
-/// Idle time after which a connection that has brought a message may be evicted, ms: its router may be about to use it.
+/// Idle time after which a connection that has delivered a message may be evicted, ms. Before that its router
+/// may be about to use it.
 const MIN_IDLE_BEFORE_EVICTION_MS: f64 = 500.0;
-/// Time in which a new connection is not evicted though it has brought no message, ms: a caller connects to send something.
-/// Without it, where all connections are taken, each new one would be closed for the next before its request can come.
+/// Time during which a new connection is not evicted although it has delivered no message, ms: a caller
+/// connects to send something. Without this time, a full process would close each new connection for the next
+/// one before its request can arrive.
 const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
-/// New connections without a message that are spared at a time. A crowd that sends nothing pushes out so many of those that
-/// callers use, and beyond that only itself.
-const MAX_SPARED_CONNECTIONS: usize = 8;
+/// Maximum number of new connections without a message that are protected from eviction at a time. A burst of
+/// silent connections evicts at most this many connections in use, and beyond that only its own.
+const MAX_PROTECTED_CONNECTIONS: usize = 8;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// What counts against the limit on connections.
+/// The connections that count against the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionUsage {
     /// Open connections of this process.
     pub own: usize,
-    /// Open connections of the other process of this server, and what it holds beside them.
+    /// Open connections of the other process of this server, and its other descriptors.
     pub peer: usize,
-    /// The most that both may come to.
+    /// Maximum sum of both.
     pub limit: usize,
 }
 
-/// The connections of which one is evicted.
+/// The connections among which one is evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionScope {
-    /// Those of all protocols: the limit of the process is reached.
+    /// Connections of all protocols: the limit of the process is reached.
     Process,
-    /// Those of one protocol, whose own limit is reached.
+    /// Connections of one protocol, whose own limit is reached.
     Protocol(Protocol),
 }
 
@@ -53,28 +56,29 @@
     }
 }
 
-/// What came of the search for a connection to evict.
+/// The result of the search for a connection to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// One was asked to close.
+    /// A connection was asked to close.
     Requested,
-    /// None was: one might be soon, but is so new that its first message may be under way.
+    /// No connection was asked to close, but one may be soon: it is so new that its first message may be in
+    /// transit.
     Deferred,
-    /// None may be evicted.
+    /// No connection may be evicted.
     NoCandidate,
 }
 
-/// Keeps the connections of all frontends below the limit on descriptors, and sums what they have queued.
+/// Keeps the connections of all frontends within the limit on descriptors, and sums their queued bytes.
 #[derive(Debug)]
 pub struct ConnectionLimiter {
     max_connections: usize,
     /// Connections of the other process of this server, which count against the same limit.
     peer_connections: Cell<usize>,
-    /// The open connections by their number.
+    /// The open connections by their id.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     last_id: Cell<u64>,
     capacity_change: Notify,
-    /// A connection has brought its first message.
+    /// Woken when a connection has delivered its first message.
     first_message: Notify,
     open_listeners: Cell<usize>,
     queued_bytes: Cell<usize>,
@@ -82,7 +86,7 @@
 }
 
 impl ConnectionLimiter {
-    /// Allows `max_connections`, in a process that may use so much memory.
+    /// Allows `max_connections` in a process that may use `memory_mb` of memory.
     pub fn new(max_connections: usize, memory_mb: f64) -> Self {
         ConnectionLimiter {
             max_connections,
@@ -97,12 +101,12 @@
         }
     }
 
-    /// The process may use so much memory from now on.
+    /// Sets the memory that the process may use.
     pub fn set_memory_limit(&self, memory_mb: f64) {
         self.max_queued_bytes.set(max_queued_bytes(memory_mb));
     }
 
-    /// The other process of this server has so many connections.
+    /// Sets the number of connections of the other process of this server.
     pub fn set_peer_connections(&self, connections: usize) {
         self.peer_connections.set(connections);
         self.capacity_change.wake();
@@ -123,7 +127,7 @@
         self.capacity_change.wake();
     }
 
-    /// Notes that a connection has brought a complete message at `now`, Unix ms.
+    /// Records that a connection has delivered a complete message at `now`, Unix ms.
     pub fn message_received(&self, state: &ConnectionState, now: f64) {
         if !state.received_message.get() {
             self.first_message.wake();
@@ -131,7 +135,8 @@
         state.message_received(now);
     }
 
-    /// Completes when a deferred eviction may be possible: a connection has brought its first message.
+    /// Completes when a deferred eviction may have become possible: a connection has delivered its first
+    /// message.
     pub async fn first_message(&self) {
         self.first_message.wait().await;
     }
@@ -147,7 +152,7 @@
         own + peer >= limit
     }
 
-    /// What counts against the limit on connections now.
+    /// The connections that currently count against the limit.
     pub fn usage(&self) -> ConnectionUsage {
         ConnectionUsage {
             own: self.connections.borrow().len(),
@@ -156,57 +161,63 @@
         }
     }
 
-    /// Replaces the bytes that one connection had queued in the sum by those that it has now.
+    /// Updates the sum of queued bytes for a connection that had `before` bytes queued and now has `now`.
     pub fn account_queued(&self, before: usize, now: usize) {
         self.queued_bytes.set(self.queued_bytes.get() + now - before);
     }
 
-    /// Whether too much is queued over all connections, and more than an even share of it on one with this backlog, bytes.
+    /// Whether too many bytes are queued over all connections, and `backlog` bytes are more than an even
+    /// share.
     pub fn exceeds_queue_share(&self, backlog: usize) -> bool {
         let max_bytes = self.max_queued_bytes.get();
         self.queued_bytes.get() > max_bytes && backlog * self.connections.borrow().len() > max_bytes
     }
 
-    /// Asks one connection to close that was not asked yet, among those of one protocol or of all: one that only waits for
-    /// its other side to close, the oldest that has brought no message for a while or with many others, or else the one
-    /// that was idle longest. Without it hundreds that send nothing, or that send one request and stay, would shut all routers out.
-    pub fn evict_one(&self, among: EvictionScope, now: f64) -> Eviction {
+    /// Asks a connection within `scope` to close that was not asked yet, chosen in this order:
+    ///
+    /// 1. a connection that only waits for its other side to close,
+    /// 2. the oldest connection without a message, if it is no longer new or there are too many new ones,
+    /// 3. the connection with a message that was idle longest.
+    ///
+    /// Without eviction, hundreds of callers that send nothing, or send one request and stay connected, would
+    /// lock all routers out.
+    pub fn evict_one(&self, scope: EvictionScope, now: f64) -> Eviction {
         let connections = self.connections.borrow();
         let is_candidate =
-            |state: &&Rc<ConnectionState>| among.covers(state) && !state.is_eviction_requested();
+            |state: &&Rc<ConnectionState>| scope.covers(state) && !state.is_eviction_requested();
         let candidates = || connections.values().filter(is_candidate);
         let lingering = || candidates().find(|state| state.is_lingering());
         let silent = || candidates().filter(|state| is_silent(state));
-        let spared = silent().filter(|state| is_new(state, now)).count();
-        let overdue =
-            || silent().next().filter(|state| !is_new(state, now) || spared > MAX_SPARED_CONNECTIONS);
+        let protected = silent().filter(|state| is_new(state, now)).count();
+        let evictable_silent =
+            || silent().next().filter(|state| !is_new(state, now) || protected > MAX_PROTECTED_CONNECTIONS);
         let longest_idle = || {
             let idle = candidates().filter(|state| is_evictable(state, now));
             idle.min_by(|a, b| a.last_active_ms.get().total_cmp(&b.last_active_ms.get()))
         };
-        match lingering().or_else(overdue).or_else(longest_idle) {
+        match lingering().or_else(evictable_silent).or_else(longest_idle) {
             Some(state) => {
                 state.request_eviction();
                 Eviction::Requested
             }
-            None if spared > 0 => Eviction::Deferred,
+            None if protected > 0 => Eviction::Deferred,
             None => Eviction::NoCandidate,
         }
     }
 }
 
-/// Whether a connection has brought no message, and is not over.
+/// Whether a connection has delivered no message and is not lingering.
 fn is_silent(state: &ConnectionState) -> bool {
     !state.received_message.get() && !state.is_lingering()
 }
 
-/// Whether a connection that has brought no message is so new that one may be under way.
+/// Whether a connection without a message is so new that its first message may be in transit.
 fn is_new(state: &ConnectionState, now: f64) -> bool {
     now < state.last_active_ms.get() + NEW_CONNECTION_GRACE_MS
 }
 
-/// Whether a connection that has brought a message has been idle for long enough to be evicted. A go-away notification
-/// does not count as use: what was idle before it may be evicted at once, as without it.
+/// Whether a connection with a message has been idle for long enough to be evicted. A go-away notification
+/// does not count as use: a connection that was idle before the notification may be evicted at once.
 fn is_evictable(state: &ConnectionState, now: f64) -> bool {
     !state.request_in_flight.get() && now >= state.last_active_ms.get() + MIN_IDLE_BEFORE_EVICTION_MS
 }
@@ -220,7 +231,7 @@
 pub struct ListenerGuard(Rc<ConnectionLimiter>);
 
 impl ListenerGuard {
-    /// Counts one more.
+    /// Counts one more listening socket as open.
     pub fn new(limiter: &Rc<ConnectionLimiter>) -> Self {
         limiter.open_listeners.set(limiter.open_listeners.get() + 1);
         ListenerGuard(limiter.clone())
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts the connections of one listening socket, within the limits of the process and of its frontend, and has each
-//! served by a task of its own. It knows nothing of protocols and requests.
+//! Accepts the connections of one listening socket, within the limits of the process and of its frontend, and
+//! spawns a task for each. Independent of protocols and requests.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,30 +23,31 @@
 use crate::server::frontend::shared_backlog::{EvictionPace, MAX_WATCH_WHILE_LEAVING_MS, yield_capacity};
 use crate::server::observability::counters::count;
 
-/// Wait before the next attempt where there is no capacity or no free descriptor, ms.
+/// Wait before the next attempt if there is no capacity or no free descriptor, ms.
 const FULL_RETRY_MS: f64 = 20.0;
-/// A wait for capacity that is logged when it ends, ms. A caller waits in the backlog meanwhile.
+/// Minimum duration of a wait for capacity that is logged when it ends, ms. A caller waits in the backlog
+/// meanwhile.
 const LOGGED_WAIT_MS: f64 = 100.0;
-/// Connections that may wait to be accepted: hundreds come at once, and one that finds no place in the queue tries again
-/// only after a second.
+/// Maximum number of connections that wait to be accepted: hundreds arrive at once, and a caller that finds
+/// the queue full tries again only after a second.
 const ACCEPT_BACKLOG: i32 = 1024;
 
 /// A listening socket. It counts as open until it is dropped, which closes it.
 pub struct Listener {
-    // Dropped in this order: the socket is closed before it no longer counts as open.
+    // Fields are dropped in this order: the socket counts as open until it is closed.
     socket: Async<TcpListener>,
     _open: ListenerGuard,
 }
 
 impl Listener {
-    /// Counts this socket as open in `limiter`.
+    /// Counts `socket` as open in `limiter`.
     pub fn new(socket: Async<TcpListener>, limiter: &Rc<ConnectionLimiter>) -> Self {
         Listener { socket, _open: ListenerGuard::new(limiter) }
     }
 }
 
-/// Listens at an address at which other processes of this user may listen too: one that is started beside this one, and
-/// cannot reach it.
+/// Listens at an address that other processes of this user may share: a successor that cannot connect to this
+/// process for a handover listens at it, too.
 pub fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
@@ -57,8 +58,8 @@
     Ok(socket.into())
 }
 
-/// Accepts connections until the core stops it and none waits to be accepted. `serve` has each, of `max_connections` at a
-/// time, and returns the reason code of its end.
+/// Accepts connections until the core stops accepting and none waits to be accepted. `serve` handles each
+/// connection, at most `max_connections` at a time, and returns the reason code of its end.
 pub async fn listen<F: Future<Output = &'static str> + 'static>(
     protocol: Protocol,
     listener: Listener,
@@ -80,11 +81,11 @@
 
 /// Accepts the connections of one listening socket.
 struct Acceptor {
-    /// The protocol of its connections.
+    /// The protocol of the accepted connections.
     protocol: Protocol,
     listener: Listener,
     max_connections: usize,
-    /// Connections that were accepted here and are not closed.
+    /// Number of connections that were accepted on this socket and are not closed.
     open_connections: Rc<Cell<usize>>,
     /// Since when a connection waits for capacity, Unix ms.
     full_since_ms: Cell<Option<f64>>,
@@ -92,16 +93,17 @@
     executor: Rc<LocalExecutor<'static>>,
 }
 
-/// What ends the wait for capacity.
+/// The event that ends the wait for capacity.
 enum CapacityEvent {
-    /// A connection waits to be accepted, or the core has stopped accepting and those that wait have their last chance.
+    /// A connection waits to be accepted, or the core has stopped accepting and the rest of the backlog is
+    /// accepted now.
     Needed,
-    /// A connection was closed, or none could be waited for.
+    /// The capacity has changed, or waiting for a connection failed.
     Changed,
 }
 
 impl Acceptor {
-    /// One step: breaks when the core has stopped accepting and no connection waits.
+    /// Performs one step; breaks when the core has stopped accepting and no connection waits.
     async fn step<F: Future<Output = &'static str> + 'static>(
         &self,
         serve: &impl Fn(Rc<Async<TcpStream>>, Rc<ConnectionState>) -> F,
@@ -117,10 +119,11 @@
         match self.accept_waiting() {
             Ok(stream) => {
                 self.spawn(stream, serve);
-                // Each gets to read before another is asked to close.
+                // The new connection can read before the next one causes an eviction.
                 future::yield_now().await;
             }
-            // Only waits: when a connection comes, other connections may have taken the capacity that there is now.
+            // Does not accept at once: when a connection arrives, other connections may have taken the
+            // capacity.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return self.next_connection().await,
             Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(error) => {
@@ -137,8 +140,8 @@
         Async::new(stream)
     }
 
-    /// Completes when accepting is switched on, or breaks when the core has stopped it for good. Meanwhile a successor may
-    /// accept on the same socket, and be out of capacity that this process holds.
+    /// Completes when accepting is switched on, or breaks when the core has stopped it permanently. Meanwhile
+    /// a successor may accept on the same socket and lack capacity that connections of this process occupy.
     async fn resumed(&self) -> ControlFlow<()> {
         let resumed = async {
             self.context.status.accepting.wait_for(true).await;
@@ -157,8 +160,9 @@
         future::or(resumed, future::or(stopped, yielding)).await
     }
 
-    /// Closes the listening socket. Where a successor accepts on it, it stays open uncounted for a while: it is the successor's
-    /// now, and shows whether connections wait for capacity that this process holds.
+    /// Closes the listening socket. If a successor accepts on it, the socket stays open for a while but no
+    /// longer counts as open: it belongs to the successor, and it shows whether connections wait for capacity
+    /// that connections of this process occupy.
     async fn close(self) {
         let Listener { socket, _open: open } = self.listener;
         if self.context.status.successor_serves.is_on() {
@@ -175,9 +179,10 @@
         self.context.limiter.is_full() || self.open_connections.get() >= self.max_connections
     }
 
-    /// Waits for capacity, and asks a connection to close for another that waits to be accepted. Descriptors are kept free
-    /// for the links, so connections wait in the backlog until one is closed; none is evicted before one waits, or all
-    /// are to close anyhow.
+    /// Waits for capacity, and asks a connection to close for another that waits to be accepted. Descriptors
+    /// are kept free for the links, so connections wait in the backlog until another is closed. No connection
+    /// is evicted before one waits, unless the core has stopped accepting and all connections are about to
+    /// close.
     async fn make_capacity(&self) {
         let FrontendContext { limiter, clock, observer, .. } = &*self.context;
         if let CapacityEvent::Changed = self.capacity_event().await {
@@ -199,8 +204,8 @@
         }
     }
 
-    /// Logs how long a connection waited for capacity, if that was long: nothing else shows it, as a connection in the
-    /// backlog is known to nobody.
+    /// Logs how long a connection waited for capacity if the wait was long. Nothing else shows this wait, as
+    /// a connection in the backlog is not registered anywhere.
     fn log_wait_for_capacity(&self) {
         let Some(since_ms) = self.full_since_ms.take() else { return };
         let waited_ms = (self.context.clock.now() - since_ms).round();
@@ -228,8 +233,9 @@
         future::or(connecting, future::or(changed, stopped)).await
     }
 
-    /// Completes when a connection waits in the backlog or accepting is paused; breaks when the core has stopped it for good
-    /// and none waits. Those in the backlog come before the end: dropped with the listener, they would be lost.
+    /// Completes when a connection waits in the backlog or accepting is paused; breaks when the core has
+    /// stopped accepting permanently and none waits. The backlog is accepted first: its connections would be
+    /// lost with the listener.
     async fn next_connection(&self) -> ControlFlow<()> {
         let paused = async {
             self.context.status.accepting.wait_for(false).await;
@@ -249,7 +255,7 @@
         future::or(paused, future::or(waiting, stopped)).await
     }
 
-    /// Registers a connection and has it served by a task of its own.
+    /// Registers a connection and spawns a task that serves it.
     fn spawn<F: Future<Output = &'static str> + 'static>(
         &self,
         stream: Async<TcpStream>,
@@ -271,11 +277,11 @@
     }
 }
 
-/// A connection from its registration to the notice of its end.
+/// A registered connection until its end is reported to the core.
 struct AcceptedConnection<F> {
-    /// Unix ms.
+    /// When the connection was accepted, Unix ms.
     accepted_ms: f64,
-    /// Serves the connection, and owns its socket.
+    /// The future that serves the connection and owns its socket.
     served: F,
     state: Rc<ConnectionState>,
     open_connections: Rc<Cell<usize>>,
@@ -285,7 +291,7 @@
 impl<F: Future<Output = &'static str>> AcceptedConnection<F> {
     async fn run(self) {
         let AcceptedConnection { accepted_ms, served, state, open_connections, context } = self;
-        // The socket is closed with it.
+        // The socket is closed when this future has completed.
         let reason = served.await;
         context.limiter.unregister(state.id);
         open_connections.set(open_connections.get() - 1);
--- a/src/server/frontend/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -1,6 +1,7 @@
-//! Connections of callers: [`listener`] accepts them, [`limiter`] bounds them, [`connection`] and [`connection_state`]
-//! carry each of them, and [`rpc`] and [`ajp`] speak their protocols. `shared_backlog` gives capacity to a successor that
-//! accepts in place of this process. [`context`] is what all of them share. Nothing here decides about a request.
+//! Connections of callers: [`listener`] accepts them, [`limiter`] bounds them, [`connection`] and
+//! [`connection_state`] implement a single connection, and [`rpc`] and [`ajp`] speak the protocols.
+//! `shared_backlog` frees capacity for a successor that accepts in place of this process. [`context`] holds
+//! the parts that all connections share. This module makes no decision about a request.
 
 pub mod ajp;
 pub mod connection;
--- a/src/server/frontend/shared_backlog.rs
+++ b/src/server/frontend/shared_backlog.rs
@@ -1,6 +1,7 @@
-//! Gives capacity to the successor of this process. Both count their connections against one limit, and only the successor
-//! accepts: where it is full, it cannot close connections of this process for one that waits in the backlog. What waits
-//! there shows on the listening socket, which both hold. It knows nothing of protocols and requests.
+//! Frees capacity for the successor of this process. Both processes count their connections against one
+//! limit, and only the successor accepts. When it is full, it cannot close connections of this process for a
+//! connection in the backlog. The backlog is visible on the listening socket, which both processes have open.
+//! Independent of protocols and requests.
 
 use std::net::TcpListener;
 
@@ -13,28 +14,31 @@
 use crate::server::frontend::context::FrontendContext;
 use crate::server::frontend::limiter::{Eviction, EvictionScope};
 
-/// Time in which a successor with capacity accepts what is in the backlog, ms.
+/// Time in which a successor with capacity accepts the connections in the backlog, ms.
 const ACCEPT_TIME_MS: f64 = 20.0;
-/// Between two rounds of evictions, ms: in it connections close, the successor hears of it and accepts.
+/// Time between two rounds of evictions, ms. In this time connections close and the successor is notified and
+/// accepts.
 const ROUND_MS: f64 = 20.0;
 
-/// How long a process that was told to leave watches the backlog, ms: by then its idle connections are closed, lingering
-/// included. It must not hold the listening socket for its whole life: where the successor is told to leave as well and has
-/// closed its own, what connects then has to be refused, not left to wait for nobody.
+/// How long a terminating process watches the backlog, ms. By then its idle connections are closed, lingering
+/// included. The process must not keep the listening socket until its end: if the successor terminates as
+/// well and has closed its socket, new connections have to be refused, not left waiting in a backlog that no
+/// process accepts from.
 pub const MAX_WATCH_WHILE_LEAVING_MS: f64 = GO_AWAY_TIMEOUT_MS + LINGER_MS;
 
-/// How many connections are evicted in one round at most. Rounds begin with one, as one is often enough, and double up to
-/// this, as a caller waits while they go on.
+/// Maximum number of connections that are evicted in one round. The first round evicts one, as one is often
+/// enough; the number then doubles up to this maximum, as a caller waits during the rounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionPace {
-    /// Callers use this process: a successor that stands still looks like a full one, and must not draw them all to it.
+    /// Callers use this process. A successor that hangs looks like a full successor and must not attract all
+    /// callers.
     Serving = 1,
-    /// Callers are told to go: what is evicted would leave in a moment.
+    /// Callers are asked to disconnect: the evicted connections would close shortly anyway.
     Leaving = 64,
 }
 
-/// Evicts connections of this process, as it would for its own listener, whenever one waits in the backlog of `listener`
-/// and the successor does not accept it. Does not complete while the successor serves.
+/// Evicts connections of this process, as for its own listener, whenever a connection waits in the backlog of
+/// `listener` and the successor does not accept it. Does not complete while the successor serves.
 pub async fn yield_capacity(listener: &Async<TcpListener>, context: &FrontendContext, pace: EvictionPace) {
     let watch = async {
         while listener.readable().await.is_ok() {
