--- a/src/server/frontend/connection/mod.rs
+++ b/src/server/frontend/connection/mod.rs
@@ -1,6 +1,7 @@
-//! One caller's connection, the same for every protocol: its [`ReadHalf`], its [`WriteHalf`], and the one way in which it
-//! ends. No more is taken in, what was read is answered, output is flushed, the writing half is shut down, what still
-//! comes is read and discarded within bounds, then the socket is closed. It knows nothing of protocols and requests.
+//! One caller's connection, the same for every protocol: its [`ReadHalf`], its [`WriteHalf`], and the order
+//! in which it ends. Reading stops, the requests that were read are answered, output is flushed, the write
+//! half is shut down, further input is read and discarded within bounds, then the socket is closed.
+//! Independent of protocols and requests.
 
 mod read_half;
 mod write_half;
@@ -17,42 +18,46 @@
 use crate::server::frontend::connection_state::ConnectionState;
 use crate::server::frontend::context::FrontendContext;
 
-/// How long, ms, and for how many bytes, what comes after the writing half was shut down is read and discarded. A close
-/// over unread bytes is a reset, and takes answers along that the other side has not read yet.
+/// Bounds, in ms and in bytes, on reading and discarding input after the write half was shut down. Closing a
+/// socket with unread bytes resets the connection, which destroys answers that the other side has not read
+/// yet.
 pub const LINGER_MS: f64 = 1000.0;
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// The same where the process is about to end, ms: within what the core leaves between the last answers and the end.
+/// Bound in ms while the process is about to end: within the time that the core leaves between the last
+/// answers and the end.
 const FINAL_LINGER_MS: f64 = 60.0;
-/// Bytes that are discarded at a time.
+/// Number of bytes that are discarded at a time.
 const DISCARD_CHUNK_BYTES: usize = 4096;
 
-/// Why nothing more is taken in on a connection, with the reason code of its end where there are several.
+/// Why reading from a connection has stopped, with the reason code of its end if there are several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// What was read is answered, then the connection ends in order.
+    /// The requests that were read are answered, then the connection ends in order.
     Graceful(&'static str),
-    /// The same, as the other side sends nothing more.
+    /// As [`CloseReason::Graceful`], because the other side sends nothing more.
     PeerClosed,
-    /// The same, as the process is about to end.
+    /// As [`CloseReason::Graceful`], because the process is about to end.
     Finishing,
-    /// What came breaks the protocol. What was read before it fails at once, and the connection ends in order.
+    /// The input violates the protocol. Requests that were read before it fail at once, and the connection
+    /// ends in order.
     ProtocolError(&'static str),
-    /// Nothing was in flight, nothing unread, and the writing half is shut down already.
+    /// No request was in flight, no input was unread, and the write half is already shut down.
     WriteClosed(&'static str),
-    /// Nobody is there to be answered.
+    /// The other side is gone, and no answer can be delivered.
     PeerGone(&'static str),
 }
 
 /// Why the writer has stopped.
 enum WriterEnd {
-    /// Everything was written, or nothing is owed.
+    /// All answers were written, or none was pending.
     Flushed(&'static str),
-    /// Nobody reads what is owed.
+    /// The other side does not read the pending answers.
     Aborted(&'static str),
 }
 
-/// Runs a connection from its first byte to its end. `reading` takes messages in until it says why it stops; `is_idle`
-/// tells whether no answer is owed. Returns the reason code of the end.
+/// Runs a connection from its first byte to its end. `reading` reads messages and completes with the reason
+/// why it stops;
+/// `is_idle` returns whether no answer is pending. Returns the reason code of the end.
 pub async fn run(
     stream: &Async<TcpStream>,
     state: &ConnectionState,
@@ -96,7 +101,7 @@
     }
 }
 
-/// Shuts the writing half down and discards what still comes, until the other side closes or a bound is reached.
+/// Shuts the write half down and discards further input until the other side closes or a bound is reached.
 async fn linger(stream: &Async<TcpStream>, state: &ConnectionState, context: &FrontendContext) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     state.set_lingering();
@@ -110,7 +115,7 @@
     future::or(discard(stream, MAX_LINGER_BYTES), bound).await;
 }
 
-/// Reads and discards what comes, until the other side closes or has sent `max_bytes`.
+/// Reads and discards input until the other side closes or has sent `max_bytes`.
 pub async fn discard(mut stream: &Async<TcpStream>, max_bytes: usize) {
     let mut chunk = [0; DISCARD_CHUNK_BYTES];
     let mut remaining = max_bytes;
--- a/src/server/frontend/connection/read_half.rs
+++ b/src/server/frontend/connection/read_half.rs
@@ -1,4 +1,4 @@
-//! The reading half of a connection: bytes as they come, and what ends the wait for them.
+//! The read half of a connection: reads bytes, and handles the events that end the wait for them.
 
 use std::future::Future;
 use std::io;
@@ -13,28 +13,28 @@
 use crate::server::frontend::connection_state::ConnectionState;
 use crate::server::frontend::context::FrontendContext;
 
-/// Bytes that are read at a time.
+/// Maximum number of bytes that are read at a time.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// The reading half of a connection.
+/// The read half of a connection.
 pub struct ReadHalf {
     stream: Rc<Async<TcpStream>>,
     state: Rc<ConnectionState>,
     context: Rc<FrontendContext>,
-    /// Bytes that were read and belong to no complete message yet.
+    /// Bytes that were read and do not form a complete message yet.
     pub bytes: Vec<u8>,
-    /// Completes when the connection should close. It is kept from one read to the next, so that its timers are set anew only
-    /// where their time has changed.
+    /// Completes when the connection should close. The future is kept from one read to the next, so that its
+    /// timers are set again only if their time has changed.
     close_signal: CloseSignal,
 }
 
 type CloseSignal = Pin<Box<dyn Future<Output = ReadEvent>>>;
 
-/// What ends the wait for bytes.
+/// The event that ends the wait for bytes.
 enum ReadEvent {
-    /// So many bytes were read, none at the end of the stream.
+    /// The number of bytes that were read; 0 at the end of the stream.
     Read(io::Result<usize>),
-    /// The message that has begun was not complete in time.
+    /// A partial message was not completed in time.
     TimedOut,
     /// The connection should close if it is idle, for this reason.
     CloseDue(&'static str),
@@ -57,7 +57,7 @@
 }
 
 impl ReadHalf {
-    /// The reading half of a connection of which nothing was read.
+    /// The read half of a connection from which nothing was read yet.
     pub fn new(
         stream: Rc<Async<TcpStream>>,
         state: Rc<ConnectionState>,
@@ -67,8 +67,8 @@
         ReadHalf { stream, state, context, bytes: Vec::new(), close_signal }
     }
 
-    /// Appends more bytes to [`ReadHalf::bytes`]. With `deadline_ms`, Unix ms, the wait for them ends then: a message has
-    /// begun that must be complete. Whatever ends the wait, what had come before it is read first.
+    /// Appends more bytes to [`ReadHalf::bytes`]. `deadline_ms`, Unix ms, limits the wait: a partial message
+    /// must be complete by then. Bytes that arrive before the event that ends the wait are always read first.
     pub async fn read_more(
         &mut self,
         writer: &WriteHalf,
@@ -76,7 +76,7 @@
     ) -> Result<(), CloseReason> {
         self.state.partial_message.set(!self.bytes.is_empty());
         if self.bytes.is_empty() {
-            // A buffer that keeps its peak is memory for as long as the connection stays.
+            // Frees the buffer: otherwise its peak capacity would stay allocated until the connection closes.
             self.bytes = Vec::new();
         }
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -109,13 +109,14 @@
         };
         let mut stream = &*self.stream;
         let read = async { ReadEvent::Read(stream.read(chunk).await) };
-        // Reading comes first: it tries the socket at each turn.
+        // Reading is polled first, so that bytes in the socket take precedence over the other events.
         future::or(read, future::or(timed_out, &mut self.close_signal)).await
     }
 
-    /// Shuts the writing half down, which is an `Err`, unless something came meanwhile. Between the look at the socket and
-    /// the shutdown nothing else happens: what the other side wrote before it is read, what it writes after it finds
-    /// the connection shut down and is sent again elsewhere.
+    /// Shuts the write half down and returns `Err`, unless more input has arrived. Nothing else runs between
+    /// the check of the socket and the shutdown: input that the other side wrote before is read, and input
+    /// that it writes later meets a connection that is shut down, so that the other side sends it again to
+    /// another server.
     async fn shut_down_if_quiet(&self, reason: &'static str, writer: &WriteHalf) -> Result<(), CloseReason> {
         writer.flushed().await;
         let socket = self.stream.get_ref();
--- a/src/server/frontend/connection/write_half.rs
+++ b/src/server/frontend/connection/write_half.rs
@@ -1,5 +1,5 @@
-//! The writing half of a connection: its bounded queue of bytes, the writer that empties it, and the limits on readers
-//! that are too slow.
+//! The write half of a connection: its bounded queue of bytes, the writer that empties the queue, and the
+//! limits on slow readers.
 
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -14,22 +14,22 @@
 use crate::server::sync::{Latch, Notify};
 use crate::server::write_buffer::WriteBuffer;
 
-/// Queued bytes past which a connection is not read.
+/// Number of queued bytes above which nothing is read from the connection.
 const PAUSE_READING_AT_BYTES: usize = 64 * 1024;
-/// Queued bytes past which a connection is given up: its reader is too slow.
+/// Number of queued bytes above which the connection is aborted because its reader is too slow.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
-/// Time without progress of a writer that has something to write, after which the connection is given up, ms.
+/// Time without progress, while bytes are queued, after which the connection is aborted, ms.
 const WRITE_STALL_TIMEOUT_MS: f64 = 15_000.0;
-/// Interval of the checks of a queue that is too long, ms.
+/// Interval at which a queue that is too long is checked, ms.
 const BACKLOG_POLL_MS: f64 = 20.0;
 
-/// The writing half of a connection.
+/// The write half of a connection.
 pub struct WriteHalf {
     buffer: WriteBuffer,
     context: Rc<FrontendContext>,
-    /// Queued bytes that the limiter has been told of.
+    /// Number of queued bytes that were reported to the limiter.
     accounted_bytes: Cell<usize>,
-    /// Opened when what is queued has reached a limit.
+    /// Opened when the queued bytes have reached a limit.
     reader_too_slow: Latch,
     flushed: Notify,
     /// The reason code of the end, once the connection is to end.
@@ -37,7 +37,7 @@
 }
 
 impl WriteHalf {
-    /// A writing half with an empty queue.
+    /// A write half with an empty queue.
     pub fn new(context: Rc<FrontendContext>) -> Self {
         WriteHalf {
             buffer: WriteBuffer::default(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Queues the bytes that `fill` appends. Past the limits nothing is queued, and the connection ends.
+    /// Queues the bytes that `fill` appends. Above the limits nothing is queued, and the connection ends.
     pub fn push(&self, fill: impl FnOnce(&mut Vec<u8>)) {
         let backlog = self.buffer.backlog();
         if backlog > MAX_QUEUED_BYTES || self.context.limiter.exceeds_queue_share(backlog) {
@@ -70,20 +70,21 @@
         }
     }
 
-    /// Completes when all that was queued is with the system. [`WriteHalf::run`] ends a connection whose reader stalls.
+    /// Completes when all queued bytes were passed to the system. [`WriteHalf::run`] ends a connection whose
+    /// reader stalls.
     pub(super) async fn flushed(&self) {
         while self.buffer.backlog() > 0 {
             self.flushed.wait().await;
         }
     }
 
-    /// Ends the connection, for this reason, once no answer is owed and all is written.
+    /// Ends the connection with this reason code once no answer is pending and all queued bytes are written.
     pub(super) fn end(&self, reason: &'static str) {
         self.end_reason.set(self.end_reason.get().or(Some(reason)));
         self.buffer.wake();
     }
 
-    /// Writes what is queued until the connection ends.
+    /// Writes the queued bytes until the connection ends.
     pub(super) async fn run(&self, stream: &Async<TcpStream>, is_idle: impl Fn() -> bool) -> WriterEnd {
         loop {
             if let Err(reason) = self.flush(stream).await {
@@ -97,10 +98,10 @@
         }
     }
 
-    /// Waits for bytes and writes them; in `Err` the reason code of a connection that cannot go on.
+    /// Waits for bytes and writes them. `Err` holds the reason code if the connection has to be aborted.
     async fn flush(&self, stream: &Async<TcpStream>) -> Result<(), &'static str> {
-        // A write that nobody reads never returns: what ends the connection must not wait for it, or its requests would
-        // go on being read and their answers dropped.
+        // A write that the other side never reads does not complete. The end of the connection must not wait
+        // for it: otherwise more requests would be read and their answers dropped.
         let too_slow = async {
             self.reader_too_slow.wait().await;
             Err("reader-too-slow")
@@ -113,7 +114,7 @@
         future::or(too_slow, future::or(flushed, stalled)).await
     }
 
-    /// Completes when nothing was written for the time of the timeout though something was queued.
+    /// Completes when nothing was written for the stall timeout although bytes were queued.
     async fn stalled(&self) {
         let mut previous_backlog = self.buffer.backlog();
         loop {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Tells the limiter how many bytes are queued here.
+    /// Reports the number of queued bytes to the limiter.
     fn account(&self) {
         self.set_accounted(self.buffer.backlog());
     }
--- a/src/server/frontend/rpc/connection.rs
+++ b/src/server/frontend/rpc/connection.rs
@@ -1,5 +1,5 @@
-//! One router's connection: reads its messages in order, hands requests to the core and writes the answers. It owns the
-//! connection's requests in flight and its message ids.
+//! One router's connection: reads its messages in order, passes requests to the core and writes the answers.
+//! It owns the connection's requests in flight and its message ids.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -39,10 +39,10 @@
     connection::run(&stream, &connection.state, &context, &connection.writer, reading, is_idle).await
 }
 
-/// Reads messages until there is a reason to take in no more.
+/// Reads messages until reading has to stop; returns the reason.
 async fn read_messages(reader: &mut ReadHalf, connection: &Rc<Connection>) -> CloseReason {
     let clock = &connection.context.clock;
-    // When the message began of which only a part has come.
+    // When the first part of the current partial message was received.
     let mut partial_since_ms: Option<f64> = None;
     loop {
         let deadline_ms = partial_since_ms.map(|began_ms| began_ms + MESSAGE_TIMEOUT_MS);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Handles each message that is complete, and returns their number.
+/// Handles all complete messages; returns their number.
 async fn handle_buffered(reader: &mut ReadHalf, connection: &Rc<Connection>) -> Result<usize, ProtocolError> {
     let context = &connection.context;
     let mut handled = 0;
@@ -81,7 +81,7 @@
     state: Rc<ConnectionState>,
     context: Rc<FrontendContext>,
     writer: WriteHalf,
-    /// Message ids of the requests that are not answered.
+    /// Message ids of the unanswered requests.
     in_flight: RefCell<BTreeSet<u64>>,
     last_message_id: Cell<u64>,
 }
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Message ids have to count upward.
+    /// Accepts a message id, which has to be greater than the previous one.
     fn accept_message_id(&self, id: u64) -> Result<(), ProtocolError> {
         self.state.count_read();
         if id <= self.last_message_id.replace(id) { Err(ProtocolError::MessageIdOrder) } else { Ok(()) }
@@ -127,7 +127,7 @@
         self.writer.push(|out| write_pong(out, id, healthy, fields));
     }
 
-    /// Hands a request to the core.
+    /// Passes a request to the core.
     async fn submit(self: &Rc<Self>, id: u64, request: Request) -> Result<(), ProtocolError> {
         if self.in_flight.borrow().len() >= MAX_IN_FLIGHT_REQUESTS {
             return Err(ProtocolError::TooManyInFlight);
@@ -153,14 +153,14 @@
         Ok(())
     }
 
-    /// Takes a request off those in flight; tells whether it was one of them.
+    /// Removes a request from the requests in flight; returns whether it was in flight.
     fn finish(&self, id: u64) -> bool {
         let was_in_flight = self.in_flight.borrow_mut().remove(&id);
         self.state.request_in_flight.set(!self.in_flight.borrow().is_empty());
         was_in_flight
     }
 
-    /// The fields that go with every response.
+    /// The fields that are sent with every response.
     fn response_fields(&self) -> ResponseFields {
         ResponseFields { hint: self.context.status.load_report.get(), ..ResponseFields::default() }
     }
@@ -176,7 +176,7 @@
     }
 
     fn answer(&self, correlation_id: u64, reply: &Reply) {
-        // A request that was cancelled gets no answer, and none gets two.
+        // A cancelled request gets no answer, and no request gets two answers.
         if !self.finish(correlation_id) {
             return;
         }
--- a/src/server/frontend/rpc/message.rs
+++ b/src/server/frontend/rpc/message.rs
@@ -1,14 +1,14 @@
-//! What routers send: MessagePack-RPC requests (type 0) and notifications (type 2), checked and translated into the
-//! program's own terms. It holds no state of a connection.
+//! Parsing of messages from routers: MessagePack-RPC requests (type 0) and notifications (type 2) are
+//! validated and translated into internal types. Stateless.
 
 use super::msgpack::{self, DecodeError, Value};
 use super::{MAX_BODY_BYTES, MAX_WORK_HINT_MULTIPLE, REQUEST_MEMORY_LIMIT_KB};
 use crate::admission::Idempotency;
 use crate::config::site::Site;
 
-/// Hexadecimal digits of an attempt id.
+/// Number of hexadecimal digits of an attempt id.
 const ATTEMPT_ID_DIGITS: usize = 16;
-/// Longest idempotency key or subject, bytes.
+/// Maximum length of an idempotency key or subject, bytes.
 const MAX_KEY_BYTES: usize = 64;
 
 /// MessagePack-RPC message types.
@@ -25,22 +25,22 @@
     pub const IDEMPOTENCY_KEY: &str = "token";
     pub const SUBJECT: &str = "obj";
     pub const TENANT: &str = "acct";
-    /// Not used here, but checked.
+    /// Validated, but not used.
     pub const PRIORITY: &str = "prio";
-    /// Not used here, but checked.
+    /// Validated, but not used.
     pub const PEER: &str = "peer";
 }
 
-/// Why what came on a connection breaks the protocol. The connection cannot go on after it.
+/// Why the input of a connection violates the protocol. The connection ends after such an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// The bytes are no MessagePack of this protocol.
+    /// The bytes are not valid MessagePack of this protocol.
     Decode(DecodeError),
-    /// Well-formed MessagePack that is no message of this protocol.
+    /// Well-formed MessagePack that is not a message of this protocol.
     InvalidMessage,
-    /// A message id that is not greater than the one before it.
+    /// A message id that is not greater than the previous one.
     MessageIdOrder,
-    /// More requests in flight than one connection may have.
+    /// More requests in flight than allowed on one connection.
     TooManyInFlight,
 }
 
@@ -65,14 +65,15 @@
     }
 }
 
-/// Why a well-framed request cannot be used. It is answered with an error, and the connection goes on.
+/// Why a well-framed request is invalid. The request is answered with an error, and the connection stays
+/// open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// No class of this name takes requests.
+    /// No class of this name accepts requests.
     UnknownClass,
     /// The body is too long.
     BodyTooLong,
-    /// A field is missing, given twice, not of its form or out of its range.
+    /// A field is missing, given twice, malformed or out of range.
     InvalidField,
 }
 
@@ -94,7 +95,7 @@
     Request {
         /// Message id.
         id: u64,
-        /// What was asked for, if it can be used.
+        /// The contents of the request, if they are valid.
         request: Result<Box<Request>, InvalidRequest>,
     },
     /// A health check.
@@ -109,20 +110,20 @@
     },
 }
 
-/// The contents of a request, before it is tied to a connection.
+/// The contents of a request, not yet associated with a connection.
 #[derive(Debug)]
 pub struct Request {
-    /// Names the attempt; 16 hexadecimal digits.
+    /// Identifies the attempt; 16 hexadecimal digits.
     pub attempt_id: String,
     /// Index of the class.
     pub class: usize,
     /// When the request reached the machine, Unix ms.
     pub arrived_ms: f64,
-    /// Marked as a retry.
+    /// Whether the request is marked as a retry.
     pub retry: bool,
     /// The caller's estimate of the work, ms.
     pub work_hint_ms: Option<f64>,
-    /// Memory while the request is held, kB.
+    /// Memory reserved while the request is pending, kB.
     pub memory_kb: f64,
     /// The idempotency key, in classes that need one.
     pub idempotency_key: Option<String>,
@@ -130,11 +131,11 @@
     pub subject: Option<String>,
     /// Index of the tenant.
     pub tenant: Option<usize>,
-    /// The work itself.
+    /// The work to be run.
     pub body: Vec<u8>,
 }
 
-/// Removes the first message from `input` and returns it, or `None` while it is not complete.
+/// Removes the first message from `input` and returns it, or `None` if it is incomplete.
 pub fn take_message(input: &mut Vec<u8>, site: &Site, now_ms: f64) -> Result<Option<Message>, ProtocolError> {
     let Some((value, length)) = msgpack::decode(input)? else { return Ok(None) };
     let message = parse_message(&value, site, now_ms)?;
@@ -167,8 +168,8 @@
     }
 }
 
-/// Every field has to be valid, also those that nothing here uses. What is out of range is rejected and not clamped: it
-/// would book memory and work that nobody asked for.
+/// Every field has to be valid, including unused fields. Values out of range are rejected and not clamped: a
+/// clamped value would reserve memory and work that the router did not ask for.
 fn parse_request(
     method: &str,
     fields: &Fields<'_>,
@@ -208,7 +209,7 @@
 struct Fields<'a>(&'a [(Value<'a>, Value<'a>)]);
 
 impl<'a> Fields<'a> {
-    /// The field of this name, if it is there. It is invalid if it is given twice or is no string.
+    /// The field of this name, if present. A field that is given twice or is not a string is invalid.
     fn text(&self, name: &str) -> Result<Option<&'a str>, InvalidRequest> {
         let mut found = self.0.iter().filter(|(key, _)| *key == Value::Str(name));
         match (found.next(), found.next()) {
@@ -218,14 +219,14 @@
         }
     }
 
-    /// A number of 0 or more in decimal notation.
+    /// A field with a number of at least 0 in decimal notation.
     fn number(&self, name: &str) -> Result<Option<f64>, InvalidRequest> {
         let Some(text) = self.text(name)? else { return Ok(None) };
         let number = text.parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0);
         number.map(Some).ok_or(InvalidRequest::InvalidField)
     }
 
-    /// A number from `min` up to, but not including, `limit`.
+    /// A field with a number from `min` up to, but not including, `limit`.
     fn number_in(&self, name: &str, min: f64, limit: f64) -> Result<Option<f64>, InvalidRequest> {
         let number = self.number(name)?;
         if number.is_none_or(|value| value >= min && value < limit) {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// A string of 1 to 64 bytes.
+    /// A field with a string of 1 to 64 bytes.
     fn key(&self, name: &str) -> Result<Option<&'a str>, InvalidRequest> {
         let text = self.text(name)?;
         if text.is_none_or(|key| (1..=MAX_KEY_BYTES).contains(&key.len())) {
--- a/src/server/frontend/rpc/mod.rs
+++ b/src/server/frontend/rpc/mod.rs
@@ -1,6 +1,6 @@
-//! The MessagePack-RPC frontend for routers. `msgpack` decodes and encodes values, `message` parses what routers
-//! send, `response` writes what they get, and `connection` carries one connection. It decides nothing about a
-//! request: each valid one goes to the core.
+//! The MessagePack-RPC frontend for routers. `msgpack` decodes and encodes values, `message` parses the
+//! messages of routers, `response` writes the answers, and `connection` handles one connection. The frontend
+//! decides nothing about a request: every valid request goes to the core.
 
 mod connection;
 mod message;
@@ -9,15 +9,15 @@
 
 pub use connection::serve;
 
-/// Longest body of a request, bytes.
+/// Maximum length of a request body, bytes.
 pub const MAX_BODY_BYTES: usize = 2048;
-/// Longest message, bytes: the longest body and ample fields.
+/// Maximum length of a message, bytes: the longest body and 4096 bytes for the fields.
 const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 4096;
-/// Nesting of a message: the message, its parameters, its fields, their names.
+/// Maximum nesting depth of a message: the message, its parameters, its fields, their names.
 const MAX_NESTING_DEPTH: u32 = 4;
-/// The memory that a request books while it is held has to be below this, kB.
+/// Exclusive upper bound of the memory that is reserved for a pending request, kB.
 pub const REQUEST_MEMORY_LIMIT_KB: f64 = 2000.0;
-/// A hint of work has to be below this multiple of the timeout of its class.
+/// Exclusive upper bound of a work hint, as a multiple of the timeout of its class.
 pub const MAX_WORK_HINT_MULTIPLE: f64 = 100.0;
-/// Requests that may be in flight on one connection.
+/// Maximum number of requests in flight on one connection.
 const MAX_IN_FLIGHT_REQUESTS: usize = 32;
--- a/src/server/frontend/rpc/msgpack.rs
+++ b/src/server/frontend/rpc/msgpack.rs
@@ -1,9 +1,10 @@
-//! Decoding and encoding of the part of [MessagePack](https://github.com/msgpack/msgpack/blob/master/spec.md) that the
-//! protocol uses: no negative numbers, no floats, no extension types. It knows nothing of messages or connections.
+//! Decoding and encoding of the part of [MessagePack](https://github.com/msgpack/msgpack/blob/master/spec.md)
+//! that the protocol uses: no negative numbers, no floats, no extension types. Independent of messages and
+//! connections.
 
 use super::{MAX_MESSAGE_BYTES, MAX_NESTING_DEPTH};
 
-/// A decoded value, borrowed from the bytes that it was read from.
+/// A decoded value that borrows from the encoded bytes.
 #[derive(Debug, PartialEq)]
 pub enum Value<'a> {
     /// Nil.
@@ -18,7 +19,7 @@
     Bin(&'a [u8]),
     /// An array.
     Array(Vec<Value<'a>>),
-    /// A map, as pairs in the order of the wire.
+    /// A map, as pairs in wire order.
     Map(Vec<(Value<'a>, Value<'a>)>),
 }
 
@@ -31,11 +32,12 @@
     TooLong,
     /// The value is nested too deeply.
     TooDeep,
-    /// A type that no message holds, or a string that is not UTF-8.
+    /// A type that messages do not use, or a string that is not UTF-8.
     InvalidType,
 }
 
-/// Decodes the value at the start of `input`: the value and its encoded length, or `None` while it is not complete.
+/// Decodes the value at the start of `input`. Returns the value and its encoded length, or `None` if it is
+/// incomplete.
 pub fn decode(input: &[u8]) -> Result<Option<(Value<'_>, usize)>, DecodeError> {
     let mut decoder = Decoder { rest: input };
     let decoded = decoder.value(MAX_NESTING_DEPTH);
@@ -54,7 +56,7 @@
 }
 
 impl<'a> Decoder<'a> {
-    /// One value, which may hold others down to this depth.
+    /// Decodes one value, in which values may be nested up to this depth.
     fn value(&mut self, depth: u32) -> Result<Value<'a>, DecodeError> {
         if depth == 0 {
             return Err(DecodeError::TooDeep);
@@ -97,7 +99,7 @@
         Ok(head)
     }
 
-    /// A big-endian integer of so many bytes, 8 at most.
+    /// Decodes a big-endian integer of `bytes` bytes, at most 8.
     fn integer(&mut self, bytes: usize) -> Result<u64, DecodeError> {
         Ok(self.bytes(bytes)?.iter().fold(0, |sum, byte| (sum << 8) | u64::from(*byte)))
     }
@@ -129,17 +131,18 @@
     }
 }
 
-/// Bounds an announced number of items: each takes one byte at least. Memory is taken only for those that are there.
+/// Bounds an announced number of items, each of which takes at least one byte. Memory is allocated only for
+/// items that are present.
 fn check_count(count: usize) -> Result<(), DecodeError> {
     if count > MAX_MESSAGE_BYTES { Err(DecodeError::TooLong) } else { Ok(()) }
 }
 
-/// Appends the header of an array of fewer than 16 items, which follow.
+/// Appends the header of an array of fewer than 16 items.
 pub fn write_array_header(out: &mut Vec<u8>, count: u8) {
     out.push(0x90 | count);
 }
 
-/// Appends the header of a map of fewer than 16 pairs, which follow.
+/// Appends the header of a map of fewer than 16 pairs.
 pub fn write_map_header(out: &mut Vec<u8>, count: u8) {
     out.push(0x80 | count);
 }
--- a/src/server/frontend/rpc/response.rs
+++ b/src/server/frontend/rpc/response.rs
@@ -1,5 +1,5 @@
-//! What goes to routers: MessagePack-RPC responses (type 1) and one notification (type 2). It holds no state of a
-//! connection.
+//! Encoding of messages to routers: MessagePack-RPC responses (type 1) and one notification (type 2).
+//! Stateless.
 
 use super::msgpack::{
     write_array_header, write_bin, write_bool, write_map_header, write_nil, write_str, write_uint,
@@ -12,11 +12,11 @@
 /// The optional fields of a response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseFields {
-    /// The load hint that goes with every response; written with four decimals.
+    /// The load hint that is sent with every response; written with four decimals.
     pub hint: Option<f64>,
     /// How long the router should stay away, ms; written as whole ms, rounded up.
     pub retry_after_ms: Option<f64>,
-    /// The router should not try elsewhere.
+    /// Whether the router should not try another server.
     pub is_final: bool,
 }
 
@@ -45,7 +45,7 @@
     fields.write(out);
 }
 
-/// Appends the response to a request that was not served: the error's name.
+/// Appends the response to a request that was not served, with the name of the error.
 pub fn write_error(out: &mut Vec<u8>, id: u64, error: &str, fields: ResponseFields) {
     write_header(out, id);
     write_array_header(out, 2);
@@ -63,7 +63,7 @@
     fields.write(out);
 }
 
-/// Appends the notification that no new request should come on this connection.
+/// Appends the notification that the router should send no new request on this connection.
 pub fn write_go_away(out: &mut Vec<u8>) {
     write_array_header(out, 3);
     write_uint(out, NOTIFICATION);
@@ -71,7 +71,7 @@
     write_array_header(out, 0);
 }
 
-/// Appends a response up to its error.
+/// Appends the part of a response before its error.
 fn write_header(out: &mut Vec<u8>, id: u64) {
     write_array_header(out, 4);
     write_uint(out, RESPONSE);
