--- a/src/server/frontend/ajp/connection.rs
+++ b/src/server/frontend/ajp/connection.rs
@@ -1,5 +1,5 @@
-//! One web server's connection: one request at a time, from its head over its body to its answer. It owns the
-//! connection's packets and the request that waits for its answer.
+//! One web server's connection: handles one request at a time, from its head and its body to its answer. It
+//! owns the connection's packets and the unanswered request.
 
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -37,8 +37,8 @@
     });
     let _ = context.queue.send(CoreInput::ConnectionOpened(connection.clone())).await;
     let reader = ReadHalf::new(stream.clone(), connection.state.clone(), context.clone());
-    let mut conversation = Conversation { reader, connection: connection.clone(), options };
-    let reading = conversation.run();
+    let mut request_reader = RequestReader { reader, connection: connection.clone(), options };
+    let reading = request_reader.run();
     let is_idle = || connection.in_flight.get().is_none();
     connection::run(&stream, &connection.state, &context, &connection.writer, reading, is_idle).await
 }
@@ -53,16 +53,16 @@
 
 /// Why a request does not reach the core.
 enum RequestError {
-    /// It is answered with this status. Unless the connection may be reused it ends, as the rest of the body may be on its
-    /// way and nothing after it could be made out.
+    /// The request is answered with this status. The connection ends unless it may be reused: the rest of the
+    /// body may still arrive, and no packet after it could be interpreted.
     Status(HttpStatus, Reuse),
     /// The connection ends.
     Close(CloseReason),
 }
 
 impl RequestError {
-    /// The status of a request after which the connection ends.
-    fn last(status: HttpStatus) -> Self {
+    /// Answers a request with this status and ends the connection.
+    fn final_status(status: HttpStatus) -> Self {
         RequestError::Status(status, Reuse::Denied)
     }
 }
@@ -85,18 +85,18 @@
     }
 }
 
-/// The reading side of a connection: takes packets in, one request after the other.
-struct Conversation {
+/// The reading side of a connection: reads packets and handles one request after the other.
+struct RequestReader {
     reader: ReadHalf,
     connection: Rc<Connection>,
     options: Rc<Options>,
 }
 
-impl Conversation {
-    /// Reads packets until there is a reason to take in no more.
+impl RequestReader {
+    /// Reads packets until reading has to stop; returns the reason.
     async fn run(&mut self) -> CloseReason {
         loop {
-            if let Err(reason) = self.next().await {
+            if let Err(reason) = self.handle_next_packet().await {
                 return reason;
             }
             self.connection.writer.ready().await;
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Handles one packet, and the request that it begins if it begins one.
-    async fn next(&mut self) -> Result<(), CloseReason> {
-        let payload = self.packet(None).await?;
+    /// Handles one packet and, if it starts a request, the whole request.
+    async fn handle_next_packet(&mut self) -> Result<(), CloseReason> {
+        let payload = self.read_packet(None).await?;
         let connection = self.connection.clone();
         let FrontendContext { limiter, clock, .. } = &*connection.context;
         limiter.message_received(&connection.state, clock.now());
@@ -116,7 +116,7 @@
                 connection.writer.push(write_cpong);
                 Ok(())
             }
-            // Anyone who can connect could send it; SIGTERM is the way to stop this process.
+            // Ignored: anyone who can connect could send it. SIGTERM is the way to stop this process.
             Some(&code::SHUTDOWN) => Ok(()),
             Some(&code::FORWARD_REQUEST) => {
                 connection.state.request_in_flight.set(true);
@@ -132,9 +132,9 @@
         }
     }
 
-    /// The payload of the next packet. One that has begun must be complete in time; with `deadline_ms` the wait for it ends
-    /// then too.
-    async fn packet(&mut self, deadline_ms: Option<f64>) -> Result<Vec<u8>, CloseReason> {
+    /// Reads the next packet and returns its payload. A partial packet must be completed in time;
+    /// `deadline_ms` limits the wait, too.
+    async fn read_packet(&mut self, deadline_ms: Option<f64>) -> Result<Vec<u8>, CloseReason> {
         let mut deadline_ms = deadline_ms;
         loop {
             if let Some(payload) = take_packet(&mut self.reader.bytes)? {
@@ -147,13 +147,13 @@
         }
     }
 
-    /// One request from its head to its answer.
+    /// Handles one request from its head to its answer.
     async fn request(&mut self, payload: &[u8]) -> Result<(), CloseReason> {
         match self.receive(payload).await {
             Ok(request) => {
                 let correlation_id = request.correlation_id;
                 self.connection.submit(request, &self.options).await;
-                self.answer_written(correlation_id).await
+                self.await_answer(correlation_id).await
             }
             Err(RequestError::Status(status, reuse)) => self.connection.reject(status, reuse),
             Err(RequestError::Close(reason)) => Err(reason),
@@ -166,7 +166,7 @@
         let arrived_ms = context.clock.now();
         let correlation_id = self.connection.state.count_read();
         let request = ForwardRequest::parse(payload)?;
-        let length = request.body_length().map_err(RequestError::last)?;
+        let length = request.body_length().map_err(RequestError::final_status)?;
         let site = context.active_settings.site();
         let head = request
             .head(&site, arrived_ms, self.options.secret.as_deref())
@@ -180,45 +180,45 @@
     async fn body(&mut self, length: BodyLength, deadline_ms: f64) -> Result<Vec<u8>, RequestError> {
         let expected = match length {
             BodyLength::Known(bytes) if bytes > MAX_BODY_BYTES => {
-                return Err(RequestError::last(HttpStatus::CONTENT_TOO_LARGE));
+                return Err(RequestError::final_status(HttpStatus::CONTENT_TOO_LARGE));
             }
             BodyLength::Known(bytes) => Some(bytes),
             BodyLength::Chunked => None,
         };
         let mut body = Vec::new();
-        let mut comes_unasked = expected.is_some();
+        let mut arrives_unrequested = expected.is_some();
         while expected.is_none_or(|bytes| body.len() < bytes) {
-            if !comes_unasked {
-                // One byte more than may come shows that a body is too long.
+            if !arrives_unrequested {
+                // Requests up to one byte more than allowed, to detect a body that is too long.
                 let missing = expected.map_or(usize::MAX, |bytes| bytes - body.len());
                 let max_bytes = missing.min(MAX_BODY_BYTES + 1) as u16;
                 self.connection.writer.push(|out| write_get_body_chunk(out, max_bytes));
             }
-            comes_unasked = false;
+            arrives_unrequested = false;
             let packet_deadline_ms = self.connection.context.clock.now() + MESSAGE_TIMEOUT_MS;
-            let payload = self.packet(Some(deadline_ms.min(packet_deadline_ms))).await?;
+            let payload = self.read_packet(Some(deadline_ms.min(packet_deadline_ms))).await?;
             let data = body_data(&payload)?;
             if data.is_empty() && expected.is_none() {
                 break;
             }
             if data.is_empty() {
-                // The web server's own client broke off: a part of a request is no request.
-                return Err(RequestError::last(HttpStatus::BAD_REQUEST));
+                // The client of the web server disconnected: an incomplete request is not passed on.
+                return Err(RequestError::final_status(HttpStatus::BAD_REQUEST));
             }
             body.extend_from_slice(data);
             if expected.is_some_and(|bytes| body.len() > bytes) {
                 return Err(PacketError::InvalidLength.into());
             }
             if body.len() > MAX_BODY_BYTES {
-                return Err(RequestError::last(HttpStatus::CONTENT_TOO_LARGE));
+                return Err(RequestError::final_status(HttpStatus::CONTENT_TOO_LARGE));
             }
         }
         Ok(body)
     }
 
-    /// Completes when the core has answered. Reads on meanwhile, only to notice a web server that leaves: it has nothing to
-    /// send before the answer.
-    async fn answer_written(&mut self, correlation_id: u64) -> Result<(), CloseReason> {
+    /// Completes when the core has answered. Meanwhile it keeps reading, only to detect that the web server
+    /// disconnects: a web server has nothing to send before the answer.
+    async fn await_answer(&mut self, correlation_id: u64) -> Result<(), CloseReason> {
         let connection = self.connection.clone();
         while connection.in_flight.get().is_some() {
             let answered = async {
@@ -227,7 +227,7 @@
             };
             match future::or(answered, self.reader.read_more(&connection.writer, None)).await {
                 Ok(()) => {}
-                // Nothing more is taken in; what was read is still answered.
+                // Nothing more is read; the request that was read is still answered.
                 Err(CloseReason::Finishing) => return Err(CloseReason::Finishing),
                 Err(reason) => {
                     connection.abandon(correlation_id).await;
@@ -242,8 +242,8 @@
     }
 }
 
-/// Whether the connection may be reused after a request with an invalid head: not if a body follows, and not by a web
-/// server without the secret.
+/// Whether the connection may be reused after a request with an invalid head. It may not if a body follows or
+/// if the web server did not send the secret.
 fn reuse_after(status: HttpStatus, length: BodyLength) -> Reuse {
     Reuse::allowed_if(length == BodyLength::Known(0) && status != HttpStatus::FORBIDDEN)
 }
@@ -253,13 +253,13 @@
     state: Rc<ConnectionState>,
     context: Rc<FrontendContext>,
     writer: WriteHalf,
-    /// The request that waits for its answer, if there is one.
+    /// The unanswered request, if there is one.
     in_flight: Cell<Option<u64>>,
     answered: Notify,
 }
 
 impl Connection {
-    /// Hands a request to the core.
+    /// Passes a request to the core.
     async fn submit(self: &Rc<Self>, request: ReceivedRequest, options: &Options) {
         let ReceivedRequest { correlation_id, arrived_ms, head, body } = request;
         self.in_flight.set(Some(correlation_id));
@@ -281,19 +281,19 @@
         let _ = self.context.queue.send(CoreInput::RequestReceived(Box::new(arrival))).await;
     }
 
-    /// Nobody waits for the answer any more.
+    /// Notifies the core that the web server no longer waits for the answer.
     async fn abandon(&self, correlation_id: u64) {
         self.in_flight.set(None);
         let gone = CoreInput::CallerGone { caller: self.state.id, correlation_id };
         let _ = self.context.queue.send(gone).await;
     }
 
-    /// Answers a request that does not reach the core; in `Err` if the connection ends.
+    /// Answers a request that does not reach the core; returns `Err` if the connection ends.
     fn reject(&self, status: HttpStatus, reuse: Reuse) -> Result<(), CloseReason> {
         count(&self.context.counters.bad_requests);
         self.state.count_answered();
-        let goes_on = reuse == Reuse::Allowed && !self.state.is_going_away();
-        self.respond(status.0, Vec::new(), b"", Reuse::allowed_if(goes_on));
+        let stays_open = reuse == Reuse::Allowed && !self.state.is_going_away();
+        self.respond(status.0, Vec::new(), b"", Reuse::allowed_if(stays_open));
         match reuse {
             Reuse::Allowed => Ok(()),
             Reuse::Denied => Err(CloseReason::Graceful("bad-request")),
@@ -335,8 +335,9 @@
     }
 
     fn go_away(&self) {
-        // AJP13 has no message for it: an idle connection is closed now, and the web server opens another elsewhere. A
-        // request whose body is on its way was not read and holds up nothing, but is given the time to be complete.
+        // AJP13 has no go-away message: an idle connection is closed now, and the web server connects to
+        // another server. A request whose body is still arriving does not delay the drain, but is given the
+        // time to be completed.
         self.state.mark_going_away_unannounced(self.context.clock.now());
     }
 
@@ -347,7 +348,8 @@
     }
 }
 
-/// The headers of a rejection: Retry-After in whole seconds, 1 at least, and whether no other server should be tried.
+/// The headers of a rejection: Retry-After in whole seconds, at least 1, and whether no other server should
+/// be tried.
 fn rejection_headers(retry_after_ms: f64, is_final: bool) -> Vec<(&'static str, String)> {
     let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
     let mut headers = vec![("Retry-After", format!("{seconds:.0}"))];
@@ -355,7 +357,8 @@
     headers
 }
 
-/// Names an attempt, unlike any other of this process: its connection and number, scrambled by a bijection.
+/// Generates an attempt id that is unique in this process: the ids of connection and request, scrambled by a
+/// bijection.
 fn attempt_id(seed: u64, connection: u64, correlation_id: u64) -> String {
     let mut x = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
     for _ in 0..2 {
--- a/src/server/frontend/ajp/packet.rs
+++ b/src/server/frontend/ajp/packet.rs
@@ -1,16 +1,16 @@
-//! Framing of AJP13: a magic number, a length of two bytes and a payload, whose first byte is a code except in a body
-//! packet. It knows nothing of requests.
+//! Framing of AJP13: a magic number, a length of two bytes and a payload. The first byte of a payload is a
+//! code, except in a body packet. Independent of requests.
 
-/// Longest packet with its header, bytes.
+/// Maximum length of a packet with its header, bytes.
 pub const MAX_PACKET_BYTES: usize = 8192;
-/// The magic number and the length, bytes.
+/// Length of the magic number and the length field, bytes.
 pub const PACKET_HEADER_BYTES: usize = 4;
 
-/// What a packet from a web server begins with.
+/// Magic number of packets from a web server.
 const WEB_SERVER_MAGIC: [u8; 2] = [0x12, 0x34];
-/// What a packet from a container begins with.
+/// Magic number of packets from a container.
 const CONTAINER_MAGIC: [u8; 2] = [0x41, 0x42];
-/// Length of a string that is not there.
+/// Length field of an absent string.
 const NO_STRING: u16 = 0xffff;
 
 /// Codes of packets.
@@ -33,18 +33,18 @@
     pub const CPING: u8 = 10;
 }
 
-/// Why bytes are no AJP13. The connection cannot go on after it.
+/// Why bytes are not valid AJP13. The connection ends after such an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketError {
     /// The packet does not begin with the magic number of a web server.
     InvalidMagic,
-    /// Longer than a packet may be, or with more headers than a request may have.
+    /// A packet that is too long, or a request with too many headers.
     TooLong,
-    /// The payload ends before what it announces, or goes on after it.
+    /// The payload is shorter or longer than announced.
     InvalidLength,
     /// A string that is not UTF-8 or does not end with a zero.
     InvalidString,
-    /// A code that no packet, header or attribute has.
+    /// An unknown code of a packet, header or attribute.
     InvalidCode,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Removes the first packet from `input` and returns its payload, or `None` while it is not complete.
+/// Removes the first packet from `input` and returns its payload, or `None` if it is incomplete.
 pub fn take_packet(input: &mut Vec<u8>) -> Result<Option<Vec<u8>>, PacketError> {
     let magic_seen = input.len().min(WEB_SERVER_MAGIC.len());
     if !input.starts_with(&WEB_SERVER_MAGIC[..magic_seen]) {
@@ -78,7 +78,7 @@
     Ok(Some(payload))
 }
 
-/// The data of a body packet; there is none in the empty packet that ends a body.
+/// The data of a body packet; empty in the packet that ends a body.
 pub fn body_data(payload: &[u8]) -> Result<&[u8], PacketError> {
     if payload.is_empty() {
         return Ok(&[]);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the parts of a payload in order.
+/// Reads the elements of a payload in order.
 pub struct PayloadReader<'a> {
     rest: &'a [u8],
 }
@@ -102,29 +102,29 @@
         PayloadReader { rest: payload }
     }
 
-    /// Whether everything was read.
+    /// Whether the whole payload was read.
     pub fn is_at_end(&self) -> bool {
         self.rest.is_empty()
     }
 
-    /// One byte.
+    /// Reads one byte.
     pub fn byte(&mut self) -> Result<u8, PacketError> {
         Ok(self.bytes(1)?[0])
     }
 
-    /// A big-endian integer of two bytes.
+    /// Reads a big-endian integer of two bytes.
     pub fn integer(&mut self) -> Result<u16, PacketError> {
         let bytes = self.bytes(2)?;
         Ok(u16::from_be_bytes([bytes[0], bytes[1]]))
     }
 
-    /// A string: its length, its bytes and a zero. One that is not there reads as empty.
+    /// Reads a string: its length, its bytes and a zero. An absent string reads as empty.
     pub fn string(&mut self) -> Result<&'a str, PacketError> {
         let length = self.integer()?;
         self.string_of(length)
     }
 
-    /// A string whose length was read.
+    /// Reads a string whose length was already read.
     pub fn string_of(&mut self, length: u16) -> Result<&'a str, PacketError> {
         if length == NO_STRING {
             return Ok("");
--- a/src/server/frontend/ajp/request.rs
+++ b/src/server/frontend/ajp/request.rs
@@ -1,17 +1,17 @@
-//! The head of an AJP13 request: parsing of a Forward Request packet, and what its headers say to the core. It knows
-//! nothing of connections and bodies.
+//! The head of an AJP13 request: parses a Forward Request packet and extracts the fields that the core uses.
+//! Independent of connections and bodies.
 
 use super::packet::{PacketError, PayloadReader, code};
 use crate::admission::Idempotency;
 use crate::config::site::Site;
 use crate::server::frontend::rpc::{MAX_WORK_HINT_MULTIPLE, REQUEST_MEMORY_LIMIT_KB};
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: u16 = 128;
-/// Longest idempotency key or subject, bytes.
+/// Maximum length of an idempotency key or subject, bytes.
 const MAX_KEY_BYTES: usize = 64;
 
-/// Codes of the HTTP methods that are served.
+/// Codes of the supported HTTP methods.
 const METHOD_GET: u8 = 2;
 const METHOD_POST: u8 = 4;
 
@@ -35,21 +35,21 @@
     "user-agent",
 ];
 
-/// Codes of the attributes behind the headers.
+/// Codes of the attributes that follow the headers.
 mod attribute {
-    /// A request attribute of the web server's own: a name and a value.
+    /// A request attribute that the web server defines: a name and a value.
     pub const REQUEST_ATTRIBUTE: u8 = 0x0a;
-    /// The one attribute whose value is a number.
+    /// The only attribute whose value is a number.
     pub const SSL_KEY_SIZE: u8 = 0x0b;
     pub const SECRET: u8 = 0x0c;
-    /// The least and the greatest code of attributes with one string.
+    /// The lowest and the highest code of attributes with one string.
     pub const FIRST: u8 = 0x01;
     pub const LAST: u8 = 0x0d;
     /// The end of a request's head.
     pub const END: u8 = 0xff;
 }
 
-/// Names of the headers that the core gets to see.
+/// Names of the headers that this frontend evaluates.
 mod header {
     pub const CONTENT_LENGTH: &str = "content-length";
     pub const TRANSFER_ENCODING: &str = "transfer-encoding";
@@ -71,34 +71,34 @@
     pub const CONTENT_TOO_LARGE: HttpStatus = HttpStatus(413);
 }
 
-/// How much body follows a head.
+/// The length of the body that follows a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// So many bytes; the first packet of them comes unasked.
+    /// The length in bytes is known; the web server sends the first body packet without a request for it.
     Known(usize),
-    /// Until an empty packet; every packet is asked for.
+    /// The body ends with an empty packet; the container requests every packet.
     Chunked,
 }
 
-/// A Forward Request, as far as it matters here.
+/// The parts of a Forward Request that are used here.
 #[derive(Debug, Default, PartialEq)]
 pub struct ForwardRequest {
     method: u8,
     path: String,
-    /// Names in lower case, with their values.
+    /// Names in lower case and values.
     headers: Vec<(String, String)>,
     secret: Option<String>,
 }
 
-/// What the head of a request says to the core.
+/// The fields of a request's head that the core uses.
 pub struct RequestHead {
     /// Index of the class.
     pub class: usize,
-    /// Marked as a retry.
+    /// Whether the request is marked as a retry.
     pub retry: bool,
     /// The caller's estimate of the work, ms.
     pub work_hint_ms: Option<f64>,
-    /// Memory while the request is held, kB.
+    /// Memory reserved while the request is pending, kB.
     pub memory_kb: Option<f64>,
     /// The idempotency key, in classes that need one.
     pub idempotency_key: Option<String>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// How much body follows.
+    /// The length of the body that follows.
     pub fn body_length(&self) -> Result<BodyLength, HttpStatus> {
         match (self.header(header::CONTENT_LENGTH)?, self.header(header::TRANSFER_ENCODING)?) {
             (Some(length), None) if length.bytes().all(|b| b.is_ascii_digit()) => {
@@ -142,8 +142,8 @@
         }
     }
 
-    /// What the head says to the core, if the request carries the secret that is asked for and is valid. What is out of
-    /// range is rejected and not clamped, as on the other frontend.
+    /// Extracts the fields for the core if the request is valid and carries the required secret, if any.
+    /// Values out of range are rejected and not clamped, as in the MessagePack-RPC frontend.
     pub fn head(&self, site: &Site, now_ms: f64, secret: Option<&str>) -> Result<RequestHead, HttpStatus> {
         if secret.is_some() && secret != self.secret.as_deref() {
             return Err(HttpStatus::FORBIDDEN);
@@ -169,7 +169,7 @@
         })
     }
 
-    /// The value of a header, if it is there. One that is given twice says nothing certain and is invalid.
+    /// The value of a header, if present. A header that is given twice is ambiguous and therefore invalid.
     fn header(&self, name: &str) -> Result<Option<&str>, HttpStatus> {
         let mut found = self.headers.iter().filter(|(found_name, _)| found_name == name);
         match (found.next(), found.next()) {
@@ -179,14 +179,14 @@
         }
     }
 
-    /// A number above 0 and below `limit` in decimal notation.
+    /// A header with a number above 0 and below `limit` in decimal notation.
     fn positive_number(&self, name: &str, limit: f64) -> Result<Option<f64>, HttpStatus> {
         let Some(text) = self.header(name)? else { return Ok(None) };
         let number = text.trim().parse::<f64>().ok().filter(|value| *value > 0.0 && *value < limit);
         number.map(Some).ok_or(HttpStatus::BAD_REQUEST)
     }
 
-    /// A string of 1 to 64 visible ASCII characters.
+    /// A header with a string of 1 to 64 visible ASCII characters.
     fn key(&self, name: &str) -> Result<Option<&str>, HttpStatus> {
         let value = self.header(name)?;
         let is_valid =
@@ -208,7 +208,8 @@
     Ok(headers)
 }
 
-/// A name is a code or a string; the high byte of a string's length is never that of a code.
+/// Parses a header name, which is a code or a string; the high byte of a string's length never equals that of
+/// a code.
 fn parse_header_name(reader: &mut PayloadReader<'_>) -> Result<String, PacketError> {
     let code_or_length = reader.integer()?;
     if code_or_length >> 8 != CODED_HEADER_NAME {
--- a/src/server/frontend/ajp/response.rs
+++ b/src/server/frontend/ajp/response.rs
@@ -1,24 +1,24 @@
-//! What goes to a web server: responses, requests for a part of a body, and answers to health checks. It knows nothing of
-//! connections.
+//! Encoding of packets to a web server: responses, requests for a part of a body, and answers to health
+//! checks. It keeps no state of a connection.
 
 use super::packet::{MAX_PACKET_BYTES, PACKET_HEADER_BYTES, code, write_integer, write_packet, write_string};
 
-/// Most bytes of a body in one packet: the packet's header, its code and a length take the rest.
+/// Maximum number of body bytes in one packet: the packet header, the code and a length take the rest.
 const MAX_BODY_CHUNK_BYTES: usize = MAX_PACKET_BYTES - PACKET_HEADER_BYTES - 3;
-/// The one header name that is sent as a code.
+/// The only header name that is sent as a code.
 const CONTENT_LENGTH: [u8; 2] = [0xa0, 0x03];
 
 /// Whether the web server may send another request on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// It may.
+    /// The web server may send another request.
     Allowed,
-    /// It may not; the connection ends.
+    /// The web server may not send another request; the connection ends.
     Denied,
 }
 
 impl Reuse {
-    /// Allowed if this is so.
+    /// `Allowed` if `allowed` is true, else `Denied`.
     pub fn allowed_if(allowed: bool) -> Self {
         if allowed { Reuse::Allowed } else { Reuse::Denied }
     }
@@ -28,15 +28,15 @@
 pub struct Response<'a> {
     /// HTTP status.
     pub status: u16,
-    /// Headers beside Content-Length.
+    /// Headers other than Content-Length.
     pub headers: &'a [(&'a str, String)],
     /// The body.
     pub body: &'a [u8],
-    /// Whether the connection goes on.
+    /// Whether the connection stays open for another request.
     pub reuse: Reuse,
 }
 
-/// Appends a response: its headers, its body in chunks, its end.
+/// Appends a response: its headers, its body in chunks and the end packet.
 pub fn write_response(out: &mut Vec<u8>, response: &Response<'_>) {
     write_packet(out, |out| write_headers(out, response));
     for chunk in response.body.chunks(MAX_BODY_CHUNK_BYTES) {
@@ -50,7 +50,7 @@
     write_packet(out, |out| out.extend_from_slice(&[code::END_RESPONSE, reuse]));
 }
 
-/// Appends a request for the next part of a body, of so many bytes at most.
+/// Appends a request for the next part of a body, of at most `max_bytes` bytes.
 pub fn write_get_body_chunk(out: &mut Vec<u8>, max_bytes: u16) {
     write_packet(out, |out| {
         out.push(code::GET_BODY_CHUNK);
