--- a/src/server/frontend/ajp/connection.rs
+++ b/src/server/frontend/ajp/connection.rs
@@ -336,8 +336,8 @@
 
     fn go_away(&self) {
         // AJP13 has no go-away message: an idle connection is closed now, and the web server connects to
-        // another server. A request whose body is still arriving does not delay the drain, but is given the
-        // time to be completed.
+        // another server. A request whose body is still arriving does not count as read and does not delay
+        // the drain, but is given the time to be completed.
         self.state.mark_going_away_unannounced(self.context.clock.now());
     }
 
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of the process: which phase may follow which, in whatever order the events come.
+//! The lifecycle of the process: the legal transitions between phases, for any order of events.
 
 use pinepoint::server::control::lifecycle::{DrainTimes, Lifecycle, Outstanding, Phase, Published};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     Terminated,
 };
 
-const ALL: [Phase; 10] = [
+const ALL_PHASES: [Phase; 10] = [
     Starting,
     StartingLameDuck,
     Serving,
@@ -22,8 +22,8 @@
     Terminated,
 ];
 const TIMES: DrainTimes = DrainTimes { grace_ms: 1000.0, stop_ms: 2000.0, handover_stop_ms: 1500.0 };
-const NOTHING_LEFT: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
-const LISTENER_OPEN: Outstanding = Outstanding { listeners: 1, ..NOTHING_LEFT };
+const NOTHING_OUTSTANDING: Outstanding = Outstanding { listeners: 0, connections: 0, answers_pending: false };
+const LISTENER_OPEN: Outstanding = Outstanding { listeners: 1, ..NOTHING_OUTSTANDING };
 
 fn serving() -> Lifecycle {
     let mut lifecycle = Lifecycle::new(TIMES, true);
@@ -32,20 +32,20 @@
     lifecycle
 }
 
-/// Advances as far as possible at this time.
-fn advance(lifecycle: &mut Lifecycle, now: f64, left: Outstanding) -> Phase {
-    while lifecycle.advance(now, left).is_some() {}
+/// Advances as far as possible at `now`; returns the phase reached.
+fn advance(lifecycle: &mut Lifecycle, now: f64, outstanding: Outstanding) -> Phase {
+    while lifecycle.advance(now, outstanding).is_some() {}
     lifecycle.phase()
 }
 
 #[test]
-fn no_phase_comes_back_and_only_known_ones_follow() {
-    let legal: Vec<(Phase, Phase)> = ALL
+fn allows_only_legal_transitions() {
+    let legal: Vec<(Phase, Phase)> = ALL_PHASES
         .into_iter()
-        .flat_map(|from| ALL.into_iter().map(move |to| (from, to)))
+        .flat_map(|from| ALL_PHASES.into_iter().map(move |to| (from, to)))
         .filter(|(from, to)| from.may_become(*to))
         .collect();
-    let wanted = [
+    let expected = [
         (Starting, StartingLameDuck),
         (Starting, Serving),
         (Starting, Closing),
@@ -68,64 +68,68 @@
         (Closing, Terminated),
         (Finishing, Terminated),
     ];
-    assert_eq!(legal, wanted);
-    // Only an operator who ends a drain leads back.
-    let back: Vec<_> = legal.into_iter().filter(|(from, to)| from >= to).collect();
-    assert_eq!(back, [(StartingLameDuck, Starting), (LameDuck, Serving)]);
+    assert_eq!(legal, expected);
+    // Only an operator who ends lame duck mode moves a process backward.
+    let backward: Vec<_> = legal.into_iter().filter(|(from, to)| from >= to).collect();
+    assert_eq!(backward, [(StartingLameDuck, Starting), (LameDuck, Serving)]);
 }
 
 #[test]
-fn a_drain_goes_through_its_phases_by_the_time_of_the_notice() {
+fn drain_deadlines_count_from_notice() {
     let mut lifecycle = serving();
-    assert!(lifecycle.begin_drain(5000.0), "taken late, it counts from when it came");
+    assert!(lifecycle.begin_drain(5000.0), "the first notice begins the drain");
     assert_eq!(advance(&mut lifecycle, 5799.0, LISTENER_OPEN), Draining);
     assert_eq!(advance(&mut lifecycle, 5800.0, LISTENER_OPEN), GoAwaySent);
     assert_eq!(
-        advance(&mut lifecycle, 5999.0, NOTHING_LEFT),
+        advance(&mut lifecycle, 5999.0, NOTHING_OUTSTANDING),
         GoAwaySent,
-        "callers may still hear of it late"
+        "callers may still learn of the drain late"
     );
     assert_eq!(advance(&mut lifecycle, 6000.0, LISTENER_OPEN), Closing);
     assert_eq!(advance(&mut lifecycle, 6799.0, LISTENER_OPEN), Closing);
     assert_eq!(advance(&mut lifecycle, 6800.0, LISTENER_OPEN), Finishing);
     assert_eq!(advance(&mut lifecycle, 6939.0, LISTENER_OPEN), Finishing);
-    assert_eq!(advance(&mut lifecycle, 6940.0, LISTENER_OPEN), Terminated, "the kill is near");
+    assert_eq!(
+        advance(&mut lifecycle, 6940.0, LISTENER_OPEN),
+        Terminated,
+        "the process ends before the kill"
+    );
     assert_eq!(lifecycle.kill_ms(), Some(7000.0));
-    assert!(!lifecycle.begin_drain(6950.0), "a second notice moves nothing");
+    assert!(!lifecycle.begin_drain(6950.0), "a second notice changes nothing");
     assert_eq!(lifecycle.kill_ms(), Some(7000.0));
 }
 
 #[test]
-fn it_ends_when_nothing_is_left_and_not_before() {
-    let somebody = [
+fn terminates_once_nothing_is_outstanding() {
+    let unfinished = [
         LISTENER_OPEN,
-        Outstanding { connections: 1, ..NOTHING_LEFT },
-        Outstanding { answers_pending: true, ..NOTHING_LEFT },
+        Outstanding { connections: 1, ..NOTHING_OUTSTANDING },
+        Outstanding { answers_pending: true, ..NOTHING_OUTSTANDING },
     ];
-    for left in somebody {
+    for outstanding in unfinished {
         let mut lifecycle = serving();
         lifecycle.begin_drain(0.0);
-        assert_eq!(advance(&mut lifecycle, 1000.0, left), Closing, "{left:?}");
-        assert_eq!(advance(&mut lifecycle, 1001.0, NOTHING_LEFT), Terminated);
+        assert_eq!(advance(&mut lifecycle, 1000.0, outstanding), Closing, "{outstanding:?}");
+        assert_eq!(advance(&mut lifecycle, 1001.0, NOTHING_OUTSTANDING), Terminated);
     }
 }
 
 #[test]
-fn the_notice_before_the_engine_is_up_is_not_undone_by_the_engine() {
+fn engine_up_does_not_undo_earlier_notice() {
     let mut lifecycle = Lifecycle::new(TIMES, true);
     assert_eq!(lifecycle.published(), Published { healthy: false, registered: None });
     assert!(lifecycle.begin_drain(0.0));
     assert_eq!(lifecycle.phase(), Closing);
-    assert!(!lifecycle.engine_up(), "nothing may begin to serve");
+    assert!(!lifecycle.engine_up(), "the process must not begin to serve after the notice");
     lifecycle.set_healthy(true);
     assert_eq!(lifecycle.published(), Published { healthy: false, registered: Some(false) });
-    assert_eq!(advance(&mut lifecycle, 1.0, NOTHING_LEFT), Terminated, "nobody was ever told of it");
+    assert_eq!(advance(&mut lifecycle, 1.0, NOTHING_OUTSTANDING), Terminated, "the process never served");
 }
 
 #[test]
-fn the_list_follows_health_only_where_the_site_says_so() {
-    for (by_health, registered) in [(true, false), (false, true)] {
-        let mut lifecycle = Lifecycle::new(TIMES, by_health);
+fn registration_follows_health_only_if_configured() {
+    for (follows_health, registered) in [(true, false), (false, true)] {
+        let mut lifecycle = Lifecycle::new(TIMES, follows_health);
         lifecycle.engine_up();
         lifecycle.set_healthy(false);
         assert_eq!(lifecycle.published(), Published { healthy: false, registered: Some(registered) });
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn a_drain_by_operators_ends_and_begins_in_any_phase_that_serves() {
+fn enters_and_leaves_lame_duck_in_any_phase_before_drain() {
     let mut lifecycle = Lifecycle::new(TIMES, true);
     assert!(lifecycle.set_lame_duck(true));
     assert_eq!(lifecycle.published(), Published { healthy: false, registered: None }, "the engine is not up");
@@ -141,35 +145,35 @@
     lifecycle.set_healthy(true);
     assert_eq!(lifecycle.phase(), LameDuck);
     assert_eq!(lifecycle.published(), Published { healthy: false, registered: Some(false) });
-    assert!(lifecycle.set_lame_duck(true), "asked twice, it stays");
-    assert!(!lifecycle.engine_up(), "an engine that comes back ends no drain");
+    assert!(lifecycle.set_lame_duck(true), "a repeated request succeeds");
+    assert!(!lifecycle.engine_up(), "an engine that reconnects does not end lame duck mode");
     assert_eq!(lifecycle.phase(), LameDuck);
     assert!(lifecycle.set_lame_duck(false));
-    assert!(lifecycle.set_lame_duck(false), "nothing to end");
+    assert!(lifecycle.set_lame_duck(false), "a repeated request succeeds");
     assert_eq!(lifecycle.published(), Published { healthy: true, registered: Some(true) });
 }
 
 #[test]
-fn the_notice_ends_a_drain_by_operators_in_either_order() {
-    for drained_first in [true, false] {
+fn notice_overrides_lame_duck_in_either_order() {
+    for lame_duck_first in [true, false] {
         let mut lifecycle = serving();
-        if drained_first {
+        if lame_duck_first {
             assert!(lifecycle.set_lame_duck(true));
         }
         assert!(lifecycle.begin_drain(0.0));
-        assert!(lifecycle.set_lame_duck(true), "it takes no new work anyhow");
-        assert!(!lifecycle.set_lame_duck(false), "there is no way back");
+        assert!(lifecycle.set_lame_duck(true), "a draining process accepts the request");
+        assert!(!lifecycle.set_lame_duck(false), "a draining process cannot return to service");
         assert_eq!(lifecycle.phase(), Draining);
         assert_eq!(lifecycle.published(), Published { healthy: false, registered: Some(false) });
     }
     let mut lifecycle = Lifecycle::new(TIMES, true);
     assert!(lifecycle.set_lame_duck(true));
     assert!(lifecycle.begin_drain(0.0));
-    assert_eq!(lifecycle.phase(), Closing, "one that never served has nobody to wait for");
+    assert_eq!(lifecycle.phase(), Closing, "a process that never served has no clients");
 }
 
 #[test]
-fn one_that_is_handed_over_stays_healthy_and_is_no_business_of_the_list() {
+fn handed_over_process_keeps_health_and_stops_reporting() {
     let mut lifecycle = serving();
     assert!(lifecycle.mark_handed_over(5000.0));
     assert_eq!(lifecycle.published(), Published { healthy: true, registered: None });
@@ -182,12 +186,16 @@
     let mut lifecycle = serving();
     lifecycle.set_lame_duck(true);
     assert!(lifecycle.mark_handed_over(5000.0));
-    assert_eq!(lifecycle.published(), Published { healthy: false, registered: None }, "drained, it stays so");
-    assert_eq!(advance(&mut lifecycle, 5001.0, NOTHING_LEFT), Terminated, "nothing keeps it");
+    assert_eq!(
+        lifecycle.published(),
+        Published { healthy: false, registered: None },
+        "a lame duck stays unhealthy"
+    );
+    assert_eq!(advance(&mut lifecycle, 5001.0, NOTHING_OUTSTANDING), Terminated, "nothing is outstanding");
 }
 
 #[test]
-fn a_take_over_that_comes_behind_the_notice_ends_the_reports() {
+fn handover_after_notice_stops_reporting() {
     let mut lifecycle = serving();
     assert!(lifecycle.begin_drain(5000.0));
     assert_eq!(lifecycle.published(), Published { healthy: false, registered: Some(false) });
@@ -198,36 +206,38 @@
     let mut late = serving();
     late.begin_drain(0.0);
     advance(&mut late, 1000.0, LISTENER_OPEN);
-    assert!(!late.mark_handed_over(1001.0), "its listeners are closed");
+    assert!(!late.mark_handed_over(1001.0), "the listeners are closed already");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     SetLameDuck(bool),
-    HandOver,
+    MarkHandedOver,
     EngineUp,
-    Notice,
-    Health(bool),
-    /// Time passes, ms, and a listener is open or nothing is left.
+    BeginDrain,
+    SetHealthy(bool),
+    /// The time that passes, ms, and whether a listener is open; if not, nothing is outstanding.
     Advance(f64, bool),
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever the times and the order of events: no phase comes back, nothing is published as serving after the notice, the
-    /// last answers have time to be written, and each wait ends.
+    /// For any times and order of events: the process returns to no earlier phase except from lame duck mode,
+    /// is never published as serving after the notice, has time to write its last answers, and ends every
+    /// wait.
     #[test]
-    fn whatever_comes_in_whatever_order(
+    fn keeps_invariants_for_any_event_order(
         grace_ms in prop_oneof![Just(0.0), 1.0..5000.0f64],
         stop_ms in prop_oneof![0.001..10.0f64, 10.0..6000.0f64],
         steps in proptest::collection::vec(prop_oneof![
             1 => Just(Step::EngineUp),
-            1 => Just(Step::Notice),
-            1 => any::<bool>().prop_map(Step::Health),
+            1 => Just(Step::BeginDrain),
+            1 => any::<bool>().prop_map(Step::SetHealthy),
             1 => any::<bool>().prop_map(Step::SetLameDuck),
-            1 => Just(Step::HandOver),
-            4 => (0.0..1500.0f64, any::<bool>()).prop_map(|(ms, left)| Step::Advance(ms, left)),
+            1 => Just(Step::MarkHandedOver),
+            4 => (0.0..1500.0f64, any::<bool>())
+                .prop_map(|(ms, listener_open)| Step::Advance(ms, listener_open)),
         ], 1..20),
     ) {
         let handover_stop_ms = stop_ms * 0.9;
@@ -239,27 +249,30 @@
                 Step::EngineUp => {
                     prop_assert_eq!(lifecycle.engine_up(), matches!(before, Starting | StartingLameDuck));
                 }
-                Step::Notice => {
+                Step::BeginDrain => {
                     prop_assert_eq!(lifecycle.begin_drain(now), notice_ms.is_none());
                     notice_ms = notice_ms.or(Some(now));
                 }
-                Step::Health(good) => lifecycle.set_healthy(*good),
-                Step::SetLameDuck(drained) => {
-                    prop_assert_eq!(lifecycle.set_lame_duck(*drained), before < Draining || *drained && before != Terminated);
+                Step::SetHealthy(healthy) => lifecycle.set_healthy(*healthy),
+                Step::SetLameDuck(lame_duck) => {
+                    let succeeds = before < Draining || *lame_duck && before != Terminated;
+                    prop_assert_eq!(lifecycle.set_lame_duck(*lame_duck), succeeds);
                 }
-                Step::HandOver => {
-                    let may = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
-                    prop_assert_eq!(lifecycle.mark_handed_over(now), may);
-                    handed_over |= may;
-                    notice_ms = notice_ms.or(may.then_some(now));
+                Step::MarkHandedOver => {
+                    let is_legal = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
+                    prop_assert_eq!(lifecycle.mark_handed_over(now), is_legal);
+                    handed_over |= is_legal;
+                    notice_ms = notice_ms.or(is_legal.then_some(now));
                 }
-                Step::Advance(ms, left) => {
+                Step::Advance(ms, listener_open) => {
                     now += ms;
-                    advance(&mut lifecycle, now, if *left { LISTENER_OPEN } else { NOTHING_LEFT });
+                    let outstanding = if *listener_open { LISTENER_OPEN } else { NOTHING_OUTSTANDING };
+                    advance(&mut lifecycle, now, outstanding);
                 }
             }
-            let back = matches!((before, lifecycle.phase()), (StartingLameDuck, Starting) | (LameDuck, Serving));
-            prop_assert!(lifecycle.phase() >= before || back && matches!(step, Step::SetLameDuck(false)));
+            let backward =
+                matches!((before, lifecycle.phase()), (StartingLameDuck, Starting) | (LameDuck, Serving));
+            prop_assert!(lifecycle.phase() >= before || backward && matches!(step, Step::SetLameDuck(false)));
             let published = lifecycle.published();
             if handed_over {
                 prop_assert_eq!(published.registered, None);
@@ -284,7 +297,7 @@
 
 /// A process that was stopped until shortly before the kill still has time to write its last answers.
 #[test]
-fn the_last_answers_are_written_however_late_they_are_given() {
+fn late_final_answers_have_time_to_be_written() {
     let mut lifecycle = serving();
     lifecycle.begin_drain(5000.0);
     assert_eq!(advance(&mut lifecycle, 7100.0, LISTENER_OPEN), Finishing);
