--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -255,8 +255,10 @@
                 }
                 Step::SetHealthy(healthy) => lifecycle.set_healthy(*healthy),
                 Step::SetLameDuck(lame_duck) => {
-                    let succeeds = before < Draining || *lame_duck && before != Terminated;
-                    prop_assert_eq!(lifecycle.set_lame_duck(*lame_duck), succeeds);
+                    prop_assert_eq!(
+                        lifecycle.set_lame_duck(*lame_duck),
+                        before < Draining || *lame_duck && before != Terminated
+                    );
                 }
                 Step::MarkHandedOver => {
                     let is_legal = matches!(before, Serving | LameDuck | Draining | GoAwaySent);
@@ -266,8 +268,11 @@
                 }
                 Step::Advance(ms, listener_open) => {
                     now += ms;
-                    let outstanding = if *listener_open { LISTENER_OPEN } else { NOTHING_OUTSTANDING };
-                    advance(&mut lifecycle, now, outstanding);
+                    advance(
+                        &mut lifecycle,
+                        now,
+                        if *listener_open { LISTENER_OPEN } else { NOTHING_OUTSTANDING },
+                    );
                 }
             }
             let backward =
