--- a/tests/management.rs
+++ b/tests/management.rs
@@ -1,5 +1,5 @@
-//! The management port: its commands, lines that are none, callers that say nothing, the drain that operators ask for,
-//! and the law of its figures. Each test runs the program as a process among stand-ins.
+//! The management port: its commands, invalid lines, silent connections, lame duck mode, and the invariant of
+//! its metrics. Each test runs the program as a process among stub services.
 
 mod operation;
 
@@ -10,21 +10,22 @@
 use operation::*;
 use rstest::rstest;
 
-/// Health is good again within this time after the end of a drain.
+/// Health checks succeed again within this time after the end of lame duck mode.
 const REJOIN_TIMEOUT: Duration = Duration::from_secs(2);
 const CLASSES: [&str; 3] = ["look", "lookup", "write"];
 const CLASS_COUNTERS: [&str; 4] = ["success", "busy", "failure", "backend_calls"];
 
-// ---- the stand-ins ----
+// ---- the stub services ----
 
-/// The harness itself: what the other tests rest on works with a process that was not asked for a management port.
+/// Tests the harness itself: the features that the other tests rely on work for a process without a
+/// management port.
 #[test]
-fn a_process_without_a_management_port_serves_and_is_listed() {
+fn serves_and_registers_without_management_port() {
     let deployment = deployment();
     let began = Instant::now();
     let mut process =
         deployment.start_with(quick_engine(), ManagementSource::default()).expect("the program starts");
-    eventually("listed", || deployment.list.heard_since(began, true));
+    eventually("registered", || deployment.list.heard_since(began, true));
     let client = connect(&deployment);
     await_health(&client, true, DEFAULT_TIMEOUT);
     let result = assert_served(&client, &Request::read("paper"));
@@ -32,7 +33,11 @@
     assert_served(&client, &Request::calling("paper"));
     assert_eq!(deployment.store.calls(), 1);
     let keyed = Request::keyed("key");
-    assert_eq!(assert_served(&client, &keyed), assert_served(&client, &keyed), "the kept result");
+    assert_eq!(
+        assert_served(&client, &keyed),
+        assert_served(&client, &keyed),
+        "a duplicate gets the retained result"
+    );
     assert_eq!(process.engine.runs_of("key"), 1);
     assert_all_served({
         let load = light_load(&deployment);
@@ -42,21 +47,21 @@
     assert_no_double_runs(&[&process.engine]);
     assert_always_registered(&deployment, began);
     terminate(&deployment, &mut process);
-    assert!(client.wait_for_notice(DEFAULT_TIMEOUT), "a resting connection is told to go");
+    assert!(client.wait_for_notice(DEFAULT_TIMEOUT), "an idle connection gets a go-away notification");
     assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
     assert!(deployment.list.heard_since(began, false));
 }
 
-/// Nothing listens at an address that nobody named.
-fn nobody_listens(address: SocketAddr) {
+/// Checks that no process listens at `address`.
+fn assert_not_listening(address: SocketAddr) {
     let connected = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT);
-    assert!(connected.is_err(), "somebody listens at {address}");
+    assert!(connected.is_err(), "a process listens at {address}, but none should");
 }
 
 // ---- where it listens ----
 
 #[test]
-fn the_configuration_names_the_address() {
+fn listens_at_address_from_configuration() {
     let deployment = deployment();
     let source = ManagementSource { environment: None, configuration: free_address().ok() };
     let process = deployment.start_with(quick_engine(), source).expect("the program starts");
@@ -64,19 +69,19 @@
 }
 
 #[test]
-fn the_environment_goes_before_the_configuration() {
+fn environment_overrides_configuration() {
     let deployment = deployment();
     let in_configuration = free_address().expect("a free port");
     let source = ManagementSource { environment: free_address().ok(), configuration: Some(in_configuration) };
     let process = deployment.start_with(quick_engine(), source).expect("the program starts");
     await_ready(&process);
-    nobody_listens(in_configuration);
+    assert_not_listening(in_configuration);
 }
 
 // ---- the commands ----
 
 #[test]
-fn ping_says_no_until_the_engine_is_up() {
+fn rejects_ping_until_engine_is_up() {
     let deployment = deployment();
     let process = start(&deployment, engine_down());
     eventually("an answer", || process.ask("PING").is_ok());
@@ -86,17 +91,17 @@
 }
 
 #[test]
-fn info_tells_every_figure_from_zero() {
+fn info_lists_every_metric_from_zero() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let figures = ask(&process, "INFO").figures().expect("an answer to INFO");
-    let of_classes = CLASSES.iter().flat_map(|class| {
+    let class_counters = CLASSES.iter().flat_map(|class| {
         CLASS_COUNTERS.iter().map(move |counter| (format!("relay.calls.{class}.{counter}"), 'c'))
     });
     let others = [("inflight", 'g'), ("reconfig_ok", 'c'), ("reconfig_failed", 'c')];
     let others = others.into_iter().map(|(name, kind)| (format!("relay.{name}"), kind));
-    for (name, kind) in of_classes.chain(others) {
-        let figure = figures.get(&name).unwrap_or_else(|| panic!("no {name} in {figures:?}"));
+    for (name, kind) in class_counters.chain(others) {
+        let figure = figures.get(&name).unwrap_or_else(|| panic!("INFO does not list {name}: {figures:?}"));
         assert_eq!((figure.value, figure.kind), (0, kind), "{name}");
     }
 }
@@ -104,20 +109,20 @@
 #[rstest]
 #[case::cr_lf(b"PING\r\n")]
 #[case::lf(b"PING\n")]
-fn both_line_ends_are_taken(#[case] bytes: &[u8]) {
+fn accepts_both_line_endings(#[case] bytes: &[u8]) {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let answer = ask_bytes(process.management, bytes).expect("an answer");
     assert!(answer.is_ok(), "{}", answer.head());
-    assert_eq!(answer.lines.len(), 1, "one line: {:?}", answer.lines);
+    assert_eq!(answer.lines.len(), 1, "the answer is not one line: {:?}", answer.lines);
 }
 
 #[test]
-fn a_line_may_come_in_pieces() {
+fn accepts_line_in_pieces() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let began = Instant::now();
-    let mut stream = TcpStream::connect(process.management).expect("it listens");
+    let mut stream = TcpStream::connect(process.management).expect("the management port listens");
     for piece in ["P", "IN", "G\r", "\n"] {
         stream.write_all(piece.as_bytes()).expect("written");
         std::thread::sleep(Duration::from_millis(20));
@@ -126,9 +131,9 @@
     assert!(answer.is_ok(), "{}", answer.head());
 }
 
-/// One line is answered on a connection; what comes behind it is not carried out.
+/// Only the first line of a connection is answered; the following lines are not carried out.
 #[test]
-fn only_the_first_line_of_a_connection_counts() {
+fn answers_only_first_line_of_connection() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let answer = ask_bytes(process.management, b"PING\r\nLAMEDUCK\r\n").expect("an answer");
@@ -140,54 +145,54 @@
 
 #[rstest]
 #[case::unknown(b"RESTART\r\n".to_vec())]
-#[case::longer_than_a_command(b"PINGER\r\n".to_vec())]
+#[case::longer_than_command(b"PINGER\r\n".to_vec())]
 #[case::empty(b"\r\n".to_vec())]
-#[case::only_a_line_feed(b"\n".to_vec())]
+#[case::only_line_feed(b"\n".to_vec())]
 #[case::blank(b"   \r\n".to_vec())]
 #[case::binary(vec![0x94, 0x00, 0xff, 0xfe, 0x00, b'\n'])]
 #[case::not_utf8(b"PING\xc3\x28\r\n".to_vec())]
 #[case::too_long([vec![b'x'; 5000], b"\r\n".to_vec()].concat())]
-#[case::too_long_behind_a_command([b"PING ".to_vec(), vec![b'x'; 5000], b"\r\n".to_vec()].concat())]
-fn a_line_that_is_no_command_is_an_error(#[case] bytes: Vec<u8>) {
+#[case::too_long_after_command([b"PING ".to_vec(), vec![b'x'; 5000], b"\r\n".to_vec()].concat())]
+fn rejects_unknown_commands(#[case] bytes: Vec<u8>) {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let answer = ask_bytes(process.management, &bytes).expect("an answer");
     assert!(answer.is_error(), "{:?}", answer.lines);
-    assert!(answer.head().len() > "-ERR ".len(), "no reason: {}", answer.head());
-    assert_eq!(answer.lines.len(), 1, "one line: {:?}", answer.lines);
+    assert!(answer.head().len() > "-ERR ".len(), "the error has no reason: {}", answer.head());
+    assert_eq!(answer.lines.len(), 1, "the answer is not one line: {:?}", answer.lines);
     assert!(answer.took <= ANSWER_TIMEOUT, "{:?}", answer.took);
     assert_accepted(&process, "PING");
 }
 
-/// A line that never ends must neither be collected without a bound nor stop others.
+/// An endless line must neither be buffered without a bound nor block other connections.
 #[test]
-fn a_line_without_an_end_is_cut_off() {
+fn closes_connection_that_sends_endless_line() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
-    let mut stream = TcpStream::connect(process.management).expect("it listens");
+    let mut stream = TcpStream::connect(process.management).expect("the management port listens");
     stream.set_write_timeout(Some(ANSWER_TIMEOUT)).expect("a socket");
     let until = Instant::now() + DEFAULT_TIMEOUT;
     let mut written = 0;
     while stream.write_all(&[b'x'; 4096]).is_ok() && Instant::now() < until {
         written += 4096;
-        assert!(written < 64 << 20, "it reads a line of {written} bytes");
+        assert!(written < 64 << 20, "the port still reads a line after {written} bytes");
     }
     assert_accepted(&process, "PING");
 }
 
-// ---- callers that say nothing ----
+// ---- silent connections ----
 
 #[rstest]
 #[case::nothing(b"")]
-#[case::half_a_line(b"PIN")]
-fn silent_callers_stop_nobody(#[case] said: &[u8]) {
+#[case::partial_line(b"PIN")]
+fn silent_connections_do_not_block_others(#[case] sent: &[u8]) {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let silent: Vec<TcpStream> = (0..64)
         .map(|_| {
-            let mut stream = TcpStream::connect(process.management).expect("it listens");
-            // It may have given way already.
-            let _ = stream.write_all(said);
+            let mut stream = TcpStream::connect(process.management).expect("the management port listens");
+            // The connection may have been evicted already.
+            let _ = stream.write_all(sent);
             stream
         })
         .collect();
@@ -199,11 +204,12 @@
 }
 
 #[test]
-fn it_answers_while_clients_hold_all_their_descriptors() {
+fn answers_while_clients_use_all_descriptors() {
     let deployment = deployment_of(Setup { sockets: 64, ..setup() });
     let process = start_ready(&deployment, quick_engine());
     let clients: Vec<Client> = (0..100).map(|_| connect(&deployment)).collect();
-    // Each speaks, so that none gives way as one that never did; those in the backlog are not answered.
+    // Each client sends a request, so that none is evicted as silent. Connections in the backlog get no
+    // answer.
     clients.iter().for_each(|client| drop(client.send(&Request::read("paper"))));
     std::thread::sleep(Duration::from_millis(200));
     for command in ["PING", "INFO", "LAMEDUCK", "REJOIN"] {
@@ -212,7 +218,7 @@
 }
 
 #[test]
-fn it_answers_at_full_load() {
+fn answers_at_full_load() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let load = Load::start(Plan {
@@ -231,29 +237,29 @@
     assert_eq!(tally.ended_without_answer(), 0, "{tally:?}");
 }
 
-// ---- the drain that operators ask for ----
+// ---- lame duck mode ----
 
 #[test]
-fn lameduck_turns_health_bad_and_serves_on() {
+fn lame_duck_fails_health_checks_and_keeps_serving() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
     await_health(&client, true, DEFAULT_TIMEOUT);
     for _ in 0..2 {
         assert_accepted(&process, "LAMEDUCK");
-        assert_eq!(client.ping(), Reply::Health(false), "at once");
+        assert_eq!(client.ping(), Reply::Health(false), "health must fail at once");
     }
     let since = await_report(&deployment, false);
     assert_served(&client, &Request::read("on an old connection"));
     assert_served(&connect(&deployment), &Request::keyed("on a new connection"));
     assert_accepted(&process, "PING");
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
-    assert!(!client.is_told_to_go(), "a drain closes no connection");
+    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
+    assert!(!client.is_told_to_go(), "lame duck mode must not close connections");
 }
 
 #[test]
-fn rejoin_ends_a_drain() {
+fn rejoin_ends_lame_duck() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
@@ -265,12 +271,12 @@
     await_health(&client, true, REJOIN_TIMEOUT);
     let since = await_report(&deployment, true);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, false), "reported OUT after the drain");
+    assert!(!deployment.list.heard_since(since, false), "reported OUT after lame duck mode");
     assert_served(&client, &Request::read("paper"));
 }
 
 #[test]
-fn rejoin_without_a_drain_changes_nothing() {
+fn rejoin_without_lame_duck_changes_nothing() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let (client, since) = (connect(&deployment), Instant::now());
@@ -281,7 +287,7 @@
 }
 
 #[test]
-fn a_drain_asked_for_before_the_engine_is_up_holds_after_it() {
+fn lame_duck_before_engine_up_stays_in_force() {
     let deployment = deployment();
     let process = start(&deployment, engine_down());
     eventually("an answer", || process.ask("INFO").is_ok());
@@ -292,28 +298,28 @@
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
     assert_served(&client, &Request::read("paper"));
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
 }
 
 #[rstest]
-#[case::drain_first(true)]
+#[case::lame_duck_first(true)]
 #[case::notice_first(false)]
-fn a_drain_and_the_notice_to_leave_end_in_order(#[case] drain_first: bool) {
+fn lame_duck_and_termination_notice_end_in_order(#[case] lame_duck_first: bool) {
     let deployment = deployment();
     let mut process = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
     let id = start_run(&process, &client, &Request::read("paper"));
-    if drain_first {
+    if lame_duck_first {
         assert_accepted(&process, "LAMEDUCK");
         send_signal(&process, Signal::TERM);
     } else {
         send_signal(&process, Signal::TERM);
-        // Whether there is anything left to drain is the program's to say; it has to say something.
-        let told = ask(&process, "LAMEDUCK");
-        assert!(told.is_ok() || told.is_error(), "{:?}", told.lines);
+        // Either answer is valid, as the process may already be closing, but there has to be one.
+        let answer = ask(&process, "LAMEDUCK");
+        assert!(answer.is_ok() || answer.is_error(), "{:?}", answer.lines);
     }
     assert_eq!(client.ping(), Reply::Health(false));
     finish_run(&process, &client, id, "paper");
@@ -322,25 +328,27 @@
 
 #[rstest]
 #[case::alone(false)]
-#[case::in_a_drain(true)]
-fn rejoin_after_the_notice_to_leave_is_an_error(#[case] in_a_drain: bool) {
+#[case::in_lame_duck(true)]
+fn rejects_rejoin_after_termination_notice(#[case] in_lame_duck: bool) {
     let deployment = deployment();
     let mut process = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
-    // A run that is under way keeps the process.
+    // An unfinished run keeps the process from ending.
     let id = start_run(&process, &client, &Request::read("paper"));
-    if in_a_drain {
+    if in_lame_duck {
         assert_accepted(&process, "LAMEDUCK");
     }
     send_signal(&process, Signal::TERM);
-    eventually_within(ANSWER_TIMEOUT, "an error", || process.ask("REJOIN").is_ok_and(|told| told.is_error()));
+    eventually_within(ANSWER_TIMEOUT, "an error", || {
+        process.ask("REJOIN").is_ok_and(|answer| answer.is_error())
+    });
     assert_eq!(client.ping(), Reply::Health(false));
     finish_run(&process, &client, id, "paper");
     await_exit(&deployment, &mut process);
 }
 
 #[test]
-fn a_reload_in_a_drain_is_counted_and_ends_no_drain() {
+fn reload_is_counted_and_keeps_lame_duck() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
@@ -354,11 +362,11 @@
     assert_eq!(figure(&process, "relay.reconfig_ok"), 1);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
 }
 
 #[test]
-fn an_engine_that_is_lost_and_comes_back_ends_no_drain() {
+fn engine_reconnect_keeps_lame_duck() {
     let deployment = deployment();
     let process = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
@@ -368,54 +376,55 @@
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(client.ping(), Reply::Health(false));
     process.engine.set_up(true);
-    eventually("served", || matches!(client.call(&Request::read("paper")), Reply::Served(_)));
+    eventually("a served request", || matches!(client.call(&Request::read("paper")), Reply::Served(_)));
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
 }
 
-// ---- the law of the figures ----
+// ---- the invariant of the metrics ----
 
-/// What became of the requests whose callers stayed, as `INFO` tells it.
+/// The number of answered requests in `INFO`.
 fn answered(process: &Process) -> u64 {
     CLASS_COUNTERS[..3].iter().map(|counter| sum_of_classes(process, counter)).sum()
 }
 
-/// Read = served + refused + failed + gone + in flight, while requests are under way and after them.
+/// Requests read = served + refused + failed + gone + in flight, both while requests are in flight and
+/// afterwards.
 #[test]
-fn every_request_read_is_accounted_for_once() {
+fn counts_every_request_once() {
     let deployment = deployment();
     let process = start_ready(&deployment, commanded_engine());
     let engine = &process.engine;
     let client = connect(&deployment);
     let send = |request: &Request| client.send(request).expect("sent");
 
-    // Served, one of them with a call, and one whose caller gives it up.
+    // Three requests: one without a call, one with a call, and one that its caller cancels.
     let plain = send(&Request::read("plain"));
     let calling = send(&Request::calling("calling"));
-    let given_up = send(&Request::read("given up"));
-    // A key that is tried twice at once.
-    let tries = [send(&Request::keyed("twice")), send(&Request::keyed("twice"))];
+    let cancelled = send(&Request::read("given up"));
+    // Two concurrent attempts with the same idempotency key.
+    let attempts = [send(&Request::keyed("twice")), send(&Request::keyed("twice"))];
     eventually("the runs", || engine.open_runs() == 4);
     assert_eq!(figure(&process, "relay.inflight"), 5);
     assert_eq!(answered(&process), 0);
 
-    client.abort(given_up).expect("sent");
-    eventually("one less", || figure(&process, "relay.inflight") == 4);
-    eventually("ended", || engine.finish_all() == 0 && figure(&process, "relay.inflight") == 0);
-    for id in [plain, calling, tries[0], tries[1]] {
+    client.abort(cancelled).expect("sent");
+    eventually("one request fewer in flight", || figure(&process, "relay.inflight") == 4);
+    eventually("all runs ended", || engine.finish_all() == 0 && figure(&process, "relay.inflight") == 0);
+    for id in [plain, calling, attempts[0], attempts[1]] {
         assert!(matches!(client.wait(id), Reply::Served(_)));
     }
     assert_eq!(engine.runs_of("twice"), 1);
 
-    // A repeat that is answered from the kept result, and a body that is another under the same key.
+    // A duplicate that is answered with the retained result, and a different body under the same key.
     assert!(matches!(client.call(&Request::keyed("twice")), Reply::Served(_)));
     let other = Request { body: "other".into(), ..Request::keyed("twice") };
     assert!(matches!(client.call(&other), Reply::Failed(_)));
-    // A caller that closes its connection while its effect is under way. The end of what it sends is no end of what it
-    // reads: the answer is still owed, written, and counted.
+    // A caller that closes its connection while its write runs. A caller that has stopped sending may still
+    // read: the answer is still pending, written, and counted.
     let leaving = connect(&deployment);
     leaving.send(&Request::keyed("left")).expect("sent");
     eventually("the run", || engine.runs_of("left") == 1);
@@ -423,7 +432,7 @@
     std::thread::sleep(Duration::from_millis(100));
     engine.finish("left");
     eventually("nothing in flight", || figure(&process, "relay.inflight") == 0);
-    // What is given up has no end in the figures; health checks are no requests.
+    // Cancelled requests have no outcome in the metrics, and health checks do not count as requests.
     client.ping();
 
     let (read, gone) = (8, 1);
@@ -433,7 +442,7 @@
     assert_eq!(figure(&process, "relay.calls.write.success"), 4);
     assert_eq!(figure(&process, "relay.calls.write.failure"), 1);
     assert_eq!(sum_of_classes(&process, "busy"), 0);
-    // Runs handed to the engine: repeats have none, whatever calls a run makes.
+    // Runs started on the engine: duplicates start none, and calls of a run do not count as runs.
     let runs: usize = engine.runs().values().sum();
     assert_eq!(runs, 5);
     assert_eq!(sum_of_classes(&process, "backend_calls"), runs as u64);
@@ -441,9 +450,9 @@
     assert_eq!(figure(&process, "relay.calls.write.backend_calls"), 2);
 }
 
-/// At more load than the engine can take, the figures are those that the clients saw.
+/// Under more load than the engine can handle, the metrics match the answers that the clients received.
 #[test]
-fn the_figures_of_an_overload_are_those_of_its_clients() {
+fn overload_metrics_match_clients() {
     let deployment = deployment();
     let engine = Engine::start(Finish::After(Duration::from_millis(150))).expect("a free port");
     let process = start_ready(&deployment, engine);
@@ -463,9 +472,10 @@
     assert_eq!(sum_of_classes(&process, "failure"), tally.failed, "{tally:?}");
 }
 
-/// Connections that say nothing fill the process again and again while it drains: it must neither turn in circles nor stay.
+/// Silent connections fill the process again and again while it drains. The process must neither loop nor
+/// fail to end.
 #[test]
-fn a_process_that_is_full_while_its_listener_closes_ends_in_order() {
+fn full_process_ends_in_order_while_listener_closes() {
     let deployment = deployment_of(Setup { sockets: 64, ..setup() });
     let mut process = start_ready(&deployment, quick_engine());
     let listen = deployment.listen;
@@ -473,7 +483,7 @@
         let mut open = Vec::new();
         let until = Instant::now() + DEFAULT_TIMEOUT;
         while Instant::now() < until {
-            // Refused: the listener is closed, and the flood is over.
+            // The listener is closed and refuses the connection: the flood is over.
             let Ok(stream) = TcpStream::connect(listen) else { return };
             open.push(stream);
             std::thread::sleep(Duration::from_millis(2));
