--- a/tests/management.rs
+++ b/tests/management.rs
@@ -339,9 +339,7 @@
         assert_accepted(&process, "LAMEDUCK");
     }
     send_signal(&process, Signal::TERM);
-    eventually_within(ANSWER_TIMEOUT, "an error", || {
-        process.ask("REJOIN").is_ok_and(|answer| answer.is_error())
-    });
+    eventually_within(ANSWER_TIMEOUT, "rejected", || process.ask("REJOIN").is_ok_and(|a| a.is_error()));
     assert_eq!(client.ping(), Reply::Health(false));
     finish_run(&process, &client, id, "paper");
     await_exit(&deployment, &mut process);
