--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -1,6 +1,6 @@
-//! Where two events cross: what comes while the program starts, leaves, closes a connection or ends. Each crossing is
-//! forced by events: by the stopped process, by its clock set ahead, by what is kept back. The scenarios are in the
-//! language of `scenario/mod.rs`.
+//! Races between two events: input or signals that arrive while the program starts, drains, closes a
+//! connection or ends. Each race is forced deterministically: the process is stopped, its clock is set ahead,
+//! or input is delayed. The scenarios are in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -19,15 +19,15 @@
 }
 
 /// A world whose engine ends every run at once.
-fn up_and_swift(options: Options) -> World {
-    let mut notice = 0;
+fn up_with_instant_runs(options: Options) -> World {
+    let mut notice_id = 0;
     let engine = move |text: &str| {
         let words: Vec<&str> = text.split([' ', '|']).collect();
         match words.as_slice() {
             ["ATTACH", _] => vec!["HELLO hot 9000".into()],
             ["RUN", rid, ..] => {
-                notice += 1;
-                vec![format!("DONE {notice} {rid} complete 1|report")]
+                notice_id += 1;
+                vec![format!("DONE {notice_id} {rid} complete 1|report")]
             }
             ["STAT", tag] => vec![format!("STATS {tag} 0.1 0 0.1 3")],
             _ => vec!["NOTE 0 read".into()],
@@ -48,18 +48,18 @@
 // ---- connections ----
 
 #[rstest]
-#[case::bad_bytes_behind_good_requests(
+#[case::malformed_bytes_after_request(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
     rpc send hex=c1c1c1c1
-    # What was read before is answered, at once and as a failure: nothing is served to one that sends no messages.
+    # Requests that were read before fail at once: a router that sends malformed input gets no result.
     rpc expect [1 1 [Failed *] nil]
     rpc expect closed
     engine wait HALT 00000000000000a1
     node wait conn-ended conn=1 front=rpc reason=bad-type read=1 answered=1 *"
 )]
-#[case::bad_bytes_in_one_piece_with_good_requests(
+#[case::malformed_bytes_in_same_write_as_requests(
     "
     rpc queue 1 write rid=a1 token=k|paper
     rpc queue 2 ping
@@ -69,7 +69,7 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=message-too-deep read=2 answered=1 *"
 )]
-#[case::an_id_that_does_not_count_up_behind_an_open_request(
+#[case::non_increasing_message_id_after_open_request(
     "
     rpc send 3 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -79,7 +79,7 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=bad-message-id *"
 )]
-#[case::the_write_of_a_spoilt_connection_runs_on_and_its_repeat_gets_the_result(
+#[case::retry_gets_result_of_write_on_malformed_connection(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -89,12 +89,12 @@
     engine send DONE 1 00000000000000a1 complete 12|receipt
     rpc2 expect [1 1 nil [receipt *"
 )]
-#[case::half_a_request_on_a_resting_connection(
+#[case::partial_request_on_idle_connection(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
     rpc send cut=30 2 look rid=a1|paper
-    # The second tells when the first has rested for longer than routers keep a connection.
+    # The second connection is closed once the first has been idle for longer than routers keep a connection.
     rpc2 send 1 ping
     rpc2 expect [1 1 nil *
     rpc2 expect closed
@@ -103,7 +103,7 @@
     engine send DONE 1 00000000000000a1 complete 12|report
     rpc expect [1 2 nil [report *"
 )]
-#[case::a_request_that_lay_unread_while_its_connection_grew_old(
+#[case::unread_request_at_idle_timeout(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
@@ -115,7 +115,7 @@
     engine send DONE 1 00000000000000a1 complete 12|report
     rpc expect [1 2 nil [report *"
 )]
-#[case::a_first_request_that_lay_unread_until_its_connection_had_said_nothing_for_too_long(
+#[case::unread_first_request_at_message_timeout(
     "
     node send STOP
     rpc send 1 look rid=a1|paper
@@ -125,19 +125,19 @@
     engine send DONE 1 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *"
 )]
-#[case::what_comes_behind_the_shutdown_is_not_passed_on(
+#[case::request_after_shutdown_is_dropped(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
     rpc expect closed
-    # Half of the connection is still open: this crossed the close, and its sender has to go elsewhere.
+    # The read half is still open: this request crossed the close, and its sender has to use another server.
     rpc send 2 look rid=a1|paper
     rpc2 send 1 look rid=a2|other
     engine expect RUN 00000000000000a2 look|other
     rpc shut
     node wait conn-ended conn=1 front=rpc reason=idle read=1 *"
 )]
-#[case::the_writing_half_is_ended_behind_requests(
+#[case::client_shutdown_after_requests(
     "
     rpc queue 1 look rid=a1|paper
     rpc send 2 look rid=a2|other
@@ -151,7 +151,7 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=peer-closed read=2 answered=2 *"
 )]
-#[case::the_writing_half_is_ended_within_a_message(
+#[case::client_shutdown_within_message(
     "
     rpc queue 1 look rid=a1|paper
     rpc send cut=99 2 look rid=a2|other
@@ -162,7 +162,7 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=cut-off read=1 answered=1 *"
 )]
-#[case::ajp_a_request_that_lay_unread_as_callers_are_told_to_go(
+#[case::ajp_unread_request_at_go_away(
     "
     ajp send ping
     ajp expect cpong
@@ -170,7 +170,7 @@
     node wait leaving *
     node send STOP
     ajp send /look secret=s3|paper
-    # The time at which idle front ends are let go.
+    # The time at which idle callers are asked to disconnect.
     node send clock=1700
     node send CONT
     engine expect RUN $a look|paper
@@ -180,20 +180,21 @@
     ajp expect end *
     ajp expect closed"
 )]
-fn on_one_connection(#[case] scenario: &str) {
+fn handles_events_that_cross_on_one_connection(#[case] scenario: &str) {
     up(Options { idle_ms: 400, ..Options::default() }).run(scenario);
 }
 
-/// Requests behind the most that may be open: each that was read has its answer, and the connection ends in order.
+/// More requests than may be in flight: every request that was read is answered, and the connection ends in
+/// order.
 #[test]
-fn too_many_open_requests_are_all_answered() {
+fn answers_all_read_requests_beyond_in_flight_limit() {
     let mut world = up(Options::default());
     let queued: String = (1..40).map(|id| format!("rpc queue {id} look rid={id}|paper\n")).collect();
     world.run(&format!("{queued}rpc send 40 look rid=40|paper"));
     let mut answered: Vec<u32> = Vec::new();
     for _ in 0..32 {
         let text = world.wait("rpc", "[1 *");
-        assert!(!text.contains("nil ["), "served to one that breaks the protocol: {text}");
+        assert!(!text.contains("nil ["), "a request was served after a protocol violation: {text}");
         answered.push(text.split(' ').nth(1).and_then(|id| id.parse().ok()).expect("an id"));
     }
     answered.sort_unstable();
@@ -204,10 +205,11 @@
     );
 }
 
-/// Any part of a request may be all that has come when the connection has rested for long, and the rest comes then.
+/// The connection is idle for longer than the timeout after any part of a request, and the rest of the
+/// request arrives then.
 #[test]
-fn a_request_cut_at_any_byte_by_a_rest_is_answered() {
-    let mut world = up_and_swift(Options { idle_ms: 300, ..Options::default() });
+fn answers_request_paused_at_any_byte() {
+    let mut world = up_with_instant_runs(Options { idle_ms: 300, ..Options::default() });
     let length = rpc_request("2 look rid=1|paper").len();
     let mut script = String::new();
     for at in 1..length {
@@ -215,7 +217,7 @@
             "rpc{at} send 1 ping\nrpc{at} expect [1 1 nil *\nrpc{at} send cut={at} 2 look rid={at:x}|paper\n"
         );
     }
-    // One that rests without half a message is closed after all that have one had rested as long.
+    // This connection has no partial message. It is closed after all the others were idle for as long.
     script += "rpc send 1 ping\nrpc expect [1 1 nil *\nrpc expect closed\n";
     for at in 1..length {
         script += &format!("rpc{at} send rest\n");
@@ -226,11 +228,12 @@
     world.run(&script);
 }
 
-// ---- the notice to leave ----
+// ---- the termination notice ----
 
-/// The engine comes up when the process has been told to leave: it is never listed as taking work, runs nothing, and ends.
+/// The engine comes up after the termination notice: the process is never registered as up, runs nothing, and
+/// ends.
 #[test]
-fn the_notice_before_the_engine_is_up() {
+fn notice_before_engine_up_never_serves() {
     let mut world = start(Options::default());
     world.run(
         "engine expect ATTACH 0
@@ -250,9 +253,10 @@
     );
 }
 
-/// Nobody came, and nobody was told of it: there is no reason to stay until the grace is over.
+/// No client connected and the process was never registered: it does not wait for the end of the grace
+/// period.
 #[test]
-fn the_notice_before_the_engine_is_up_and_nobody_there() {
+fn notice_before_engine_up_without_clients_ends_at_once() {
     let mut world = start(Options::default());
     world.run(
         "engine expect ATTACH 0
@@ -262,10 +266,10 @@
     );
 }
 
-/// Each stands before a door as it shuts: connected, its request written, not accepted. Or it was accepted, and its
-/// request lies in the system's buffer.
+/// The listener closes while a request is written on a connection that is not accepted yet, or that is
+/// accepted while the request is unread in the system's buffer.
 #[rstest]
-#[case::in_the_backlog(
+#[case::in_rpc_backlog(
     "
     node send STOP
     rpc send 1 look rid=a1 t0=2100|paper
@@ -274,7 +278,7 @@
     rpc expect [2 goaway []]
     rpc expect [1 1 [Busy *] nil]"
 )]
-#[case::in_the_backlog_of_the_other_front(
+#[case::in_ajp_backlog(
     "
     node send STOP
     ajp send /look secret=s3|paper
@@ -283,7 +287,7 @@
     ajp expect status 503 *
     ajp expect end *"
 )]
-#[case::unread_on_a_connection(
+#[case::unread_on_connection(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
@@ -293,7 +297,7 @@
     node send CONT
     rpc wait [1 2 [Busy *] nil]"
 )]
-#[case::several_in_one_piece_behind_the_goaway(
+#[case::several_in_one_write_after_go_away(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
@@ -309,18 +313,19 @@
     rpc wait [1 2 [Busy *] nil]
     rpc wait [1 3 [Busy *] nil]"
 )]
-fn whoever_stands_before_the_door_as_it_shuts_is_answered(#[case] scenario: &str) {
+fn answers_late_requests_while_closing(#[case] scenario: &str) {
     let mut world = up(Options::default());
     world.run("node send TERM\nnode wait leaving *");
     world.run(scenario);
-    let who = scenario.split_whitespace().find(|word| word.starts_with("rpc") || word.starts_with("ajp"));
-    let who = who.expect("a client");
-    world.run(&format!("{who} shut\n{who} wait closed\nnode wait exit 0\nengine never RUN *"));
+    let client = scenario.split_whitespace().find(|word| word.starts_with("rpc") || word.starts_with("ajp"));
+    let client = client.expect("a client");
+    world.run(&format!("{client} shut\n{client} wait closed\nnode wait exit 0\nengine never RUN *"));
 }
 
-/// What was read in the grace is served, whenever it is read; what reached the machine after it is not.
+/// A request that reached the machine in the grace period is served even if it is read later; a request that
+/// reached the machine after the grace period is not.
 #[test]
-fn the_grace_counts_from_the_notice_however_late_a_request_is_read() {
+fn grace_period_counts_from_notice_for_late_reads() {
     let mut world = up(Options::default());
     world.run(
         "rpc send 1 ping
@@ -328,7 +333,7 @@
          node send TERM
          node wait leaving *
          node send clock=2100
-         # By its own clock the program is past its grace of 2000 ms; this one came a moment before the end of it.
+         # By its own clock the program is past its grace period of 2000 ms; this request arrived shortly before its end.
          rpc send 2 look rid=a1 t0=1900|paper
          rpc send 3 look rid=a2 t0=2100|paper
          engine expect RUN 00000000000000a1 look|paper
@@ -341,13 +346,13 @@
     );
 }
 
-/// The kill is near and a run goes on: its caller is answered, whole and once, and no reset takes that along, whatever
-/// else the caller sends.
+/// The kill is near and runs are unfinished: each caller gets one complete answer, which no reset destroys,
+/// whatever else the caller sends.
 #[rstest]
-#[case::nothing_more("rpc send 2 ping\nrpc expect [1 2 nil *")]
-#[case::half_a_line("rpc send cut=40 2 look rid=a2|paper")]
-#[case::more_than_is_read("rpc queue 2 ping\nrpc send cut=60 3 look rid=a3|paper")]
-fn at_the_kill_each_answer_is_whole(#[case] more: &str) {
+#[case::no_more_input("rpc send 2 ping\nrpc expect [1 2 nil *")]
+#[case::partial_message("rpc send cut=40 2 look rid=a2|paper")]
+#[case::request_and_partial_message("rpc queue 2 ping\nrpc send cut=60 3 look rid=a3|paper")]
+fn completes_answers_before_kill(#[case] more: &str) {
     let mut world = up(Options::default());
     world.run(&format!(
         "rpc send 1 look rid=a1|paper
@@ -362,16 +367,16 @@
          rpc wait closed
          rpc2 wait [1 1 [Failed *] nil]
          rpc2 wait closed
-         # Half a message may also have been waited for too long by now.
+         # The wait for the rest of a partial message may also have timed out by now.
          node wait conn-ended conn=1 front=rpc reason=s* read=*
          node wait ended *
          node wait exit 0",
     ));
 }
 
-/// Requests that come between the last answers and the end are answered, or nothing of them was read.
+/// Requests that arrive between the last answers and the end are either answered or not read at all.
 #[test]
-fn a_flood_through_the_whole_drain_gets_whole_answers_and_no_reset() {
+fn flood_during_drain_gets_complete_answers() {
     let mut world = up(Options::default());
     world.run("rpc send 1 look rid=a1|paper\nengine expect RUN 00000000000000a1 look|paper\nnode send TERM");
     let script: String = (2..400).map(|id| format!("rpc send {id} ping\n")).collect();
@@ -381,17 +386,17 @@
 
 #[rstest]
 #[case::twice("node send TERM\nnode send TERM")]
-#[case::and_a_reload("node send TERM\nnode send HUP")]
-#[case::behind_a_reload("node send config=moved\nnode send HUP\nnode send TERM")]
-#[case::with_a_configuration_that_is_cut_off(
+#[case::before_reload("node send TERM\nnode send HUP")]
+#[case::after_reload("node send config=moved\nnode send HUP\nnode send TERM")]
+#[case::with_truncated_configuration(
     "node send config=cut-off\nnode send HUP\nnode send TERM\nnode send HUP"
 )]
-#[case::and_the_counters("node send USR1\nnode send TERM\nnode send USR1")]
-#[case::of_another_name("node send INT\nnode send TERM")]
-fn signals_that_cross_lose_nothing(#[case] signals: &str) {
+#[case::with_counters("node send USR1\nnode send TERM\nnode send USR1")]
+#[case::after_interrupt("node send INT\nnode send TERM")]
+fn concurrent_signals_lose_nothing(#[case] signals: &str) {
     let mut world = up(Options::default());
     world.run("rpc send 1 look rid=a1|paper\nengine expect RUN 00000000000000a1 look|paper\nnode send STOP");
-    // All are delivered in one instant.
+    // All signals are delivered at the same instant.
     world.run(signals);
     world.run("node send CONT\nnode wait leaving *");
     let moved = signals.contains("moved");
@@ -412,14 +417,15 @@
 
 // ---- the start ----
 
-fn early(signals: &'static [&'static str], then: &'static str) -> World {
+fn start_with_early_signals(signals: &'static [&'static str], then: &'static str) -> World {
     start(Options { early: Some((signals, then)), ..Options::default() })
 }
 
-/// A reload that comes while the program reads its configuration is taken when it has: it may have read the old one.
+/// A reload signal that arrives while the program reads its configuration is handled afterwards, as the
+/// program may have read the previous file.
 #[test]
-fn a_reload_during_the_start_is_taken_after_it() {
-    let mut world = early(&["HUP"], "moved");
+fn reload_during_start_is_applied_after_it() {
+    let mut world = start_with_early_signals(&["HUP"], "moved");
     world.run(
         "node wait reloaded *
          engine2 wait ATTACH 0
@@ -433,36 +439,37 @@
 }
 
 #[test]
-fn a_reload_during_the_start_of_a_file_that_cannot_be_used_changes_nothing() {
-    let mut world = early(&["HUP", "USR1", "HUP"], "cut-off");
+fn invalid_reload_during_start_changes_nothing() {
+    let mut world = start_with_early_signals(&["HUP", "USR1", "HUP"], "cut-off");
     world.run("node wait reload-failed addresses=kept *");
     world.run(UP);
 }
 
 #[rstest]
 #[case::alone(&["TERM"])]
-#[case::with_a_reload(&["HUP", "TERM"])]
-#[case::twice_and_with_all(&["USR1", "TERM", "HUP", "INT", "TERM"])]
-fn the_notice_during_the_start_ends_the_process_in_order(#[case] signals: &'static [&'static str]) {
-    let mut world = early(signals, "first");
+#[case::with_reload(&["HUP", "TERM"])]
+#[case::with_all_signals(&["USR1", "TERM", "HUP", "INT", "TERM"])]
+fn notice_during_start_ends_in_order(#[case] signals: &'static [&'static str]) {
+    let mut world = start_with_early_signals(signals, "first");
     world.run("node wait leaving *\nnode wait ended *\nnode wait exit 0\nmembers never HB n1 UP");
 }
 
-/// The process that had the address a moment ago is about to end: its successor waits for it.
+/// The predecessor at the address is about to end: the successor waits for the address.
 #[test]
-fn an_address_that_is_in_use_is_waited_for() {
+fn waits_for_address_in_use() {
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let mut world = up(Options { blocked: Some(other), ..Options::default() });
     world.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
 }
 
-/// Killed with connections open, it comes back at its address while the old ones still linger in the system.
+/// A process is killed with open connections. Its successor starts at the same address while these
+/// connections still linger in the system.
 #[test]
-fn a_successor_starts_at_the_same_address_while_old_connections_linger() {
+fn successor_starts_while_connections_of_predecessor_linger() {
     let mut world = up(Options::default());
     let listen = world.listen;
     world.run("rpc send 1 look rid=a1|paper\nengine expect RUN 00000000000000a1 look|paper");
     world.run("node send KILL\nnode wait exit killed\nrpc wait closed");
-    let mut next = up(Options { listen, ..Options::default() });
-    next.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
+    let mut successor = up(Options { listen, ..Options::default() });
+    successor.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
 }
