--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -31,7 +31,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// The clock.
     pub clock: Clock,
-    /// Wakes the core.
+    /// The state that wakes the core.
     pub status: Rc<Status>,
     /// The limit of connections, which both processes share.
     pub limiter: Rc<ConnectionLimiter>,
--- a/src/server/control/reload.rs
+++ b/src/server/control/reload.rs
@@ -77,8 +77,8 @@
         self.config = config;
     }
 
-    /// Keeps the engine if the management address differs: such a file was written for a process that is
-    /// started beside this one and uses another engine.
+    /// Keeps the engine and the management address if the latter differs: such a file was written for a
+    /// process that is started beside this one and uses another engine.
     fn without_settings_of_another_process(&self, mut config: Config) -> Config {
         if config.management != self.config.management {
             config.engine = self.config.engine;
--- a/src/server/control/status.rs
+++ b/src/server/control/status.rs
@@ -13,8 +13,8 @@
     pub healthy: Cell<bool>,
     /// The load report that is sent with each answer; `None` before the first report.
     pub load_report: Cell<Option<f64>>,
-    /// When the termination notice arrived, Unix ms; the core takes the value. It does not queue behind the
-    /// core's inputs.
+    /// When the termination notice arrived, Unix ms; the core takes the value. The notice does not queue
+    /// behind the core's inputs.
     pub termination_notice_ms: Cell<Option<f64>>,
     /// The latest request of an operator to enter (`true`) or leave (`false`) lame duck mode; the core takes
     /// the value.
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -23,7 +23,7 @@
 /// one before its request can arrive.
 const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
 /// Maximum number of new connections without a message that are protected from eviction at a time. A burst of
-/// silent connections evicts at most this many connections in use, and beyond that only its own.
+/// silent connections evicts at most this many connections that callers use, and beyond that only its own.
 const MAX_PROTECTED_CONNECTIONS: usize = 8;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -317,7 +317,7 @@
         send_signal(&process, Signal::TERM);
     } else {
         send_signal(&process, Signal::TERM);
-        // Either answer is valid, as the process may already be closing, but there has to be one.
+        // Either answer is valid, as the process may already be closing, but an answer has to come.
         let answer = ask(&process, "LAMEDUCK");
         assert!(answer.is_ok() || answer.is_error(), "{:?}", answer.lines);
     }
