--- a/src/config/active.rs
+++ b/src/config/active.rs
@@ -1,29 +1,29 @@
-//! The settings in force, as all parts of the process share them. They are replaced and never changed in place: whoever
-//! holds an older version keeps a consistent one.
+//! The active settings, which all parts of the process share. A reload replaces them and never changes them
+//! in place, so code that still uses the previous version sees consistent settings.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use crate::config::site::Site;
 
-/// The settings in force.
+/// The active settings.
 #[derive(Debug)]
 pub struct ActiveSettings {
     site: RefCell<Rc<Site>>,
 }
 
 impl ActiveSettings {
-    /// The settings that the process starts with.
+    /// Begins with the settings that the process starts with.
     pub fn new(site: Rc<Site>) -> Self {
         ActiveSettings { site: RefCell::new(site) }
     }
 
-    /// The settings in force now.
+    /// The active settings at this moment.
     pub fn site(&self) -> Rc<Site> {
         self.site.borrow().clone()
     }
 
-    /// Replaces them by settings that [`Site::merged_with`] made of these.
+    /// Replaces the active settings with `site`, which [`Site::merged_with`] made from them.
     pub fn replace(&self, site: Rc<Site>) {
         *self.site.borrow_mut() = site;
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,10 +1,11 @@
 //! The configuration file that the platform writes, as JSON.
 //!
-//! It owns the file's fields, their ranges, and which configuration may follow the active one at a reload; it acts on none
-//! of them. A file is accepted or rejected as a whole, and an error names line and field.
+//! This module owns the fields of the file, their ranges, and the rules for replacing the active
+//! configuration at a reload. It applies no setting. A file is accepted or rejected as a whole, and an error
+//! names line and field.
 //!
-//! - [`site`] is the settings object in the file, and the indexes of classes and tenants.
-//! - [`active`] shares the settings in force.
+//! - [`site`] reads the settings object in the file, and assigns the indexes of classes and tenants.
+//! - [`active`] shares the active settings.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,16 +24,17 @@
 
 pub use position::Position;
 
-/// What is wrong with a file, and where.
+/// Why a file is rejected, and the position of the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
     /// The file.
     pub file: PathBuf,
-    /// Where in the file, if that is known.
+    /// Position in the file, if it is known.
     pub position: Option<Position>,
-    /// The field with its parents, as in `settings.services[1].deadlineMs`; empty if none is at fault.
+    /// Path of the field, as in `settings.services[1].deadlineMs`; empty if the error is about no single
+    /// field.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which value would be accepted.
     pub problem: String,
 }
 
@@ -83,7 +85,7 @@
         self.field_error(&format!("settings.{}", error.field()), error)
     }
 
-    /// Settings that the admission controller accepts.
+    /// Returns the settings if the admission controller accepts them.
     fn checked(self, site: Site) -> Result<Rc<Site>, FileError> {
         site.settings.check().map_err(|error| self.field_error("settings", error))?;
         Ok(Rc::new(site))
@@ -99,11 +101,11 @@
 /// The configuration of one process.
 #[derive(Debug)]
 pub struct Config {
-    /// The name of the server, the same after a restart.
+    /// Name of the server, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// Address of the management port, on which operators connect; `None` for no port.
     pub management: Option<SocketAddr>,
     /// Address of the engine.
     pub engine: SocketAddr,
@@ -113,7 +115,7 @@
     pub store: SocketAddr,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// From the termination notice to the kill, ms; above 0.
+    /// Time from the termination notice to the kill, ms; above 0.
     pub stop_ms: f64,
     /// Memory limit of the process, MB; above 0.
     pub memory_mb: f64,
@@ -121,7 +123,7 @@
     pub sockets: usize,
     /// Settings of the admission controller, and the names of classes and tenants.
     pub site: Rc<Site>,
-    /// The whole file: a configuration that follows must have its keys.
+    /// The whole file as JSON. A later configuration must have its keys.
     document: Value,
 }
 
@@ -147,21 +149,22 @@
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads a file and checks its text; see [`Config::parse`].
     pub fn read(file: &Path) -> Result<Config, FileError> {
         Config::parse(file, &read_text(file)?)
     }
 
-    /// Checks the text of a file.
+    /// Parses the text of a file and checks its values.
     pub fn parse(file: &Path, text: &str) -> Result<Config, FileError> {
         let raw: RawConfig = from_json(file, text)?;
         let document: Value = from_json(file, text)?;
         let source = Source { file, text };
-        let seed = u64::from_str_radix(&raw.seed, 16)
-            .map_err(|_| source.field_error("seed", "is not up to 16 hexadecimal digits"))?;
+        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| {
+            source.field_error("seed", format_args!("{:?} is not 1 to 16 hexadecimal digits", raw.seed))
+        })?;
         for (field, value) in [("stop_ms", raw.stop_ms), ("limits.memory_mb", raw.limits.memory_mb)] {
             if !(value.is_finite() && value > 0.0) {
-                return Err(source.field_error(field, "is not a number above 0"));
+                return Err(source.field_error(field, format_args!("{value} is not a number above 0")));
             }
         }
         let site = Site::from_json(&raw.settings).map_err(|error| source.site_error(&error))?;
@@ -182,18 +185,20 @@
         })
     }
 
-    /// Reads a file again; see [`Config::next`].
+    /// Reads a file at a reload; see [`Config::next`].
     pub fn read_next(&self, file: &Path, now_ms: f64) -> Result<Config, FileError> {
         self.next(file, &read_text(file)?, now_ms)
     }
 
-    /// The configuration that follows this one, from the text of a file that was read at `now_ms` (Unix ms). Stricter than
-    /// [`Config::parse`]: a key that this one has must not be missing, as the file may be incomplete.
+    /// Returns the configuration that replaces this one, from the text of a file that was read at `now_ms`
+    /// (Unix ms). This is stricter than [`Config::parse`]: a key of this configuration must not be missing,
+    /// because the file may be written only in part.
     pub fn next(&self, file: &Path, text: &str, now_ms: f64) -> Result<Config, FileError> {
         let document: Value = from_json(file, text)?;
         let source = Source { file, text };
         if let Some(field) = required::first_missing(&self.document, &document) {
-            return Err(source.field_error(&field, "is missing, and the configuration in force has it"));
+            return Err(source
+                .field_error(&field, "is missing; a reload must keep each key of the active configuration"));
         }
         let new = Config::parse(file, text)?;
         let merged = self.site.merged_with(Site::clone(&new.site), now_ms);
@@ -201,7 +206,7 @@
         Ok(Config { site: source.checked(site)?, ..new })
     }
 
-    /// The fields in which `new` differs from this one and which cannot change without a restart.
+    /// Names the fields that differ in `new` and cannot change without a restart.
     pub fn restart_only_differences(&self, new: &Config) -> Vec<&'static str> {
         let differences = [
             ("name", self.name != new.name),
@@ -223,11 +228,12 @@
         let field = if path == "." { String::new() } else { path.replace('?', "") };
         FileError { position, field, ..FileError::new(file, without_position(&inner.to_string())) }
     })?;
-    json.end().map_err(|error| FileError::new(file, format_args!("goes on after its end: {error}")))?;
+    json.end()
+        .map_err(|error| FileError::new(file, format_args!("has text after its JSON value: {error}")))?;
     Ok(value)
 }
 
-/// A message of the JSON library without the position at its end.
+/// Removes the position from the end of a message of the JSON library.
 fn without_position(message: &str) -> &str {
     message.split(" at line ").next().unwrap_or(message)
 }
--- a/src/config/position.rs
+++ b/src/config/position.rs
@@ -7,12 +7,13 @@
 pub struct Position {
     /// Line, from 1.
     pub line: usize,
-    /// Column in bytes, from 1; 0 where the JSON library says so, at the end of an empty text.
+    /// Column in bytes, from 1; 0 at the end of an empty text, where the JSON library reports 0.
     pub column: usize,
 }
 
 impl Position {
-    /// The position of the byte at this offset. An offset behind the text is that of its end.
+    /// The position of the byte at this offset. An offset past the end of the text gives the position of its
+    /// end.
     pub fn of_offset(text: &str, offset: usize) -> Position {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
@@ -21,29 +22,31 @@
     }
 }
 
-/// Byte offset of the key that a path such as `settings.services[1].name` names, or of the element if it ends with an
-/// index. If that is not there, the offset of the innermost parent that is. The text is valid JSON.
+/// Byte offset of the key that a path such as `settings.services[1].name` names, or of the element if the
+/// path ends with an index. If the text lacks the field, the offset of its innermost parent that is present.
+/// The text is valid JSON.
 pub(super) fn field_offset(text: &str, path: &str) -> usize {
     let mut cursor = Cursor { text, offset: 0 };
-    let mut found = 0;
+    let mut deepest_offset = 0;
     let steps = path.split(['.', '[']).map(|step| step.trim_end_matches(']'));
     for step in steps.filter(|step| !step.is_empty()) {
         match cursor.enter(step) {
-            Some(offset) => found = offset,
+            Some(offset) => deepest_offset = offset,
             None => break,
         }
     }
-    found
+    deepest_offset
 }
 
-/// A reader that is at the beginning of a value.
+/// A reader of a JSON text; between two steps of a path, `offset` is the beginning of a value.
 struct Cursor<'a> {
     text: &'a str,
     offset: usize,
 }
 
 impl Cursor<'_> {
-    /// Enters the member or element of this name of the value; returns the offset of its key, or of the element.
+    /// Moves to the member or element of the value that `step` names. Returns the offset of the member's key,
+    /// or of the element.
     fn enter(&mut self, step: &str) -> Option<usize> {
         self.skip_space();
         match self.take()? {
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,6 +1,7 @@
-//! The settings of a site: what the admission controller is told, and the names of classes and tenants. It keeps their
-//! indexes the same over reloads, and decides nothing about requests. `parse` and `section` read the settings object, which
-//! the simulator's first message and the configuration file both carry.
+//! The settings of a site: those of the admission controller, and the names of classes and tenants. This
+//! module keeps the indexes of classes and tenants the same over reloads, and decides nothing about requests.
+//! `parse` and `section` read the settings object, which the simulator's first message and the configuration
+//! file both carry.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +12,13 @@
 mod parse;
 mod section;
 
-/// How long the name of a class or tenant that a reload dropped is still accepted, ms: clients hear of a reload about 1.2 s
-/// late, and requests that they sent before are still on their way then.
+/// How long the name of a class or tenant is still accepted after a reload dropped it, ms. Clients learn of a
+/// reload about 1.2 s late, and the requests that they sent before that are still on their way.
 pub const RETIRED_GRACE_MS: f64 = 3000.0;
-/// Class indexes that one process may assign over all reloads. Each takes rows in the admission controller and series in
-/// telemetry.
+/// Limit of the class indexes that one process assigns over all reloads. Each index takes rows in the
+/// admission controller and series in telemetry.
 pub const MAX_CLASSES: usize = 256;
-/// Tenant indexes that one process may assign over all reloads. Each takes two numbers.
+/// Limit of the tenant indexes that one process assigns over all reloads. Each index takes two numbers.
 pub const MAX_TENANTS: usize = 4096;
 
 /// Why settings cannot be used.
@@ -26,26 +27,26 @@
     /// A field is missing or has another type.
     #[error("field {field} is missing or not {wanted}")]
     Field {
-        /// The field with its parents, as in `services[1].deadlineMs`.
+        /// Path of the field, as in `services[1].deadlineMs`.
         field: String,
-        /// What it has to be.
+        /// The accepted type or values.
         wanted: &'static str,
     },
-    /// More indexes would be needed than one process assigns.
+    /// The settings need more indexes than one process assigns.
     #[error(
-        "field {field} brings the names seen since the start, dropped ones included, above {max}: restart \
-         the process, which then knows only those of the file"
+        "field {field} raises the number of names since the start of the process, dropped names included, \
+         above {max}: restart the process, which then counts only the names in the file"
     )]
     TooManyNames {
         /// The list: `services` or `projects`.
         field: &'static str,
-        /// The most that there may be.
+        /// The limit.
         max: usize,
     },
 }
 
 impl SiteError {
-    /// The field, with its parents.
+    /// Path of the field.
     pub fn field(&self) -> &str {
         match self {
             SiteError::Field { field, .. } => field,
@@ -54,11 +55,11 @@
     }
 }
 
-/// The name of a class or tenant, which has an index.
+/// The name of a class or tenant at one index.
 #[derive(Clone, Debug, PartialEq)]
 struct IndexedName {
     name: String,
-    /// When a reload dropped it, Unix ms.
+    /// When a reload dropped the name, Unix ms; `None` while the settings contain it.
     retired_ms: Option<f64>,
 }
 
@@ -72,20 +73,20 @@
     }
 }
 
-/// The settings of a site, with the names that its messages use.
+/// The settings of a site, with the names by which messages refer to classes and tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// What the admission controller is told.
+    /// Settings of the admission controller.
     pub settings: Settings,
     /// Index of each class by its name, dropped ones included.
     pub class_names: BTreeMap<String, usize>,
     /// Index of each tenant by its name, dropped ones included.
     pub tenant_names: BTreeMap<String, usize>,
-    /// The registration in the service registry follows the health answer.
+    /// Whether the registration in the service registry follows the result of the health check.
     pub registry_follows_health: bool,
-    /// By class index. A name has several indexes if its idempotency changed.
+    /// Name of each class by its index. A name has several indexes if its idempotency changed.
     class_table: Vec<IndexedName>,
-    /// By tenant index.
+    /// Name of each tenant by its index.
     tenant_table: Vec<IndexedName>,
 }
 
@@ -94,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// [`SiteError::Field`] for the first field that cannot be used.
+    /// [`SiteError::Field`] for the first field that is invalid.
     pub fn from_json(settings: &Value) -> Result<Site, SiteError> {
         parse::site(settings)
     }
@@ -104,14 +105,14 @@
         self.class_table.get(class).map_or("", |entry| entry.name.as_str())
     }
 
-    /// The index of the class that this name stands for at `now_ms` (Unix ms); `None` if it is unknown or was dropped more than
-    /// [`RETIRED_GRACE_MS`] ago.
+    /// The index of the class with this name at `now_ms` (Unix ms); `None` if the name is unknown or a reload
+    /// dropped it [`RETIRED_GRACE_MS`] ago or earlier.
     pub fn class_of(&self, name: &str, now_ms: f64) -> Option<usize> {
         let class = *self.class_names.get(name)?;
         self.class_table[class].is_accepted(now_ms).then_some(class)
     }
 
-    /// The index of the tenant of this name; see [`Site::class_of`].
+    /// The index of the tenant with this name; see [`Site::class_of`].
     pub fn tenant_of(&self, name: &str, now_ms: f64) -> Option<usize> {
         let tenant = *self.tenant_names.get(name)?;
         self.tenant_table[tenant].is_accepted(now_ms).then_some(tenant)
@@ -122,8 +123,9 @@
         self.class_table.get(class).is_some_and(|entry| entry.retired_ms.is_some())
     }
 
-    /// The settings that are in force after `new` was read at `now_ms` (Unix ms). All indexes keep their meaning: classes and
-    /// tenants that `new` does not name keep their settings and are marked as retired.
+    /// Returns the settings that are active after `new` was read at `now_ms` (Unix ms). All indexes keep
+    /// their meaning: classes and tenants that `new` does not name keep their settings and are marked as
+    /// retired.
     ///
     /// # Errors
     ///
@@ -154,13 +156,13 @@
         }
     }
 
-    /// Puts a class at the index that its name has with this idempotency, or at a new one: entries of the key table
-    /// follow the idempotency that they were made under.
+    /// Stores a class at the index that its name has with this idempotency, or at a new index. Entries of the
+    /// key table refer to the index, and keep the idempotency with which they were created.
     fn insert_class(&mut self, name: IndexedName, class: Class) {
         let classes = &mut self.settings.classes;
         let mut indexes = self.class_table.iter().zip(classes.iter());
-        let is_same = |(known, old): (&IndexedName, &Class)| {
-            known.name == name.name && old.idempotency == class.idempotency
+        let is_same = |(known_name, known_class): (&IndexedName, &Class)| {
+            known_name.name == name.name && known_class.idempotency == class.idempotency
         };
         let index = match indexes.position(is_same) {
             Some(index) => index,
@@ -175,7 +177,7 @@
         self.class_names.insert(name.name, index);
     }
 
-    /// Puts a tenant at the index that its name has, or at a new one.
+    /// Stores a tenant at the index that its name has, or at a new index.
     fn insert_tenant(&mut self, name: IndexedName, tenant: Tenant) {
         let tenants = &mut self.settings.tenants;
         let index = *self.tenant_names.entry(name.name.clone()).or_insert(tenants.len());
@@ -188,7 +190,7 @@
     }
 }
 
-/// A list may be as long as it is allowed to be, or as long as it was already.
+/// Rejects a list that grew and is longer than `max`. A list that did not grow passes, whatever its length.
 fn check_growth(field: &'static str, before: usize, after: usize, max: usize) -> Result<(), SiteError> {
     if after > before && after > max {
         return Err(SiteError::TooManyNames { field, max });
--- a/src/config/site/parse.rs
+++ b/src/config/site/parse.rs
@@ -1,5 +1,4 @@
-//! The settings object as JSON: the keys of its sections, and the settings that they stand for. Keys that are not known
-//! are ignored.
+//! Reads the settings object from JSON: maps the keys of its sections to settings. Unknown keys are ignored.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +10,13 @@
 
 /// The sections of the settings object.
 struct Sections<'a> {
-    /// The object itself.
+    /// The settings object itself.
     root: Section<'a>,
-    /// `specifics`: this server.
+    /// `specifics`: settings of this server.
     server: Section<'a>,
     /// `contract`: rules of the platform.
     contract: Section<'a>,
-    /// `ceilings`: bounds of the platform.
+    /// `ceilings`: limits of the platform.
     ceilings: Section<'a>,
 }
 
@@ -32,7 +31,7 @@
     }
 }
 
-/// Entries with names: the index of each name, and what stands at each index.
+/// Entries with names: the index of each name, and the name and entry at each index.
 struct NamedList<T> {
     indexes: BTreeMap<String, usize>,
     names: Vec<IndexedName>,
@@ -46,7 +45,8 @@
 }
 
 impl<T> NamedList<T> {
-    /// Appends an entry. A name that is there already stands for the new entry from then on.
+    /// Appends an entry. If the list contains the name already, the name refers to the new entry from then
+    /// on.
     fn push(&mut self, name: &str, entry: T) {
         self.indexes.insert(name.to_owned(), self.entries.len());
         self.names.push(IndexedName::new(name));
@@ -71,7 +71,7 @@
     })
 }
 
-/// The classes of requests: `services`, with two lists by class index beside it.
+/// Reads the classes of requests: `services`, and the lists `classCalls` and `worthWithout` by class index.
 fn classes(sections: &Sections) -> Result<NamedList<Class>, SiteError> {
     let makes_calls = sections.server.list("classCalls")?;
     let weights_without_call = sections.server.list("worthWithout")?;
@@ -80,7 +80,7 @@
         let section = Section::from_value(entry, &format!("services[{index}]"))?;
         let name = class_name(&section)?;
         if classes.indexes.contains_key(name) {
-            return Err(section.invalid("name", "the name of one class only"));
+            return Err(section.invalid("name", "a name that no other class has"));
         }
         let class = Class {
             weight_without_call: weights_without_call.get(index).and_then(Value::as_f64).unwrap_or(0.0),
@@ -92,11 +92,12 @@
     Ok(classes)
 }
 
-/// The name of a class: the engine receives it as one word of a line, and clients name the class by it.
+/// Reads the name of a class, which must be one word: the engine receives it as a word of a line, and clients
+/// name the class by it.
 fn class_name<'a>(section: &Section<'a>) -> Result<&'a str, SiteError> {
     let name = section.text("name")?;
     let is_one_word = !name.is_empty() && !name.chars().any(|c| c.is_whitespace() || c.is_control());
-    is_one_word.then_some(name).ok_or_else(|| section.invalid("name", "one word"))
+    is_one_word.then_some(name).ok_or_else(|| section.invalid("name", "one word without control characters"))
 }
 
 fn class(section: &Section) -> Result<Class, SiteError> {
@@ -118,11 +119,11 @@
         "idempotency_key" => Ok(Idempotency::Keyed),
         "non_idempotent" => Ok(Idempotency::NonIdempotent),
         "read_like" | "" => Ok(Idempotency::ReadOnly),
-        _ => Err(section.invalid("effect", "a known kind of class")),
+        _ => Err(section.invalid("effect", "one of read_like, idempotency_key, non_idempotent")),
     }
 }
 
-/// The tenants: `projects`.
+/// Reads the tenants: `projects`.
 fn tenants(sections: &Sections) -> Result<NamedList<Tenant>, SiteError> {
     let mut tenants = NamedList::default();
     for (index, entry) in sections.root.list("projects")?.iter().enumerate() {
@@ -173,7 +174,7 @@
         "credit" => Ok(LoadReportKind::Credit),
         "weight" => Ok(LoadReportKind::Weight),
         "silent" | "" => Ok(LoadReportKind::Silent),
-        _ => Err(server.invalid("signal", "a known kind of advice")),
+        _ => Err(server.invalid("signal", "one of level, credit, weight, silent")),
     }
 }
 
@@ -182,7 +183,7 @@
         "drop" => Ok(Preemption::Drop),
         "pause" => Ok(Preemption::Pause),
         "silent" | "" => Ok(Preemption::Never),
-        _ => Err(server.invalid("preemption", "a known way to stop work")),
+        _ => Err(server.invalid("preemption", "one of drop, pause, silent")),
     }
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of any deployment: those that pass the check start and serve, those that don't are rejected with the field at
-//! fault.
+//! Generated settings: valid settings start and serve, invalid settings are rejected with an error that names
+//! the field.
 
 mod core_harness;
 
@@ -12,8 +12,9 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-/// A figure of any size: those that mean off, those at the bounds, ordinary ones; and some that are none.
-fn figure() -> BoxedStrategy<Value> {
+/// A valid number of any size: values that switch a feature off, values at the bounds, ordinary values, and
+/// null.
+fn number() -> BoxedStrategy<Value> {
     prop_oneof![
         3 => Just(json!(0)),
         1 => Just(json!(1e-9)),
@@ -25,8 +26,8 @@
     .boxed()
 }
 
-/// A figure above 0, as a deadline has to be.
-fn positive_figure() -> BoxedStrategy<Value> {
+/// A valid number above 0, as deadlines require.
+fn positive_number() -> BoxedStrategy<Value> {
     prop_oneof![
         1 => Just(json!(1e-9)),
         1 => Just(json!(1e12)),
@@ -36,8 +37,8 @@
     .boxed()
 }
 
-/// A figure that no settings may have.
-fn wrong_figure() -> impl Strategy<Value = Value> {
+/// A value that is invalid in every numeric field.
+fn invalid_number() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(json!(-1)),
         Just(json!(-1e-300)),
@@ -47,32 +48,34 @@
     ]
 }
 
-fn class(name: usize) -> BoxedStrategy<Value> {
+fn class(index: usize) -> BoxedStrategy<Value> {
     let idempotency =
         prop_oneof![Just("read_like"), Just("idempotency_key"), Just("non_idempotent"), Just("")];
-    let figures = (figure(), positive_figure(), figure(), figure(), figure(), figure());
-    (idempotency, figures).prop_map(move |(idempotency, (aim, deadline, worth, late, stretch, window))| {
-        json!({"name": format!("c{name}"), "effect": idempotency, "promiseMs": aim, "deadlineMs": deadline, "worth": worth,
-            "lateWorth": late, "aimStretch": stretch, "keyTtlMs": window})
-    })
-    .boxed()
+    let numbers = (number(), positive_number(), number(), number(), number(), number());
+    (idempotency, numbers)
+        .prop_map(move |(idempotency, (objective, timeout, weight, late_weight, per_work, window))| {
+            json!({"name": format!("c{index}"), "effect": idempotency, "promiseMs": objective,
+                "deadlineMs": timeout, "worth": weight, "lateWorth": late_weight, "aimStretch": per_work,
+                "keyTtlMs": window})
+        })
+        .boxed()
 }
 
 prop_compose! {
     fn specifics()(
         cores in prop_oneof![Just(1.0), 1.0..64.0f64, Just(1e12)],
-        heap in figure(), factor in figure(), key in figure(), callers in figure(), fresh in figure(),
+        heap in number(), factor in number(), key in number(), callers in number(), result_ttl in number(),
         signal in prop_oneof![Just("level"), Just("credit"), Just("weight"), Just("silent")],
         preemption in prop_oneof![Just("drop"), Just("pause"), Just("silent")],
-        idle in figure(), out in figure(), over in figure(), linger in figure(),
+        idle in number(), quota in number(), quota_window in number(), linger in number(),
         flags in (any::<bool>(), any::<bool>(), any::<bool>()),
-        without in proptest::collection::vec(figure(), 0..5),
+        weights_without_call in proptest::collection::vec(number(), 0..5),
         gauges in prop_oneof![Just(vec![]), Just(vec!["cpu_busy", "runnable"]), Just(vec!["mem_used"])],
     ) -> Value {
         json!({"cores": cores, "heapKb": heap, "runFactor": factor, "keyKb": key, "clientsTotal": callers,
-            "freshForMs": fresh, "signal": signal, "preemption": preemption, "callerIdleMs": idle, "callsOut": out,
-            "callsOverMs": over, "lingerMs": linger, "cold": flags.0, "registryFollows": flags.1,
-            "classCalls": [flags.2, !flags.2, true], "worthWithout": without, "gauges": gauges})
+            "freshForMs": result_ttl, "signal": signal, "preemption": preemption, "callerIdleMs": idle,
+            "callsOut": quota, "callsOverMs": quota_window, "lingerMs": linger, "cold": flags.0, "registryFollows": flags.1,
+            "classCalls": [flags.2, !flags.2, true], "worthWithout": weights_without_call, "gauges": gauges})
     }
 }
 
@@ -80,18 +83,21 @@
     fn settings()(
         classes in (1..5usize).prop_flat_map(|n| (0..n).map(class).collect::<Vec<_>>()),
         specifics in specifics().boxed(),
-        figures in (figure(), figure(), figure(), figure(), figure(), figure(), figure(), figure()),
-        tenants in proptest::collection::vec(figure(), 0..4),
+        numbers in (number(), number(), number(), number(), number(), number(), number(), number()),
+        quotas in proptest::collection::vec(number(), 0..4),
         flags in (any::<bool>(), any::<bool>()),
     ) -> Value {
-        let (slack, grace, fall, capacity, cold, pause, servers, tick) = figures;
-        let tenants: Vec<Value> =
-            tenants.into_iter().enumerate().map(|(n, a)| json!({"name": format!("t{n}"), "allowancePerS": a})).collect();
+        let (slack, grace, max_running, initial_speed, warm_up, retry_after, servers, tick) = numbers;
+        let tenants: Vec<Value> = quotas
+            .into_iter()
+            .enumerate()
+            .map(|(n, quota)| json!({"name": format!("t{n}"), "allowancePerS": quota}))
+            .collect();
         json!({"services": classes, "specifics": specifics, "projects": tenants, "servers": servers, "tickMs": tick,
             "worthBy": if flags.0 { "work" } else { "request" },
-            "ceilings": {"retryAfter": flags.1, "maxRetryAfterMs": pause},
-            "contract": {"answerSlackMs": slack, "drainGraceMs": grace, "fallMultiple": fall,
-                "startCapacity": capacity, "coldMs": cold}})
+            "ceilings": {"retryAfter": flags.1, "maxRetryAfterMs": retry_after},
+            "contract": {"answerSlackMs": slack, "drainGraceMs": grace, "fallMultiple": max_running,
+                "startCapacity": initial_speed, "coldMs": warm_up}})
     }
 }
 
@@ -121,20 +127,21 @@
 proptest! {
     #![proptest_config(config(400))]
 
-    /// It starts, answers each request once, waits between its turns, and ends after the notice.
+    /// With any settings that pass the check, the core starts, answers each request once, and ends after the
+    /// termination notice.
     #[test]
-    fn whatever_passes_the_check_starts_serves_and_leaves(
+    fn valid_settings_start_serve_and_drain(
         settings in settings().boxed(),
         steps in proptest::collection::vec(step(), 1..60),
         stop_ms in prop_oneof![Just(1.0), 1.0..5000.0f64],
     ) {
-        let site = Site::from_json(&settings).expect("well formed");
+        let site = Site::from_json(&settings).expect("valid settings");
         let checked = site.settings.check();
-        prop_assert!(checked.is_ok(), "{checked:?} of {settings}");
+        prop_assert!(checked.is_ok(), "{checked:?} for {settings}");
         let classes = site.settings.classes.len();
         let mut harness = CoreHarness::with_site(site, 0.01, stop_ms);
         harness.apply(&Step::AttachEngine);
-        prop_assert!(harness.recorded.process_events.borrow().iter().any(|turn| matches!(turn, ProcessEvent::Started { .. })), "never ready");
+        prop_assert!(harness.recorded.process_events.borrow().iter().any(|event| matches!(event, ProcessEvent::Started { .. })), "the core did not start");
         for step in &steps {
             match step {
                 Step::Arrive { class, key, body, age } => {
@@ -152,16 +159,17 @@
         harness.advance(stop_ms + 200.0, 0.5);
         prop_assert_eq!(harness.core.phase(), Phase::Terminated);
         let unanswered = harness.totals_by_class().into_iter().map(|[read, answered, gone]| read - answered - gone).sum::<u64>();
-        prop_assert_eq!(unanswered, 0, "all that was read is answered before the end");
+        prop_assert_eq!(unanswered, 0, "requests that were unanswered at the end");
         prop_assert!(harness.recorded.answers.borrow().values().all(|replies| replies.len() == 1));
     }
 
-    /// One figure that can't be, anywhere: refused, and the field is named.
+    /// One invalid number in any section: the settings are rejected, and the error names the field, by its
+    /// key in the file or by the name that the admission controller gives it.
     #[test]
-    fn one_figure_that_cannot_be_is_refused_by_name(
+    fn rejects_invalid_number_and_names_field(
         settings in settings().boxed(),
-        wrong in wrong_figure(),
-        (section, field, named) in prop_oneof![
+        invalid in invalid_number(),
+        (section, field, controller_name) in prop_oneof![
             Just(("/specifics", "cores", "cores")),
             Just(("/specifics", "heapKb", "memory_kb")),
             Just(("/specifics", "keyKb", "key_kb")),
@@ -175,41 +183,44 @@
         ],
     ) {
         let mut settings = settings;
-        settings.pointer_mut(section).and_then(Value::as_object_mut).expect("there").insert(field.into(), wrong);
-        let told = match Site::from_json(&settings) {
+        settings.pointer_mut(section).and_then(Value::as_object_mut).expect("there").insert(field.into(), invalid);
+        let error = match Site::from_json(&settings) {
             Err(error) => error.to_string(),
-            Ok(site) => site.settings.check().expect_err("refused").to_string(),
+            Ok(site) => site.settings.check().expect_err("rejected").to_string(),
         };
-        prop_assert!(told.contains(field) || told.contains(named), "{told}: {field}");
+        prop_assert!(error.contains(field) || error.contains(controller_name), "{error}: {field}");
     }
 }
 
+/// The engine receives a class name as one word of a line, and callers name a class by it: a name must be one
+/// word and unique.
 #[test]
-fn names_that_no_line_and_no_caller_can_tell_apart_are_refused() {
-    let named = |names: &[&str]| {
+fn rejects_invalid_class_names() {
+    let parse = |names: &[&str]| {
         let classes: Vec<Value> = names.iter().map(|name| json!({"name": name})).collect();
         Site::from_json(&json!({"services": classes, "specifics": {"cores": 2}}))
             .map(|_| ())
             .map_err(|e| e.to_string())
     };
-    assert_eq!(named(&["look", "write", "kn\u{ed}ha"]), Ok(()));
-    for wrong in [&["look", ""][..], &["look", "two words"], &["look", "a\r\nb"], &["look"; 2]] {
-        let told = named(wrong).expect_err("refused");
-        assert!(told.contains("name"), "{wrong:?}: {told}");
+    assert_eq!(parse(&["look", "write", "kn\u{ed}ha"]), Ok(()));
+    for invalid in [&["look", ""][..], &["look", "two words"], &["look", "a\r\nb"], &["look"; 2]] {
+        let error = parse(invalid).expect_err("rejected");
+        assert!(error.contains("name"), "{invalid:?}: {error}");
     }
 }
 
 #[test]
-fn a_deadline_that_is_given_is_a_number_above_0() {
-    let with = |class: Value| {
+fn rejects_deadline_that_is_not_a_number_above_0() {
+    let timeout_of = |class: Value| {
         let settings = json!({"services": [{"name": "look"}, class], "specifics": {"cores": 2}});
         Site::from_json(&settings).map(|site| site.settings.classes[1].timeout_ms).map_err(|e| e.to_string())
     };
-    assert_eq!(with(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().timeout_ms));
-    assert_eq!(with(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
-    for wrong in [json!(null), json!("900"), json!(0), json!(-5), json!(-0.0), json!([900]), json!(true)] {
-        let told = with(json!({"name": "write", "deadlineMs": wrong.clone()})).expect_err("refused");
-        let wanted = "field services[1].deadlineMs is missing or not a number above 0";
-        assert_eq!(told, wanted, "for {wrong}");
+    assert_eq!(timeout_of(json!({"name": "write"})), Ok(pinepoint::admission::Class::default().timeout_ms));
+    assert_eq!(timeout_of(json!({"name": "write", "deadlineMs": 0.5})), Ok(0.5));
+    for invalid in [json!(null), json!("900"), json!(0), json!(-5), json!(-0.0), json!([900]), json!(true)] {
+        let error =
+            timeout_of(json!({"name": "write", "deadlineMs": invalid.clone()})).expect_err("rejected");
+        let expected = "field services[1].deadlineMs is missing or not a number above 0";
+        assert_eq!(error, expected, "for {invalid}");
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -61,16 +61,16 @@
         (settings("\"heapKb\":9000.0", "\"heapKb\":-1"), "memory_kb is not a number from 0"),
         (
             settings("read_like", "sometimes"),
-            "Enlist: field services[0].effect is missing or not a known kind",
+            "Enlist: field services[0].effect is missing or not one of read_like, idempotency_key, non_idempotent",
         ),
         (
             settings(weight, "\"signal\":\"smoke\""),
-            "Enlist: field specifics.signal is missing or not a known kind",
+            "Enlist: field specifics.signal is missing or not one of level, credit, weight, silent",
         ),
         (settings(weight, "\"signal\":3"), "Enlist: field specifics.signal is missing or not text"),
         (
             settings(weight, "\"preemption\":\"hold\""),
-            "Enlist: field specifics.preemption is missing or not a known way",
+            "Enlist: field specifics.preemption is missing or not one of drop, pause, silent",
         ),
         (
             settings(weight, "\"classCalls\":true"),
