--- a/src/bin/pinepoint/ask.rs
+++ b/src/bin/pinepoint/ask.rs
@@ -1,4 +1,5 @@
-//! `pinepoint ask`: one command to the management port of a running process. The serving process never needs it.
+//! `pinepoint ask`: sends one command to the management port of a running process. The serving process does
+//! not use this module.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,26 +8,28 @@
 
 use clap::ValueEnum;
 
-/// Timeout of the connection, and of each part of the answer.
+/// Timeout for connecting, and for each read of the answer.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// A positive answer begins so.
+/// First bytes of a positive answer.
 const POSITIVE: &str = "+OK";
 
-/// The commands of the management port. Names and texts are the command line.
+/// The commands of the management port. Variant names and doc comments are the arguments and help of the
+/// command line.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 #[value(rename_all = "UPPER")]
 pub enum ManagementCommand {
-    /// Whether the process can serve
+    /// Report whether the process can serve
     Ping,
-    /// The figures
+    /// Report counters and state
     Info,
-    /// Drain: health checks fail, and what still comes is served
+    /// Drain: health checks fail, and requests that still arrive are served
     Lameduck,
     /// End a drain
     Rejoin,
 }
 
-/// Sends the command and prints the answer: exit status 0 for a positive one, 1 for a negative one or none.
+/// Sends the command and prints the answer. The exit status is 0 for a positive answer, 1 for a negative one
+/// or none.
 pub fn run(command: ManagementCommand, address: SocketAddr) -> ExitCode {
     match ask(command, address) {
         Ok(answer) => {
--- a/src/bin/pinepoint/bind.rs
+++ b/src/bin/pinepoint/bind.rs
@@ -1,4 +1,4 @@
-//! Opening listening sockets. It never accepts a connection.
+//! Opens listening sockets, and accepts no connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -9,7 +9,7 @@
 use crate::signals::SignalStream;
 use crate::start_error::StartError;
 
-/// How long to wait for an address that is in use, ms. The platform gives a start 30 s.
+/// Time to wait for an address that is in use, ms. The platform allows 30 s for a start.
 const ADDRESS_IN_USE_TIMEOUT_MS: f64 = 15_000.0;
 /// Pause between two attempts, ms.
 const RETRY_MS: f64 = 20.0;
@@ -18,7 +18,7 @@
 pub struct BoundListener {
     /// The socket.
     pub listener: Async<TcpListener>,
-    /// Its own address, with the port that the system chose for port 0.
+    /// Address of the socket, with the port that the system chose for port 0.
     pub address: SocketAddr,
 }
 
@@ -35,13 +35,14 @@
     TcpListener::bind(address)
 }
 
-/// Opens a listening socket with `open`. An address that is in use is waited for: the process that used it a moment ago is
-/// about to end, and a failed start would leave the fleet a server short.
+/// Opens a listening socket with `open`, and retries for a while if the address is in use: the previous
+/// process on that address is about to end, and a failed start would leave the fleet with one server less.
 ///
 /// # Errors
 ///
-/// [`StartError::Terminated`] if a termination notice arrives during the wait, [`StartError::System`] for any other
-/// failure and after the wait. `name` tells the socket in logs and errors.
+/// [`StartError::Terminated`] if a termination notice arrives during the wait, [`StartError::System`] for any
+/// other failure and if the address is still in use after the wait. `name` identifies the socket in logs and
+/// errors.
 pub fn bind(
     name: &'static str,
     address: SocketAddr,
--- a/src/bin/pinepoint/check.rs
+++ b/src/bin/pinepoint/check.rs
@@ -1,4 +1,5 @@
-//! `pinepoint check`: reads the files and tells of each whether it would be accepted. It never acts on them.
+//! `pinepoint check`: reads the files and reports for each whether a start would accept it. The command
+//! applies nothing.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,18 +8,18 @@
 use crate::environment::config_path;
 use crate::start_error::UNUSABLE;
 
-/// A file, and why it would be rejected, if it would.
-struct Checked {
+/// The result for one file: the error with which a start would reject the file, if there is one.
+struct CheckResult {
     file: PathBuf,
     error: Option<FileError>,
 }
 
 /// Checks both files and prints the result of each.
 pub fn run(edge: Option<PathBuf>, config: Option<PathBuf>, json: bool) -> ExitCode {
-    let edge = edge.map(|file| Checked { error: Edge::read(&file).err(), file });
+    let edge = edge.map(|file| CheckResult { error: Edge::read(&file).err(), file });
     let config = config.or_else(config_path);
-    let config = config.map(|file| Checked { error: Config::read(&file).err(), file });
-    let results: Vec<Checked> = edge.into_iter().chain(config).collect();
+    let config = config.map(|file| CheckResult { error: Config::read(&file).err(), file });
+    let results: Vec<CheckResult> = edge.into_iter().chain(config).collect();
     if results.is_empty() {
         eprintln!("pinepoint: nothing to check: name a file with --edge, as CONFIG or in RELAY_CONFIG");
         return ExitCode::from(UNUSABLE);
@@ -33,7 +34,7 @@
     }
 }
 
-impl Checked {
+impl CheckResult {
     fn to_text(&self) -> String {
         match &self.error {
             None => format!("{}: good", self.file.display()),
--- a/src/bin/pinepoint/edge_config.rs
+++ b/src/bin/pinepoint/edge_config.rs
@@ -1,5 +1,6 @@
-//! The operators' TOML file, which switches on what the platform's protocol does not need. It owns the file's fields and
-//! their ranges, and acts on none of them. A file is accepted or rejected as a whole, and an error names line and field.
+//! The operators' TOML file, which switches on the features that the platform's protocol does not need. This
+//! module owns the fields of the file and their ranges, and applies no setting. A file is accepted or
+//! rejected as a whole, and an error names line and field.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What `--edge FILE` switches on; without it all of this is off.
+/// The features that `--edge FILE` switches on. Without the option all of them are off.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Edge {
@@ -21,9 +22,9 @@
     pub log: pinepoint_log::Options,
     /// The AJP listener.
     pub ajp: Option<Ajp>,
-    /// What holds for all destinations of metrics.
+    /// Settings for all destinations of metrics.
     pub telemetry: pinepoint_telemetry::config::Telemetry,
-    /// The view of the fleet.
+    /// The membership in the fleet.
     pub fleet: Option<pinepoint_membership::config::Config>,
     /// Metrics to Graphite.
     pub graphite: Option<pinepoint_telemetry::config::Graphite>,
@@ -35,11 +36,11 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ajp {
-    /// Where web servers connect.
+    /// Address on which web servers connect.
     pub listen: SocketAddr,
-    /// The secret that they have to send, if any.
+    /// Secret that web servers must send, if one is required.
     pub secret: Option<String>,
-    /// Memory that is reserved for a request that does not declare its own, kB.
+    /// Memory that is reserved for a request that declares none, kB.
     pub mem_kb: MemKb,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Edge {
-    /// The part of the file that is about telemetry.
+    /// The telemetry settings of the file.
     pub fn telemetry_setup(&self) -> pinepoint_telemetry::Setup {
         pinepoint_telemetry::Setup {
             telemetry: self.telemetry.clone(),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Reads and checks the file, if one was named; without it all is off.
+    /// Reads and checks the file if one was named. Without a file all features are off.
     pub fn read_if_named(file: Option<&Path>) -> Result<Edge, FileError> {
         file.map_or_else(|| Ok(Edge::default()), Edge::read)
     }
--- a/src/bin/pinepoint/environment.rs
+++ b/src/bin/pinepoint/environment.rs
@@ -1,4 +1,4 @@
-//! The environment variables of the process: where its configuration is, and where operators connect.
+//! The environment variables of the process: the path of the configuration file, and the management address.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,9 +6,9 @@
 use crate::edge_config::Config;
 use crate::start_error::StartError;
 
-/// Names the configuration file.
+/// Variable with the path of the configuration file.
 const CONFIG: &str = "RELAY_CONFIG";
-/// Names the management address; it takes precedence over the configuration.
+/// Variable with the management address, which takes precedence over the configuration file.
 pub const MANAGEMENT: &str = "RELAY_MANAGEMENT";
 
 /// The path of the configuration file, if the environment names one.
@@ -22,7 +22,8 @@
     Ok(Config::read(&path)?)
 }
 
-/// Where operators connect: the environment takes precedence over the configuration. Without either nothing listens.
+/// The management address. The environment takes precedence over the configuration file; if neither gives an
+/// address, the process opens no management port.
 pub fn management_address(config: &Config) -> Result<Option<SocketAddr>, StartError> {
     match std::env::var(MANAGEMENT) {
         Ok(text) => text.parse().map(Some).map_err(|_| StartError::Management { variable: MANAGEMENT, text }),
--- a/src/bin/pinepoint/limits.rs
+++ b/src/bin/pinepoint/limits.rs
@@ -1,29 +1,30 @@
-//! How the file descriptors of the process are shared out among its connections.
+//! Divides the file descriptors of the process among its connections.
 
 use pinepoint::server::control::management;
 
-/// Part of all descriptors that is reserved for upstream connections, listeners, signals and the like, as a divisor,
-/// between two bounds. The process holds about a dozen beside its connections, and one for each call in flight, of which
-/// the quota of a server allows a score and more, with the idle ones; clients open up to half of the limit.
+/// Share of all descriptors that is reserved for upstream connections, listeners, signals and the like, as a
+/// divisor; the result is kept between the two bounds. Beside its client connections the process uses about a
+/// dozen descriptors, plus one for each call in flight, of which the quota of a server allows 20 and more, and
+/// one for each idle store connection. Clients open up to half of the limit.
 const RESERVED_DIVISOR: usize = 4;
 const MIN_RESERVED: usize = 16;
 const MAX_RESERVED: usize = 64;
-/// Part of the other descriptors that AJP connections may take, as a divisor: clients of the other protocol open up to
-/// half of them.
+/// Share of the remaining descriptors that AJP connections may use, as a divisor. Clients of the other
+/// protocol open up to half of the descriptors.
 const AJP_DIVISOR: usize = 4;
 
-/// How many connections may be open at a time.
+/// Limits of the connections that are open at a time.
 pub struct ConnectionLimits {
-    /// Of clients, over all protocols.
+    /// Connections of clients, over all protocols.
     pub clients: usize,
-    /// Of clients that speak AJP; they count among all clients.
+    /// Connections of clients that speak AJP; these also count towards `clients`.
     pub ajp: usize,
-    /// Of operators.
+    /// Connections of operators.
     pub management: usize,
 }
 
 impl ConnectionLimits {
-    /// The limits of a process with so many descriptors, which has a management port or not.
+    /// The limits of a process with this number of descriptors, with or without a management port.
     pub fn new(descriptors: usize, has_management: bool) -> Self {
         let management = management::max_connections(descriptors);
         let management_descriptors = if has_management { 1 + management } else { 0 };
--- a/src/bin/pinepoint/main.rs
+++ b/src/bin/pinepoint/main.rs
@@ -1,4 +1,4 @@
-//! The `pinepoint` program: the command line and the exit status of one server process and of the tools around it.
+//! The `pinepoint` program: the command line and the exit statuses of the server process and of its tools.
 
 #![forbid(unsafe_code)]
 
@@ -26,14 +26,15 @@
 use signals::SignalStream;
 use start_error::StartError;
 
-/// One comparer: takes requests from routers, runs them on the engine of its machine, and turns away what it cannot
-/// serve in time.
+/// One comparer: takes requests from routers, runs them on the engine of its machine, and rejects the
+/// requests that it cannot serve in time.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
-    /// What the operators switch on, as TOML; without it only the platform's protocol is served
+    /// The operators' TOML file, which switches on features; without it only the platform's protocol is
+    /// served
     #[arg(long, value_name = "FILE")]
     edge: Option<PathBuf>,
 }
@@ -42,31 +43,31 @@
 enum Command {
     /// Serve in the foreground until SIGTERM; the same as no command
     Serve {
-        /// What the operators switch on, as TOML
+        /// The operators' TOML file, which switches on features
         #[arg(long, value_name = "FILE")]
         edge: Option<PathBuf>,
     },
-    /// Read the files and tell what is wrong with them: exit status 0 if nothing is, else 2
+    /// Check the files and report their errors: exit status 0 if there are none, 2 if there are
     Check {
-        /// The operators' file
+        /// The operators' TOML file
         #[arg(long, value_name = "FILE")]
         edge: Option<PathBuf>,
-        /// The platform's file; if left out, the one that RELAY_CONFIG names, if it names one
+        /// The platform's configuration file; if omitted, the file that RELAY_CONFIG names, if it is set
         config: Option<PathBuf>,
         /// Print one JSON object for each file
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running comparer at its management port
+    /// Send a command to the management port of a running comparer
     Ask {
-        /// What to ask
+        /// The command to send
         #[arg(ignore_case = true)]
         call: ask::ManagementCommand,
-        /// Its management address
+        /// The management address of the comparer
         #[arg(long, value_name = "ADDRESS", env = MANAGEMENT)]
         at: std::net::SocketAddr,
     },
-    /// Ask a running comparer what it knows of its fleet
+    /// Ask a running comparer for its view of the fleet
     Fleet {
         #[command(subcommand)]
         command: view::FleetCommand,
@@ -84,10 +85,11 @@
 
 /// Serves until the end of a drain; returns the exit status.
 fn serve(edge_file: Option<PathBuf>) -> ExitCode {
-    // Before anything else: until then a signal ends the process at once.
+    // This comes first: until the handlers are installed, a signal ends the process at once.
     let signals = SignalStream::new().map_err(|error| StartError::System("signals", error));
     let edge = Edge::read_if_named(edge_file.as_deref()).map_err(StartError::from);
-    // An error in the file is logged in the default format: the one that the file chooses is not known.
+    // An error in the file is logged in the default format, because the format that the file chooses is
+    // unknown.
     let log = edge.as_ref().map_or_else(|_| pinepoint_log::Options::default(), |edge| edge.log.clone());
     if let Err(error) = pinepoint_log::init(&log) {
         eprintln!("pinepoint: {error}");
--- a/src/bin/pinepoint/process.rs
+++ b/src/bin/pinepoint/process.rs
@@ -1,4 +1,4 @@
-//! The parts that all tasks of the process share, and how each other part is built and started from them.
+//! The parts that all tasks of the process share; builds and starts each other part from them.
 
 use std::io;
 use std::rc::Rc;
@@ -34,18 +34,18 @@
 use crate::start_error::StartError;
 use crate::upgrade::Upgrade;
 
-/// Inputs that may wait for the core before connections have to wait in turn.
+/// Capacity of the core's queue, inputs. While the queue is full, connections wait.
 const CORE_QUEUE_CAPACITY: usize = 4096;
 
-/// What all parts of the process share.
+/// The parts that all tasks of the process share.
 pub struct Process {
-    /// The name of this server, the same after a restart.
+    /// Name of this server, the same after a restart.
     pub name: String,
-    /// Published state.
+    /// State that the core publishes to the other tasks.
     pub status: Rc<Status>,
-    /// Counters.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
-    /// The one clock.
+    /// The clock of all tasks.
     pub clock: Clock,
     site: Rc<Site>,
     seed: u64,
@@ -61,9 +61,9 @@
     store: Rc<StoreLink>,
 }
 
-/// The observer of the core, and the fleet membership that it feeds, if that is on.
+/// The observer of the core, and the fleet membership to which it reports, if membership is on.
 pub struct Observation {
-    /// What the core and the frontends report to.
+    /// The observer to which the core and the frontends report.
     pub observer: Rc<dyn Observer>,
     /// The membership in the fleet.
     pub membership: Option<Rc<MembershipService>>,
@@ -92,7 +92,7 @@
         async_io::block_on(self.executor.run(main));
     }
 
-    /// Connects to nothing yet.
+    /// Builds the upstream links without connecting.
     pub fn upstreams(&self, config: &Config) -> Upstreams {
         let addresses = Rc::new(UpstreamAddresses::new(config.engine, config.store, config.registry));
         let store = StoreLink::new(
@@ -105,7 +105,8 @@
         Upstreams { addresses, engine: Rc::new(EngineLink::default()), store: Rc::new(store) }
     }
 
-    /// Starts the link to the engine and the reports to the service registry; the store is connected for each call.
+    /// Starts the link to the engine and the reports to the service registry. The store link needs no task:
+    /// it connects when a call is made.
     pub fn start_upstreams(&self, upstreams: Upstreams) {
         let Upstreams { addresses, engine, .. } = upstreams;
         let (queue, clock) = (self.queue.clone(), self.clock.clone());
@@ -121,7 +122,7 @@
         self.executor.spawn(run_or_log("members", reports)).detach();
     }
 
-    /// Starts to answer operators.
+    /// Starts to accept operators on the management port.
     pub fn listen_for_operators(&self, bound: BoundListener, max_connections: usize) {
         tracing::info!(listen = %bound.address, "management");
         let management = Rc::new(Management {
@@ -134,7 +135,8 @@
         self.executor.spawn(listen).detach();
     }
 
-    /// Starts to count and to send metrics as the operators' file says; `None` if it switches nothing on.
+    /// Starts to collect and send metrics as the operators' file specifies; `None` if the file switches on no
+    /// destination.
     pub fn start_telemetry(&self, edge: &Edge) -> Option<Rc<Telemetry>> {
         let setup = edge.telemetry_setup();
         if setup.is_off() {
@@ -152,9 +154,13 @@
         Some(telemetry::start(&setup, context))
     }
 
-    /// Starts the membership in the fleet if the operators' file switches it on. Its observer passes on to that of
-    /// telemetry.
-    pub fn observe(&self, edge: &Edge, telemetry: Option<&Rc<Telemetry>>) -> Result<Observation, StartError> {
+    /// Starts the membership in the fleet if the operators' file switches it on. The observer of the
+    /// membership forwards to the observer of telemetry.
+    pub fn start_membership(
+        &self,
+        edge: &Edge,
+        telemetry: Option<&Rc<Telemetry>>,
+    ) -> Result<Observation, StartError> {
         let observer: Rc<dyn Observer> = match telemetry {
             Some(telemetry) => telemetry.clone(),
             None => Rc::new(NoopObserver),
@@ -182,7 +188,7 @@
         Ok(Observation { observer, membership: Some(membership) })
     }
 
-    /// What the connections of all protocols share.
+    /// Builds the context that the connections of all protocols share.
     pub fn frontend(&self, observer: Rc<dyn Observer>, limiter: ConnectionLimiter) -> Rc<FrontendContext> {
         Rc::new(FrontendContext {
             active_settings: self.active_settings.clone(),
@@ -231,7 +237,7 @@
         self.executor.spawn(listen).detach();
     }
 
-    /// The links to the other process of this server, and what the core needs of them.
+    /// Builds the links to the other process of this server, and the part of them that the core uses.
     pub fn handover_links(
         &self,
         upgrade: Upgrade,
@@ -247,7 +253,7 @@
         })
     }
 
-    /// The core, which is not running yet.
+    /// Builds the core without running it.
     pub fn core(
         &self,
         config: &Config,
@@ -271,7 +277,7 @@
         })
     }
 
-    /// What reads the platform's configuration again.
+    /// Builds the reloader of the platform's configuration.
     pub fn reloader(
         &self,
         config: Config,
@@ -304,7 +310,7 @@
     }
 }
 
-/// Runs a task that the server can do without: an error is logged, and the task is off.
+/// Runs a task that the server can work without. An error ends the task and is logged.
 async fn run_or_log(what: &str, task: impl Future<Output = io::Result<()>>) {
     if let Err(error) = task.await {
         tracing::error!(what, %error, "off");
--- a/src/bin/pinepoint/reload.rs
+++ b/src/bin/pinepoint/reload.rs
@@ -8,20 +8,20 @@
 
 use crate::edge_config::Edge;
 
-/// What a reload needs.
+/// The parts of the process that a reload needs.
 pub struct Reload {
     /// Applies the platform's configuration.
     pub reloader: Reloader,
     /// Telemetry, if it is on.
     pub telemetry: Option<Rc<Telemetry>>,
-    /// The operators' file, if one was named.
+    /// Path of the operators' file, if one was named.
     pub edge_file: Option<PathBuf>,
 }
 
 impl Reload {
-    /// Applies the configuration as it is now, and moves telemetry to the receivers of the edge file. A file that cannot
-    /// be used changes nothing: it may be half written, and a process that ends or loses its connections at a SIGHUP loses
-    /// every request that it holds.
+    /// Applies the current configuration file, and moves telemetry to the receivers in the edge file. An
+    /// invalid file changes nothing: the file may be half written, and a process that ends or closes its
+    /// connections at a SIGHUP loses all its open requests.
     pub async fn run(&mut self) {
         self.reloader.reload().await;
         if let Some(telemetry) = &self.telemetry {
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -1,4 +1,5 @@
-//! `pinepoint serve`: builds the parts of the server, joins them, runs them and finishes. It never handles a request.
+//! `pinepoint serve`: builds and connects the parts of the server, runs them and shuts down. This module
+//! handles no requests.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -22,13 +23,13 @@
 use crate::start_error::StartError;
 use crate::upgrade::{Upgrade, open_listener};
 
-/// Time in which the other process of this server is sent the last changes, ms.
+/// Time limit for sending the last changes to the other process of this server, ms.
 const HANDOVER_FINISH_MS: f64 = 100.0;
-/// How long before the kill nothing is sent any more, ms.
+/// Time before the kill by which all sending has ended, ms.
 const KILL_MARGIN_MS: f64 = 20.0;
 
-/// Serves until the termination notice and the end of the drain. A termination notice during the start ends the process
-/// in order, too.
+/// Serves until a termination notice arrives and the drain has ended. A termination notice during the start
+/// also ends the process in order.
 pub fn run(
     config: Config,
     edge: Edge,
@@ -38,8 +39,8 @@
     let management = management_address(&config)?;
     let limits = ConnectionLimits::new(config.sockets, management.is_some());
     let (process, inputs) = Process::new(&config);
-    let start = Start { config, edge, edge_file, signals, management, limits };
-    match start.build(&process) {
+    let builder = ServerBuilder { config, edge, edge_file, signals, management, limits };
+    match builder.build(&process) {
         Ok(server) => server.run(&process, inputs),
         Err(StartError::Terminated) => {}
         Err(error) => return Err(error),
@@ -48,21 +49,21 @@
     Ok(())
 }
 
-/// What the server is built from, beside the shared parts of the process.
-struct Start {
+/// The inputs from which the server is built, beside the shared parts of the process.
+struct ServerBuilder {
     config: Config,
     edge: Edge,
     edge_file: Option<PathBuf>,
     signals: SignalStream,
-    /// Where operators connect.
+    /// Address of the management port.
     management: Option<std::net::SocketAddr>,
     limits: ConnectionLimits,
 }
 
-impl Start {
+impl ServerBuilder {
     /// Opens the listening sockets, builds the parts and starts their tasks, which run in [`Server::run`].
     fn build(self, process: &Process) -> Result<Server, StartError> {
-        let Start { config, edge, edge_file, mut signals, management, limits } = self;
+        let ServerBuilder { config, edge, edge_file, mut signals, management, limits } = self;
         let clock = &process.clock;
 
         let mut upgrade = Upgrade::find_predecessor(management);
@@ -76,7 +77,7 @@
         }
 
         let telemetry = process.start_telemetry(&edge);
-        let Observation { observer, membership } = process.observe(&edge, telemetry.as_ref())?;
+        let Observation { observer, membership } = process.start_membership(&edge, telemetry.as_ref())?;
         let limiter = ConnectionLimiter::new(limits.clients, config.memory_mb);
         let frontend = process.frontend(observer, limiter);
         if let Some(options) = edge.ajp {
@@ -120,17 +121,17 @@
     }
 }
 
-/// What others are sent after the core has ended.
+/// Sends the last messages to other processes after the core has ended.
 struct Shutdown {
     handover_links: Option<Rc<HandoverLinks>>,
     membership: Option<Rc<MembershipService>>,
     telemetry: Option<Rc<Telemetry>>,
-    /// Time for the last delivery of telemetry, ms.
+    /// Time limit for the last delivery of telemetry, ms.
     last_delivery_ms: f64,
 }
 
 impl Shutdown {
-    /// Sends the last messages, ending before the kill at `kill_ms` (Unix ms).
+    /// Sends the last messages, and ends before the kill at `kill_ms` (Unix ms).
     async fn run(&self, kill_ms: f64, clock: &Clock) {
         let deadline_ms = kill_ms - KILL_MARGIN_MS;
         if let Some(links) = &self.handover_links {
--- a/src/bin/pinepoint/signals.rs
+++ b/src/bin/pinepoint/signals.rs
@@ -1,5 +1,5 @@
-//! The signals of the process, and what it does at each: SIGTERM and SIGINT are termination notices, SIGHUP reloads, and
-//! SIGUSR1 logs the counters.
+//! The signals of the process and their handling: SIGTERM and SIGINT are termination notices, SIGHUP reloads
+//! both files, and SIGUSR1 logs the counters.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,19 +13,20 @@
 
 use crate::reload::Reload;
 
-/// Pause after signals that could not be read, ms.
+/// Pause after an error while reading signals, ms.
 const READ_RETRY_MS: f64 = 1000.0;
 
-/// The signals, taken from before anything else is done: one that arrives without a handler ends the process, with
-/// everything that it was about to do. Signals that arrive during the start are handled after it, in their order.
+/// The stream of signals, opened before anything else is done: a signal that arrives without a handler ends
+/// the process at once, whatever work is in progress. Signals that arrive during the start are handled after
+/// the start, in order.
 pub struct SignalStream {
     signals: Signals,
-    /// Received during the start and not handled yet.
+    /// Signals that arrived during the start and are not handled yet.
     deferred: VecDeque<Signal>,
 }
 
 impl SignalStream {
-    /// Takes the signals from now on.
+    /// Installs the handlers; the stream yields the signals that arrive from now on.
     pub fn new() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])?;
         Ok(SignalStream { signals, deferred: VecDeque::new() })
@@ -39,7 +40,7 @@
         loop {
             match self.signals.next().await {
                 Some(Ok(signal)) => return signal,
-                // An error is no termination notice.
+                // A read error must not count as a termination notice.
                 Some(Err(error)) => tracing::warn!(%error, "signal-not-read"),
                 None => tracing::warn!("signals-ended"),
             }
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Waits up to `timeout_ms` for a termination notice; returns whether it arrived. All signals are deferred.
+    /// Waits up to `timeout_ms` for a signal and defers it; returns whether the signal is a termination
+    /// notice.
     pub async fn terminated_within(&mut self, timeout_ms: f64, clock: &Clock) -> bool {
         let signal = async { Some(self.signals.next().await) };
         let timeout = async {
@@ -62,13 +64,13 @@
 
 /// Handles signals while the process serves.
 pub struct SignalHandler {
-    /// Reads the files again.
+    /// Reads both files again at SIGHUP.
     pub reload: Reload,
-    /// Where a termination notice is published.
+    /// State in which a termination notice is published.
     pub status: Rc<Status>,
-    /// Logged on demand.
+    /// Counters that SIGUSR1 logs.
     pub counters: Rc<Counters>,
-    /// The clock.
+    /// Clock that dates a termination notice.
     pub clock: Clock,
 }
 
@@ -87,7 +89,8 @@
         }
     }
 
-    /// The grace period and the kill count from now, whatever the core is busy with. Only the first notice counts.
+    /// Starts the grace period and the time until the kill now, even if the core is busy. Only the first
+    /// notice counts.
     fn publish_termination_notice(&self) {
         let first_ms = self.status.termination_notice_ms.take();
         self.status.termination_notice_ms.set(first_ms.or(Some(self.clock.now())));
--- a/src/bin/pinepoint/start_error.rs
+++ b/src/bin/pinepoint/start_error.rs
@@ -1,4 +1,4 @@
-//! Why the process does not start to serve, and the exit status that goes with it.
+//! Errors that keep the process from serving, and the exit status for each.
 
 use std::io;
 use std::process::ExitCode;
@@ -7,28 +7,28 @@
 
 use crate::edge_config::FileError;
 
-/// Exit status for a command line or a file that cannot be used.
+/// Exit status for an invalid command line or file.
 pub const UNUSABLE: u8 = 2;
 
-/// Why the process does not serve.
+/// Why the process does not start to serve.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The environment does not name a configuration.
-    #[error("RELAY_CONFIG is not set: it has to name the configuration")]
+    /// The environment does not name a configuration file.
+    #[error("RELAY_CONFIG is not set: it must be the path of the configuration file")]
     NoConfig,
-    /// The environment names a management address that is none.
-    #[error("{variable} is {text:?}: it has to be an address and a port, as 127.0.0.1:9800")]
+    /// The environment holds an invalid management address.
+    #[error("{variable} is {text:?}: it must be an IP address and a port, such as 127.0.0.1:9800")]
     Management {
-        /// The variable.
+        /// Name of the variable.
         variable: &'static str,
-        /// What it holds.
+        /// Value of the variable.
         text: String,
     },
-    /// A file cannot be used.
+    /// A file is invalid or cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The system does not give what is needed, which the text names.
-    #[error("{0}: {1}")]
+    /// The system refused a resource; the text names the listener or the part of the process that needs it.
+    #[error("cannot set up {0}: {1}")]
     System(&'static str, #[source] io::Error),
     /// A termination notice arrived during the start. [`crate::serve::run`] treats it as an orderly end.
     #[error("terminated")]
@@ -36,7 +36,7 @@
 }
 
 impl StartError {
-    /// The exit status of a process that did not start because of this.
+    /// The exit status of a process that does not start because of this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             StartError::NoConfig | StartError::Management { .. } | StartError::File(_) => {
--- a/src/bin/pinepoint/upgrade.rs
+++ b/src/bin/pinepoint/upgrade.rs
@@ -1,5 +1,6 @@
-//! The start of a process that may take over from another process of the same server: it looks for that predecessor, and
-//! opens the listening sockets that the predecessor passed, or new ones. It never waits for a predecessor without a bound.
+//! The start of a process that may take over from another process of the same server. This module looks for
+//! that predecessor, and takes the listening sockets that the predecessor passed or opens new sockets. Each
+//! wait for a predecessor has a limit.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -18,21 +19,21 @@
 use crate::signals::SignalStream;
 use crate::start_error::StartError;
 
-/// Names the directory that all processes of a server share.
+/// Variable with the path of the directory that all processes of a server share.
 const SHARED_DIRECTORY: &str = "TMPDIR";
 
-/// The result of looking for a predecessor, and the listening sockets that a successor will be passed.
+/// The result of the search for a predecessor, and the listening sockets to pass to a successor.
 pub struct Upgrade {
-    /// The socket that both processes know.
+    /// Path of the handover socket, which both processes derive from the shared directory.
     path: PathBuf,
     predecessor: Result<Connected, NoPredecessor>,
-    /// Copies of the sockets that were opened, by name.
+    /// Copies of the listening sockets that are open, by name.
     opened: Vec<(String, TcpListener)>,
 }
 
 impl Upgrade {
-    /// Looks for a predecessor. `None` where the platform does no upgrades: where it does, it gives a management address and
-    /// a shared directory.
+    /// Looks for a predecessor. Returns `None` if the platform does not support upgrades: a platform that
+    /// does supplies a management address and a shared directory.
     pub fn find_predecessor(management: Option<SocketAddr>) -> Option<Upgrade> {
         management?;
         let directory = std::env::var_os(SHARED_DIRECTORY)?;
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The listening socket of this name: the one that the predecessor passed, or a new one that others may share.
+    /// Returns the listening socket with this name that the predecessor passed, or opens a new socket that
+    /// other processes can share.
     fn open_listener(
         &mut self,
         name: &'static str,
@@ -73,7 +75,7 @@
         Some(passed.swap_remove(index).1)
     }
 
-    /// Turns this into the links to the other process, and what the core needs of them.
+    /// Turns this into the links to the other process and the part of them that the core uses.
     pub fn into_links(
         self,
         site: &Site,
@@ -99,7 +101,8 @@
     }
 }
 
-/// The listening socket of this name, whether the process may be part of an upgrade or not.
+/// Opens the listening socket with this name. Only a process that may be part of an upgrade shares the
+/// socket.
 pub fn open_listener(
     upgrade: &mut Option<Upgrade>,
     name: &'static str,
--- a/src/bin/pinepoint/view.rs
+++ b/src/bin/pinepoint/view.rs
@@ -1,4 +1,5 @@
-//! `pinepoint fleet`: asks a running process for its view of the fleet and prints it. It never takes part in the fleet.
+//! `pinepoint fleet`: asks a running process for its view of the fleet and prints the view. The command never
+//! joins the fleet.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -9,45 +10,46 @@
 use pinepoint_membership::io::{QueryError, query_view};
 use serde_json::Value;
 
-/// Attempts for each page of a view.
+/// Number of attempts to fetch each page of a view.
 const ATTEMPTS: u32 = 5;
 /// Timeout of each attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Exit status for a view that is not settled.
 const NOT_SETTLED: u8 = 3;
-/// Minimum width of the column of names.
+/// Minimum width of the column with member names.
 const MIN_NAME_WIDTH: usize = "MEMBER".len();
 
-/// What to ask. Names and texts are the command line.
+/// The subcommands of `fleet`. Variant names, field names and doc comments are the arguments and help of the
+/// command line.
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Print the view once: exit status 0 if it is settled, 3 if not, 1 if nobody answers
+    /// Print the view once: exit status 0 if the view is settled, 3 if not, 1 if no member answers
     View {
         /// The fleet address of any member
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// The name of its fleet
+        /// The name of the fleet
         #[arg(long, value_name = "NAME", default_value_t = config::name())]
         fleet: String,
-        /// Print it as JSON
+        /// Print the view as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print what changes in the view, a line for each change, until it is ended
+    /// Print a line for each change in the view, until the command is interrupted
     Watch {
         /// The fleet address of any member
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// The name of its fleet
+        /// The name of the fleet
         #[arg(long, value_name = "NAME", default_value_t = config::name())]
         fleet: String,
-        /// Between two looks, ms
+        /// Interval between two queries, ms
         #[arg(long, value_name = "MS", default_value_t = 500)]
         every: u64,
     },
 }
 
-/// Runs the command and gives the exit status.
+/// Runs the command and returns the exit status.
 pub fn run(command: &FleetCommand) -> ExitCode {
     match command {
         FleetCommand::View { at, fleet, json } => print_once(*at, fleet, *json),
@@ -65,7 +67,8 @@
     }
 }
 
-/// Prints differences between successive views until the process is ended. Only a failure of the first query ends it.
+/// Prints the differences between successive views until the process is ended. If the first query fails, the
+/// command fails; later failures are printed.
 fn watch(at: SocketAddr, fleet: &str, interval: Duration) -> ExitCode {
     let mut previous: Option<Vec<String>> = None;
     loop {
@@ -96,7 +99,7 @@
     }
 }
 
-/// What `watch` compares: a line for each fact that can change.
+/// The lines that `watch` compares: one for each fact that can change.
 fn facts(view: &Value) -> Vec<String> {
     let settled = format!("settled {}", view["settled"]);
     let verdicts =
@@ -106,7 +109,7 @@
     std::iter::once(settled).chain(verdicts).chain(members).collect()
 }
 
-/// The view as text: a line for the whole, one for each verdict, one for each member.
+/// The view as text: a summary line, a line for each verdict, and a table of the members.
 fn table(view: &Value) -> String {
     let members: Vec<&Value> = rows(&view["members"]).collect();
     let mut lines = vec![summary_line(view, members.len())];
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,9 +1,9 @@
-//! The command line as a script meets it: what it prints, and its exit status.
+//! The command line as scripts use it: the printed text and the exit status.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A directory of its own, removed on drop.
+/// A temporary directory for one test, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -26,12 +26,12 @@
     }
 }
 
-/// Runs the program to its end; `config` is the path in RELAY_CONFIG.
+/// Runs the program until it exits; `config` is the value of RELAY_CONFIG.
 fn pinepoint(arguments: &[&str], config: Option<&str>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pinepoint"));
     command.args(arguments).env_remove("RELAY_CONFIG");
     command.envs(config.map(|config| ("RELAY_CONFIG", config)));
-    command.output().expect("it starts")
+    command.output().expect("the program starts")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -43,25 +43,25 @@
 "settings":{"services":[{"name":"look"}]}}"#;
 
 #[test]
-fn help_and_version_are_told() {
+fn prints_help_and_version() {
     let help = pinepoint(&["--help"], None);
     assert_eq!(help.status.code(), Some(0));
-    let told = text(&help.stdout);
+    let printed = text(&help.stdout);
     for word in ["serve", "check", "--edge <FILE>", "SIGTERM"] {
-        assert!(told.contains(word), "{word} is missing in {told}");
+        assert!(printed.contains(word), "{word} is missing in {printed}");
     }
     assert_eq!(text(&pinepoint(&["--version"], None).stdout), "pinepoint 0.1.0\n");
     assert_eq!(pinepoint(&["--verbose"], None).status.code(), Some(2));
 }
 
-/// The names of the sub-commands that a help text lists.
+/// The names of the subcommands that a help text lists.
 fn commands_in_help(arguments: &[&str]) -> Vec<String> {
     let help = text(&pinepoint(arguments, None).stdout);
     let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
     commands
         .take_while(|line| !line.is_empty())
         .filter_map(|line| line.strip_prefix("  "))
-        // A wrapped text goes on further to the right.
+        // The continuation of a wrapped text is indented further.
         .filter(|line| !line.starts_with(' '))
         .filter_map(|line| line.split(' ').next())
         .map(str::to_owned)
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_words_of_the_command_line_are_these() {
+fn help_lists_all_commands() {
     assert_eq!(commands_in_help(&["--help"]), ["serve", "check", "ask", "fleet", "help"]);
     assert_eq!(commands_in_help(&["fleet", "--help"]), ["view", "watch", "help"]);
     assert_eq!(commands_in_help(&["ask", "--help"]), [""; 0]);
@@ -80,17 +80,20 @@
 }
 
 #[test]
-fn without_a_configuration_it_says_what_is_missing() {
+fn start_without_configuration_names_missing_variable() {
     for arguments in [&[][..], &["serve"]] {
         let output = pinepoint(arguments, None);
         assert_eq!(output.status.code(), Some(2));
-        let told = text(&output.stderr);
-        assert!(told.contains("message=not-started error=\"RELAY_CONFIG is not set: it has to"), "{told}");
+        let logged = text(&output.stderr);
+        assert!(
+            logged.contains("message=not-started error=\"RELAY_CONFIG is not set: it must be"),
+            "{logged}"
+        );
     }
 }
 
 #[test]
-fn good_files_are_good() {
+fn check_accepts_valid_files() {
     let directory = TempDir::new("good");
     let (edge, config) = (directory.write_file("edge.toml", ""), directory.write_file("c.json", CONFIG));
     for (arguments, named) in [
@@ -104,28 +107,28 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_by_line_and_field_and_both_files_are_read() {
+fn check_reports_position_and_field_of_errors_in_both_files() {
     let directory = TempDir::new("bad");
     let edge = directory.write_file("edge.toml", "[ajp]\nlisten = \"127.0.0.1:8009\"\nmem_kb = 0.0\n");
     let config = directory.write_file("c.json", &CONFIG.replace("3000", "\"3 s\""));
     let output = pinepoint(&["check", "--edge", &edge, &config], None);
     assert_eq!(output.status.code(), Some(2));
-    let told = text(&output.stdout);
-    let lines: Vec<&str> = told.lines().collect();
+    let printed = text(&output.stdout);
+    let lines: Vec<&str> = printed.lines().collect();
     assert_eq!(lines[0], format!("{edge}:3:10: ajp.mem_kb: 0 is not above 0 and below 2000"));
     assert_eq!(lines[1], format!("{config}:2:51: stop_ms: invalid type: string \"3 s\", expected f64"));
     let json = pinepoint(&["check", "--json", "--edge", &edge], None);
-    let told: serde_json::Value = serde_json::from_slice(&json.stdout).expect("one object");
-    assert_eq!((told["good"].as_bool(), told["line"].as_u64()), (Some(false), Some(3)));
-    assert_eq!((told["field"].as_str(), json.status.code()), (Some("ajp.mem_kb"), Some(2)));
-    // The same file stops a start, with the same words.
-    let started = pinepoint(&["serve", "--edge", &edge], Some(&config));
-    assert_eq!(started.status.code(), Some(2));
-    assert!(text(&started.stderr).contains("ajp.mem_kb: 0 is not above 0 and below 2000"));
+    let result: serde_json::Value = serde_json::from_slice(&json.stdout).expect("one object");
+    assert_eq!((result["good"].as_bool(), result["line"].as_u64()), (Some(false), Some(3)));
+    assert_eq!((result["field"].as_str(), json.status.code()), (Some("ajp.mem_kb"), Some(2)));
+    // A start rejects the same file with the same text.
+    let serve = pinepoint(&["serve", "--edge", &edge], Some(&config));
+    assert_eq!(serve.status.code(), Some(2));
+    assert!(text(&serve.stderr).contains("ajp.mem_kb: 0 is not above 0 and below 2000"));
 }
 
 #[test]
-fn a_missing_file_is_told_and_nothing_to_check_is_an_error() {
+fn check_fails_for_missing_file_and_without_files() {
     let output = pinepoint(&["check", "/nonexistent/c.json"], None);
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stdout).starts_with("/nonexistent/c.json: cannot be read: "));
