--- a/src/server/upstream/addresses.rs
+++ b/src/server/upstream/addresses.rs
@@ -1,11 +1,12 @@
-//! The addresses of the services, which a reload changes while connections are in use. It owns no connection.
+//! The addresses of the upstream services. A reload may change them while connections are in use. This module
+//! owns no connection.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use crate::server::sync::Notify;
 
-/// The current addresses of the three services.
+/// The current addresses of the three upstream services.
 #[derive(Debug)]
 pub struct UpstreamAddresses {
     engine: Cell<SocketAddr>,
@@ -15,7 +16,7 @@
 }
 
 impl UpstreamAddresses {
-    /// The addresses at the start.
+    /// Begins with the addresses from the first configuration.
     pub fn new(engine: SocketAddr, store: SocketAddr, registry: SocketAddr) -> Self {
         UpstreamAddresses {
             engine: Cell::new(engine),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Replaces all three at once. Calls to the store that are in flight stay on their connections.
+    /// Replaces all three addresses at once. Calls to the store that are in flight stay on their connections.
     pub fn set(&self, engine: SocketAddr, store: SocketAddr, registry: SocketAddr) {
         self.engine.set(engine);
         self.store.set(store);
@@ -48,7 +49,7 @@
         self.registry.get()
     }
 
-    /// Completes when the engine's address is no longer `address`. Only one task may wait at a time.
+    /// Completes when the engine's address differs from `address`. Only one task may wait at a time.
     pub(super) async fn engine_changed(&self, address: SocketAddr) {
         while self.engine.get() == address {
             self.changed.wait().await;
--- a/src/server/upstream/engine.rs
+++ b/src/server/upstream/engine.rs
@@ -1,5 +1,6 @@
-//! The link to the engine: queues the core's commands, parses the engine's messages for the core, and reconnects. It
-//! never repeats a command. Messages that carry a notice number reach the core once, whatever the engine sends again.
+//! The link to the engine: queues the core's commands, parses the engine's messages for the core, and
+//! reconnects. The link never repeats a command. A message with a notice number reaches the core once, even
+//! if the engine repeats it.
 
 use std::cell::Cell;
 use std::io;
@@ -19,15 +20,17 @@
 };
 use crate::server::write_buffer::WriteBuffer;
 
-/// Bytes that are read at a time.
+/// Size of the read buffer, bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Tag of the gauges that are requested last on a link that moves to another address: they prove that the engine has
-/// read every command before them.
+/// Tag of the gauges that are requested last on a link that moves to another address. Their arrival proves
+/// that the engine has read every command before the request.
 const LAST_GAUGES_TAG: u64 = 0;
-/// Wait for those gauges, ms. What an engine that stays silent may have missed is sent again on the new link.
+/// Time to wait for the last gauges, ms. If the engine stays silent, the commands that it may have missed are
+/// sent again on the new link.
 const LAST_GAUGES_TIMEOUT_MS: f64 = 250.0;
 
-/// The link to the engine as the core uses it: commands are queued, and dropped while there is no link.
+/// The link to the engine as the core uses it. Commands are queued while the link is up, and dropped while it
+/// is down.
 #[derive(Debug, Default)]
 pub struct EngineLink {
     outbox: WriteBuffer,
@@ -35,8 +38,8 @@
 }
 
 impl EngineLink {
-    /// Queues a command if there is a link; returns whether there is.
-    fn command(&self, write: impl FnOnce(&mut Vec<u8>)) -> bool {
+    /// Queues a command if the link is up; returns whether it is.
+    fn queue_command(&self, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         if self.attached.get() {
             self.outbox.push(write);
         }
@@ -46,30 +49,30 @@
 
 impl api::Engine for EngineLink {
     fn start_run(&self, attempt_id: &str, class: &str, body: &[u8]) {
-        self.command(|out| write_line_with_body(out, &format!("RUN {attempt_id} {class}"), body));
+        self.queue_command(|out| write_line_with_body(out, &format!("RUN {attempt_id} {class}"), body));
     }
 
     fn cancel_run(&self, attempt_id: &str) {
-        self.command(|out| write_line(out, &format!("HALT {attempt_id}")));
+        self.queue_command(|out| write_line(out, &format!("HALT {attempt_id}")));
     }
 
     fn deliver_reply(&self, attempt_id: &str, reply: &[u8]) -> bool {
-        self.command(|out| write_line_with_body(out, &format!("FEED {attempt_id}"), reply))
+        self.queue_command(|out| write_line_with_body(out, &format!("FEED {attempt_id}"), reply))
     }
 
     fn skip_call(&self, attempt_id: &str, notice: u64) -> bool {
-        self.command(|out| write_line(out, &format!("SKIP {attempt_id} {notice}")))
+        self.queue_command(|out| write_line(out, &format!("SKIP {attempt_id} {notice}")))
     }
 
     fn request_gauges(&self, tag: u64) {
-        self.command(|out| write_line(out, &format!("STAT {tag}")));
+        self.queue_command(|out| write_line(out, &format!("STAT {tag}")));
     }
 }
 
 /// Why a connection to the engine ended. The text is the reason code in the log.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionEnd {
-    /// The engine closed it.
+    /// The engine closed the connection.
     #[error("closed")]
     Closed,
     /// A reload changed the engine's address.
@@ -78,7 +81,7 @@
     /// The core has ended.
     #[error("no-core")]
     CoreGone,
-    /// It could not be made, read or written.
+    /// Connecting, reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The engine broke the protocol.
@@ -86,7 +89,7 @@
     Protocol(#[from] LineError),
 }
 
-/// Keeps the link to the engine up, at whatever address the engine has. Never completes.
+/// Keeps the link to the engine up, and moves it when the engine's address changes. Never completes.
 pub async fn maintain_link(
     addresses: Rc<UpstreamAddresses>,
     link: Rc<EngineLink>,
@@ -97,13 +100,14 @@
     connector.run().await;
 }
 
-/// The task that connects, reads and writes.
+/// The task that connects to the engine, reads from it and writes to it.
 struct Connector {
     addresses: Rc<UpstreamAddresses>,
     link: Rc<EngineLink>,
     queue: Sender<CoreInput>,
     clock: Clock,
-    /// Notices up to this number reached the core. The engine repeats those after it on a new connection.
+    /// Number of the last notice that reached the core. The engine repeats the later notices on a new
+    /// connection.
     last_notice: Cell<u64>,
 }
 
@@ -140,7 +144,7 @@
         future::or(self.leave_changed_address(address), transfer).await
     }
 
-    /// Marks the link as down and tells the core, if it was up; returns whether it was.
+    /// Marks the link as down, and notifies the core if the link was up. Returns whether the link was up.
     async fn detach(&self) -> bool {
         let was_attached = self.link.attached.replace(false);
         if was_attached {
@@ -149,8 +153,8 @@
         was_attached
     }
 
-    /// Waits for a new address of the engine, and lets the old connection finish what was written to it. What the core
-    /// wants meanwhile it keeps for the new link.
+    /// Waits for a new address of the engine, and gives the engine time to read the commands on the old
+    /// connection. The core keeps its further commands for the new link.
     async fn leave_changed_address(&self, address: SocketAddr) -> ConnectionEnd {
         self.addresses.engine_changed(address).await;
         if self.detach().await {
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Reads once, and handles each message that is complete by that.
+    /// Reads once, and handles each message that is complete after the read.
     async fn read_chunk(
         &self,
         mut stream: &Async<TcpStream>,
@@ -197,7 +201,7 @@
     }
 
     async fn handle(&self, message: Message) -> Result<(), ConnectionEnd> {
-        // The engine sends some notices twice.
+        // The engine sends some notices twice, and the core must receive each once.
         if message.notice.is_some_and(|notice| notice <= self.last_notice.get()) {
             return Ok(());
         }
@@ -209,7 +213,8 @@
         if let Some(input) = message.input {
             self.queue.send(input).await.map_err(|_| ConnectionEnd::CoreGone)?;
         }
-        // Only now: the connection may break while the core's queue is full, and the notice would be lost.
+        // The notice counts as received only now: if the connection broke while the core's queue was full,
+        // the engine has to repeat the notice, or it would be lost.
         if let Some(notice) = message.notice {
             self.last_notice.set(notice);
         }
@@ -217,16 +222,16 @@
     }
 }
 
-/// Whether a message of the engine carries a body.
+/// Whether a message of the engine has a body.
 fn has_body(words: &[String]) -> bool {
     matches!(words[0].as_str(), "DONE" | "NEED")
 }
 
 /// A message of the engine.
 struct Message {
-    /// The number of a notice, which counts up; other messages have none.
+    /// Number of the notice, which counts up; `None` for a message that is not a notice.
     notice: Option<u64>,
-    /// What the core is told: nothing for a remark.
+    /// Input for the core; `None` for a remark.
     input: Option<CoreInput>,
 }
 
--- a/src/server/upstream/line.rs
+++ b/src/server/upstream/line.rs
@@ -1,38 +1,40 @@
-//! The line protocol of engine and store: words of printable ASCII that end with CR LF, and a body behind some of them
-//! whose length is the last word. It parses and writes bytes; it does no I/O and knows no command.
+//! The line protocol of engine and store. A line consists of words of printable ASCII and ends with CR LF.
+//! Some lines are followed by a body, whose length is the last word of the line. This module parses and
+//! writes bytes; it does no I/O and knows no command.
 
-/// Longest line that is read, bytes, its end included.
+/// Limit of the length of a received line, bytes, CR LF included.
 const MAX_LINE_BYTES: usize = 512;
-/// Longest body that is read, bytes: the protocol limits results to 4 KiB and replies not at all.
+/// Limit of the length of a received body, bytes. The protocol limits results to 4 KiB, and sets no limit for
+/// replies.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A line that begins so is a remark, which may hold any bytes.
+/// Prefix of a remark: a line that may contain any bytes.
 const REMARK: &[u8] = b"NOTE ";
 
-/// A line as words, with its body if it has one.
+/// The words of a line, and its body.
 #[derive(Debug, PartialEq)]
 pub(super) struct Line {
     /// The words; there is at least one.
     pub(super) words: Vec<String>,
-    /// The bytes of the body, empty for a line without one.
+    /// The bytes of the body; empty if the line has no body.
     pub(super) body: Vec<u8>,
 }
 
-/// Why received bytes are not a line. The text is the reason code in the log.
+/// Why received bytes are rejected. The text is the reason code in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LineError {
-    /// Longer than any line may be.
+    /// The line is longer than the limit.
     #[error("line-too-long")]
     TooLong,
-    /// Not words of printable ASCII that end with CR LF, or not a message of the protocol.
+    /// The line is not words of printable ASCII that end with CR LF, or not a message of the protocol.
     #[error("malformed-line")]
     Malformed,
-    /// The length of a body is not a number, or is above the limit.
+    /// The length of the body is not a number, or is above the limit.
     #[error("bad-length")]
     BadLength,
 }
 
-/// Takes one complete line, with its body, off the front of `input`; `None` if it is not complete yet. `has_body` tells
-/// from the words whether the last one is the length of a body.
+/// Removes one complete line with its body from the front of `input`; `None` if the line or body is not
+/// complete yet. `has_body` decides from the words whether the last word is the length of a body.
 pub(super) fn take_line(
     input: &mut Vec<u8>,
     has_body: fn(&[String]) -> bool,
@@ -56,10 +58,10 @@
     Ok(Some(Line { words, body }))
 }
 
-/// The words of a line without its line feed.
+/// Splits a line, without its line feed, into words.
 fn split_words(line: &[u8]) -> Result<Vec<String>, LineError> {
     let text = line.strip_suffix(b"\r").ok_or(LineError::Malformed)?;
-    // The content of a remark is not interpreted: it must not end the connection.
+    // The content of a remark is not interpreted, so invalid bytes in a remark must not end the connection.
     let is_readable = text.starts_with(REMARK) || text.iter().all(|byte| (b' '..=b'~').contains(byte));
     if text.is_empty() || !is_readable {
         return Err(LineError::Malformed);
@@ -73,12 +75,12 @@
     usize::try_from(length).ok().filter(|length| *length <= MAX_BODY_BYTES).ok_or(LineError::BadLength)
 }
 
-/// A number of digits only, without a sign.
+/// Parses a number that consists of digits only, without a sign.
 pub(super) fn parse_digits(word: &str) -> Option<u64> {
     word.bytes().all(|byte| byte.is_ascii_digit()).then(|| word.parse().ok()).flatten()
 }
 
-/// A finite decimal number.
+/// Parses a finite decimal number.
 pub(super) fn parse_finite(word: &str) -> Result<f64, LineError> {
     word.parse().ok().filter(|value: &f64| value.is_finite()).ok_or(LineError::Malformed)
 }
--- a/src/server/upstream/registry.rs
+++ b/src/server/upstream/registry.rs
@@ -1,5 +1,5 @@
-//! Reports to the platform's service registry whether this process accepts requests. It decides neither that nor when
-//! the process is registered: it sends what [`Status::registered`] says.
+//! Reports to the platform's service registry whether this process accepts requests. This module does not
+//! decide when the process is registered or accepts requests: it sends the state in [`Status::registered`].
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,16 +13,18 @@
 use crate::server::observability::counters::{Counters, count};
 use crate::server::upstream::UpstreamAddresses;
 
-/// Between two reports, ms. An entry of the registry lapses after 3 s, and reports get lost: with a quarter of them lost
-/// one entry in 250 would lapse at four reports in that time; at a dozen none does.
+/// Interval between two reports, ms. An entry of the registry expires after 3 s without a report, and reports
+/// get lost. If a quarter of the reports is lost, one entry in 250 would expire with four reports in 3 s;
+/// with twelve none does.
 const REPORT_INTERVAL_MS: f64 = 250.0;
 
-/// Sends reports for as long as the process lives: at once when something changes, and so often that losses do not
-/// matter.
+/// Sends reports until the process ends: at once after a change, and otherwise often enough that lost reports
+/// do not matter.
 ///
 /// # Errors
 ///
-/// The system gives no datagram socket. A report that cannot be sent is no error: the next one repeats it.
+/// The datagram socket cannot be opened. A report that cannot be sent is not an error: the next report
+/// replaces it.
 pub async fn send_reports(
     addresses: Rc<UpstreamAddresses>,
     name: String,
@@ -34,7 +36,7 @@
     loop {
         if let Some(accepts_requests) = status.registered.get() {
             let report = format!("HB {name} {}", if accepts_requests { "UP" } else { "OUT" });
-            // The registry may be down for now.
+            // The registry may be down for a while, so a failure to send is ignored.
             if socket.send_to(report.as_bytes(), addresses.registry()).await.is_ok() {
                 count(&counters.reports);
             }
@@ -43,7 +45,7 @@
     }
 }
 
-/// A socket of the address family of this address, on any port.
+/// Opens a datagram socket on any port, in the address family of `address`.
 fn datagram_socket_for(address: SocketAddr) -> io::Result<Async<UdpSocket>> {
     let unspecified: SocketAddr =
         if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
--- a/src/server/upstream/store.rs
+++ b/src/server/upstream/store.rs
@@ -1,6 +1,6 @@
-//! The client of the store: one call at a time on each connection, and a small pool of idle connections. A reply that is
-//! malformed, late or missing affects no other call, and closing the connection is what cancels a call. It never repeats
-//! a call.
+//! The client of the store: it makes one call at a time on each connection, and keeps a small pool of idle
+//! connections. A reply that is malformed, late or missing affects no other call. Closing the connection
+//! cancels a call. The client never repeats a call.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,46 +21,47 @@
 use crate::server::upstream::connect::connect;
 use crate::server::upstream::line::{Line, LineError, take_line, write_line_with_body};
 
-/// Idle time after which a connection is not used again, ms. The store closes or forgets idle ones long before the 10 s
-/// it promises, and a call written into that ends uncertain: of those used again within 500 ms 161 had been forgotten in
-/// 20 s of a bad day, within 100 ms 8. Under load the next call comes sooner.
+/// Idle time after which a connection is not used again, ms. The store closes or forgets idle connections
+/// long before the promised 10 s, and a call on a forgotten connection ends uncertain. In 20 s under bad
+/// conditions, 161 of the connections that were used again within 500 ms had been forgotten, but only 8 of
+/// those that were used again within 100 ms. Under load the next call comes sooner.
 const MAX_IDLE_MS: f64 = 100.0;
-/// Idle connections that are kept for further calls.
+/// Limit of the idle connections that are kept for further calls.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Wait for a reply after the store should have answered `LATE`, ms.
+/// Time to wait for a reply after the store should have answered `LATE`, ms.
 const REPLY_MARGIN_MS: f64 = 50.0;
-/// Shortest timeout of a call that the store is told, ms.
+/// Shortest call timeout that is sent to the store, ms.
 const MIN_CALL_TIMEOUT_MS: f64 = 1.0;
-/// Replies to other calls that are skipped before the one that is awaited.
+/// Limit of the replies to other calls that are skipped while a call waits for its own reply.
 const MAX_FOREIGN_REPLIES: u32 = 16;
-/// Bytes that are read at a time.
+/// Size of the read buffer, bytes.
 const READ_CHUNK_BYTES: usize = 4096;
 
 /// Why a connection to the store ended. The text is the reason code in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ConnectionEnd {
-    /// Its call was cancelled, or the process ended.
+    /// The call on the connection was cancelled, or the process ended.
     #[error("given-up")]
     Cancelled,
-    /// It was idle for too long, or one of too many idle ones.
+    /// The connection was idle for too long, or the pool of idle connections was full.
     #[error("idle")]
     Idle,
     /// A reload changed the store's address.
     #[error("moved")]
     Moved,
-    /// The store closed it.
+    /// The store closed the connection.
     #[error("closed")]
     Closed,
-    /// It could not be read or written.
+    /// Reading or writing failed.
     #[error("reset")]
     Reset,
-    /// The reply did not come in time.
+    /// The reply did not arrive in time.
     #[error("no-reply")]
     NoReply,
-    /// Too many replies to other calls.
+    /// Too many replies to other calls arrived.
     #[error("foreign-replies")]
     ForeignReplies,
-    /// Something came behind the reply.
+    /// Further bytes followed the reply.
     #[error("more-than-asked")]
     TrailingBytes,
     /// The store broke the protocol.
@@ -73,13 +74,13 @@
 struct Connection {
     stream: Async<TcpStream>,
     address: SocketAddr,
-    /// When it was opened, Unix ms.
+    /// When the connection was opened, Unix ms.
     opened_ms: f64,
-    /// When its last reply came, Unix ms.
+    /// When the last reply arrived, Unix ms.
     last_used_ms: f64,
-    /// The attempt that made its last call: a copy of the reply may still come.
+    /// The attempt that made the last call on this connection: a copy of the reply may still arrive.
     attempt_id: String,
-    /// Why it ends if it is dropped now.
+    /// The reason that is logged when the connection is dropped.
     end: ConnectionEnd,
     clock: Clock,
 }
@@ -100,10 +101,10 @@
 /// A call to make.
 struct Call {
     attempt_id: String,
-    /// The line and its body as they are sent.
+    /// The encoded line and body.
     bytes: Vec<u8>,
     timeout_ms: f64,
-    /// It must not be made twice.
+    /// Whether the call must not be made twice.
     once: bool,
 }
 
@@ -124,7 +125,7 @@
 struct Reply {
     outcome: Outcome,
     body: Vec<u8>,
-    /// Bytes came behind it.
+    /// Whether further bytes followed the reply.
     has_trailing_bytes: bool,
 }
 
@@ -136,14 +137,14 @@
     clock: Clock,
     counters: Rc<Counters>,
     executor: Rc<LocalExecutor<'static>>,
-    /// The calls in flight by the core's numbers. Dropping a task cancels its call.
+    /// The calls in flight, by the number that the core gave them. Dropping a task cancels its call.
     calls: RefCell<HashMap<u64, Task<()>>>,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used one last.
     idle: RefCell<Vec<Connection>>,
 }
 
 impl StoreLink {
-    /// A client without connections.
+    /// Creates a client that has no connections yet.
     pub fn new(
         addresses: Rc<UpstreamAddresses>,
         queue: Sender<CoreInput>,
@@ -155,14 +156,14 @@
         StoreLink { addresses, queue, clock, counters, executor, calls, idle }
     }
 
-    /// Makes one call, on a connection that no other call uses meanwhile.
+    /// Makes one call, on a connection that no other call uses at the same time.
     async fn call(&self, call: &Call) -> CallResult {
         // Without a connection nothing was written: the call never ran.
         let Ok(mut connection) = self.connection_for(call).await else {
             return CallResult::without_reply(Outcome::Unreachable);
         };
         connection.attempt_id.clone_from(&call.attempt_id);
-        // From here on it may have run, whatever becomes of the connection.
+        // From here on the call may have run, even if the connection fails.
         let deadline_ms = self.clock.now() + call.timeout_ms + REPLY_MARGIN_MS;
         match self.exchange(call, deadline_ms, &connection.stream).await {
             Ok(reply) => {
@@ -178,8 +179,9 @@
         }
     }
 
-    /// A connection for this call. One that must not be made twice gets a new one: the reset of an idle one that the
-    /// store has forgotten would leave the call uncertain though it never ran.
+    /// Returns a connection for this call. A call that must not be made twice gets a new connection: if the
+    /// store has forgotten an idle connection, its reset would leave the call uncertain although it never
+    /// ran.
     async fn connection_for(&self, call: &Call) -> io::Result<Connection> {
         let idle = if call.once { None } else { self.take_idle(&call.attempt_id) };
         match idle {
@@ -204,8 +206,8 @@
         })
     }
 
-    /// The idle connection that was used last and is still usable, if there is one. It must not have carried a call of
-    /// the same attempt, a copy of whose reply may still come.
+    /// Takes the most recently used idle connection that is still usable, if there is one. Connections whose
+    /// last call was of the same attempt are skipped, because a copy of that reply may still arrive.
     fn take_idle(&self, attempt_id: &str) -> Option<Connection> {
         let (now_ms, address) = (self.clock.now(), self.addresses.store());
         let mut idle = self.idle.borrow_mut();
@@ -227,7 +229,7 @@
         None
     }
 
-    /// Keeps a connection after its call, or closes it if more than the reply came.
+    /// Returns a connection to the pool after its call, or closes it if further bytes followed the reply.
     fn release(&self, mut connection: Connection, reply: &Reply) {
         connection.last_used_ms = self.clock.now();
         if reply.has_trailing_bytes {
@@ -237,12 +239,12 @@
         let mut idle = self.idle.borrow_mut();
         idle.push(connection);
         if idle.len() > MAX_IDLE_CONNECTIONS {
-            let mut oldest = idle.remove(0);
-            oldest.end = ConnectionEnd::Idle;
+            let mut least_recent = idle.remove(0);
+            least_recent.end = ConnectionEnd::Idle;
         }
     }
 
-    /// Writes a call and reads up to its reply. An error is why the connection ends.
+    /// Writes a call and reads up to its reply. The error is the reason for which the connection ends.
     async fn exchange(
         &self,
         call: &Call,
@@ -261,7 +263,8 @@
                 if line.words[0] == call.attempt_id {
                     return Ok(Reply { outcome, body: line.body, has_trailing_bytes: !input.is_empty() });
                 }
-                // A copy of an earlier reply, or one under an unknown name, harms nobody; a stream does.
+                // A few copies of earlier replies, or replies with unknown attempt ids, do no harm; an
+                // endless stream of them would.
                 foreign_replies += 1;
                 if foreign_replies > MAX_FOREIGN_REPLIES {
                     return Err(ConnectionEnd::ForeignReplies);
@@ -290,13 +293,14 @@
     }
 }
 
-/// Whether there is nothing to read: anything else is the end of the connection, or a copy of a reply that was read.
+/// Whether there is nothing to read. If there is, it is the end of the connection or a copy of a reply that
+/// was read.
 fn is_silent(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether a reply of the store carries a body.
+/// Whether a reply of the store has a body.
 fn has_body(words: &[String]) -> bool {
     words.get(1).is_some_and(|word| word == "OK")
 }
@@ -304,7 +308,7 @@
 fn parse_outcome(line: &Line) -> Result<Outcome, LineError> {
     match line.words.get(1).map(String::as_str) {
         Some("OK") if line.words.len() == 3 => Ok(Outcome::Done),
-        // `VOID`: nothing waits for the call any more; like a rejected one, it never ran.
+        // `VOID`: nothing waits for the call any more. Like a rejected call, it never ran.
         Some("BUSY" | "VOID") => Ok(Outcome::Rejected),
         Some("ERR") => Ok(Outcome::Failed),
         Some("LATE") => Ok(Outcome::TimedOut),
@@ -334,7 +338,7 @@
         self.calls.borrow_mut().insert(call, task);
     }
 
-    /// Closes the connection of the call, if it is in flight.
+    /// Closes the connection of the call, if the call is in flight.
     fn cancel_call(&self, call: u64) {
         // The table must not be borrowed while the task is dropped.
         let task = self.calls.borrow_mut().remove(&call);
--- a/tests/node_links.rs
+++ b/tests/node_links.rs
@@ -1,5 +1,5 @@
-//! One program whose links to its services break or stay silent: engine, store and list service. The scenarios are in
-//! the language of `scenario/mod.rs`.
+//! One program whose links to its upstream services (engine, store and service registry) break or stay
+//! silent. The scenarios are in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -8,9 +8,10 @@
 
 use scenario::{ENGINE_UP, Options, World, idle_gauges};
 
-/// Deadlines depend on timers, and timers on gauges: an engine that reports none must not delay an answer.
+/// Deadlines depend on timers, and timers depend on gauges: an engine that reports no gauges must not delay
+/// an answer.
 #[test]
-fn a_silent_engine_holds_up_no_due_time() {
+fn silent_engine_does_not_delay_deadlines() {
     let mut world = World::start(Box::new(|_| Vec::new()), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     world.run(
@@ -22,9 +23,10 @@
     );
 }
 
-/// Load reports get lost, and an entry expires 3 s after its last one: there have to be several in half of that time.
+/// Reports to the service registry get lost, and an entry expires 3 s after the last received report. The
+/// program must send several reports in half of that time.
 #[test]
-fn reports_are_repeated_often_enough_for_some_to_be_lost() {
+fn repeats_registry_reports_often_enough_to_tolerate_losses() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     let reports = |world: &mut World| -> u32 {
@@ -34,32 +36,35 @@
         rest.split(' ').next().and_then(|n| n.parse().ok()).expect("a number")
     };
     let before = reports(&mut world);
-    // The program's own clock ends this after 1.5 s.
+    // The deadline of the class fails this request after 1.5 s.
     world.run(
         "rpc send 1 brief rid=a1|paper
          rpc expect [1 1 [Failed *] nil]",
     );
     let during = reports(&mut world) - before;
-    assert!(during >= 4, "{during} reports in half the life of an entry");
+    assert!(during >= 4, "{during} reports in half the time to live of an entry");
 }
 
-/// An engine that answers no query of its gauges on its first link, and so acknowledges nothing there; on the second link
-/// it does, and with `proves` on the first too, once it has a reply.
-fn forgetful_engine(proves: bool) -> scenario::Answer {
-    let (mut links, mut fed) = (0, 0);
+/// An engine that answers no gauge request on its first link, and so acknowledges no command there. On the
+/// second link it answers all gauge requests. With `acknowledges` it also answers the first gauge request
+/// after a FEED on the first link.
+fn unresponsive_engine(acknowledges: bool) -> scenario::Answer {
+    // `since_feed` counts the FEED commands, and the gauge requests after the first of them.
+    let (mut links, mut since_feed) = (0, 0);
     Box::new(move |text| {
         links += i32::from(text.starts_with("ATTACH"));
-        fed += i32::from(fed > 0 && text.starts_with("STAT") || text.starts_with("FEED"));
+        since_feed += i32::from(since_feed > 0 && text.starts_with("STAT") || text.starts_with("FEED"));
         match text.starts_with("STAT") {
-            true if links > 1 || (proves && fed == 2) => idle_gauges(text),
-            true if proves && fed == 3 => Vec::new(),
+            true if links > 1 || (acknowledges && since_feed == 2) => idle_gauges(text),
+            true if acknowledges && since_feed == 3 => Vec::new(),
             true => vec!["NOTE 0 silent".into()],
             false => Vec::new(),
         }
     })
 }
 
-const FED: &str = "
+/// The steps until a run has received the reply to its call.
+const REPLY_DELIVERED: &str = "
 engine expect ATTACH 0
 engine send HELLO hot 5000
 members wait HB n1 UP
@@ -70,11 +75,12 @@
 store send 00000000000000a1 OK|that
 engine expect FEED 00000000000000a1|that";
 
-/// A command that was written just before the link broke may be lost; without a retry the run would wait until its deadline.
+/// A command that was written just before the link broke may be lost. Without a retry the run would wait
+/// until its deadline.
 #[test]
-fn a_reply_that_may_be_lost_with_the_engine_link_is_fed_again() {
-    let mut world = World::start(forgetful_engine(false), Box::new(|_| Vec::new()));
-    world.run(FED);
+fn redelivers_unacknowledged_reply_after_engine_reconnect() {
+    let mut world = World::start(unresponsive_engine(false), Box::new(|_| Vec::new()));
+    world.run(REPLY_DELIVERED);
     world.run(
         "engine close
          engine expect closed
@@ -86,11 +92,11 @@
     );
 }
 
-/// An answer to a later query of the gauges acknowledges a reply: it is not fed again.
+/// An answer to a later gauge request acknowledges a reply, so the reply is not delivered again.
 #[test]
-fn a_reply_that_was_read_is_not_fed_again() {
-    let mut world = World::start(forgetful_engine(true), Box::new(|_| Vec::new()));
-    world.run(FED);
+fn does_not_redeliver_acknowledged_reply() {
+    let mut world = World::start(unresponsive_engine(true), Box::new(|_| Vec::new()));
+    world.run(REPLY_DELIVERED);
     world.run(
         "engine expect STAT *
          engine close
@@ -102,9 +108,10 @@
     );
 }
 
-/// A refused connection proves that no call was made: a write does not fail for it, and the call is retried.
+/// A refused connection proves that the call never ran, so a write request does not fail and the call is
+/// retried.
 #[test]
-fn while_the_store_is_down_no_call_ran() {
+fn retries_call_after_store_refused_connection() {
     let (store, address) = scenario::down();
     let mut world = World::start_with(Box::new(idle_gauges), (store, address), Options::default());
     world.run(ENGINE_UP);
@@ -113,24 +120,24 @@
          engine expect RUN 00000000000000a1 write|paper
          engine send NEED 1 00000000000000a1|which",
     );
-    let refused = |world: &mut World| {
+    let has_failed_call = |world: &mut World| {
         world.run("node send USR1");
         !world.wait("node", "counters *").contains(" calls_failed=0 ")
     };
-    while !refused(&mut world) {}
-    let listener = TcpListener::bind(address).expect("still free");
+    while !has_failed_call(&mut world) {}
+    let listener = TcpListener::bind(address).expect("the port is still free");
     let mut call = String::new();
-    let (stream, _) = listener.accept().expect("the program comes back");
+    let (stream, _) = listener.accept().expect("the program connects again");
     BufReader::new(stream).read_line(&mut call).expect("a line");
     assert!(call.starts_with("CALL 00000000000000a1 "), "{call}");
 }
 
-/// A run goes on without a call that cannot be made. The command for that may be lost with the link; it names the notice
-/// that it answers, so that it can be sent again.
+/// A run continues without a call that cannot be made. The SKIP command for that may be lost with the link.
+/// It names the notice that it answers, so it can be sent again.
 #[test]
-fn a_call_left_out_is_told_again_over_a_new_engine_link() {
+fn resends_skip_after_engine_reconnect() {
     let down = scenario::down();
-    let mut world = World::start_with(forgetful_engine(false), down, Options::default());
+    let mut world = World::start_with(unresponsive_engine(false), down, Options::default());
     world.run(ENGINE_UP);
     world.run(
         "rpc send 1 brief rid=a1|paper
