--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,5 @@
-//! The controller and the core when other settings are put in force: open requests, keys and windows keep what they came with.
+//! The admission controller and the core during a change of settings: open requests, keys and deduplication
+//! windows keep the settings with which they arrived.
 
 mod core_harness;
 mod reload_support;
@@ -30,20 +31,20 @@
 }
 
 #[test]
-fn the_module_refuses_settings_that_take_an_index_away() {
-    let mut controller = AdmissionController::new(settings(&[3000.0, 3000.0]), 1).expect("sound");
+fn controller_rejects_settings_that_remove_an_index() {
+    let mut controller = AdmissionController::new(settings(&[3000.0, 3000.0]), 1).expect("valid settings");
     assert_eq!(controller.reconfigure(settings(&[3000.0])), Err(SettingsError::IndexRemoved));
-    let bad = Settings { cores: 0.0, ..settings(&[3000.0; 2]) };
-    assert_eq!(controller.reconfigure(bad), Err(SettingsError::NoCores));
+    let invalid = Settings { cores: 0.0, ..settings(&[3000.0; 2]) };
+    assert_eq!(controller.reconfigure(invalid), Err(SettingsError::NoCores));
     assert_eq!(controller.reconfigure(settings(&[3000.0; 3])), Ok(()));
 }
 
 #[test]
-fn the_module_keeps_the_due_time_of_what_is_open() {
-    let mut controller = AdmissionController::new(settings(&[3000.0]), 1).expect("sound");
+fn controller_keeps_deadlines_of_open_requests() {
+    let mut controller = AdmissionController::new(settings(&[3000.0]), 1).expect("valid settings");
     let (mut out, mut now) = (Vec::new(), 0.0);
     controller.handle(now, Event::Started, &mut out);
-    // The first runs on the one core, the second is held.
+    // The first request runs on the one core, the second is queued.
     for id in [1, 2] {
         controller.handle(
             now,
@@ -52,21 +53,21 @@
         );
     }
     controller.handle(now, Event::BatchEnded, &mut out);
-    controller.reconfigure(settings(&[400.0])).expect("sound");
+    controller.reconfigure(settings(&[400.0])).expect("valid settings");
     out.clear();
     while now < 2500.0 {
         now += 20.0;
         controller.handle(now, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
         controller.handle(now, Event::BatchEnded, &mut out);
-        // A core that gets something done is not taken for one that hangs.
+        // A run that ends keeps the controller from classifying the core as hung.
         controller.handle(
             now,
             Event::RunEnded { id: 99, outcome: pinepoint::admission::Outcome::Done },
             &mut out,
         );
     }
-    let ended = |action: &Action| matches!(action, Action::Fail { .. });
-    assert!(!out.iter().any(ended), "failed before the due time it came with: {out:?}");
+    let is_failure = |action: &Action| matches!(action, Action::Fail { .. });
+    assert!(!out.iter().any(is_failure), "failed before the deadline set at arrival: {out:?}");
     controller.handle(3200.0, Event::TimerFired { token: 0, gauges: vec![1.0, 1.0] }, &mut out);
     assert!(out.contains(&Action::Fail { id: 1, reason: FailureReason::DeadlineExceeded }), "{out:?}");
 }
@@ -74,7 +75,7 @@
 #[test]
 fn unchanged_settings_change_no_decision() {
     let run = |reload: bool| {
-        let mut controller = AdmissionController::new(settings(&[900.0, 3000.0]), 3).expect("sound");
+        let mut controller = AdmissionController::new(settings(&[900.0, 3000.0]), 3).expect("valid settings");
         let (mut log, mut out, mut running) = (Vec::new(), Vec::new(), Vec::new());
         controller.handle(0.0, Event::Started, &mut out);
         for step in 0..4000_u32 {
@@ -96,12 +97,12 @@
                 );
             }
             if reload && step % 50 == 0 {
-                controller.reconfigure(settings(&[900.0, 3000.0])).expect("sound");
+                controller.reconfigure(settings(&[900.0, 3000.0])).expect("valid settings");
             }
             controller.handle(now, Event::BatchEnded, &mut out);
-            let started =
+            let started_id =
                 |action: &Action| if let Action::StartRun { id } = action { Some(*id) } else { None };
-            running.extend(out.iter().filter_map(started));
+            running.extend(out.iter().filter_map(started_id));
             log.append(&mut out);
         }
         log
@@ -113,7 +114,7 @@
 
 // ---- the core ----
 
-/// A core that serves, with the settings it started with.
+/// A core that serves and was started with the settings `site`.
 fn serving(site: &Site) -> CoreHarness {
     let mut harness = CoreHarness::with_site(site.clone(), 1.0, 2000.0);
     harness.recorded.records_classes.set(true);
@@ -133,68 +134,75 @@
 }
 
 #[test]
-fn a_keyed_request_that_is_open_over_a_reload_keeps_its_key_and_its_window() {
+fn open_keyed_request_keeps_key_and_window_over_reload() {
     let first = site(&[("look", READ), ("brief", READ), ("write", KEYED)]);
     let mut harness = serving(&first);
     let arrived_ms = harness.now;
     harness.arrive_as(1, 2, Some("k".into()), 7, 0.0);
     assert_eq!(harness.recorded.run_classes.borrow()["r1"], "write");
-    // One before it is dropped, and its window shrinks to nothing.
+    // The reload drops the class before `write`, and shortens the window of `write` to almost nothing.
     let mut changed = site(&[("look", READ), ("write", KEYED), ("more", KEYED)]);
     changed.settings.classes[1].dedup_window_ms = 1.0;
-    let changed = Rc::new(first.merged_with(changed, harness.now).expect("taken"));
+    let changed = Rc::new(first.merged_with(changed, harness.now).expect("accepted"));
     harness.reload(changed.clone(), 1.0, 2000.0);
-    let write = changed.class_of("write", harness.now).expect("known");
+    let write = changed.class_of("write", harness.now).expect("a known class");
     harness.advance(300.0, 0.5);
     harness.arrive_as(2, write, Some("k".into()), 7, 0.0);
-    // Callers that a reload moves to a new class send the next try of a request under its name: it is no other request.
-    let more = changed.class_of("more", harness.now).expect("known");
+    // Callers that a reload moves to a new class send a retry under the new class name: it is still the same
+    // request.
+    let more = changed.class_of("more", harness.now).expect("a known class");
     harness.arrive_as(2, more, Some("k".into()), 7, 0.0);
     assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1"]);
     complete(&mut harness, "r1", b"receipt");
     let served = |body: &[u8]| Reply::Served(body.into());
     assert_eq!(answers(&harness), [served(b"receipt"), served(b"receipt"), served(b"receipt")]);
-    // With another body it is another request, which must not get the result of the first.
+    // A request with another body is another request, which must not receive the result of the first.
     harness.arrive_as(1, more, Some("k".into()), 8, 0.0);
     assert_eq!(
         harness.recorded.answers.borrow()[&(1, 4)],
         [Reply::Failed { late: false, reason: pinepoint::admission::FailureReason::BodyMismatch }]
     );
-    // Within the window that the run was begun with.
+    // This is still within the window with which the run began.
     harness.advance(arrived_ms + 4900.0 - harness.now, 0.5);
     harness.arrive_as(0, write, Some("k".into()), 7, 0.0);
-    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1"], "the repeat is not run again");
+    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1"], "the duplicate does not run");
     assert_eq!(harness.recorded.answers.borrow()[&(0, 5)], [served(b"receipt")]);
     harness.advance(arrived_ms + 5100.0 - harness.now, 0.5);
     harness.arrive_as(0, write, Some("k".into()), 7, 0.0);
-    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1", "r6"], "after it the key is free");
+    assert_eq!(harness.recorded.runs.borrow().as_slice(), ["r1", "r6"], "the key is free after the window");
 }
 
 #[test]
-fn a_dropped_class_that_returns_with_its_effect_still_knows_its_keys() {
+fn restored_class_keeps_its_keys() {
     let both = site(&[("look", READ), ("write", KEYED)]);
     let mut harness = serving(&both);
     harness.arrive_as(1, 1, Some("k".into()), 7, 0.0);
     complete(&mut harness, "r1", b"receipt");
-    let dropped = both.merged_with(site(&[("look", READ)]), harness.now).expect("taken");
+    let dropped = both.merged_with(site(&[("look", READ)]), harness.now).expect("accepted");
     harness.reload(Rc::new(dropped.clone()), 1.0, 2000.0);
     harness.advance(500.0, 0.1);
-    let back = Rc::new(dropped.merged_with(both, harness.now).expect("taken"));
-    harness.reload(back.clone(), 1.0, 2000.0);
-    harness.arrive_as(1, back.class_of("write", harness.now).expect("known"), Some("k".into()), 7, 0.0);
+    let restored = Rc::new(dropped.merged_with(both, harness.now).expect("accepted"));
+    harness.reload(restored.clone(), 1.0, 2000.0);
+    harness.arrive_as(
+        1,
+        restored.class_of("write", harness.now).expect("a known class"),
+        Some("k".into()),
+        7,
+        0.0,
+    );
     assert_eq!(harness.recorded.runs.borrow().len(), 1);
     assert_eq!(answers(&harness), [Reply::Served((*b"receipt").into()), Reply::Served((*b"receipt").into())]);
 }
 
 #[test]
-fn what_is_held_while_its_class_is_dropped_runs_under_the_name_it_came_with() {
+fn queued_request_of_dropped_class_runs_under_its_class_name() {
     let first = site(&[("look", READ), ("brief", READ)]);
     let mut harness = serving(&first);
     for _ in 0..3 {
         harness.arrive_as(1, 1, None, 7, 0.0);
     }
-    assert_eq!(harness.recorded.runs.borrow().len(), 2, "two cores");
-    let dropped = first.merged_with(site(&[("look", READ)]), harness.now).expect("taken");
+    assert_eq!(harness.recorded.runs.borrow().len(), 2, "each of the two cores runs one request");
+    let dropped = first.merged_with(site(&[("look", READ)]), harness.now).expect("accepted");
     harness.reload(Rc::new(dropped), 1.0, 2000.0);
     complete(&mut harness, "r1", b"one");
     harness.advance(30.0, 0.5);
@@ -202,20 +210,20 @@
 }
 
 #[test]
-fn a_changed_deadline_holds_for_what_is_read_from_then_on() {
+fn changed_deadline_applies_to_later_requests_only() {
     let first = site(&[("look", READ)]);
     let mut harness = serving(&first);
     harness.arrive_as(1, 0, None, 7, 0.0);
     let mut shorter = first.clone();
     shorter.settings.classes[0].timeout_ms = 600.0;
-    harness.reload(Rc::new(first.merged_with(shorter, harness.now).expect("taken")), 1.0, 2000.0);
+    harness.reload(Rc::new(first.merged_with(shorter, harness.now).expect("accepted")), 1.0, 2000.0);
     harness.arrive_as(1, 0, None, 8, 0.0);
     harness.advance(800.0, 0.5);
     let (of_first, of_second) = (
         harness.recorded.answers.borrow().get(&(1, 1)).cloned(),
         harness.recorded.answers.borrow().get(&(1, 2)).cloned(),
     );
-    assert_eq!(of_first, None, "it waits for its own time");
+    assert_eq!(of_first, None, "the first request keeps its own deadline");
     assert!(
         matches!(
             of_second.as_deref(),
@@ -228,11 +236,11 @@
 }
 
 #[test]
-fn settings_that_come_before_the_engine_are_those_it_begins_with() {
+fn reload_before_engine_attaches_applies_to_first_requests() {
     let first = site(&[("look", READ)]);
     let mut harness = CoreHarness::with_site(first.clone(), 1.0, 2000.0);
     harness.recorded.records_classes.set(true);
-    let more = first.merged_with(site(&[("look", READ), ("more", READ)]), harness.now).expect("taken");
+    let more = first.merged_with(site(&[("look", READ), ("more", READ)]), harness.now).expect("accepted");
     harness.reload(Rc::new(more), 1.0, 2000.0);
     harness.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
     harness.arrive_as(1, 1, None, 7, 0.0);
@@ -240,21 +248,24 @@
 }
 
 #[test]
-fn less_memory_holds_for_results_that_come_after() {
+fn reduced_memory_applies_to_later_results() {
     let first = site(&[("write", KEYED)]);
     let mut harness = serving(&first);
-    harness.reload(Rc::new(first.merged_with(first.clone(), harness.now).expect("taken")), 0.0001, 2000.0);
+    harness.reload(Rc::new(first.merged_with(first.clone(), harness.now).expect("accepted")), 0.0001, 2000.0);
     harness.arrive_as(1, 0, Some("k".into()), 7, 0.0);
     complete(&mut harness, "r1", &[1; 2000]);
     harness.arrive_as(1, 0, Some("k".into()), 7, 0.0);
     let last = answers(&harness).pop();
-    assert!(matches!(last, Some(Reply::Failed { .. })), "its result was too large to keep: {last:?}");
+    assert!(
+        matches!(last, Some(Reply::Failed { .. })),
+        "a result above the limit must not be kept: {last:?}"
+    );
     assert_eq!(harness.recorded.runs.borrow().len(), 1);
 }
 
 // ---- any sequence of settings ----
 
-/// A class of the settings.
+/// A generated class.
 #[derive(Clone, Copy, Debug)]
 struct ClassSpec {
     /// Index into [`NAMES`].
@@ -269,9 +280,9 @@
 enum Step {
     Reload(Vec<ClassSpec>),
     Arrive { name: usize, token: u8 },
-    Pass(u16),
-    End { run: u8, good: bool },
-    Gone(u8),
+    Advance(u16),
+    EndRun { run: u8, succeeds: bool },
+    CallerGone(u8),
 }
 
 const NAMES: [&str; 5] = ["one", "two", "three", "four", "five"];
@@ -287,13 +298,13 @@
     prop_oneof![
         2 => proptest::collection::vec(class, 1..6).prop_map(Step::Reload),
         12 => (0..NAMES.len(), 0..3_u8).prop_map(|(name, token)| Step::Arrive { name, token }),
-        6 => (1..700_u16).prop_map(Step::Pass),
-        8 => (any::<u8>(), any::<bool>()).prop_map(|(run, good)| Step::End { run, good }),
-        1 => any::<u8>().prop_map(Step::Gone),
+        6 => (1..700_u16).prop_map(Step::Advance),
+        8 => (any::<u8>(), any::<bool>()).prop_map(|(run, succeeds)| Step::EndRun { run, succeeds }),
+        1 => any::<u8>().prop_map(Step::CallerGone),
     ]
 }
 
-/// Settings with these classes; of two with one name, the last counts.
+/// Settings with these classes; of two classes with the same name, the last is used.
 fn site_of(classes: &[ClassSpec]) -> Site {
     let unique: BTreeMap<usize, _> = classes.iter().map(|class| (class.name, class)).collect();
     let mut classes: Vec<Value> = unique
@@ -309,10 +320,10 @@
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 3, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::from_json(&settings).expect("well formed")
+    Site::from_json(&settings).expect("valid settings")
 }
 
-/// What a request was sent with.
+/// The properties of a request at its arrival.
 #[derive(Clone, Debug)]
 struct SentRequest {
     class: usize,
@@ -327,11 +338,11 @@
         cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(29), ..ProptestConfig::default()
     })]
 
-    /// Whatever settings follow on each other: each request has one answer by the due time it came with, runs under
-    /// the name it came with, no key runs twice within the window that its run was begun with, and the counts of each
-    /// class add up.
+    /// For any sequence of settings: each request has one answer by the deadline set at its arrival and runs
+    /// under the class name with which it arrived; no key runs twice within the window with which its run
+    /// began; and the counts of each class add up.
     #[test]
-    fn over_any_sequence_of_settings_answers_windows_and_counts_hold(
+    fn any_sequence_of_reloads_keeps_deadlines_windows_and_counts(
         first in proptest::collection::vec(class_spec(0..3_usize), 1..6),
         steps in proptest::collection::vec(step(), 1..120),
     ) {
@@ -343,12 +354,12 @@
         for step in &steps {
             match step {
                 Step::Reload(classes) => {
-                    let before = site.clone();
-                    site = Rc::new(site.merged_with(site_of(classes), harness.now).expect("few names"));
-                    for class in 0..before.settings.classes.len() {
-                        prop_assert_eq!(site.class_name(class), before.class_name(class));
+                    let previous = site.clone();
+                    site = Rc::new(site.merged_with(site_of(classes), harness.now).expect("names below the limit"));
+                    for class in 0..previous.settings.classes.len() {
+                        prop_assert_eq!(site.class_name(class), previous.class_name(class));
                         prop_assert_eq!(
-                            site.settings.classes[class].idempotency, before.settings.classes[class].idempotency
+                            site.settings.classes[class].idempotency, previous.settings.classes[class].idempotency
                         );
                     }
                     harness.reload(site.clone(), 1.0, 2000.0);
@@ -367,15 +378,15 @@
                         harness.arrive_as(1, class, token, 7, 0.0);
                     }
                 }
-                Step::Pass(ms) => harness.advance(f64::from(*ms), 0.6),
-                Step::End { run, good } => {
+                Step::Advance(ms) => harness.advance(f64::from(*ms), 0.6),
+                Step::EndRun { run, succeeds } => {
                     let runs = harness.recorded.runs.borrow().clone();
                     if let Some(attempt_id) = runs.get(usize::from(*run) % runs.len().max(1)) {
-                        let end = if *good { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
+                        let end = if *succeeds { RunResult::Complete(attempt_id.as_bytes().into()) } else { RunResult::Error };
                         harness.handle(CoreInput::RunEnded { attempt_id: attempt_id.clone(), result: end });
                     }
                 }
-                Step::Gone(correlation_id) => {
+                Step::CallerGone(correlation_id) => {
                     let correlation_id = u64::from(*correlation_id) % (harness.last_correlation_id + 1);
                     gone.insert(correlation_id);
                     harness.handle(CoreInput::CallerGone { caller: 1, correlation_id });
@@ -415,7 +426,7 @@
         prop_assert_eq!(harness.recorded.state.borrow().open.iter().sum::<u64>(), 0);
         let answers = harness.recorded.answers.borrow();
         prop_assert!(answers.values().all(|replies| replies.len() == 1));
-        // The module knows of each class: it gave the answers that were due, and the core none in its place.
+        // The admission controller knows each class and answers at the deadline, so the core never has to.
         let is_overdue = |reply: &Reply| matches!(reply, Reply::Failed { reason: FailureReason::Overdue, .. });
         prop_assert!(!answers.values().flatten().any(is_overdue), "{:?}", answers);
     }
--- a/tests/reload_program.rs
+++ b/tests/reload_program.rs
@@ -1,5 +1,5 @@
-//! A reload of the program among stub services: a file that is rejected changes nothing, and one that is accepted holds for
-//! what comes after it.
+//! Reloads of the program among stub services: a rejected file changes nothing, and an accepted file applies
+//! to the requests that arrive after it.
 
 mod scenario;
 
@@ -16,30 +16,31 @@
     world
 }
 
-const SERVED: &str = "
+/// A request that is served.
+const SERVE_ONE: &str = "
 rpc send 1 look rid=a1|paper
 engine wait RUN 00000000000000a1 look|paper
 engine send DONE 1 00000000000000a1 complete 12|report
 rpc expect [1 1 nil [report *";
 
 #[test]
-fn at_a_signal_with_an_empty_file_it_goes_on_and_counts_the_failure() {
+fn empty_file_changes_nothing_and_counts_as_failed_reload() {
     let mut world = world();
     world.write_config("");
     world.run(
         "node send HUP\nnode wait reload-failed *c.json:1:0: EOF*".replace("c.json", "config.json").as_str(),
     );
-    world.run(SERVED);
+    world.run(SERVE_ONE);
     world.run("node send USR1\nnode wait counters * reloads=0 reloads_failed=1*");
 }
 
 #[test]
-fn a_bad_file_with_another_engine_in_it_moves_nothing() {
+fn invalid_file_does_not_change_engine_address() {
     let mut world = world();
-    let bad = world.config("moved").replacen("\"deadlineMs\":9000", "\"deadlineMs\":-5", 1);
-    world.write_config(&bad);
+    let invalid = world.config("moved").replacen("\"deadlineMs\":9000", "\"deadlineMs\":-5", 1);
+    world.write_config(&invalid);
     world.run("node send HUP\nnode wait reload-failed *services[0].deadlineMs*");
-    world.run(SERVED);
+    world.run(SERVE_ONE);
     world.run(
         "node send USR1
         node wait counters * reloads=0 reloads_failed=1*
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn classes_come_and_go_while_requests_are_open() {
+fn adds_and_drops_classes_while_requests_are_open() {
     let mut world = world();
     let brief = r#" {"name":"brief","effect":"read_like","promiseMs":900,"deadlineMs":1500,"worth":1},"#;
     let new = r#",{"name":"write_new","effect":"idempotency_key","keyTtlMs":20000,"promiseMs":3000,"deadlineMs":9000,"worth":3}],"#;
@@ -76,7 +77,7 @@
         rpc expect [1 4 nil [short *
         ajp send /write_new secret=s3 token=j|paper
         engine expect RUN $b write_new|paper
-        # A repeat of what was open over the reload is not run again, under whatever class it comes.
+        # A duplicate of a request that was open during the reload does not run again, whichever class it names.
         rpc2 send 1 write rid=a5 token=k again=1|paper
         rpc2 send 2 write_new rid=a7 token=k again=1|paper
         engine send DONE 2 00000000000000a1 complete 12|receipt
--- a/tests/reload_support/mod.rs
+++ b/tests/reload_support/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for the tests of reloads.
+//! Settings for reload tests.
 
 use pinepoint::config::site::Site;
 use serde_json::{Value, json};
@@ -14,11 +14,11 @@
         "keyTtlMs": 5000})
 }
 
-/// Settings with these classes, each with its name and how it may be repeated.
+/// Settings with these classes, each given by its name and its idempotency.
 pub fn site(classes: &[(&str, &str)]) -> Site {
     let classes: Vec<Value> = classes.iter().map(|(name, idempotency)| service(name, idempotency)).collect();
     let settings = json!({"services": classes,
         "contract": {"answerSlackMs": 100, "drainGraceMs": 1000, "fallMultiple": 8},
         "specifics": {"cores": 2, "heapKb": 30000, "runFactor": 4, "keyKb": 5, "gauges": ["cpu_busy", "runnable"]}});
-    Site::from_json(&settings).expect("well formed")
+    Site::from_json(&settings).expect("valid settings")
 }
