--- a/src/server/upstream/store.rs
+++ b/src/server/upstream/store.rs
@@ -69,7 +69,7 @@
     Protocol(#[from] LineError),
 }
 
-/// A connection to the store. Its end, however it comes, leaves one line in the log.
+/// A connection to the store. Dropping it logs one line with the reason for its end.
 #[derive(Debug)]
 struct Connection {
     stream: Async<TcpStream>,
@@ -293,8 +293,8 @@
     }
 }
 
-/// Whether there is nothing to read. If there is, it is the end of the connection or a copy of a reply that
-/// was read.
+/// Whether there is nothing to read. Anything to read is the end of the connection, or a copy of a reply that
+/// was read before.
 fn is_silent(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
