--- a/src/bin/pinepoint/limits.rs
+++ b/src/bin/pinepoint/limits.rs
@@ -4,8 +4,8 @@
 
 /// Share of all descriptors that is reserved for upstream connections, listeners, signals and the like, as a
 /// divisor; the result is kept between the two bounds. Beside its client connections the process uses about a
-/// dozen descriptors, plus one for each call in flight, of which the quota of a server allows 20 and more, and
-/// one for each idle store connection. Clients open up to half of the limit.
+/// dozen descriptors, plus one for each call in flight, of which the quota of a server allows 20 and more,
+/// and one for each idle store connection. Clients open up to half of the limit.
 const RESERVED_DIVISOR: usize = 4;
 const MIN_RESERVED: usize = 16;
 const MAX_RESERVED: usize = 64;
