--- a/crates/pinepoint-telemetry/src/delivery.rs
+++ b/crates/pinepoint-telemetry/src/delivery.rs
@@ -1,12 +1,12 @@
-//! The delivery to one destination: which points are sent to which receiver and when, and what was
-//! acknowledged.
+//! The delivery to one destination: decides which points are sent to which receiver and when, and tracks
+//! which points were acknowledged.
 //!
 //! A state machine without I/O that serves every protocol: events and the time go in, actions come out.
 //!
-//! For each point of an interval the spool knows which receivers acknowledged it and to which it is in
-//! flight. What is to be sent follows from that, from the hash ring and from which receivers are in service,
-//! and is computed anew after each event. Failover, recovery, and added or removed receivers are therefore no
-//! special cases.
+//! For each point of an interval the spool records the receivers that acknowledged it and the receivers to
+//! which it is in flight. From these records, the hash ring and the receivers in service, the delivery
+//! computes after each event which points to send. Failover, recovery, and added or removed receivers are
+//! therefore no special cases.
 
 mod acknowledgement;
 mod config;
@@ -41,11 +41,11 @@
     random: Pcg64Mcg,
     spool: Spool,
     paths: Rc<[String]>,
-    /// For each path its [`path_fraction`].
+    /// The [`path_fraction`] of each path.
     path_fractions: Vec<f64>,
-    /// For each path the receivers in the order in which it prefers them.
+    /// The receivers of each path, given by slot, in the order of preference.
     preferences: Vec<Box<[u8]>>,
-    /// By slot; a slot without a receiver is free.
+    /// Receivers by slot; `None` is a free slot.
     receivers: Vec<Option<Receiver>>,
     delayed: Option<DelayedInterval>,
     shutting_down: bool,
@@ -53,7 +53,7 @@
     stats: DeliveryStats,
 }
 
-/// The newest interval, which is not sent before some time: not all processes are to send at once.
+/// The newest interval, and the time before which it is not sent, so that not all processes send at once.
 #[derive(Clone, Copy, Debug)]
 struct DelayedInterval {
     number: u64,
@@ -61,8 +61,9 @@
 }
 
 impl Delivery {
-    /// The delivery to these receivers, at most [`MAX_RECEIVERS`](crate::hash_ring::MAX_RECEIVERS). `paths`
-    /// names the points, in order; the first interval counts from `base_totals`.
+    /// Creates a delivery to these receivers, at most [`MAX_RECEIVERS`](crate::hash_ring::MAX_RECEIVERS).
+    /// `paths` are the names of the points, in order. The increases of the first interval are relative to
+    /// `base_totals`.
     pub fn new(
         config: DeliveryConfig,
         receivers: &[String],
@@ -116,7 +117,7 @@
         self.advance(now, actions);
     }
 
-    /// Whether everything was acknowledged.
+    /// Whether no interval is left to deliver.
     pub fn is_done(&self) -> bool {
         self.spool.is_empty()
     }
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Prepares to send all that is left at once. Receivers out of service get one last attempt too.
+    /// Prepares to send all remaining intervals at once. Receivers out of service get one last attempt too.
     fn shut_down(&mut self) {
         self.shutting_down = true;
         self.delayed = None;
@@ -163,7 +164,8 @@
         }
     }
 
-    /// Does whatever follows from the state and the time.
+    /// Enforces timeouts, removes delivered intervals, and connects to receivers or sends to them as the
+    /// state and the time require.
     fn advance(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.delayed.is_some_and(|delayed| now >= delayed.until_ms) {
             self.delayed = None;
@@ -199,7 +201,7 @@
         slots.filter(|(_, receiver)| receiver.is_some()).map(|(slot, _)| slot as u8).collect()
     }
 
-    /// The connection in a slot, whatever its number.
+    /// The current connection of the receiver in a slot, whatever its number.
     fn current_connection_mut(&mut self, slot: u8) -> Option<&mut Connection> {
         self.receiver_mut(slot)?.connection.as_mut()
     }
--- a/crates/pinepoint-telemetry/src/delivery/acknowledgement.rs
+++ b/crates/pinepoint-telemetry/src/delivery/acknowledgement.rs
@@ -1,10 +1,11 @@
-//! What becomes of messages in flight: they are acknowledged, or their connection ends and they are in doubt.
+//! The end of messages in flight: they are acknowledged, or their connection ends and they are in doubt.
 
 use super::connection::UnackedMessage;
 use super::{Action, ConnectionId, Delivery, DisconnectReason, Notice};
 
 impl Delivery {
-    /// A receiver acknowledged the messages of a connection up to this sequence number.
+    /// Handles the acknowledgement of the messages of a connection up to this sequence number. `closed` tells
+    /// whether the receiver also closed the connection in order.
     pub(super) fn acknowledged(
         &mut self,
         now: f64,
@@ -23,7 +24,7 @@
         self.stats.acks += 1;
         self.mark_acknowledged(id.receiver, messages);
         if is_incomplete {
-            // It closed the connection without having read everything.
+            // The receiver closed the connection without having read all messages.
             return self.disconnected(now, id.receiver, DisconnectReason::Closed, actions);
         }
         let max_pause_ms = self.config.max_reconnect_pause_ms;
@@ -43,17 +44,18 @@
     }
 
     fn mark_acknowledged(&mut self, slot: u8, messages: Vec<UnackedMessage>) {
-        let receiver = 1_u32 << slot;
+        let receiver_bit = 1_u32 << slot;
         for batch in messages.into_iter().filter_map(|message| message.batch) {
             let Some(state) = self.spool.ack_state_mut(batch.interval, self.paths.len()) else { continue };
             for point in batch.points.iter().map(|point| usize::from(*point)) {
-                state.in_flight[point] &= !receiver;
-                state.acknowledged[point] |= receiver;
+                state.in_flight[point] &= !receiver_bit;
+                state.acknowledged[point] |= receiver_bit;
             }
         }
     }
 
-    /// The connection of a receiver ended, and all that was not acknowledged on it is in doubt.
+    /// Handles the end of a receiver's connection. Its unacknowledged messages are in doubt, and their points
+    /// are sent again.
     pub(super) fn disconnected(
         &mut self,
         now: f64,
@@ -79,15 +81,15 @@
         }
     }
 
-    /// Takes messages back that are no longer in flight. Returns the number of their points.
+    /// Marks the points of these messages as no longer in flight. Returns the number of points.
     fn clear_in_flight(&mut self, slot: u8, messages: Vec<UnackedMessage>) -> usize {
-        let receiver = 1_u32 << slot;
+        let receiver_bit = 1_u32 << slot;
         let mut points = 0;
         for batch in messages.into_iter().filter_map(|message| message.batch) {
             points += batch.points.len();
             let Some(state) = self.spool.ack_state_mut(batch.interval, self.paths.len()) else { continue };
             for point in batch.points.iter() {
-                state.in_flight[usize::from(*point)] &= !receiver;
+                state.in_flight[usize::from(*point)] &= !receiver_bit;
             }
         }
         points
--- a/crates/pinepoint-telemetry/src/delivery/config.rs
+++ b/crates/pinepoint-telemetry/src/delivery/config.rs
@@ -6,16 +6,16 @@
 /// How a receiver acknowledges data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckMode {
-    /// By closing the connection in order once it was asked to.
+    /// By closing the connection in order, after an acknowledgement was requested.
     OnClose,
-    /// On the open connection, by itself.
+    /// On the open connection, without a request.
     Inline,
 }
 
-/// The least progress that a connection has to make while data waits to be written.
+/// The minimum progress that a connection has to make while data waits to be written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MinProgress {
-    /// Bytes within each period.
+    /// Bytes to be written within each period.
     pub bytes: usize,
     /// Length of a period, ms.
     pub period_ms: f64,
@@ -38,9 +38,9 @@
     pub connect_timeout_ms: f64,
     /// Timeout for an acknowledgement, ms.
     pub ack_timeout_ms: f64,
-    /// Least progress of writing.
+    /// Minimum progress of writing.
     pub min_progress: MinProgress,
-    /// How long a receiver may be the only one that others wait for, ms.
+    /// How long a receiver may keep the others waiting before it is taken out of service, ms.
     pub max_lag_ms: f64,
     /// Longest pause between a connection that was closed in order and the next, ms. The actual pause is
     /// random, so that not all processes with a backlog for one receiver reconnect at once.
--- a/crates/pinepoint-telemetry/src/delivery/connection.rs
+++ b/crates/pinepoint-telemetry/src/delivery/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: what is in flight on it, and its timeouts.
+//! The state of one connection: its unacknowledged messages and its timeouts.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 pub(super) struct UnackedMessage {
     sequence: u64,
     sent_ms: f64,
-    /// `None` for a health check.
+    /// The points of the message; `None` for a health check.
     pub(super) batch: Option<PointBatch>,
 }
 
@@ -34,14 +34,14 @@
 pub(super) struct Connection {
     pub(super) id: ConnectionId,
     is_connected: bool,
-    /// When connecting began; once connected, when that was.
+    /// When connecting began or, once connected, when the connection was established.
     since_ms: f64,
-    /// It was opened to check a receiver that is out of service.
+    /// The connection was opened for a health check of a receiver that is out of service.
     pub(super) is_probe: bool,
     ack_requested_ms: Option<f64>,
     last_sequence: u64,
     pub(super) unacked: VecDeque<UnackedMessage>,
-    /// `None` while all data is written.
+    /// `None` if no data waits to be written.
     progress: Option<WriteProgress>,
 }
 
@@ -71,7 +71,7 @@
         self.progress = (pending > 0).then_some(WriteProgress { bytes, ..progress });
     }
 
-    /// Whether messages can be sent on it.
+    /// Whether messages can be sent on the connection.
     pub(super) fn is_writable(&self) -> bool {
         self.is_connected && self.ack_requested_ms.is_none()
     }
@@ -94,12 +94,12 @@
         self.ack_requested_ms = Some(now);
     }
 
-    /// Whether it was used long enough for an acknowledgement to be requested.
+    /// Whether the connection was used long enough for an acknowledgement to be requested.
     pub(super) fn is_ack_due(&self, now: f64, config: &DeliveryConfig) -> bool {
         now >= self.since_ms + config.ack_interval_ms
     }
 
-    /// The numbers of the intervals in flight on it.
+    /// The numbers of the intervals in flight on the connection.
     pub(super) fn intervals(&self) -> Vec<u64> {
         let mut intervals = Vec::new();
         for batch in self.unacked.iter().filter_map(|message| message.batch.as_ref()) {
@@ -129,8 +129,8 @@
         is_ack_overdue.then_some(DisconnectReason::AckTimeout)
     }
 
-    /// Starts a new period of progress if the current one is over. Progress extends the timeout of an
-    /// acknowledgement.
+    /// Starts a new period of progress if the current one is over. Progress in the ended period restarts the
+    /// timeout of a requested acknowledgement.
     pub(super) fn renew_progress(&mut self, now: f64, config: &DeliveryConfig) {
         let Some(progress) = self.progress else { return };
         if now < progress.since_ms + config.min_progress.period_ms {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// When something is due on the connection even if nothing happens, ms.
+    /// When the next timeout, end of a progress period or request of an acknowledgement is due, ms.
     pub(super) fn next_due_ms(&self, config: &DeliveryConfig) -> Option<f64> {
         let connect = (!self.is_connected).then_some(self.since_ms + config.connect_timeout_ms);
         let requested_ack = self.ack_requested_ms.map(|requested| requested + config.ack_timeout_ms);
--- a/crates/pinepoint-telemetry/src/delivery/lag.rs
+++ b/crates/pinepoint-telemetry/src/delivery/lag.rs
@@ -1,11 +1,11 @@
-//! Receivers that hold the others up.
+//! Detection of receivers that keep the others waiting.
 
 use super::receiver::Receiver;
 use super::{Action, Delivery, DisconnectReason, Notice};
 
 impl Delivery {
-    /// Takes a receiver out of service that for too long was the only one that others waited for, so that its
-    /// points go to them.
+    /// Takes each receiver out of service that has kept the others waiting for too long, so that its points
+    /// go to the others.
     pub(super) fn enforce_max_lag(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.update_lag(now);
         for slot in self.occupied_slots() {
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Records since when each receiver has been lagging: the window is full, another receiver has nothing to
-    /// do, and this one has not acknowledged the oldest interval.
+    /// Records since when each receiver has been lagging. A receiver is lagging while the window is full,
+    /// another receiver is idle, and the receiver itself has not acknowledged the oldest interval.
     fn update_lag(&mut self, now: f64) {
         let Some(oldest) = self.spool.window().next().map(|interval| interval.number) else {
             self.receivers.iter_mut().flatten().for_each(|receiver| receiver.lagging_since_ms = None);
@@ -54,12 +54,12 @@
 }
 
 impl Receiver {
-    /// Whether nothing waits for it and nothing is in flight to it.
+    /// Whether no points wait for the receiver and none are in flight to it.
     fn is_idle(&self) -> bool {
         !self.has_pending_points && self.connection.as_ref().is_none_or(|c| c.unacked.is_empty())
     }
 
-    /// Whether points of the interval wait for it or are in flight to it.
+    /// Whether points wait for the receiver, or points of the interval are in flight to it.
     fn has_unacknowledged(&self, interval: u64) -> bool {
         let is_in_flight = self.connection.as_ref().is_some_and(|c| c.intervals().contains(&interval));
         self.has_pending_points || is_in_flight
--- a/crates/pinepoint-telemetry/src/delivery/message.rs
+++ b/crates/pinepoint-telemetry/src/delivery/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a delivery (events) and what comes out of it (actions).
+//! The input of a delivery (events) and its output (actions).
 
 use std::rc::Rc;
 
@@ -9,23 +9,23 @@
 reason_codes! {
     /// Why a connection to a receiver ended.
     DisconnectReason {
-        /// It could not be established.
+        /// The connection could not be established.
         Refused = "refused",
-        /// It was not established in time.
+        /// The connection was not established in time.
         ConnectTimeout = "connect-late",
-        /// The receiver closed it; what was not acknowledged is in doubt.
+        /// The receiver closed the connection; unacknowledged messages are in doubt.
         Closed = "closed",
-        /// It was reset.
+        /// The connection was reset.
         Reset = "reset",
-        /// Almost nothing could be written for some time.
+        /// Writing made less than the minimum progress.
         Stalled = "no-progress",
-        /// An acknowledgement did not come in time.
+        /// An acknowledgement did not arrive in time.
         AckTimeout = "no-receipt",
         /// The receiver sent something that is not an acknowledgement.
         InvalidReply = "bad-reply",
         /// The receiver was removed from the destination.
         Removed = "removed",
-        /// Others wait for intervals that only this receiver has not acknowledged.
+        /// Other receivers waited for intervals that only this receiver had not acknowledged.
         Lagging = "lagging",
     }
 }
@@ -39,7 +39,7 @@
     pub number: u64,
 }
 
-/// What happened.
+/// An event that the delivery handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A reporting interval ended.
@@ -62,12 +62,12 @@
     Acknowledged {
         /// The connection.
         connection: ConnectionId,
-        /// Sequence number of the last message that is acknowledged; all before it are too.
+        /// Sequence number of the last acknowledged message; all earlier messages are acknowledged too.
         up_to: u64,
-        /// The connection was closed in order with this.
+        /// Whether the receiver closed the connection in order as well.
         closed: bool,
     },
-    /// A connection ended, and what was not acknowledged on it is in doubt.
+    /// A connection ended, and its unacknowledged messages are in doubt.
     Disconnected {
         /// The connection.
         connection: ConnectionId,
@@ -76,7 +76,7 @@
     },
     /// The receivers were reconfigured; these are their names.
     ReceiversChanged(Vec<String>),
-    /// The process is about to end: all that is left is sent at once.
+    /// The process is about to end: all remaining intervals are sent at once.
     Shutdown,
     /// Time has passed.
     Tick,
@@ -91,7 +91,7 @@
     Points(Rc<Interval>, Rc<[u16]>),
 }
 
-/// What has to be done.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Open a connection.
@@ -108,7 +108,7 @@
         /// The message.
         message: Message,
     },
-    /// Ask the receiver to acknowledge all that was sent.
+    /// Ask the receiver to acknowledge all messages sent on a connection.
     RequestAck {
         /// The connection.
         connection: ConnectionId,
@@ -122,7 +122,7 @@
     Notify(Notice),
 }
 
-/// What is reported to the operators.
+/// A report to the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A connection ended.
@@ -131,7 +131,7 @@
         receiver: String,
         /// Why it ended.
         reason: DisconnectReason,
-        /// Points that were not acknowledged on it and are sent again.
+        /// Number of points that were not acknowledged on the connection and are sent again.
         unacknowledged_points: usize,
     },
     /// A receiver is out of service.
@@ -148,7 +148,7 @@
     },
     /// Intervals were dropped because of their age.
     IntervalsDropped {
-        /// Their number since the start.
+        /// Number of intervals dropped since the start.
         intervals: u64,
     },
 }
--- a/crates/pinepoint-telemetry/src/delivery/receiver.rs
+++ b/crates/pinepoint-telemetry/src/delivery/receiver.rs
@@ -11,14 +11,14 @@
     pub(super) name: String,
     pub(super) circuit_breaker: CircuitBreaker,
     pub(super) connection: Option<Connection>,
-    /// Intervals that may be in flight until the next acknowledgement. Grows as TCP's congestion window in
-    /// slow start.
+    /// Maximum number of intervals in flight until the next acknowledgement. Grows as TCP's congestion window
+    /// in slow start.
     pub(super) send_window: usize,
-    /// Points wait for it.
+    /// Whether points wait for the receiver.
     pub(super) has_pending_points: bool,
-    /// No connection before this time, ms.
+    /// No connection is opened before this time, ms.
     pub(super) reconnect_after_ms: f64,
-    /// Since when it alone has held the others up, ms.
+    /// Since when the receiver has kept the others waiting, ms.
     pub(super) lagging_since_ms: Option<f64>,
 }
 
@@ -44,7 +44,7 @@
         self.circuit_breaker.next_attempt_ms().max(self.reconnect_after_ms)
     }
 
-    /// Lifts backoff, pauses and the send window.
+    /// Ends the backoff and the pause before the next connection, and opens the send window fully.
     pub(super) fn prepare_shutdown(&mut self, config: &DeliveryConfig) {
         self.circuit_breaker = CircuitBreaker::new(config.circuit_breaker);
         self.send_window = config.spool.window;
@@ -68,21 +68,24 @@
                 self.receivers[slot] = Some(receiver);
             }
         }
-        let named = self.receivers.iter().enumerate();
-        let named = named.filter_map(|(slot, receiver)| Some((slot as u8, receiver.as_ref()?.name.as_str())));
-        let ring = HashRing::new(named);
+        let slots_and_names = self.receivers.iter().enumerate();
+        let slots_and_names = slots_and_names
+            .filter_map(|(slot, receiver)| Some((slot as u8, receiver.as_ref()?.name.as_str())));
+        let ring = HashRing::new(slots_and_names);
         self.preferences = self.paths.iter().map(|path| ring.preference(path)).collect();
     }
 
-    /// Finds a free slot, preferably one that no point in the spool knows, and makes all points forget it.
+    /// Finds a free slot, preferably one that no point in the spool refers to, and clears its bit in all
+    /// points.
     fn claim_slot(&mut self) -> usize {
-        let known = self.spool.ack_states_mut().fold(0, |known, state| known | state.all_receivers());
+        let referenced =
+            self.spool.ack_states_mut().fold(0, |referenced, state| referenced | state.all_receivers());
         let is_free = |slot: &usize| !matches!(self.receivers.get(*slot), Some(Some(_)));
         let free: Vec<usize> = (0..MAX_RECEIVERS).filter(is_free).collect();
-        let unknown = free.iter().find(|slot| known & (1 << **slot) == 0);
-        let slot = unknown.or(free.first()).copied().unwrap_or(MAX_RECEIVERS - 1);
+        let unreferenced = free.iter().find(|slot| referenced & (1 << **slot) == 0);
+        let slot = unreferenced.or(free.first()).copied().unwrap_or(MAX_RECEIVERS - 1);
         for state in self.spool.ack_states_mut() {
-            state.forget(1 << slot);
+            state.remove_receiver(1 << slot);
         }
         if self.receivers.len() <= slot {
             self.receivers.resize_with(slot + 1, || None);
--- a/crates/pinepoint-telemetry/src/delivery/sending.rs
+++ b/crates/pinepoint-telemetry/src/delivery/sending.rs
@@ -1,4 +1,4 @@
-//! Connecting to receivers, and choosing and sending the points that each of them gets.
+//! Connects to receivers, and chooses and sends the points that each of them gets.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use crate::spool::AckState;
 
 impl Delivery {
-    /// Connects to a receiver or sends to it, if there is a reason to.
+    /// Connects to a receiver, or sends points or a health check to it, as far as either is due.
     pub(super) fn serve(&mut self, now: f64, slot: u8, actions: &mut Vec<Action>) {
         let Some(receiver) = self.receiver(slot) else { return };
         let is_in_service = receiver.is_in_service();
@@ -85,7 +85,8 @@
         }
     }
 
-    /// The oldest interval with points for this receiver, and these points.
+    /// The points to be sent to this receiver next, all of one interval: the oldest within the send window
+    /// that has points for the receiver and is not delayed.
     fn next_batch(&self, now: f64, slot: u8, send_window: usize) -> Option<PointBatch> {
         let connection = self.receiver(slot)?.connection.as_ref();
         let in_flight = connection.map(Connection::intervals).unwrap_or_default();
@@ -106,12 +107,13 @@
         None
     }
 
-    /// The receivers that a point is to be sent to now, a bit each: those that the point prefers among the
-    /// receivers that are in service and neither have it nor are about to, as many as replicas are missing.
-    /// During its slow start a receiver gets only a part of its points, unless there is no other.
+    /// The receivers to which a point is to be sent now, a bit for each: as many as replicas are missing, in
+    /// the order of preference, among the receivers that are in service, have not acknowledged the point and
+    /// do not have it in flight. During its slow start a receiver gets only a part of its points, unless no
+    /// other receiver is left.
     fn targets(&self, now: f64, point: usize, state: Option<&AckState>) -> u32 {
-        let known = state.map_or(0, |state| state.receivers(point));
-        let mut missing = self.config.replication.max(1).saturating_sub(known.count_ones());
+        let assigned = state.map_or(0, |state| state.receivers(point));
+        let mut missing = self.config.replication.max(1).saturating_sub(assigned.count_ones());
         let mut targets = 0;
         for min_fraction in [self.path_fractions[point], 0.0] {
             for slot in &self.preferences[point] {
@@ -121,7 +123,7 @@
                 let Some(receiver) = self.receiver(*slot) else { continue };
                 let is_serving = receiver.is_in_service()
                     && receiver.circuit_breaker.slow_start_fraction(now) >= min_fraction;
-                if is_serving && (known | targets) & (1 << slot) == 0 {
+                if is_serving && (assigned | targets) & (1 << slot) == 0 {
                     targets |= 1 << slot;
                     missing -= 1;
                 }
--- a/crates/pinepoint-telemetry/src/delivery/stats.rs
+++ b/crates/pinepoint-telemetry/src/delivery/stats.rs
@@ -24,7 +24,7 @@
 }
 
 impl DeliveryStats {
-    /// The statistics of two deliveries to the same receivers, taken together.
+    /// The combined statistics of two deliveries to the same receivers.
     pub fn plus(self, other: DeliveryStats) -> DeliveryStats {
         DeliveryStats {
             merged: self.merged + other.merged,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The counters alone, for a delivery that is over.
+    /// The counters without the gauges, for a delivery that has ended.
     pub(crate) fn counters(self) -> DeliveryStats {
         DeliveryStats { backlog_intervals: 0, backlog_bytes: 0, receivers_down: 0, ..self }
     }
--- a/crates/pinepoint-telemetry/src/delivery/timeouts.rs
+++ b/crates/pinepoint-telemetry/src/delivery/timeouts.rs
@@ -4,7 +4,7 @@
 use super::{Action, Delivery};
 
 impl Delivery {
-    /// When the delivery has to be woken up even if nothing happens, ms.
+    /// When the delivery needs a tick even if no other event occurs, ms; `None` if no timeout is pending.
     pub fn next_due(&self) -> Option<f64> {
         let due = self.receivers().flat_map(|receiver| {
             let lag = receiver.lagging_since_ms.map(|since| since + self.config.max_lag_ms);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Drops the connections of which a timeout has expired.
+    /// Drops the connections with an expired timeout.
     pub(super) fn enforce_timeouts(&mut self, now: f64, actions: &mut Vec<Action>) {
         let config = self.config;
         for slot in self.occupied_slots() {
--- a/crates/pinepoint-telemetry/src/spool.rs
+++ b/crates/pinepoint-telemetry/src/spool.rs
@@ -1,8 +1,8 @@
 //! The intervals that a destination has not acknowledged yet, oldest first.
 //!
-//! The spool is bounded in bytes and age. At a bound it gives up time resolution, by merging neighbouring
-//! intervals, and never a count. Only an interval that was sent in part cannot be merged, and is dropped when
-//! it gets too old.
+//! The spool is bounded in bytes and age. At a bound it merges neighbouring intervals, which loses time
+//! resolution but no counts. Only an interval that was sent in part cannot be merged; it is dropped when it
+//! gets too old.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// Bounds of a spool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Memory, bytes.
+    /// Maximum memory, bytes.
     pub bytes: usize,
     /// Age past which an interval is merged into the next one, ms.
     pub age_ms: f64,
@@ -20,40 +20,40 @@
     pub window: usize,
 }
 
-/// For each point of an interval that was sent at least in part, two sets of receivers (a bit for each
-/// receiver slot).
+/// The acknowledgements of an interval that was sent at least in part: for each point, two sets of receivers
+/// (a bit for each receiver slot).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AckState {
     /// The receivers that acknowledged the point.
     pub acknowledged: Box<[u32]>,
-    /// The receivers to which it is in flight.
+    /// The receivers to which the point is in flight.
     pub in_flight: Box<[u32]>,
 }
 
 impl AckState {
     fn new(points: usize) -> Self {
-        let nobody = vec![0_u32; points].into_boxed_slice();
-        AckState { acknowledged: nobody.clone(), in_flight: nobody }
+        let no_receivers = vec![0_u32; points].into_boxed_slice();
+        AckState { acknowledged: no_receivers.clone(), in_flight: no_receivers }
     }
 
     fn bytes(points: usize) -> usize {
         points * 2 * size_of::<u32>()
     }
 
-    /// The receivers that have the point or are about to get it.
+    /// The receivers that acknowledged the point or to which it is in flight.
     pub fn receivers(&self, point: usize) -> u32 {
         self.acknowledged[point] | self.in_flight[point]
     }
 
-    /// All receivers that any point knows.
+    /// All receivers that acknowledged any point or to which any point is in flight.
     pub fn all_receivers(&self) -> u32 {
         self.acknowledged.iter().chain(&self.in_flight).fold(0, |all, receivers| all | receivers)
     }
 
-    /// Forgets a receiver, given as its bit.
-    pub fn forget(&mut self, receiver: u32) {
+    /// Removes a receiver, given as its bit, from the sets of all points.
+    pub fn remove_receiver(&mut self, receiver_bit: u32) {
         for receivers in self.acknowledged.iter_mut().chain(&mut self.in_flight) {
-            *receivers &= !receiver;
+            *receivers &= !receiver_bit;
         }
     }
 }
@@ -61,10 +61,10 @@
 /// One interval of the spool.
 #[derive(Clone, Debug)]
 pub struct SpooledInterval {
-    /// Its number, counting up.
+    /// The number of the interval; later intervals have higher numbers.
     pub number: u64,
     snapshot: Snapshot,
-    /// `None` until a first point of it is sent; until then it may be merged.
+    /// `None` until the first point of the interval is sent; until then the interval may be merged.
     pub ack_state: Option<AckState>,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Intervals lost to the bounds, since the start.
+/// Intervals merged or dropped because of the bounds, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Losses {
     /// Intervals that were merged into another.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Spool {
     bounds: Bounds,
-    /// Totals at the end of the interval that was removed last.
+    /// Totals at the end of the last interval that was removed.
     base_totals: Rc<[f64]>,
     intervals: VecDeque<SpooledInterval>,
     bytes: usize,
@@ -97,7 +97,7 @@
 }
 
 impl Spool {
-    /// An empty spool. The first interval counts from `base_totals`.
+    /// Creates an empty spool. The increases of the first interval are relative to `base_totals`.
     pub fn new(bounds: Bounds, base_totals: Rc<[f64]>) -> Self {
         Spool {
             bounds,
@@ -114,12 +114,12 @@
         (self.intervals.len(), self.bytes)
     }
 
-    /// Intervals lost to the bounds, since the start.
+    /// Intervals merged or dropped because of the bounds, since the start.
     pub fn losses(&self) -> Losses {
         self.losses
     }
 
-    /// Whether nothing is left to deliver.
+    /// Whether no interval is left to deliver.
     pub fn is_empty(&self) -> bool {
         self.intervals.is_empty()
     }
@@ -136,8 +136,8 @@
         number
     }
 
-    /// Merges old intervals into their successors. One that was sent in part is dropped: a receiver may know
-    /// some of it under its own timestamp.
+    /// Merges old intervals into their successors. An old interval that was sent in part is dropped: a
+    /// receiver may have stored some of its points under its own timestamp.
     fn enforce_max_age(&mut self, now: f64) {
         let max_age_ms = self.bounds.age_ms;
         let is_old = |interval: &SpooledInterval| now - interval.snapshot.span_ms.1 > max_age_ms;
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Merges two neighbours: of the pairs that cover the fewest slots the oldest one, so that the resolution
-    /// is halved evenly from the old end. Returns whether there was a pair.
+    /// Merges two neighbouring intervals: the oldest of the pairs that cover the fewest slots, so that the
+    /// resolution is halved evenly, beginning with the oldest intervals. Returns whether there was a pair.
     fn merge_one_pair(&mut self) -> bool {
         let Some(first) = self.first_unsent() else { return false };
         let slots = |at: usize| {
@@ -167,8 +167,8 @@
         true
     }
 
-    /// The oldest interval of which nothing was sent. Only the oldest intervals are sent, so all behind it
-    /// are unsent too.
+    /// The index of the oldest interval of which no point was sent. Only the oldest intervals are sent, so
+    /// all later ones are unsent too.
     fn first_unsent(&self) -> Option<usize> {
         let last_sent = self.intervals.iter().rposition(|interval| interval.ack_state.is_some());
         let after = last_sent.map_or(0, |at| at + 1);
@@ -214,7 +214,7 @@
         self.intervals.iter_mut().filter_map(|interval| interval.ack_state.as_mut())
     }
 
-    /// Removes the oldest intervals as long as they are delivered.
+    /// Removes intervals, beginning with the oldest, up to the first that is not delivered.
     pub fn remove_delivered(&mut self, is_delivered: impl Fn(&AckState) -> bool) {
         while self.intervals.front().is_some_and(|first| first.ack_state.as_ref().is_some_and(&is_delivered))
         {
