--- a/crates/pinepoint-telemetry/src/circuit_breaker.rs
+++ b/crates/pinepoint-telemetry/src/circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! Whether a receiver is in service, and when the next connection to it may be attempted.
+//! Decides whether a receiver is in service, and when the next connection to it may be attempted.
 //!
 //! A circuit breaker (Nygard, "Release It!", 2007) with exponential backoff and full jitter (Brooker,
 //! "Exponential Backoff and Jitter", AWS Architecture Blog, 2015). After it closes again, traffic returns
@@ -16,7 +16,7 @@
     pub max_backoff_ms: f64,
     /// Consecutive failures that open the circuit breaker.
     pub failure_threshold: u32,
-    /// Time in which the traffic of a recovered receiver returns, ms.
+    /// Time over which the traffic of a recovered receiver returns, ms.
     pub slow_start_ms: f64,
 }
 
@@ -39,9 +39,9 @@
 /// Whether a receiver is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerState {
-    /// In service: its traffic waits for it.
+    /// In service: the traffic of the receiver waits for it and goes to no other.
     Closed,
-    /// Out of service: its traffic goes to other receivers, and it only gets health checks.
+    /// Out of service: the traffic goes to other receivers, and the receiver gets only health checks.
     Open,
 }
 
@@ -52,7 +52,7 @@
     consecutive_failures: u32,
     /// No attempt before this time, ms.
     next_attempt_ms: f64,
-    /// When it last changed from open to closed, ms.
+    /// When the circuit breaker last changed from open to closed, ms.
     closed_at_ms: f64,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether the receiver is in service.
+    /// The current state.
     pub fn state(&self) -> BreakerState {
         if self.consecutive_failures >= self.config.failure_threshold {
             BreakerState::Open
@@ -98,7 +98,7 @@
         self.consecutive_failures == self.config.failure_threshold
     }
 
-    /// Makes the next failure open the circuit breaker, whatever came before.
+    /// Makes the next failure open the circuit breaker, however few failures came before.
     pub fn open_on_next_failure(&mut self) {
         let one_short = self.config.failure_threshold.saturating_sub(1);
         self.consecutive_failures = self.consecutive_failures.max(one_short);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// When the slow start in progress will end, ms; `None` if there is none.
+    /// When the slow start in progress will end, ms; `None` if no slow start is in progress.
     pub fn slow_start_end_ms(&self, now: f64) -> Option<f64> {
         let end_ms = self.closed_at_ms + self.config.slow_start_ms;
         (self.is_closed() && end_ms > now).then_some(end_ms)
--- a/crates/pinepoint-telemetry/src/hash_ring.rs
+++ b/crates/pinepoint-telemetry/src/hash_ring.rs
@@ -1,26 +1,27 @@
 //! A consistent-hash ring over receivers (Karger et al., "Consistent Hashing and Random Trees", 1997).
 //!
-//! It decides in which order a metric path prefers the receivers; which of them are in service is the
-//! caller's concern.
+//! The ring decides in which order a metric path prefers the receivers. It does not know which of them are in
+//! service; the caller skips the others.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Points of each receiver on the ring: with ten receivers their shares are within about 5 % of even.
 pub const POINTS_PER_RECEIVER: usize = 512;
-/// The most receivers of a ring; a set of receivers fits into the bits of a `u32`.
+/// Maximum number of receivers of a ring, so that a set of receivers fits into the bits of a `u32`.
 pub const MAX_RECEIVERS: usize = 32;
 
-/// The ring. A receiver is known by a slot below [`MAX_RECEIVERS`]. Its points follow from its name alone, so
-/// that all processes with the same receivers agree, in whatever order the receivers are configured.
+/// A consistent-hash ring. Each receiver is identified by a slot below [`MAX_RECEIVERS`]. Its points depend
+/// on its name alone, so that all processes with the same receivers agree, in whatever order the receivers
+/// are configured.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
-    /// Hash and slot, by hash.
+    /// Hash and slot of each point, sorted by hash.
     points: Vec<(u64, u8)>,
     receivers: usize,
 }
 
 impl HashRing {
-    /// A ring of these receivers, given by slot and name; those past [`MAX_RECEIVERS`] are ignored.
+    /// Creates a ring of these receivers, given by slot and name; those past [`MAX_RECEIVERS`] are ignored.
     pub fn new<'a>(receivers: impl IntoIterator<Item = (u8, &'a str)>) -> Self {
         let mut ring = HashRing::default();
         for (slot, name) in receivers.into_iter().take(MAX_RECEIVERS) {
@@ -51,8 +52,8 @@
     }
 }
 
-/// A hash of a path as a fraction, 0 to 1, independent of the ring: paths below a rising threshold move
-/// first.
+/// A hash of a path as a fraction, 0 to 1, independent of the ring. During a slow start, paths whose fraction
+/// is below a rising threshold move first.
 pub fn path_fraction(path: &str) -> f64 {
     // With the ring's own hash the paths of one receiver would have similar fractions.
     let hash = xxh3_64_with_seed(path.as_bytes(), 1);
--- a/crates/pinepoint-telemetry/src/interval_schedule.rs
+++ b/crates/pinepoint-telemetry/src/interval_schedule.rs
@@ -1,10 +1,10 @@
-//! When a reporting interval ends, and which time slot its points carry.
+//! Decides when a reporting interval ends, and which time slot its points carry.
 //!
 //! Slots are aligned to multiples of the interval's length. No slot is reported twice, neither by this
-//! process nor by its predecessor under the same name. The caller passes the time.
+//! process alone nor by this process and its predecessor of the same name. The caller passes the time.
 
-/// The reporting intervals of a process. Time may stand still or jump ahead; if it goes back, slots still
-/// only go up.
+/// The reporting intervals of a process. The clock may stand still, jump ahead or go back; slots only ever go
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IntervalSchedule {
     every_s: u64,
@@ -17,16 +17,16 @@
 /// An interval that ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndedInterval {
-    /// The start of its slot, Unix s.
+    /// The start of the interval's slot, Unix s.
     pub slot_s: u64,
-    /// When it began and ended, ms.
+    /// When the interval began and ended, ms.
     pub span_ms: (f64, f64),
 }
 
 impl IntervalSchedule {
-    /// The schedule of a process that starts now, with intervals of `every_s` seconds. Its first interval
-    /// carries the first slot that begins after the start: the current one may hold the last points of its
-    /// predecessor.
+    /// Creates the schedule of a process that starts now, with intervals of `every_s` seconds. Its first
+    /// interval carries the first slot that begins after the start: the last points of the predecessor may
+    /// carry the current slot.
     pub fn new(now: f64, every_s: u64) -> Self {
         let every_s = every_s.max(1);
         IntervalSchedule { every_s, slot_s: slot_at(now, every_s) + every_s, began_ms: now }
@@ -42,7 +42,7 @@
         if now < self.due_ms() {
             return None;
         }
-        // After a jump ahead the interval carries the last complete slot.
+        // If the clock jumped ahead, the interval carries the last complete slot.
         let slot_s = self.slot_s.max(slot_at(now, self.every_s) - self.every_s);
         Some(self.end(now, slot_s))
     }
--- a/crates/pinepoint-telemetry/src/interval_schedule/tests.rs
+++ b/crates/pinepoint-telemetry/src/interval_schedule/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn slots_follow_each_other_and_the_first_is_no_one_elses() {
+fn slots_are_consecutive_and_not_shared_with_predecessor() {
     let mut schedule = IntervalSchedule::new(103_000.0, 10);
     assert_eq!(schedule.due_ms(), 120_000.0);
     assert_eq!(schedule.end_if_due(119_999.0), None);
@@ -14,13 +14,13 @@
         Some(EndedInterval { slot_s: 120, span_ms: (120_002.0, 130_000.0) })
     );
     assert_eq!(schedule.end_final(133_000.0), EndedInterval { slot_s: 130, span_ms: (130_000.0, 133_000.0) });
-    // Its successor starts within the same slot.
-    let mut next = IntervalSchedule::new(134_000.0, 10);
-    assert_eq!(next.end_if_due(150_000.0).map(|ended| ended.slot_s), Some(140));
+    // The successor starts within the last slot of this process.
+    let mut successor = IntervalSchedule::new(134_000.0, 10);
+    assert_eq!(successor.end_if_due(150_000.0).map(|ended| ended.slot_s), Some(140));
 }
 
 #[test]
-fn a_jump_ahead_leaves_slots_out_and_a_step_back_tells_none_twice() {
+fn clock_jumps_skip_slots_and_repeat_none() {
     let mut schedule = IntervalSchedule::new(100_000.0, 10);
     assert_eq!(schedule.end_if_due(120_000.0).map(|e| e.slot_s), Some(110));
     assert_eq!(
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_last_interval_right_behind_another_has_a_slot_of_its_own() {
+fn final_interval_has_its_own_slot() {
     let mut schedule = IntervalSchedule::new(100_000.0, 10);
     let first = schedule.end_if_due(120_000.0).expect("due");
     assert!(schedule.end_final(120_000.0).slot_s > first.slot_s);
