--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Counts request events: the running totals and latency distributions of the process.
+//! Counts request events into the running totals and latency distributions of the process.
 //!
 //! Counting an event allocates nothing, does no I/O and reads no clock.
 
@@ -26,12 +26,12 @@
 
 /// Counters and distributions of the process.
 ///
-/// Where weights count by work, a request without a work hint counts like the mean of those with one.
+/// If weights count by work, a request without a work hint counts like the mean of the requests with one.
 #[derive(Clone, Debug)]
 pub struct Accounts {
     schema: Rc<Schema>,
     classes: Vec<Class>,
-    /// For each class, the class of the schema that has its metrics: classes of the same name share theirs.
+    /// The schema class whose metrics each class uses: classes of the same name share their metrics.
     series: Vec<usize>,
     weight_by_work: bool,
     /// Work hints seen so far, for each class of the schema.
@@ -47,7 +47,7 @@
     count: f64,
 }
 
-/// An answer with a result, as far as its weight depends on it.
+/// The properties of a served answer that its weight depends on.
 #[derive(Clone, Copy)]
 struct Served {
     deduplicated: bool,
@@ -57,8 +57,8 @@
 }
 
 impl Accounts {
-    /// Nothing counted yet. `classes` are in the order of the schema; `weight_by_work` if weights count by work, not
-    /// by request.
+    /// Creates accounts with all counts at 0. `classes` are in the order of the schema. `weight_by_work`
+    /// tells whether weights count by work instead of by request.
     pub fn new(schema: Rc<Schema>, classes: Vec<Class>, weight_by_work: bool) -> Self {
         let hints = vec![HintMean::default(); classes.len()];
         let totals = vec![0.0; schema.counts()];
@@ -67,8 +67,8 @@
         Accounts { schema, classes, series, weight_by_work, hints, totals, distributions }
     }
 
-    /// Continues with other classes, at least as many as before. `series` has the class of the schema for
-    /// each of them. The schema is the current one or one widened from it; what was counted stays.
+    /// Replaces the classes by others, at least as many as before. `series` has the schema class of each.
+    /// `schema` is the current schema or one widened from it. All counts are kept.
     pub fn set_classes(
         &mut self,
         schema: Rc<Schema>,
@@ -94,13 +94,13 @@
         open
     }
 
-    /// Counts one event. An event of a class that does not exist is ignored.
+    /// Counts one event. An event of an unknown class is ignored.
     pub fn record(&mut self, event: &RequestEvent) {
-        let Some(terms) = self.classes.get(event.class).copied() else { return };
+        let Some(valuation) = self.classes.get(event.class).copied() else { return };
         let class = self.series[event.class];
         match event.kind {
             RequestEventKind::Received { retry, work_hint_ms, .. } => {
-                self.received(class, terms, retry, work_hint_ms)
+                self.received(class, valuation, retry, work_hint_ms)
             }
             RequestEventKind::Decided(_) => {}
             RequestEventKind::RunStarted { queue_wait_ms } => {
@@ -121,7 +121,11 @@
                 self.record_duration(class, ClassDistribution::Total, took_ms);
                 match answer {
                     Answer::Served { deduplicated, degraded } => {
-                        self.served(class, terms, Served { deduplicated, degraded, work_hint_ms, took_ms });
+                        self.served(
+                            class,
+                            valuation,
+                            Served { deduplicated, degraded, work_hint_ms, took_ms },
+                        );
                     }
                     Answer::Rejected(reason) => self.totals[self.schema.rejected(class, reason)] += 1.0,
                     Answer::Failed(reason) => self.totals[self.schema.failed(class, reason)] += 1.0,
@@ -135,7 +139,7 @@
         }
     }
 
-    fn received(&mut self, class: usize, terms: Class, retry: bool, work_hint_ms: Option<f64>) {
+    fn received(&mut self, class: usize, valuation: Class, retry: bool, work_hint_ms: Option<f64>) {
         self.add(class, ClassCounter::Received, 1.0);
         self.add(class, ClassCounter::Retries, f64::from(u8::from(retry)));
         if let Some(work_hint_ms) = work_hint_ms {
@@ -143,27 +147,27 @@
             hints.sum_ms += work_hint_ms;
             hints.count += 1.0;
         }
-        let weight = terms.weight * self.weight_units(class, work_hint_ms);
+        let weight = valuation.weight * self.weight_units(class, work_hint_ms);
         self.add(class, ClassCounter::WeightReceived, weight);
     }
 
-    fn served(&mut self, class: usize, terms: Class, served: Served) {
-        let objective_ms =
-            terms.latency_objective_ms + terms.objective_per_work * served.work_hint_ms.unwrap_or(0.0);
+    fn served(&mut self, class: usize, valuation: Class, served: Served) {
+        let objective_ms = valuation.latency_objective_ms
+            + valuation.objective_per_work * served.work_hint_ms.unwrap_or(0.0);
         let (outcome, lateness_factor) = if served.took_ms <= objective_ms {
             (ClassCounter::ServedWithinObjective, 1.0)
         } else {
-            (ClassCounter::ServedLate, terms.late_weight)
+            (ClassCounter::ServedLate, valuation.late_weight)
         };
         self.add(class, outcome, 1.0);
         self.add(class, ClassCounter::Deduplicated, f64::from(u8::from(served.deduplicated)));
         self.add(class, ClassCounter::Degraded, f64::from(u8::from(served.degraded)));
-        let degradation_factor = if served.degraded { terms.weight_without_call } else { 1.0 };
-        let weight = terms.weight * self.weight_units(class, served.work_hint_ms);
+        let degradation_factor = if served.degraded { valuation.weight_without_call } else { 1.0 };
+        let weight = valuation.weight * self.weight_units(class, served.work_hint_ms);
         self.add(class, ClassCounter::WeightServed, weight * lateness_factor * degradation_factor);
     }
 
-    /// What the weight of one request is multiplied by: 1, or its work in seconds.
+    /// The factor of the weight of one request: 1, or its work in seconds.
     fn weight_units(&self, class: usize, work_hint_ms: Option<f64>) -> f64 {
         let hints = self.hints[class];
         match work_hint_ms {
@@ -182,16 +186,16 @@
         self.distributions[self.schema.distribution(class, distribution)].record(ms);
     }
 
-    /// Sets totals that are counted elsewhere, from this index on.
+    /// Overwrites the totals from index `at` on with counters that are kept elsewhere.
     pub fn set(&mut self, at: usize, values: &[u64]) {
         for (total, value) in self.totals[at..].iter_mut().zip(values) {
             *total = *value as f64;
         }
     }
 
-    /// The accounting error: by how many requests `read = served + refused + failed + expired + gone + open`
-    /// is off, summed over all classes. `open` is what the core counts in its own tables at this instant. 0
-    /// unless an event was missed or reported twice.
+    /// The accounting error: by how many requests this invariant is violated, summed over all classes:
+    /// `read = served + refused + failed + expired + gone + open`. `open` is the number of requests in the
+    /// core's own tables at this instant. The error is 0 unless an event was missed or reported twice.
     pub fn accounting_error(&self, state: &CoreState) -> f64 {
         let open = self.open_by_class(state);
         open.iter().enumerate().map(|(class, open)| self.class_accounting_error(class, *open)).sum()
@@ -207,8 +211,7 @@
         (counter(ClassCounter::Received) - ended - open as f64).abs()
     }
 
-    /// Ends an interval: returns the totals as they stand, and the distributions, which start again with
-    /// nothing.
+    /// Ends an interval: returns the totals, which are kept, and the distributions, which are cleared.
     pub fn end_interval(&mut self) -> (Rc<[f64]>, Rc<[Distribution]>) {
         let distributions = self.distributions.iter_mut().map(DistributionRecorder::take);
         (self.totals.as_slice().into(), distributions.collect())
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn worth_follows_aim_and_completeness() {
+fn weight_served_depends_on_lateness_and_degradation() {
     let mut accounts = accounts(false);
     for kind in [served(900.0, false, None), served(901.0, false, None), served(5.0, true, None)] {
         accounts.record(&event(1, read(None)));
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn where_worth_goes_by_work_one_without_a_hint_counts_like_the_mean() {
+fn weight_by_work_uses_mean_hint_for_requests_without_one() {
     let mut accounts = accounts(true);
     for hint in [Some(100.0), Some(300.0), None] {
         accounts.record(&event(0, read(hint)));
     }
-    let asked = accounts.totals[accounts.schema.class_counter(0, ClassCounter::WeightReceived)];
-    assert!((asked - 0.6).abs() < 1e-9, "{asked}");
+    let weight_received = accounts.totals[accounts.schema.class_counter(0, ClassCounter::WeightReceived)];
+    assert!((weight_received - 0.6).abs() < 1e-9, "{weight_received}");
 }
 
 #[test]
-fn the_law_shows_what_is_missed_and_what_is_told_twice() {
+fn accounting_error_shows_missed_and_duplicate_events() {
     let mut accounts = accounts(false);
     let ends = [
         served(10.0, false, None),
@@ -88,16 +88,20 @@
     assert_eq!(
         accounts.accounting_error(&CoreState { open: vec![0, 0], ..CoreState::default() }),
         1.0,
-        "an end is missed"
+        "the end of a request was missed"
     );
     accounts.record(&event(1, RequestEventKind::CallerGone { took_ms: 1.0 }));
-    assert_eq!(accounts.accounting_error(&state), 1.0, "it ended, and the core still has it");
+    assert_eq!(
+        accounts.accounting_error(&state),
+        1.0,
+        "the request ended, and the core still counts it as open"
+    );
     accounts.record(&event(7, read(None)));
-    assert_eq!(accounts.accounting_error(&state), 1.0, "no such class");
+    assert_eq!(accounts.accounting_error(&state), 1.0, "an event of an unknown class is ignored");
 }
 
 #[test]
-fn more_classes_move_no_count_and_those_of_one_name_share_their_series() {
+fn added_classes_keep_counts_and_share_series_by_name() {
     let mut accounts = accounts(false);
     let total = |accounts: &Accounts, name: &str, stat: &str| {
         let (totals, _) = accounts.clone().end_interval();
@@ -115,22 +119,22 @@
     let names = ["look".into(), "write".into(), "more".into()];
     let schema = Rc::new(accounts.schema.with_classes(&names));
     let class = accounts.classes[0];
-    let dearer = Class { weight: 5.0, ..class };
-    accounts.set_classes(schema, vec![class, class, dearer, dearer], vec![0, 1, 2, 1], false);
+    let heavier = Class { weight: 5.0, ..class };
+    accounts.set_classes(schema, vec![class, class, heavier, heavier], vec![0, 1, 2, 1], false);
     for class in [0, 2, 2, 3] {
         accounts.record(&event(class, read(None)));
         accounts.record(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
     }
     let reads = ["look", "write", "more"].map(|name| total(&accounts, name, "read"));
     assert_eq!(reads, [2.0, 2.0, 2.0]);
-    assert_eq!(total(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each by its own terms");
+    assert_eq!(total(&accounts, "write", "worth_asked"), 3.0 + 5.0, "each class counts by its own weight");
     assert_eq!(accounts.totals[accounts.schema.log_lines_left_out()], 7.0);
     let state = CoreState { open: vec![2, 1, 2, 1], ..CoreState::default() };
     assert_eq!((accounts.open_by_class(&state), accounts.accounting_error(&state)), (vec![2, 2, 2], 0.0));
 }
 
 #[test]
-fn a_cut_keeps_totals_and_empties_distributions() {
+fn end_of_interval_keeps_totals_and_clears_distributions() {
     let mut accounts = accounts(false);
     accounts.record(&event(0, RequestEventKind::RunStarted { queue_wait_ms: 12.0 }));
     let (totals, distributions) = accounts.end_interval();
--- a/crates/pinepoint-telemetry/src/distribution.rs
+++ b/crates/pinepoint-telemetry/src/distribution.rs
@@ -10,7 +10,7 @@
 const MAX_UNITS: u64 = 6_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Records the values of the current interval. It allocates nothing once it is made.
+/// Records the values of the current interval. Recording allocates nothing.
 #[derive(Clone, Debug)]
 pub(crate) struct DistributionRecorder {
     histogram: Histogram<u32>,
@@ -26,14 +26,15 @@
 }
 
 impl DistributionRecorder {
-    /// Records a value, ms. Negative and non-finite values count as 0, large ones as the largest that fits.
+    /// Records a value, ms. Negative and non-finite values count as 0, too large ones as the largest value
+    /// that fits.
     pub(crate) fn record(&mut self, ms: f64) {
         let ms = if ms.is_finite() { ms.max(0.0) } else { 0.0 };
         self.histogram.saturating_record((ms / UNIT_MS).round().max(1.0) as u64);
         self.sum_ms += ms;
     }
 
-    /// Returns what was recorded and starts again with nothing.
+    /// Returns the recorded distribution and clears the recorder.
     pub(crate) fn take(&mut self) -> Distribution {
         let recorded = self.histogram.iter_recorded();
         let buckets = recorded
@@ -64,7 +65,7 @@
 }
 
 impl Distribution {
-    /// Both distributions as one.
+    /// The distribution of the values of both.
     pub(crate) fn merged(&self, other: &Distribution) -> Distribution {
         let mut buckets: Vec<Bucket> = self.buckets.iter().chain(&other.buckets).copied().collect();
         buckets.sort_unstable();
@@ -78,7 +79,7 @@
         Distribution { buckets: buckets.into(), sum_ms: self.sum_ms + other.sum_ms }
     }
 
-    /// Memory of its buckets, bytes.
+    /// Memory of the buckets, bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.buckets.len() * size_of::<Bucket>()
     }
--- a/crates/pinepoint-telemetry/src/distribution/tests.rs
+++ b/crates/pinepoint-telemetry/src/distribution/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn figures_of_a_distribution_are_right_within_two_digits_also_after_merging() {
+fn quantiles_are_accurate_to_two_digits_after_merging() {
     let (mut whole, mut halves) =
         (DistributionRecorder::default(), [DistributionRecorder::default(), DistributionRecorder::default()]);
     let mut exact: Vec<f64> = (0..4000_u32).map(|n| f64::from(n * 7919 % 4001) * 0.7 + 0.1).collect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn nothing_recorded_has_a_count_and_no_quantile() {
+fn empty_distribution_has_count_but_no_quantile() {
     let distribution = DistributionRecorder::default().take();
     assert_eq!(distribution.statistic(Statistic::Count), Some(0.0));
     assert_eq!(distribution.statistic(Statistic::Quantile(990)), None);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn values_that_cannot_be_are_taken_for_the_nearest_that_can() {
+fn records_invalid_values_as_nearest_valid_ones() {
     let mut recorder = DistributionRecorder::default();
     for ms in [f64::NAN, -5.0, f64::INFINITY, 1e12] {
         recorder.record(ms);
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! The result of one reporting interval: running totals and gauges at its end, and distributions of its
 //! values.
 //!
-//! It defines how two neighbouring snapshots are merged and what the value of a point is. Where points are
-//! sent is not its concern.
+//! This module defines how two neighbouring snapshots are merged and how the value of a point is computed. It
+//! knows nothing of receivers.
 
 use std::rc::Rc;
 
@@ -12,17 +12,17 @@
 /// The result of one reporting interval, or of several that were merged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Start of its time slot, Unix s: the timestamp of its points, unique within this process.
+    /// Start of the time slot, Unix s: the timestamp of all points, unique within this process.
     pub slot_s: u64,
-    /// Number of slots that it covers: more than one after a merge.
+    /// Number of slots that the snapshot covers: more than one after a merge.
     pub slots: u32,
-    /// When it began and ended, Unix ms.
+    /// When the interval began and ended, Unix ms.
     pub span_ms: (f64, f64),
-    /// Counters and sums since the start of the process, at its end.
+    /// Counters and sums since the start of the process, at the end of the interval.
     pub totals: Rc<[f64]>,
-    /// Gauges at its end.
+    /// Gauges at the end of the interval.
     pub gauges: Rc<[f64]>,
-    /// Distributions of the values in it.
+    /// Distributions of the values recorded in the interval.
     pub distributions: Rc<[Distribution]>,
 }
 
@@ -32,7 +32,7 @@
 const DISTRIBUTION_OVERHEAD_BYTES: usize = 24;
 
 impl Snapshot {
-    /// Memory that it takes, bytes.
+    /// Memory of the snapshot, bytes.
     pub fn bytes(&self) -> usize {
         let of_distribution =
             |distribution: &Distribution| distribution.bytes() + DISTRIBUTION_OVERHEAD_BYTES;
@@ -41,7 +41,7 @@
         numbers + distributions + SNAPSHOT_OVERHEAD_BYTES
     }
 
-    /// This snapshot and the next one as one: totals, gauges and timestamp are those of the later.
+    /// Merges this snapshot with its successor: totals, gauges and timestamp are those of the later one.
     pub fn merged(&self, later: &Snapshot) -> Snapshot {
         let distributions =
             self.distributions.iter().zip(later.distributions.iter()).map(|(a, b)| a.merged(b)).collect();
@@ -66,7 +66,7 @@
     Cumulative,
 }
 
-/// A snapshot and the totals before it: all that its points are made of.
+/// A snapshot and the totals before it, from which the values of its points are computed.
 #[derive(Clone, Debug)]
 pub struct Interval {
     /// The snapshot at the end of the interval.
