--- a/crates/pinepoint-telemetry/src/metric_names.rs
+++ b/crates/pinepoint-telemetry/src/metric_names.rs
@@ -1,7 +1,7 @@
 //! Names of metrics as receivers see them.
 //!
 //! Names of hosts, classes and prefixes come from configurations. They are sanitized and bounded here, so
-//! that none can be mistaken for the syntax of a receiver's protocol.
+//! that no name can be mistaken for the syntax of a receiver's protocol.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,7 +12,7 @@
 /// Bytes of the suffix that keeps changed components distinct: an underscore and eight hexadecimal digits.
 const HASH_SUFFIX_BYTES: usize = 9;
 
-/// A component of a name that consists of letters, digits, hyphens and underscores only.
+/// Turns a text into a component of a name, which has only letters, digits, hyphens and underscores.
 ///
 /// A valid component is returned unchanged. In any other, invalid characters become underscores, the length
 /// is bounded by [`MAX_COMPONENT_BYTES`], and a hash of the original is appended so that different names stay
@@ -41,7 +41,7 @@
     pub prefix: String,
     /// The name of this host.
     pub host: String,
-    /// Class and host become tags after a name that is the same on all hosts.
+    /// Whether class and host become tags after a name that is the same on all hosts.
     pub tags: bool,
 }
 
--- a/crates/pinepoint-telemetry/src/metric_names/tests.rs
+++ b/crates/pinepoint-telemetry/src/metric_names/tests.rs
@@ -3,12 +3,15 @@
 use super::*;
 
 #[test]
-fn a_good_name_stays_and_a_bad_one_is_made_harmless_and_stays_distinct() {
+fn sanitize_keeps_valid_names_and_makes_others_valid_and_distinct() {
     assert_eq!(sanitize("thesis-submit"), "thesis-submit");
-    for bad in ["a.b", "a b", "a;b=c", "a\nb 1 2", "", "ž", &"x".repeat(65), "a/b", "~"] {
-        let cleaned = sanitize(bad);
-        assert!(cleaned.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-'), "{cleaned}");
-        assert!((1..=MAX_COMPONENT_BYTES).contains(&cleaned.len()));
+    for invalid in ["a.b", "a b", "a;b=c", "a\nb 1 2", "", "ž", &"x".repeat(65), "a/b", "~"] {
+        let sanitized = sanitize(invalid);
+        assert!(
+            sanitized.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-'),
+            "{sanitized}"
+        );
+        assert!((1..=MAX_COMPONENT_BYTES).contains(&sanitized.len()));
     }
     assert_ne!(sanitize("a.b"), sanitize("a b"));
     assert_ne!(sanitize("a.b"), "a_b");
@@ -22,9 +25,9 @@
 }
 
 #[test]
-fn paths_tell_where_a_series_belongs() {
-    let plain = paths("n1", &["look", "write"], false);
-    for wanted in [
+fn paths_contain_scope_class_and_host() {
+    let untagged = paths("n1", &["look", "write"], false);
+    for expected in [
         "pinepoint.n1.class.look.served_in_aim",
         "pinepoint.n1.class.write.refused.too-late",
         "pinepoint.n1.class.write.total.p99_ms",
@@ -32,7 +35,7 @@
         "pinepoint.n1.module.hung",
         "pinepoint.n1.telemetry.law_off",
     ] {
-        assert!(plain.iter().any(|path| path == wanted), "{wanted}");
+        assert!(untagged.iter().any(|path| path == expected), "{expected}");
     }
     let tagged = paths("n1", &["look", "write"], true);
     assert!(tagged.iter().any(|path| path == "pinepoint.class.run.p50_ms;class=write;host=n1"));
@@ -42,13 +45,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a class or a comparer is called, no path breaks a line, and none is another's.
+    /// Whatever the names of classes and hosts, no path breaks the protocol's syntax and no two are equal.
     #[test]
-    fn no_name_breaks_a_line(host in any::<String>(), a in any::<String>(), b in any::<String>(), tags: bool) {
+    fn paths_are_valid_and_distinct_for_all_names(
+        host in any::<String>(),
+        a in any::<String>(),
+        b in any::<String>(),
+        tags: bool,
+    ) {
         prop_assume!(a != b);
         let paths = paths(&host, &[&a, &b], tags);
-        let good = |c: char| c.is_ascii_alphanumeric() || "-_.;=".contains(c);
-        prop_assert!(paths.iter().all(|path| path.chars().all(good) && !path.contains("..")));
+        let is_valid = |c: char| c.is_ascii_alphanumeric() || "-_.;=".contains(c);
+        prop_assert!(paths.iter().all(|path| path.chars().all(is_valid) && !path.contains("..")));
         let distinct: std::collections::BTreeSet<_> = paths.iter().collect();
         prop_assert_eq!(distinct.len(), paths.len());
     }
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process: which exist, what they are called and where their values stand in a snapshot.
+//! The metrics of a process: their names, their kinds and the positions of their values in a snapshot.
 //!
 //! A schema never changes, so that a snapshot is a plain row of numbers. When classes are added, a wider
 //! schema replaces it.
@@ -17,7 +17,7 @@
 };
 pub use stats::{Destination, STATISTICS, Statistic};
 
-/// What a metric belongs to.
+/// The part of the process that a metric belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
     /// The request class of this index.
@@ -33,7 +33,7 @@
 }
 
 impl Scope {
-    /// The word for the scope in metric names.
+    /// The component for the scope in metric names.
     pub(crate) fn area(self) -> &'static str {
         match self {
             Scope::Class(_) => "class",
@@ -52,14 +52,14 @@
     stat: Cow<'static, str>,
 }
 
-/// What the values of a metric mean.
+/// The kind of the values of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
     /// An integer that only grows.
     Counter,
     /// A real number that only grows.
     Sum,
-    /// A state at one instant.
+    /// A value at one instant.
     Gauge,
     /// One statistic of a distribution over the interval.
     Statistic(Statistic),
@@ -68,11 +68,11 @@
 /// The description of one point of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricDescriptor {
-    /// What it belongs to.
+    /// The part of the process that the metric belongs to.
     pub scope: Scope,
-    /// What it measures: letters, digits, hyphens and underscores, with dots between levels.
+    /// The measured quantity: letters, digits, hyphens and underscores, with dots between levels.
     pub stat: Cow<'static, str>,
-    /// What its values mean.
+    /// The kind of the values.
     pub kind: MetricKind,
 }
 
@@ -94,8 +94,8 @@
 }
 
 impl Schema {
-    /// The metrics of a process with these request classes, counters of the node and gauges of the decision
-    /// module.
+    /// The metrics of a process with these request classes, counters of the node and gauges of the admission
+    /// controller.
     pub fn new(classes: &[String], node: &[&'static str], module: &[&'static str]) -> Self {
         let mut counters = Vec::new();
         let mut distributions = Vec::new();
@@ -103,22 +103,22 @@
         for class in 0..classes.len() {
             let scope = Scope::Class(class);
             counters.extend(class_counters().map(|(stat, kind)| (MetricName { scope, stat }, kind)));
-            distributions.extend(ClassDistribution::STATS.iter().map(|stat| fixed(scope, stat)));
-            gauges.push(fixed(scope, "open"));
+            distributions.extend(ClassDistribution::STATS.iter().map(|stat| static_name(scope, stat)));
+            gauges.push(static_name(scope, "open"));
         }
         let node_at = counters.len();
-        counters.extend(node.iter().map(|stat| (fixed(Scope::Node, stat), MetricKind::Counter)));
+        counters.extend(node.iter().map(|stat| (static_name(Scope::Node, stat), MetricKind::Counter)));
         let delivery_counters_at = counters.len();
         counters.extend(per_destination(&DELIVERY_COUNTERS).map(|name| (name, MetricKind::Counter)));
-        counters.push((fixed(Scope::Telemetry, "log_lines_left_out"), MetricKind::Counter));
+        counters.push((static_name(Scope::Telemetry, "log_lines_left_out"), MetricKind::Counter));
 
-        gauges.extend(CORE_STATE_GAUGES.iter().map(|stat| fixed(Scope::State, stat)));
+        gauges.extend(CORE_STATE_GAUGES.iter().map(|stat| static_name(Scope::State, stat)));
         let module_at = gauges.len();
-        gauges.extend(module.iter().map(|stat| fixed(Scope::Module, stat)));
+        gauges.extend(module.iter().map(|stat| static_name(Scope::Module, stat)));
         let delivery_gauges_at = gauges.len();
         gauges.extend(per_destination(&DELIVERY_GAUGES));
-        gauges.push(fixed(Scope::Telemetry, "law_off"));
-        gauges.push(fixed(Scope::Telemetry, "span_s"));
+        gauges.push(static_name(Scope::Telemetry, "law_off"));
+        gauges.push(static_name(Scope::Telemetry, "span_s"));
         Schema {
             classes: classes.to_vec(),
             node: node.to_vec(),
@@ -132,17 +132,17 @@
         }
     }
 
-    /// The same schema with other classes, of which the first are those of this schema.
+    /// The same schema with other classes, which begin with the classes of this schema.
     pub fn with_classes(&self, classes: &[String]) -> Self {
         Schema::new(classes, &self.node, &self.module)
     }
 
-    /// Moves the totals of a schema with fewer classes to their positions in this one, which was made by
-    /// [`Schema::with_classes`]. The totals of added classes are 0.
+    /// Moves the totals of a schema with fewer classes to their positions in this schema, which was made from
+    /// that one by [`Schema::with_classes`]. The totals of added classes are 0.
     pub fn widen(&self, narrow: &Schema, totals: &[f64]) -> Vec<f64> {
-        let (of_classes, others) = totals.split_at(narrow.node_at);
+        let (class_totals, other_totals) = totals.split_at(narrow.node_at);
         let added = vec![0.0; self.node_at - narrow.node_at];
-        [of_classes, &added, others].concat()
+        [class_totals, &added, other_totals].concat()
     }
 
     /// Names of the request classes.
@@ -186,7 +186,7 @@
         MetricDescriptor { scope: name.scope, stat, kind }
     }
 
-    /// What the values of a point mean.
+    /// The kind of the values of a point.
     pub fn kind(&self, point: usize) -> MetricKind {
         match self.location(point) {
             ValueLocation::Counter(at) => self.counters[at].1,
@@ -207,8 +207,8 @@
 }
 
 /// A counter for each reason code.
-fn per_reason<R: ReasonCode>(head: &'static str) -> impl Iterator<Item = (Cow<'static, str>, MetricKind)> {
-    let stat = move |reason: &R| Cow::Owned(format!("{head}.{}", reason.code()));
+fn per_reason<R: ReasonCode>(prefix: &'static str) -> impl Iterator<Item = (Cow<'static, str>, MetricKind)> {
+    let stat = move |reason: &R| Cow::Owned(format!("{prefix}.{}", reason.code()));
     R::ALL.iter().map(move |reason| (stat(reason), MetricKind::Counter))
 }
 
@@ -222,7 +222,7 @@
     })
 }
 
-fn fixed(scope: Scope, stat: &'static str) -> MetricName {
+fn static_name(scope: Scope, stat: &'static str) -> MetricName {
     MetricName { scope, stat: Cow::Borrowed(stat) }
 }
 
--- a/crates/pinepoint-telemetry/src/schema/layout.rs
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -1,5 +1,5 @@
-//! Where the values of a snapshot stand: each class has a block of counters, then come those of the node and
-//! of telemetry itself; gauges and distributions are laid out alike.
+//! The positions of values in a snapshot: each class has a block of counters, followed by the counters of the
+//! node and of telemetry itself. Gauges and distributions are laid out in the same way.
 
 use std::ops::Range;
 
@@ -10,7 +10,7 @@
     STATISTICS, Schema, Statistic,
 };
 
-/// Where the value of a point stands in a snapshot.
+/// The position of the value of a point in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ValueLocation {
     /// At this index of the totals.
@@ -39,7 +39,7 @@
     pub(crate) accounting_error: usize,
 }
 
-/// Counters of one class.
+/// Number of counters of one class.
 const CLASS_BLOCK: usize = RUN_OUTCOMES_AT + RunOutcome::ALL.len();
 /// Offsets within the block of a class.
 const REJECTIONS_AT: usize = CLASS_COUNTERS.len();
@@ -48,7 +48,7 @@
 const RUN_OUTCOMES_AT: usize = CALL_OUTCOMES_AT + CallOutcome::ALL.len();
 
 impl Schema {
-    /// Where the value of a point stands.
+    /// The position of the value of a point.
     pub(crate) fn location(&self, point: usize) -> ValueLocation {
         let (counters, gauges) = (self.counts(), self.gauges());
         if point < counters {
--- a/crates/pinepoint-telemetry/src/schema/stats.rs
+++ b/crates/pinepoint-telemetry/src/schema/stats.rs
@@ -1,4 +1,5 @@
-//! The fixed lists of statistics, counters and gauges. The words are parts of metric names and never change.
+//! The fixed lists of statistics, counters and gauges. Their strings are parts of metric names and never
+//! change.
 
 use super::MetricKind;
 
@@ -7,7 +8,7 @@
 pub enum Statistic {
     /// The number of values.
     Count,
-    /// Their sum, ms.
+    /// The sum of the values, ms.
     Sum,
     /// The quantile at this rank, in thousandths; its value is in ms.
     Quantile(u16),
@@ -34,32 +35,32 @@
 }
 
 macro_rules! class_counters {
-    ($($(#[$doc:meta])* $name:ident = $word:literal $kind:ident,)+) => {
+    ($($(#[$doc:meta])* $name:ident = $stat:literal $kind:ident,)+) => {
         /// The counters and sums of a class that have no reason code, by their position in the class's block.
         #[derive(Clone, Copy, Debug)]
         pub(crate) enum ClassCounter { $($(#[$doc])* $name,)+ }
 
         /// Stat and kind of each [`ClassCounter`].
-        pub(crate) const CLASS_COUNTERS: &[(&str, MetricKind)] = &[$(($word, MetricKind::$kind),)+];
+        pub(crate) const CLASS_COUNTERS: &[(&str, MetricKind)] = &[$(($stat, MetricKind::$kind),)+];
     };
 }
 
 class_counters! {
     /// Attempts received.
     Received = "read" Counter,
-    /// Of these, the ones marked as retries.
+    /// Received attempts that were marked as retries.
     Retries = "read_again" Counter,
     /// Served within the latency objective.
     ServedWithinObjective = "served_in_aim" Counter,
     /// Served after the latency objective.
     ServedLate = "served_late" Counter,
-    /// Of the served, those with the result of another attempt.
+    /// Served with the result of another attempt.
     Deduplicated = "reused" Counter,
-    /// Of the served, those without a downstream call that was asked for.
+    /// Served without a downstream call that was requested.
     Degraded = "poorer" Counter,
-    /// Answered that their deadline had passed.
+    /// Answered with the error that the deadline had passed.
     DeadlineExceeded = "expired" Counter,
-    /// Ended by their caller.
+    /// Disconnected or cancelled by the caller, and not answered.
     CallerGone = "gone" Counter,
     /// Runs started.
     RunsStarted = "runs" Counter,
@@ -67,9 +68,9 @@
     CallsStarted = "calls" Counter,
     /// Downstream calls skipped.
     CallsSkipped = "calls_left_out" Counter,
-    /// Priority weight of what was received.
+    /// Priority weight of received requests.
     WeightReceived = "worth_asked" Sum,
-    /// Priority weight of what was served.
+    /// Priority weight of served requests.
     WeightServed = "worth_served" Sum,
 }
 
@@ -87,7 +88,7 @@
 }
 
 impl ClassDistribution {
-    /// The stats, in the order of the variants.
+    /// The names in metrics, in the order of the variants.
     pub(crate) const STATS: [&'static str; 4] = ["hold", "run", "total", "call"];
 }
 
--- a/crates/pinepoint-telemetry/src/schema/tests.rs
+++ b/crates/pinepoint-telemetry/src/schema/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn every_series_has_a_name_of_its_own() {
+fn metric_names_are_unique() {
     let schema = schema();
     let names: std::collections::BTreeSet<String> =
         (0..schema.points()).map(|point| described(&schema, point)).collect();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn places_are_those_of_the_names() {
+fn indices_match_metric_names() {
     let schema = schema();
     let name = |point: usize| described(&schema, point);
     assert_eq!(name(schema.class_counter(1, ClassCounter::DeadlineExceeded)), "Class(1) expired");
--- a/crates/pinepoint-telemetry/src/send_queue/tests.rs
+++ b/crates/pinepoint-telemetry/src/send_queue/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn what_the_other_end_has_no_room_for_is_counted_and_gone_once_it_has_read() {
+fn counts_unacknowledged_bytes_until_peer_reads_them() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut stream = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     let (mut peer, _) = listener.accept().expect("accepted");
@@ -21,7 +21,7 @@
     peer.read_to_end(&mut read).expect("read");
     assert_eq!(read.len(), written);
     drop(peer);
-    // The end of the other side comes behind its acknowledgement of ours.
+    // The peer's FIN follows its acknowledgement of this side's FIN.
     assert_eq!(stream.read(&mut [0]).expect("an end"), 0);
     assert_eq!(unacknowledged_bytes(&stream).expect("a socket"), 0);
 }
