--- a/crates/pinepoint-telemetry/src/config.rs
+++ b/crates/pinepoint-telemetry/src/config.rs
@@ -24,7 +24,7 @@
 pub struct Telemetry {
     /// Length of a reporting interval, s.
     pub every_s: BoundedInt<1, 3600>,
-    /// The longest time after the last answer in which the rest is delivered, ms.
+    /// Maximum time after the last answer for the delivery of the remaining intervals, ms.
     pub last_ms: BoundedInt<0, 5000>,
 }
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Spool {
-    /// Memory, kB.
+    /// Maximum memory, kB.
     pub kb: BoundedInt<256, 1_048_576>,
     /// Age past which intervals are merged into the next one, s.
     pub age_s: BoundedInt<60, 31_536_000>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Intervals that may be in flight at once.
+/// Maximum number of intervals in flight at once.
 const WINDOW_INTERVALS: usize = 16;
 
 impl Spool {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// The delivery of a destination with this spool; what the destination says otherwise is for the caller
-    /// to replace.
+    /// The default parameters of a delivery with this spool. The caller replaces the parameters that a
+    /// destination sets itself.
     fn delivery_config(self, every_ms: f64) -> DeliveryConfig {
         DeliveryConfig {
             spool: self.bounds(),
--- a/crates/pinepoint-telemetry/src/config/bounded_int.rs
+++ b/crates/pinepoint-telemetry/src/config/bounded_int.rs
@@ -7,15 +7,15 @@
 #[serde(try_from = "i64")]
 pub struct BoundedInt<const MIN: i64, const MAX: i64>(i64);
 
-/// An integer is outside its range.
+/// The error for an integer outside its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{value} is not from {min} to {max}")]
+#[error("{value} is out of range, expected {min} to {max}")]
 pub struct OutOfRange {
     /// The integer.
     pub value: i64,
-    /// The smallest one allowed.
+    /// The smallest valid integer.
     pub min: i64,
-    /// The largest one allowed.
+    /// The largest valid integer.
     pub max: i64,
 }
 
@@ -25,7 +25,7 @@
         self.0
     }
 
-    /// A default value. Panics if it is out of range.
+    /// A default value. Panics if the value is out of range.
     pub(super) const fn new(value: i64) -> Self {
         assert!(value >= MIN && value <= MAX);
         BoundedInt(value)
--- a/crates/pinepoint-telemetry/src/config/collectd.rs
+++ b/crates/pinepoint-telemetry/src/config/collectd.rs
@@ -9,7 +9,7 @@
 use super::Spool;
 use crate::delivery::{AckMode, DeliveryConfig};
 
-/// The longest user name, bytes.
+/// Maximum length of a user name, bytes.
 const MAX_USERNAME_BYTES: usize = 64;
 
 /// Where collectd listens: an address for its network protocol or for text over TCP, or a path for text over
@@ -17,20 +17,22 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(try_from = "String")]
 pub enum CollectdAddress {
-    /// An address and a port.
+    /// An IP address and a port.
     Address(SocketAddr),
     /// A Unix socket.
     Path(PathBuf),
 }
 
-/// An address of collectd is invalid.
+/// The error for an invalid address of collectd.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
-    /// It starts with `unix:`, and what follows is not an absolute path.
-    #[error("{0:?} is not unix: and an absolute path")]
+    /// The address starts with `unix:`, and the rest is not an absolute path.
+    #[error("{0:?} has no absolute path after unix:, expected a form such as unix:/run/collectd.sock")]
     RelativePath(String),
-    /// It is neither an address nor a Unix socket.
-    #[error("{0:?} is neither an address and a port nor unix:/PATH")]
+    /// The address is neither an IP address with a port nor a Unix socket.
+    #[error(
+        "{0:?} is not an address, expected an IP address and a port such as 127.0.0.1:25826, or unix:/PATH"
+    )]
     Unrecognized(String),
 }
 
@@ -73,7 +75,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Security {
-    /// Not at all.
+    /// Neither signed nor encrypted.
     #[default]
     None,
     /// Signed.
@@ -82,14 +84,14 @@
     Encrypt,
 }
 
-/// The collectd types of the values.
+/// The collectd types that values are sent as.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Types {
     /// `derive` and `gauge`, which every collectd knows, one value each.
     #[default]
     Standard,
-    /// Also those of `deploy/collectd/types.db`: a distribution is one list of several values.
+    /// Also the type of `deploy/collectd/types.db`: a distribution is one list of several values.
     Own,
 }
 
@@ -113,14 +115,14 @@
     pub spool: Spool,
 }
 
-/// Leaves the password out.
+/// Omits the password.
 impl fmt::Debug for Collectd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "collectd at {} by {:?}, {:?}", self.address, self.protocol, self.security)
     }
 }
 
-/// The fields of [`Collectd`] before it is checked that they fit together.
+/// The fields of [`Collectd`] before the check that they can be combined.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct UncheckedCollectd {
@@ -139,17 +141,19 @@
     spool: Spool,
 }
 
-/// Settings of `[collectd]` do not fit together.
+/// The error for settings of `[collectd]` that cannot be combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CollectdError {
     /// The text protocol cannot be secured.
-    #[error("security is for protocol = \"network\" alone")]
+    #[error(
+        "security cannot be used with protocol = \"text\", expected protocol = \"network\" or no security"
+    )]
     TextCannotBeSecured,
     /// Secured packets need credentials.
-    #[error("security needs a username of 1 to {MAX_USERNAME_BYTES} bytes and a password")]
+    #[error("security needs a username of 1 to {MAX_USERNAME_BYTES} bytes and a password that is not empty")]
     MissingCredentials,
     /// The network protocol does not work over a Unix socket.
-    #[error("a path needs protocol = \"text\"")]
+    #[error("a unix: address cannot be used with protocol = \"network\", expected protocol = \"text\"")]
     PathNeedsText,
 }
 
@@ -174,7 +178,7 @@
 }
 
 impl Collectd {
-    /// How intervals of this length, ms, are delivered.
+    /// The parameters of the delivery of intervals of this length, ms.
     pub fn delivery_config(&self, every_ms: f64) -> DeliveryConfig {
         DeliveryConfig { ack_mode: AckMode::Inline, ..self.spool.delivery_config(every_ms) }
     }
--- a/crates/pinepoint-telemetry/src/config/graphite.rs
+++ b/crates/pinepoint-telemetry/src/config/graphite.rs
@@ -25,11 +25,12 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum AckPolicy {
-    /// When the receiver closed the connection in order after we did: its process read all data.
+    /// When the receiver has closed the connection in order after this process did: its process has read all
+    /// data.
     #[default]
     Closed,
-    /// When the receiver's kernel acknowledged it. For relays that never close connections; what such a relay
-    /// had not read when it crashed is lost.
+    /// When the receiver's kernel has acknowledged it. For relays that never close connections; data that
+    /// such a relay had not read when it crashed is lost.
     Acknowledged,
 }
 
@@ -39,23 +40,23 @@
 pub struct Receivers(Vec<String>);
 
 #[derive(Deserialize)]
-#[serde(untagged, expecting = "an address or a list of addresses")]
+#[serde(untagged, expecting = "expected an address such as \"127.0.0.1:2003\" or a list of addresses")]
 enum OneOrMany {
     One(String),
     Many(Vec<String>),
 }
 
-/// A list of receivers is invalid.
+/// The error for an invalid list of receivers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReceiversError {
     /// The list is empty or too long.
-    #[error("{0} receivers: there have to be 1 to {MAX_RECEIVERS}")]
+    #[error("{0} receivers are listed, expected 1 to {MAX_RECEIVERS}")]
     Count(usize),
-    /// An entry is not an address and a port.
-    #[error("{0:?} is not an address and a port such as 127.0.0.1:2003")]
+    /// An entry is not an IP address and a port.
+    #[error("{0:?} is not an address, expected an IP address and a port such as 127.0.0.1:2003")]
     Address(String),
     /// An address is listed twice, possibly in another spelling.
-    #[error("{0} stands there twice")]
+    #[error("{0} is listed twice, possibly in another spelling; expected each address once")]
     Duplicate(String),
 }
 
@@ -116,7 +117,7 @@
     /// Time between two acknowledgements, s.
     #[serde(default = "default_receipt_s")]
     pub receipt_s: BoundedInt<1, 3600>,
-    /// Time in which the traffic of a recovered receiver returns, s.
+    /// Time over which the traffic of a recovered receiver returns, s.
     #[serde(default = "default_slow_start_s")]
     pub slow_start_s: BoundedInt<0, 3600>,
     /// The spool of undelivered intervals.
@@ -141,7 +142,7 @@
 }
 
 impl Graphite {
-    /// How intervals of this length, ms, are delivered.
+    /// The parameters of the delivery of intervals of this length, ms.
     pub fn delivery_config(&self, every_ms: f64) -> DeliveryConfig {
         let mut config = self.spool.delivery_config(every_ms);
         config.replication = self.replication.get() as u32;
--- a/crates/pinepoint-telemetry/src/config/tests.rs
+++ b/crates/pinepoint-telemetry/src/config/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_receiver_is_enough_and_the_rest_has_its_defaults() {
+fn accepts_single_receiver_and_defaults_the_rest() {
     let one = graphite("address = \"127.0.0.1:2003\"").expect("good");
     assert_eq!(one.receivers.names(), ["127.0.0.1:2003"]);
     assert_eq!(one, graphite("receivers = [\"127.0.0.1:2003\"]").expect("good"));
@@ -18,40 +18,52 @@
 }
 
 #[test]
-fn what_cannot_be_is_refused_with_what_would_be_right() {
+fn rejects_invalid_settings_with_expected_form() {
     let cases = [
-        ("receivers = []", "0 receivers: there have to be 1 to 32"),
-        ("receivers = [\"localhost:2003\"]", "is not an address and a port such as 127.0.0.1:2003"),
-        ("receivers = [\"[::1]:2003\", \"[0:0::1]:2003\"]", "[0:0::1]:2003 stands there twice"),
-        ("address = \"127.0.0.1:2003\"\nreplication = 9", "9 is not from 1 to 8"),
-        ("address = \"127.0.0.1:2003\"\nspool = { kb = 1 }", "1 is not from 256 to 1048576"),
+        ("receivers = []", "0 receivers are listed, expected 1 to 32"),
+        (
+            "receivers = [\"localhost:2003\"]",
+            "is not an address, expected an IP address and a port such as 127.0.0.1:2003",
+        ),
+        (
+            "receivers = [\"[::1]:2003\", \"[0:0::1]:2003\"]",
+            "[0:0::1]:2003 is listed twice, possibly in another spelling; expected each address once",
+        ),
+        ("address = \"127.0.0.1:2003\"\nreplication = 9", "9 is out of range, expected 1 to 8"),
+        ("address = \"127.0.0.1:2003\"\nspool = { kb = 1 }", "1 is out of range, expected 256 to 1048576"),
         ("address = \"127.0.0.1:2003\"\nprotocol = \"http\"", "unknown variant `http`"),
         ("address = \"127.0.0.1:2003\"\nevery_s = 3", "unknown field `every_s`"),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let error = graphite(text).expect_err(text);
-        assert!(error.contains(wanted), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
     let cases = [
-        ("address = \"unix:tmp\"", "is not unix: and an absolute path"),
-        ("address = \"unix:/run/c\"", "a path needs protocol = \"text\""),
+        (
+            "address = \"unix:tmp\"",
+            "has no absolute path after unix:, expected a form such as unix:/run/collectd.sock",
+        ),
+        (
+            "address = \"unix:/run/c\"",
+            "a unix: address cannot be used with protocol = \"network\", expected protocol = \"text\"",
+        ),
         (
             "address = \"127.0.0.1:1\"\nsecurity = \"sign\"",
-            "needs a username of 1 to 64 bytes and a password",
+            "needs a username of 1 to 64 bytes and a password that is not empty",
         ),
         (
             "address = \"127.0.0.1:1\"\nsecurity = \"sign\"\nprotocol = \"text\"",
-            "for protocol = \"network\" alone",
+            "security cannot be used with protocol = \"text\", expected protocol = \"network\" or no security",
         ),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let error = collectd(text).expect_err(text);
-        assert!(error.contains(wanted), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
 #[test]
-fn a_password_is_not_told() {
+fn debug_output_omits_password() {
     let text = "address = \"127.0.0.1:1\"\nsecurity = \"sign\"\nusername = \"u\"\npassword = \"hidden\"";
     assert!(!format!("{:?}", collectd(text).expect("good")).contains("hidden"));
 }
