--- a/crates/pinepoint-telemetry/src/transport.rs
+++ b/crates/pinepoint-telemetry/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to receivers: one task for each, which is sent commands and reports events.
+//! Connections to receivers. Each has a task, which receives commands and reports events.
 //!
 //! A task owns its socket. It does not decide when to connect, what to send or when to give up; dropping the
 //! task closes the connection.
@@ -23,11 +23,11 @@
 pub(crate) enum Command {
     /// Send a message; its sequence number is reported with its acknowledgement.
     Send { sequence: u64, message: EncodedMessage },
-    /// Ask the receiver to acknowledge all that was sent.
+    /// Ask the receiver to acknowledge all messages sent on the connection.
     RequestAck,
 }
 
-/// A message in the bytes of a protocol.
+/// A message encoded for a protocol.
 #[derive(Debug)]
 pub(crate) enum EncodedMessage {
     /// Bytes on a stream.
@@ -38,7 +38,7 @@
     Datagrams(Vec<Vec<u8>>),
 }
 
-/// How a receiver is reached.
+/// The protocol and address of a receiver.
 #[derive(Clone, Debug)]
 pub(crate) enum Transport {
     /// A TCP stream that is acknowledged as a whole.
--- a/crates/pinepoint-telemetry/src/transport/datagrams.rs
+++ b/crates/pinepoint-telemetry/src/transport/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams over UDP. They are not acknowledged; only a refusal is noticed.
+//! Datagrams over UDP. They are not acknowledged; only a refusal is detected.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -9,7 +9,7 @@
 
 /// How long to wait for the kernel to learn that nobody listens at the destination, ms.
 const REFUSAL_WAIT_MS: f64 = 50.0;
-/// Datagrams that are sent without a pause, so that the receiver's buffer does not overflow.
+/// Maximum number of datagrams sent without a pause, so that the receiver's buffer does not overflow.
 const DATAGRAM_BURST: usize = 8;
 /// Pause after a burst, ms.
 const BURST_PAUSE_MS: f64 = 2.0;
@@ -27,7 +27,7 @@
                 continue;
             };
             self.send_datagrams(&socket, &datagrams).await?;
-            // A refusal of one call is reported by the next, a moment later.
+            // The kernel reports the refusal of a datagram a moment later, with the next call.
             self.clock.pause(REFUSAL_WAIT_MS).await;
             if !matches!(socket.get_ref().take_error(), Ok(None)) {
                 return Err(DisconnectReason::Refused);
--- a/crates/pinepoint-telemetry/src/transport/lines.rs
+++ b/crates/pinepoint-telemetry/src/transport/lines.rs
@@ -5,7 +5,7 @@
 use super::{Command, ConnectionTask, EncodedMessage};
 use crate::delivery::DisconnectReason;
 
-/// The longest answer, bytes.
+/// Maximum length of an answer, bytes.
 const MAX_ANSWER_BYTES: usize = 1024;
 
 impl ConnectionTask {
@@ -20,7 +20,7 @@
             let Command::Send { sequence, message: EncodedMessage::Lines { bytes, count } } = command else {
                 continue;
             };
-            // Answers are read while lines are written, or both ends could wait for each other.
+            // Answers are read while lines are written; otherwise both ends could wait for each other.
             let writing = self.write(stream, &bytes);
             let reading = answers.read(stream, count);
             let (written, read) = future::zip(writing, reading).await;
@@ -31,14 +31,14 @@
     }
 }
 
-/// Reads answers, and keeps what was read beyond them.
+/// Reads answers, and buffers the bytes that were read beyond them.
 #[derive(Default)]
 struct AnswerReader {
     buffer: Vec<u8>,
 }
 
 impl AnswerReader {
-    /// Reads so many answers.
+    /// Reads `count` answers.
     async fn read<S: AsyncRead + Unpin>(
         &mut self,
         mut stream: S,
--- a/crates/pinepoint-telemetry/src/transport/stream.rs
+++ b/crates/pinepoint-telemetry/src/transport/stream.rs
@@ -12,11 +12,12 @@
 use crate::delivery::DisconnectReason;
 use crate::send_queue::unacknowledged_bytes;
 
-/// Interval in which the kernel is asked for unacknowledged bytes, ms.
+/// Interval at which the kernel is asked for the number of unacknowledged bytes, ms.
 const ACK_POLL_INTERVAL_MS: f64 = 20.0;
 
 impl ConnectionTask {
-    /// Returns the sequence number of the last message, all of which are acknowledged.
+    /// Serves the connection until all messages are acknowledged. Returns the sequence number of the last
+    /// one.
     pub(super) async fn serve_stream(
         &self,
         address: SocketAddr,
@@ -28,8 +29,8 @@
         let last_sequence = future::or(self.write_messages(&stream), closed_by_receiver(&stream)).await?;
         if ack_policy == AckPolicy::Closed {
             stream.get_ref().shutdown(Shutdown::Write).map_err(|_| DisconnectReason::Reset)?;
-            // The end of the stream says that the receiver's process has read everything and closed the
-            // connection. If it closes with unread data, its kernel sends a reset instead.
+            // The end of the stream means that the receiver's process has read all data and closed the
+            // connection. If the process closes with unread data, its kernel sends a reset instead.
             read_to_end(&stream).await.map_err(|_| DisconnectReason::Reset)?;
         }
         self.wait_until_acknowledged(&stream).await?;
@@ -71,7 +72,7 @@
     }
 }
 
-/// Waits until the receiver closes the connection unasked, which says nothing about what it has read.
+/// Waits until the receiver closes the connection unasked. Such a close does not show how much it has read.
 async fn closed_by_receiver(stream: &Async<TcpStream>) -> Result<u64, DisconnectReason> {
     match read_to_end(stream).await {
         Ok(()) => Err(DisconnectReason::Closed),
--- a/crates/pinepoint-telemetry/src/transport/tests.rs
+++ b/crates/pinepoint-telemetry/src/transport/tests.rs
@@ -12,19 +12,20 @@
     events: Receiver<Event>,
 }
 
-/// Runs a connection to this receiver, and beside it what the test does with it.
-fn connected<F: Future<Output = ()>>(transport: Transport, test: impl FnOnce(Harness) -> F) {
+/// Runs a connection with this transport, and concurrently the test that uses it.
+fn with_connection<F: Future<Output = ()>>(transport: Transport, test: impl FnOnce(Harness) -> F) {
     let executor = LocalExecutor::new();
-    let ((commands, told), (events, heard)) = (async_channel::unbounded(), async_channel::unbounded());
+    let ((commands, command_receiver), (events, event_receiver)) =
+        (async_channel::unbounded(), async_channel::unbounded());
     let id = ConnectionId { receiver: 0, number: 1 };
-    let connection = ConnectionTask { id, events, commands: told, clock: Clock::system() };
+    let connection = ConnectionTask { id, events, commands: command_receiver, clock: Clock::system() };
     let task = executor.spawn(connection.run(transport));
-    async_io::block_on(executor.run(test(Harness { commands, events: heard })));
+    async_io::block_on(executor.run(test(Harness { commands, events: event_receiver })));
     drop(task);
 }
 
 impl Harness {
-    async fn connected(&self) {
+    async fn wait_connected(&self) {
         assert!(matches!(self.events.recv().await, Ok(Event::Connected { .. })));
     }
 
@@ -38,9 +39,9 @@
         self.commands.try_send(Command::RequestAck).expect("sent");
     }
 
-    /// The next event but for progress; `None` if none comes in that time.
+    /// The next event other than progress; `None` if none arrives within `ms`.
     async fn next(&self, ms: u64) -> Option<Event> {
-        let late = async {
+        let timeout = async {
             async_io::Timer::after(Duration::from_millis(ms)).await;
             None
         };
@@ -52,7 +53,7 @@
                 }
             }
         };
-        future::or(next, late).await
+        future::or(next, timeout).await
     }
 }
 
@@ -63,15 +64,15 @@
 }
 
 #[test]
-fn what_was_read_up_to_the_end_is_taken() {
+fn acknowledges_messages_read_to_end_of_stream() {
     let (listener, transport) = listener();
     let reader = std::thread::spawn(move || {
         let mut read = String::new();
         listener.accept().expect("accepted").0.read_to_string(&mut read).expect("read");
         read
     });
-    connected(transport, |harness| async move {
-        harness.connected().await;
+    with_connection(transport, |harness| async move {
+        harness.wait_connected().await;
         harness.send(1, b"one ");
         harness.send(2, b"two");
         harness.request_ack();
@@ -83,16 +84,16 @@
     assert_eq!(reader.join().expect("no panic"), "one two");
 }
 
-/// The receiver's system has it and has said so; its process has not, and dies.
+/// The receiver's kernel acknowledged the message. Its process ends without having read it.
 #[test]
-fn what_only_the_system_has_is_not_taken() {
+fn does_not_acknowledge_messages_that_only_kernel_has() {
     let (listener, transport) = listener();
-    connected(transport, |harness| async move {
-        harness.connected().await;
+    with_connection(transport, |harness| async move {
+        harness.wait_connected().await;
         let (peer, _) = listener.accept().expect("accepted");
         harness.send(1, b"one");
         harness.request_ack();
-        assert!(harness.next(300).await.is_none(), "nobody has read it");
+        assert!(harness.next(300).await.is_none(), "the receiver's process has not read the message");
         drop(peer);
         assert!(matches!(
             harness.next(20_000).await,
@@ -101,18 +102,19 @@
     });
 }
 
-/// The receiver read the first and closed; the second crosses its end, and our end comes right behind it.
+/// The receiver reads the first message and closes. The second message is sent before the task has seen the
+/// close, and this side's close follows at once.
 #[test]
-fn what_crosses_the_end_of_the_receiver_is_not_taken() {
+fn does_not_acknowledge_messages_sent_after_receiver_closed() {
     let (listener, transport) = listener();
-    connected(transport, |harness| async move {
-        harness.connected().await;
+    with_connection(transport, |harness| async move {
+        harness.wait_connected().await;
         let (mut peer, _) = listener.accept().expect("accepted");
         harness.send(1, b"one");
         assert!(harness.next(50).await.is_none());
         peer.read_exact(&mut [0; 3]).expect("read");
         drop(peer);
-        // Not polled in between: the end is there, and not yet seen.
+        // The task is not polled in between: the receiver's FIN has arrived, and the task has not seen it.
         std::thread::sleep(Duration::from_millis(20));
         harness.send(2, b"two");
         harness.request_ack();
@@ -121,18 +123,18 @@
     });
 }
 
-/// For relays that never close it is enough that their system has all of it, and no less.
+/// For relays that never close connections it is enough that their kernel has all bytes, but no fewer.
 #[test]
-fn acknowledged_is_taken_where_that_was_chosen() {
+fn acknowledged_policy_accepts_kernel_acknowledgement() {
     let (listener, transport) = listener();
     let Transport::Stream(address, _) = transport else { return };
     rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 4096).expect("a small window");
-    connected(Transport::Stream(address, AckPolicy::Acknowledged), |harness| async move {
-        harness.connected().await;
+    with_connection(Transport::Stream(address, AckPolicy::Acknowledged), |harness| async move {
+        harness.wait_connected().await;
         let (mut peer, _) = listener.accept().expect("accepted");
         harness.send(1, &[b'x'; 400_000]);
         harness.request_ack();
-        assert!(harness.next(300).await.is_none(), "its system has no room for it");
+        assert!(harness.next(300).await.is_none(), "the receiver's kernel has no space for the message");
         peer.set_nonblocking(true).expect("set");
         let mut chunk = [0; 65_536];
         let event = loop {
@@ -146,18 +148,18 @@
 }
 
 #[test]
-fn lines_are_taken_when_all_are_answered_and_nonsense_is_no_answer() {
-    for (answer, good) in [("0 Success: 1 value", true), ("-1 value too old", true), ("hello", false)] {
+fn acknowledges_lines_when_all_have_valid_answers() {
+    for (answer, is_valid) in [("0 Success: 1 value", true), ("-1 value too old", true), ("hello", false)] {
         let (listener, transport) = listener();
         let Transport::Stream(address, _) = transport else { return };
-        connected(Transport::AnsweredLines(CollectdAddress::Address(address)), |harness| async move {
-            harness.connected().await;
+        with_connection(Transport::AnsweredLines(CollectdAddress::Address(address)), |harness| async move {
+            harness.wait_connected().await;
             let (mut peer, _) = listener.accept().expect("accepted");
             let message = EncodedMessage::Lines { bytes: b"a\nb\n".to_vec(), count: 2 };
             harness.commands.try_send(Command::Send { sequence: 1, message }).expect("sent");
             peer.write_all(format!("{answer}\n").as_bytes()).expect("written");
-            if good {
-                assert!(harness.next(100).await.is_none(), "one of two is answered");
+            if is_valid {
+                assert!(harness.next(100).await.is_none(), "only one of two lines is answered");
                 peer.write_all(b"0 Success\n").expect("written");
                 assert!(matches!(
                     harness.next(20_000).await,
@@ -175,10 +177,10 @@
 }
 
 #[test]
-fn datagrams_to_nobody_are_not_taken() {
+fn does_not_acknowledge_refused_datagrams() {
     let address = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port");
-    connected(Transport::Datagrams(address), |harness| async move {
-        harness.connected().await;
+    with_connection(Transport::Datagrams(address), |harness| async move {
+        harness.wait_connected().await;
         let message = EncodedMessage::Datagrams(vec![b"one".to_vec()]);
         harness.commands.try_send(Command::Send { sequence: 1, message }).expect("sent");
         assert!(matches!(
