--- a/crates/pinepoint-telemetry/src/collectd.rs
+++ b/crates/pinepoint-telemetry/src/collectd.rs
@@ -1,7 +1,7 @@
 //! collectd's protocols: the binary network protocol, plain, signed or encrypted ("Binary protocol", collectd
 //! wiki), and the plain-text protocol ("Plain text protocol", collectd wiki).
 //!
-//! Encodes intervals and notifications into bytes; sockets are not its concern. Counters are sent as derives,
+//! This module encodes intervals and notifications into bytes and does no I/O. Counters are sent as derives:
 //! running totals since the start of the process, so that the next datagram makes up for a lost one.
 
 mod network;
@@ -15,7 +15,7 @@
 use crate::schema::{MetricDescriptor, MetricKind, STATISTICS, Schema, Scope};
 use crate::snapshot::{Interval, Temporality};
 
-/// The largest datagram, bytes: collectd's own `MaxPacketSize`, what fits into one Ethernet frame.
+/// Maximum size of a datagram, bytes: collectd's own `MaxPacketSize`, which fits into one Ethernet frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1452;
 /// The longest string that collectd accepts, its terminating zero included (`DATA_MAX_NAME_LEN`), bytes.
 const MAX_NAME_BYTES: usize = 128;
@@ -34,11 +34,11 @@
 /// The identifier of a value list, without host and plugin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Identifier {
-    /// The request class, or the part of the program.
+    /// The request class, or the area of a metric without a class.
     plugin_instance: String,
     /// collectd's type.
     type_name: &'static str,
-    /// What it measures.
+    /// The measured quantity.
     type_instance: String,
 }
 
@@ -49,7 +49,7 @@
     Gauge(f64),
 }
 
-/// A value list (collectd's unit of data) and the points of the schema that it is made of.
+/// A value list (collectd's unit of data), and the points of the schema whose values it has.
 #[derive(Clone, Debug)]
 struct ValueList {
     identifier: Identifier,
@@ -112,7 +112,7 @@
         format!("{}/{PLUGIN_NAME}-{plugin_instance}/{type_name}-{type_instance}", self.host)
     }
 
-    /// The values of a list in an interval; `None` if a list of one value has none.
+    /// The values of a list in an interval; `None` if the list has one point and that has no value.
     fn values(&self, schema: &Schema, interval: &Interval, list: usize) -> Option<Vec<Value>> {
         let ValueList { identifier, points } = self.lists.get(list)?;
         let value = |point: usize| {
@@ -123,7 +123,7 @@
         if let [point] = points.as_slice() {
             return value(*point).map(|value| vec![value]);
         }
-        // A list of several values is sent complete: a missing value is not a number.
+        // A list of several values is sent complete; a missing value is sent as NaN.
         Some(points.iter().map(|point| value(*point).unwrap_or(Value::Gauge(f64::NAN))).collect())
     }
 
@@ -160,16 +160,16 @@
 /// A notification to the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
-    /// How severe it is.
+    /// The severity.
     pub severity: Severity,
     /// The subject: one word.
-    pub what: &'static str,
+    pub subject: &'static str,
     /// The text.
     pub message: String,
 }
 
 impl Notification {
-    /// The text, cut to what collectd accepts.
+    /// The text, truncated to the longest that collectd accepts.
     fn truncated_message(&self) -> &str {
         truncate(&self.message, MAX_MESSAGE_BYTES - 1)
     }
--- a/crates/pinepoint-telemetry/src/collectd/network.rs
+++ b/crates/pinepoint-telemetry/src/collectd/network.rs
@@ -22,8 +22,8 @@
 pub(super) const PART_HEADER_BYTES: usize = 4;
 
 impl ValueLists {
-    /// These value lists of an interval as packets that are not sealed yet. Each packet is complete in
-    /// itself, so that a lost one costs only its own values.
+    /// Encodes these value lists of an interval into packets that are not sealed yet. Each packet is complete
+    /// in itself, so that a lost packet costs only its own values.
     pub fn packets(
         &self,
         schema: &Schema,
@@ -66,13 +66,13 @@
         write_part(&mut packet, TIME_HIGH_RESOLUTION, &high_resolution(now_ms));
         write_part(&mut packet, SEVERITY, &(notification.severity as u64).to_be_bytes());
         write_string(&mut packet, PLUGIN, PLUGIN_NAME);
-        write_string(&mut packet, TYPE_INSTANCE, notification.what);
+        write_string(&mut packet, TYPE_INSTANCE, notification.subject);
         write_string(&mut packet, MESSAGE, notification.truncated_message());
         packet
     }
 }
 
-/// The parts of a value list. Those that are the same as in the previous list of the packet are left out.
+/// The parts of a value list, without those that are the same as in the previous list of the packet.
 fn value_list_parts(identifier: &Identifier, previous: Option<&Identifier>, values: &[Value]) -> Vec<u8> {
     let mut out = Vec::new();
     if previous.is_none_or(|previous| previous.plugin_instance != identifier.plugin_instance) {
@@ -96,7 +96,7 @@
     for value in values {
         match value {
             Value::Derive(n) => payload.extend(n.to_be_bytes()),
-            // The one number of the protocol that is not in network byte order.
+            // Gauges are the only numbers of the protocol that are not in network byte order.
             Value::Gauge(n) => payload.extend(n.to_le_bytes()),
         }
     }
--- a/crates/pinepoint-telemetry/src/collectd/security.rs
+++ b/crates/pinepoint-telemetry/src/collectd/security.rs
@@ -26,7 +26,7 @@
 /// How packets are secured (collectd's `SecurityLevel`).
 #[derive(Clone, Default)]
 pub enum PacketSecurity {
-    /// Not at all.
+    /// Neither signed nor encrypted.
     #[default]
     None,
     /// Signed with HMAC-SHA-256.
@@ -69,8 +69,8 @@
         }
     }
 
-    /// The datagram for these parts. The vector is only used for encryption, and must then be a new one for
-    /// each datagram, also across restarts.
+    /// Seals these parts into a datagram. `vector` is used only for encryption, and must then be a new one
+    /// for each datagram, also across restarts.
     pub fn seal(&self, parts: Vec<u8>, vector: InitializationVector) -> Vec<u8> {
         match self {
             PacketSecurity::None => parts,
--- a/crates/pinepoint-telemetry/src/collectd/text.rs
+++ b/crates/pinepoint-telemetry/src/collectd/text.rs
@@ -1,4 +1,4 @@
-//! The plain-text protocol: one command a line, each answered by the receiver.
+//! The plain-text protocol: one command per line, each answered by the receiver.
 
 use super::{Notification, PLUGIN_NAME, Severity, Value, ValueLists};
 use crate::schema::Schema;
@@ -42,7 +42,7 @@
             "PUTNOTIF severity={severity} time={:.3} host={} plugin={PLUGIN_NAME} type_instance={} message={}\n",
             now_ms / 1000.0,
             quoted(&self.host),
-            notification.what,
+            notification.subject,
             quoted(notification.truncated_message())
         )
     }
--- a/crates/pinepoint-telemetry/src/encoder.rs
+++ b/crates/pinepoint-telemetry/src/encoder.rs
@@ -1,4 +1,4 @@
-//! Turns points, health checks and notifications into the messages of a destination's protocol.
+//! Encodes points, health checks and notifications as messages of a destination's protocol.
 
 mod collectd;
 mod graphite;
@@ -27,7 +27,7 @@
         Encoder::Graphite(GraphiteEncoder::new(schema, host, graphite))
     }
 
-    /// For intervals of this length, ms.
+    /// An encoder for collectd, for intervals of `every_ms`.
     pub(crate) fn collectd(
         schema: Rc<Schema>,
         host: &str,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How the receiver of this name is reached; `None` if the name is not an address.
+    /// The transport to the receiver of this name; `None` if the name is not an address.
     pub(crate) fn transport(&self, receiver: &str) -> Option<Transport> {
         match self {
             Encoder::Graphite(graphite) => graphite.transport(receiver),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// These points of an interval; `None` if the system has no random numbers for encryption.
+    /// Encodes these points of an interval; `None` if the system has no random numbers for encryption.
     pub(crate) fn points(&self, interval: &Interval, points: &[u16]) -> Option<EncodedMessage> {
         let points = points.iter().map(|point| usize::from(*point));
         match self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A health check; `None` if the system has no random numbers for encryption.
+    /// Encodes a health check; `None` if the system has no random numbers for encryption.
     pub(crate) fn probe(&self, now_ms: f64) -> Option<EncodedMessage> {
         match self {
             Encoder::Graphite(graphite) => Some(graphite.probe(now_ms)),
@@ -70,8 +70,8 @@
         }
     }
 
-    /// A notification; `None` if the destination accepts none, or if the system has no random numbers for
-    /// encryption.
+    /// Encodes a notification; `None` if the destination accepts no notifications, or if the system has no
+    /// random numbers for encryption.
     pub(crate) fn notification(&self, now_ms: f64, notification: &Notification) -> Option<EncodedMessage> {
         match self {
             Encoder::Graphite(_) => None,
--- a/crates/pinepoint-telemetry/src/encoder/collectd.rs
+++ b/crates/pinepoint-telemetry/src/encoder/collectd.rs
@@ -70,7 +70,7 @@
 
     pub(super) fn probe(&self, now_ms: f64) -> Option<EncodedMessage> {
         let message = PROBE_MESSAGE.to_owned();
-        self.notification(now_ms, &Notification { severity: Severity::Okay, what: "probe", message })
+        self.notification(now_ms, &Notification { severity: Severity::Okay, subject: "probe", message })
     }
 
     pub(super) fn notification(&self, now_ms: f64, notification: &Notification) -> Option<EncodedMessage> {
@@ -91,7 +91,7 @@
     }
 }
 
-/// A random initialization vector. Two packets with the same one, even across restarts, would reveal what
+/// A random initialization vector. Two packets with the same vector, even across restarts, would reveal what
 /// they have in common.
 fn new_initialization_vector() -> Option<InitializationVector> {
     let mut vector = InitializationVector::default();
--- a/crates/pinepoint-telemetry/src/encoder/graphite.rs
+++ b/crates/pinepoint-telemetry/src/encoder/graphite.rs
@@ -11,7 +11,7 @@
 
 /// The last component of the path of health checks.
 const PROBE_STAT: &str = "probe";
-/// The last gauge of every schema, whose path health checks share but for this component.
+/// The last gauge of every schema. Health checks have its path with [`PROBE_STAT`] as the last component.
 const LAST_GAUGE_STAT: &str = "span_s";
 
 /// Encodes for Graphite.
@@ -51,7 +51,7 @@
     pub(super) fn points(&self, interval: &Interval, points: impl Iterator<Item = usize>) -> EncodedMessage {
         let temporality = match self.protocol {
             GraphiteProtocol::Plaintext | GraphiteProtocol::Pickle => Temporality::Delta,
-            // A datagram may be lost without notice.
+            // A datagram may be lost unnoticed.
             GraphiteProtocol::Udp => Temporality::Cumulative,
         };
         let (encoding, schema, paths) = (self.encoding(), &*self.schema, &*self.paths);
--- a/crates/pinepoint-telemetry/src/graphite.rs
+++ b/crates/pinepoint-telemetry/src/graphite.rs
@@ -1,7 +1,7 @@
 //! Graphite's protocols: plaintext lines and pickled batches ("Feeding In Your Data", Graphite
 //! documentation).
 //!
-//! Encodes points into bytes; sockets are not its concern.
+//! This module encodes points into bytes and does no I/O.
 
 use serde::Serialize;
 
@@ -17,9 +17,9 @@
     Pickle,
 }
 
-/// Points of one pickled batch: a receiver reads a complete batch into memory.
+/// Maximum number of points in a pickled batch: a receiver reads a complete batch into memory.
 const PICKLE_BATCH_POINTS: usize = 500;
-/// The largest datagram, bytes: what fits into one Ethernet frame over IPv6.
+/// Maximum size of a datagram, bytes: it fits into one Ethernet frame over IPv6.
 const MAX_DATAGRAM_BYTES: usize = 1432;
 
 /// A point as it is written.
@@ -88,7 +88,7 @@
     let Point { path, time_s, value } = point;
     let line = match value {
         Value::Integer(n) => format!("{path} {n} {time_s}\n"),
-        // The shortest text that is read back as the same number; never with an exponent.
+        // The shortest text that is parsed as the same number, never with an exponent.
         Value::Real(n) => format!("{path} {n} {time_s}\n"),
     };
     out.extend_from_slice(line.as_bytes());
@@ -105,7 +105,7 @@
     }
 }
 
-/// Splits plaintext into datagrams of complete lines. A line that is longer than a datagram goes out alone.
+/// Splits plaintext into datagrams of complete lines. A line longer than a datagram is sent alone.
 pub fn datagrams(lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = lines;
     std::iter::from_fn(move || {
@@ -115,7 +115,7 @@
     })
 }
 
-/// Where the first datagram of these lines ends.
+/// The length of the first datagram of these lines, bytes.
 fn datagram_end(lines: &[u8]) -> usize {
     if lines.len() <= MAX_DATAGRAM_BYTES {
         return lines.len();
--- a/crates/pinepoint-telemetry/src/graphite/tests.rs
+++ b/crates/pinepoint-telemetry/src/graphite/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn plaintext_lines() {
+fn writes_plaintext_lines() {
     let text = String::from_utf8(written(Encoding::Plaintext)).expect("text");
     assert!(text.contains("p.n1.class.look.read_again 2 1764576000\n"), "{text}");
     assert!(text.contains("p.n1.class.look.worth_served 24 1764576000\n"));
@@ -44,13 +44,13 @@
     assert!(text.contains("p.n1.state.held 0.125 1764576000\n"));
     assert!(text.contains("p.n1.telemetry.span_s 10 1764576000\n"));
     assert!(text.contains("p.n1.class.look.hold.count 0 1764576000\n"));
-    assert!(!text.contains("hold.p99_ms"), "it has no value");
+    assert!(!text.contains("hold.p99_ms"), "an empty distribution has no quantile");
     assert!(text.lines().all(|line| line.split(' ').count() == 3));
 }
 
-/// The batches as a receiver reads them, with a library that knows nothing of how they were made.
+/// Decodes the batches like a receiver, without the types that they were encoded from.
 #[test]
-fn pickled_batches() {
+fn pickled_batches_equal_plaintext_lines() {
     let bytes = written(Encoding::Pickle);
     let (mut rest, mut points) = (bytes.as_slice(), Vec::new());
     while let Some((head, tail)) = rest.split_first_chunk::<4>() {
@@ -59,7 +59,7 @@
         assert_eq!(batch[..2], [0x80, 2], "protocol 2");
         let Value::List(rows) = serde_pickle::value_from_slice(batch, Default::default()).expect("a pickle")
         else {
-            panic!("no list");
+            panic!("the batch is not a list");
         };
         points.extend(rows);
     }
@@ -67,8 +67,10 @@
     let text = String::from_utf8(written(Encoding::Plaintext)).expect("text");
     assert_eq!(points.len(), text.lines().count());
     for (point, line) in points.iter().zip(text.lines()) {
-        let Value::Tuple(row) = point else { panic!("no tuple") };
-        let [Value::String(path), Value::Tuple(at)] = row.as_slice() else { panic!("no path and pair") };
+        let Value::Tuple(row) = point else { panic!("the point is not a tuple") };
+        let [Value::String(path), Value::Tuple(at)] = row.as_slice() else {
+            panic!("the point is not a path and a tuple")
+        };
         let value = match &at[1] {
             Value::I64(n) => n.to_string(),
             Value::F64(n) => n.to_string(),
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn datagrams_hold_whole_lines() {
+fn datagrams_contain_complete_lines() {
     let lines = written(Encoding::Plaintext);
     let parts: Vec<&[u8]> = datagrams(&lines).collect();
     assert!(parts.len() > 2);
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn totals_where_they_are_asked_for() {
+fn cumulative_temporality_writes_totals() {
     let (schema, paths) = schema();
     let mut out = Vec::new();
     let (encoding, temporality) = (Encoding::Plaintext, Temporality::Cumulative);
--- a/crates/pinepoint-telemetry/src/lib.rs
+++ b/crates/pinepoint-telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Telemetry: counts what becomes of requests, and delivers the counts to Graphite and collectd through
+//! Telemetry: counts the outcomes of requests, and delivers the counts to Graphite and collectd despite
 //! failures of the receivers.
 //!
 //! Events of the core are counted ([`accounts`], [`distribution`]). At the end of each reporting interval
@@ -16,11 +16,18 @@
 //! use pinepoint_telemetry::schema::Schema;
 //!
 //! let schema = Rc::new(Schema::new(&["look".into()], &[], &[]));
-//! let class = Class { latency_objective_ms: 900.0, objective_per_work: 0.0, weight: 1.0, late_weight: 0.2, weight_without_call: 0.3 };
+//! let class = Class {
+//!     latency_objective_ms: 900.0,
+//!     objective_per_work: 0.0,
+//!     weight: 1.0,
+//!     late_weight: 0.2,
+//!     weight_without_call: 0.3,
+//! };
 //! let mut accounts = Accounts::new(schema.clone(), vec![class], false);
 //! let event = |kind| RequestEvent { id: 1, class: 0, kind };
 //! let protocol = Protocol::Rpc;
-//! accounts.record(&event(RequestEventKind::Received { protocol, retry: false, work_hint_ms: None, read_delay_ms: 0.0 }));
+//! let (retry, work_hint_ms, read_delay_ms) = (false, None, 0.0);
+//! accounts.record(&event(RequestEventKind::Received { protocol, retry, work_hint_ms, read_delay_ms }));
 //! let answer = Answer::Served { deduplicated: false, degraded: false };
 //! accounts.record(&event(RequestEventKind::Answered { answer, work_hint_ms: None, took_ms: 12.0 }));
 //! let (totals, _) = accounts.end_interval();
--- a/crates/pinepoint-telemetry/src/telemetry.rs
+++ b/crates/pinepoint-telemetry/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! The telemetry service of a process: it observes the core, ends the reporting intervals and hands their
 //! snapshots to the deliveries.
 //!
-//! It never delays the core: an event is counted at once, and everything else happens in tasks of its own.
+//! The service never delays the core: an event is counted at once, and all other work runs in separate tasks.
 
 mod delivery_task;
 mod destination;
@@ -30,9 +30,9 @@
 use crate::interval_schedule::IntervalSchedule;
 use crate::schema::{Destination, Schema};
 
-/// Notifications that may wait to be sent; further ones are dropped.
+/// Maximum number of queued notifications; further ones are dropped.
 const MAX_QUEUED_NOTIFICATIONS: usize = 64;
-/// Least number of intervals that a spool can hold beside those in its window.
+/// Minimum number of intervals that a spool has space for beside those in its window.
 const MIN_INTERVALS_BESIDE_WINDOW: usize = 4;
 /// The smallest window, in intervals.
 const MIN_WINDOW_INTERVALS: usize = 2;
@@ -53,12 +53,12 @@
     seed: Cell<u64>,
     schema: RefCell<Rc<Schema>>,
     accounts: RefCell<Accounts>,
-    /// Totals at the end of the last interval, from which a new delivery counts.
+    /// Totals at the end of the last interval, to which the increases of a new delivery are relative.
     last_totals: RefCell<Rc<[f64]>>,
     schedule: Cell<IntervalSchedule>,
-    /// An interval is due, and the core was asked for its state.
+    /// Whether an interval is due and the core was asked for its state.
     is_interval_due: Cell<bool>,
-    /// Signals that the interval that was due has ended.
+    /// Signals that a due interval has ended.
     interval_ended: (Sender<()>, Receiver<()>),
     last_core_state: RefCell<CoreState>,
     membership: Cell<MembershipSummary>,
@@ -66,12 +66,13 @@
     /// For each resource limit, when the last notification about it was sent, ms.
     limit_notifications: RefCell<HashMap<&'static str, f64>>,
     destinations: [DestinationDeliveries; Destination::ALL.len()],
-    /// Notifications for collectd; dropped when the queue is full, as it is soon without `[collectd]`.
+    /// Notifications for collectd. They are dropped while the queue is full; without `[collectd]` nothing
+    /// reads the queue, and it soon is.
     notifications: (Sender<Notification>, Receiver<Notification>),
 }
 
 impl Telemetry {
-    /// Starts to count, and to deliver to the destinations of the setup.
+    /// Starts counting, and delivering to the destinations of the setup.
     pub fn start(setup: &Setup, parts: Parts) -> Rc<Self> {
         let Parts { schema, classes, weight_by_work, host, clock, executor, seed, source } = parts;
         let schedule = IntervalSchedule::new(clock.now(), setup.telemetry.every_s.get() as u64);
@@ -96,15 +97,15 @@
             seed: Cell::new(seed),
         });
         telemetry.start_deliveries();
-        // The task runs as long as the process: it keeps the telemetry that it belongs to alive.
+        // The task runs as long as the process and keeps its telemetry alive.
         let service = telemetry.clone();
         executor.spawn(async move { service.end_intervals().await }).detach();
         telemetry
     }
 
-    /// Takes over the receivers of a new setup. Whatever else of a destination changes, and switching one on
-    /// or off, needs a restart. Returns the names of the destinations that were switched on or off, which are
-    /// left as they are.
+    /// Applies the receivers of a new setup. Any other change of a destination, and switching a destination
+    /// on or off, needs a restart. Returns the names of the destinations that the new setup switches on or
+    /// off; they are left as they are.
     pub fn reload(&self, setup: &Setup) -> Vec<&'static str> {
         let mut needs_restart = Vec::new();
         for deliveries in &self.destinations {
@@ -117,17 +118,17 @@
         needs_restart
     }
 
-    /// Continues with these request classes, given by index: their names and how their answers are valued.
-    /// The first of them must be those there were. Classes of the same name share their metrics; a new name
-    /// gets metrics of its own.
+    /// Replaces the request classes, given by index: their names, and how their answers are valued. They have
+    /// to begin with the previous classes. Classes of the same name share their metrics; a new name gets its
+    /// own metrics.
     pub fn set_classes(&self, names: &[String], classes: Vec<Class>, weight_by_work: bool) {
         let schema_before = self.schema();
         let mut schema_classes = schema_before.classes().to_vec();
         let mut series = Vec::new();
         for name in names {
-            let known = schema_classes.iter().position(|class| class == name);
-            series.push(known.unwrap_or(schema_classes.len()));
-            if known.is_none() {
+            let existing = schema_classes.iter().position(|class| class == name);
+            series.push(existing.unwrap_or(schema_classes.len()));
+            if existing.is_none() {
                 schema_classes.push(name.clone());
             }
         }
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Replaces each delivery by one with the current schema. The old ones send what they have.
+    /// Replaces each delivery by one with the current schema. The superseded deliveries send the intervals
+    /// that they have.
     fn restart_deliveries(&self) {
         let receivers = self.destinations.each_ref().map(DestinationDeliveries::supersede);
         self.start_deliveries();
@@ -198,7 +200,7 @@
         self.deliveries(destination).set_current(running);
     }
 
-    /// The window, reduced so that a spool of so many bytes has room for some intervals beside it, however
+    /// The window, reduced so that a spool of `spool_bytes` has space for some intervals beside it, however
     /// many classes there are.
     fn window_within(&self, spool_bytes: usize, points: usize, window: usize) -> usize {
         let schema = self.schema();
@@ -208,12 +210,12 @@
         window.min(max_intervals.saturating_sub(MIN_INTERVALS_BESIDE_WINDOW)).max(MIN_WINDOW_INTERVALS)
     }
 
-    fn notify(&self, severity: Severity, what: &'static str, message: String) {
-        let _ = self.notifications.0.try_send(Notification { severity, what, message });
+    fn notify(&self, severity: Severity, subject: &'static str, message: String) {
+        let _ = self.notifications.0.try_send(Notification { severity, subject, message });
     }
 
-    /// Delivers what is left after the core has ended, until `until_ms` (Unix ms) at the latest. Logs what
-    /// could not be delivered.
+    /// Delivers the remaining intervals after the core has ended, until `until_ms` (Unix ms) at the latest.
+    /// Logs how many could not be delivered.
     pub async fn finish(&self, until_ms: f64) {
         let done: Vec<Receiver<()>> =
             self.destinations.iter().flat_map(DestinationDeliveries::shut_down).collect();
--- a/crates/pinepoint-telemetry/src/telemetry/delivery_task.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/delivery_task.rs
@@ -18,15 +18,15 @@
 /// The sequence number of messages that need no acknowledgement.
 const UNTRACKED_SEQUENCE: u64 = 0;
 
-/// What the rest of telemetry has of a delivery task.
+/// The handle of a delivery task for the rest of telemetry.
 pub(super) struct DeliveryHandle {
     /// Events for the delivery.
     pub(super) events: Sender<Event>,
     /// Current statistics.
     pub(super) stats: Rc<Cell<DeliveryStats>>,
-    /// Reports that everything was delivered after [`Event::Shutdown`].
+    /// Signals that all intervals were delivered after [`Event::Shutdown`].
     pub(super) done: Receiver<()>,
-    /// Set once another delivery has replaced this one.
+    /// Set once another delivery has replaced this delivery.
     pub(super) superseded: Rc<Cell<bool>>,
 }
 
@@ -51,14 +51,15 @@
     superseded: Rc<Cell<bool>>,
 }
 
-/// What the task waits for.
+/// The input that the task waits for.
 enum Input {
     Event(Event),
     Notification(Notification),
 }
 
 impl DeliveryTask {
-    /// A task that is not running yet, and its handle. `notifications` is the queue of the process.
+    /// A task that is not running yet, and its handle. `notifications` is the process's queue of
+    /// notifications.
     pub(super) fn new(
         destination: Destination,
         delivery: Delivery,
@@ -186,14 +187,15 @@
         }
     }
 
-    /// Sends a notification over a connection that is open, or not at all: it is about this moment.
+    /// Sends a notification over any open connection. If none is open, the notification is dropped: it
+    /// describes this moment and would be out of date later.
     fn send_notification(&self, notification: &Notification) {
         let Some(connection) = self.connections.values().next() else { return };
         let Some(message) = self.encoder.notification(self.clock.now(), notification) else { return };
         let _ = connection.commands.try_send(Command::Send { sequence: UNTRACKED_SEQUENCE, message });
     }
 
-    /// Logs a notice; what is about a receiver's service also becomes a notification.
+    /// Logs a notice. A notice that a receiver goes out of service or returns is also sent as a notification.
     fn report(&self, notice: Notice) {
         let to = self.destination.name();
         match notice {
@@ -213,6 +215,6 @@
     }
 
     fn notify(&self, severity: Severity, message: String) {
-        let _ = self.notifications.0.try_send(Notification { severity, what: "receiver", message });
+        let _ = self.notifications.0.try_send(Notification { severity, subject: "receiver", message });
     }
 }
--- a/crates/pinepoint-telemetry/src/telemetry/destination.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/destination.rs
@@ -1,4 +1,4 @@
-//! The deliveries of one destination: the current one, and those that it has superseded.
+//! The deliveries of one destination: the current delivery, and the deliveries that it has superseded.
 
 use std::cell::{Cell, RefCell};
 
@@ -9,7 +9,8 @@
 use crate::delivery::{DeliveryStats, Event};
 use crate::schema::Destination;
 
-/// Superseded deliveries that may still be sending; what an older one has is dropped.
+/// Maximum number of superseded deliveries that are still sending. When there are more, the oldest is dropped
+/// with its intervals.
 const MAX_SUPERSEDED: usize = 2;
 
 /// A delivery whose task is running. Dropping it stops the task.
@@ -42,11 +43,11 @@
     pub(super) destination: Destination,
     /// `None` if the destination is off.
     current: RefCell<Option<RunningDelivery>>,
-    /// Deliveries whose schema lacks classes that were added since: they send what they have and get no more
-    /// intervals.
+    /// Deliveries whose schema lacks classes that were added since: they send the intervals that they have
+    /// and get no new ones.
     superseded: RefCell<Vec<RunningDelivery>>,
-    /// Counters of the superseded deliveries that are gone.
-    past: Cell<DeliveryStats>,
+    /// Sum of the counters of the superseded deliveries that have ended.
+    ended: Cell<DeliveryStats>,
 }
 
 impl DestinationDeliveries {
@@ -55,7 +56,7 @@
             destination,
             current: RefCell::default(),
             superseded: RefCell::default(),
-            past: Cell::default(),
+            ended: Cell::default(),
         }
     }
 
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Asks all deliveries to send the rest at once. Returns, for each, the channel that reports that it is
-    /// done.
+    /// Asks all deliveries to send their remaining intervals at once. Returns, for each delivery, the channel
+    /// that signals that it is done.
     pub(super) fn shut_down(&self) -> Vec<Receiver<()>> {
         let (superseded, current) = (self.superseded.borrow(), self.current.borrow());
         let all = superseded.iter().chain(current.iter());
@@ -92,7 +93,8 @@
         .collect()
     }
 
-    /// Makes the current delivery a superseded one, which sends the rest at once. Returns its receivers.
+    /// Makes the current delivery a superseded one, which sends its remaining intervals at once. Returns its
+    /// receivers.
     pub(super) fn supersede(&self) -> Option<Vec<String>> {
         let delivery = self.current.take()?;
         let receivers = delivery.receivers.clone();
@@ -106,18 +108,18 @@
         Some(receivers)
     }
 
-    /// Gives up what a delivery has not delivered.
+    /// Drops a delivery, and counts and logs its undelivered intervals as dropped.
     fn drop_delivery(&self, delivery: RunningDelivery) {
         let stats = delivery.handle.stats.get();
         let intervals = stats.backlog_intervals;
         if intervals > 0 {
             tracing::warn!(to = self.destination.name(), intervals, "telemetry-dropped");
         }
-        self.add_past(DeliveryStats { dropped: stats.dropped + intervals as u64, ..stats });
+        self.add_ended(DeliveryStats { dropped: stats.dropped + intervals as u64, ..stats });
     }
 
-    fn add_past(&self, stats: DeliveryStats) {
-        self.past.set(self.past.get().plus(stats.counters()));
+    fn add_ended(&self, stats: DeliveryStats) {
+        self.ended.set(self.ended.get().plus(stats.counters()));
     }
 
     /// Statistics since the start, of all deliveries together. Releases superseded deliveries that are done.
@@ -126,12 +128,12 @@
             let stats = delivery.handle.stats.get();
             let is_done = delivery.handle.done.try_recv().is_ok() && stats.backlog_intervals == 0;
             if is_done {
-                self.add_past(stats);
+                self.add_ended(stats);
             }
             !is_done
         });
         let (superseded, current) = (self.superseded.borrow(), self.current.borrow());
         let all = superseded.iter().chain(current.iter()).map(|delivery| delivery.handle.stats.get());
-        all.fold(self.past.get(), DeliveryStats::plus)
+        all.fold(self.ended.get(), DeliveryStats::plus)
     }
 }
--- a/crates/pinepoint-telemetry/src/telemetry/observer.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/observer.rs
@@ -5,7 +5,7 @@
 use super::Telemetry;
 use crate::collectd::Severity;
 
-/// Least time between two notifications about the same limit, ms.
+/// Minimum time between two notifications about the same limit, ms.
 const LIMIT_NOTIFICATION_INTERVAL_MS: f64 = 60_000.0;
 
 impl Observer for Telemetry {
@@ -49,7 +49,7 @@
         self.end_interval(ended, &state);
     }
 
-    /// Notifies the operators of a limit, unless that was done a short time ago.
+    /// Notifies the operators of a limit, unless the last notification about it was sent a short time ago.
     fn notify_limit(&self, now: f64, limit: ResourceLimit) {
         let mut notifications = self.limit_notifications.borrow_mut();
         let last_ms = notifications.entry(limit.code()).or_insert(f64::NEG_INFINITY);
--- a/crates/pinepoint-telemetry/src/telemetry/setup.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/setup.rs
@@ -1,4 +1,4 @@
-//! What telemetry is started with.
+//! The settings and parts that telemetry is started with.
 
 use std::rc::Rc;
 
@@ -14,9 +14,9 @@
 pub struct Setup {
     /// Settings of all destinations.
     pub telemetry: config::Telemetry,
-    /// Graphite, if it is on.
+    /// Settings of Graphite; `None` if it is off.
     pub graphite: Option<config::Graphite>,
-    /// collectd, if it is on.
+    /// Settings of collectd; `None` if it is off.
     pub collectd: Option<config::Collectd>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// What telemetry needs from the rest of the process.
+/// The interface of telemetry to the rest of the process.
 pub trait Source {
     /// Asks the core to report its state to its observer. Must not block.
     fn ask(&self);
@@ -47,7 +47,7 @@
     fn counts(&self) -> Vec<u64>;
     /// Resident memory of the process, kB, and its open file descriptors.
     fn process(&self) -> (u64, u64);
-    /// Suppressed log lines, since the start.
+    /// Number of suppressed log lines since the start.
     fn log_lines_left_out(&self) -> u64;
 }
 
@@ -57,7 +57,7 @@
     pub schema: Rc<Schema>,
     /// How answers are valued, in the order of the schema's classes.
     pub classes: Vec<Class>,
-    /// Weights count by work, not by request.
+    /// Whether weights count by work instead of by request.
     pub weight_by_work: bool,
     /// The name of this host.
     pub host: String,
@@ -67,6 +67,6 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// The seed of random numbers.
     pub seed: u64,
-    /// The rest of the process.
+    /// The interface to the rest of the process.
     pub source: Rc<dyn Source>,
 }
--- a/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/snapshots.rs
@@ -1,4 +1,4 @@
-//! Ending the reporting intervals and making their snapshots.
+//! Ends the reporting intervals and makes their snapshots.
 
 use futures_lite::future;
 use pinepoint_events::CoreState;
@@ -13,8 +13,8 @@
 const CORE_STATE_TIMEOUT_MS: f64 = 1000.0;
 
 impl Telemetry {
-    /// Ends intervals forever: when one is due, the core is asked for its state, and its answer ends the
-    /// interval.
+    /// Ends intervals as long as the process runs. When an interval is due, the core is asked for its state,
+    /// and its answer ends the interval.
     pub(super) async fn end_intervals(&self) {
         loop {
             let due_ms = self.schedule.get().due_ms();
@@ -48,7 +48,7 @@
         self.send_to_deliveries(&Event::IntervalEnded(snapshot));
     }
 
-    /// Sets the totals that are counted elsewhere.
+    /// Sets the totals of counters that are kept elsewhere.
     fn set_counters(&self, schema: &Schema) {
         let mut accounts = self.accounts.borrow_mut();
         accounts.set(schema.node().start, &self.source.counts());
