--- a/crates/pinepoint-telemetry/benches/cost.rs
+++ b/crates/pinepoint-telemetry/benches/cost.rs
@@ -1,5 +1,5 @@
 //! The cost of telemetry: counting an event, ending an interval, encoding it for each protocol, and
-//! delivering it. delivery.
+//! delivering it.
 
 use std::rc::Rc;
 
@@ -80,7 +80,7 @@
     accounts
 }
 
-/// A snapshot after 3,000 requests, the counting of which is not measured.
+/// Ending an interval after 3,000 requests; counting the requests is not measured.
 #[divan::bench]
 fn cut_of_a_busy_interval(bencher: Bencher) {
     bencher.with_inputs(busy).bench_local_values(|mut accounts| accounts.end_interval());
@@ -151,7 +151,7 @@
     (0..receivers).map(|n| format!("10.0.0.{n}:2003")).collect()
 }
 
-/// Handles an event and all that follows from it: connections are established and messages acknowledged at once.
+/// Handles an event and the resulting actions: connections are established and messages acknowledged at once.
 fn handle(delivery: &mut Delivery, now: f64, event: Event) {
     let mut events = vec![event];
     let mut actions = Vec::new();
@@ -172,7 +172,7 @@
     }
 }
 
-/// From the end of an interval to its acknowledgements, with so many receivers.
+/// From the end of an interval to its acknowledgements, with this number of receivers.
 #[divan::bench(args = [1, 3, 10])]
 fn decisions_for_an_interval(bencher: Bencher, receivers: usize) {
     let mut delivery = delivery(receivers);
@@ -181,7 +181,7 @@
         now += 10_000.0;
         let snapshot = Snapshot { slot_s: now as u64, ..model.clone() };
         handle(&mut delivery, now, Event::IntervalEnded(snapshot));
-        // Sends what was delayed.
+        // Sends the interval that was delayed.
         handle(&mut delivery, now + 1.0, Event::Tick);
     });
     assert!(delivery.stats().backlog_intervals <= 1, "{:?}", delivery.stats());
--- a/crates/pinepoint-telemetry/tests/delivery.rs
+++ b/crates/pinepoint-telemetry/tests/delivery.rs
@@ -1,5 +1,5 @@
-//! The sums of the delivered counts are right whatever the receivers do: simulated receivers, each kind of
-//! failure, and random sequences of failures by seed.
+//! Checks that the sums of the delivered counts are right whatever the receivers do, with simulated
+//! receivers: for each kind of failure, and for random sequences of failures by seed.
 
 mod sim;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Checks that each count was delivered, and none twice.
+/// Checks that each count was delivered, and no count twice.
 fn check_sums(simulation: &Simulation) {
     for (at, node) in simulation.nodes.iter().enumerate() {
         assert!(node.delivery.is_done(), "node {at} still has {:?}", node.delivery.stats());
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_good_receiver_takes_everything_over_few_connections() {
+fn healthy_receiver_gets_all_counts_over_few_connections() {
     let mut simulation = Simulation::new(1, 1, config(), 1);
     simulation.run(60.0 * MINUTE);
     let connects = simulation.receivers[0].connects.len();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn one_that_accepts_and_reads_nothing_for_the_whole_run() {
+fn stalled_receiver_fills_spool_within_bounds() {
     let mut simulation = Simulation::new(1, 1, config(), 2);
     simulation.fault(0.0, 0, ReceiverState::Stalled);
     simulation.run(60.0 * MINUTE);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_that_is_down_from_the_start() {
+fn receiver_down_from_start_gets_all_counts_once_up() {
     let mut simulation = Simulation::new(1, 1, config(), 3);
     simulation.fault(0.0, 0, ReceiverState::Down);
     simulation.run(10.0 * MINUTE);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn one_that_restarts_in_the_middle_again_and_again() {
+fn repeated_restarts_lose_no_counts() {
     let mut simulation = Simulation::new(1, 1, config(), 4);
     for n in 1..40 {
         simulation.restart(f64::from(n) * 31_000.0, 0, f64::from(n % 7) * 400.0);
@@ -95,10 +95,10 @@
     check_sums(&simulation);
 }
 
-/// On the settable clock: an hour without any receiver, in a spool that holds a few minutes of full
+/// An hour of simulated time without any receiver, with a spool that has space for a few minutes at full
 /// resolution.
 #[test]
-fn the_whole_group_down_for_an_hour_stays_within_the_bound_and_loses_no_count() {
+fn outage_of_all_receivers_stays_within_bounds_and_loses_no_counts() {
     let bounds = Bounds { bytes: 20_000, ..config().spool };
     let mut simulation = Simulation::new(3, 3, DeliveryConfig { spool: bounds, ..config() }, 5);
     for receiver in 0..3 {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn two_that_leave_and_come_back_in_turn() {
+fn alternating_outages_are_covered_by_other_receiver() {
     let mut simulation = Simulation::new(2, 2, config(), 6);
     for n in 0..20 {
         let (at, receiver) = (f64::from(n) * 3.0 * MINUTE + MINUTE, n as usize % 2);
@@ -130,14 +130,14 @@
     simulation.run(61.0 * MINUTE);
     assert!(times_down(&simulation, 0) >= 15, "{}", times_down(&simulation, 0));
     let stats = simulation.nodes[0].delivery.stats();
-    assert!(stats.backlog_intervals <= 10, "the other one takes over: {stats:?}");
+    assert!(stats.backlog_intervals <= 10, "the other receiver takes over: {stats:?}");
     assert_eq!(stats.merged, 0);
     settle(&mut simulation);
     check_sums(&simulation);
 }
 
 #[test]
-fn while_one_of_three_is_down_its_paths_go_to_the_others_and_then_come_back_in_steps() {
+fn failover_moves_paths_and_recovery_returns_them_gradually() {
     let mut simulation = Simulation::new(20, 3, config(), 7);
     simulation.fault(5.0 * MINUTE, 1, ReceiverState::Down);
     simulation.fault(15.0 * MINUTE, 1, ReceiverState::Up);
@@ -147,7 +147,7 @@
         assert!(stats.backlog_intervals <= 8, "{stats:?}");
     }
     simulation.run(25.0 * MINUTE);
-    // Points of one node in a time, for each interval of it.
+    // Points of a node that receiver 1 read between two times, per interval.
     let read = |node: usize, from: f64, to: f64| -> f64 {
         let reads = simulation.receivers[1].reads.iter();
         let reads = reads.filter(|read: &&Read| read.node == node && (from..to).contains(&read.at_ms));
@@ -155,20 +155,26 @@
     };
     let (mut first, mut before, mut after) = (0.0, 0.0, 0.0);
     for (at, node) in simulation.nodes.iter().enumerate() {
-        let back = node.notices.iter().find(|(_, notice)| matches!(notice, Notice::ReceiverUp { .. }));
-        let (back, _) = back.expect("it came back");
-        first += read(at, *back, back + 10_000.0);
+        let recovered = node.notices.iter().find(|(_, notice)| matches!(notice, Notice::ReceiverUp { .. }));
+        let (recovered_ms, _) = recovered.expect("the receiver recovered");
+        first += read(at, *recovered_ms, recovered_ms + 10_000.0);
         before += read(at, 2.0 * MINUTE, 5.0 * MINUTE);
-        after += read(at, back + MINUTE, back + 6.0 * MINUTE);
+        after += read(at, recovered_ms + MINUTE, recovered_ms + 6.0 * MINUTE);
     }
-    assert!(first < before * 0.4, "points an interval: {first} at its return, {before} before");
-    assert!((after / before - 1.0).abs() < 0.1, "{after} after, {before} before");
+    assert!(
+        first < before * 0.4,
+        "points per interval: {first} right after the recovery, {before} before the outage"
+    );
+    assert!(
+        (after / before - 1.0).abs() < 0.1,
+        "points per interval: {after} after the slow start, {before} before the outage"
+    );
     settle(&mut simulation);
     check_sums(&simulation);
 }
 
 #[test]
-fn each_point_is_taken_by_as_many_as_was_asked_for() {
+fn each_point_reaches_as_many_receivers_as_configured() {
     let mut simulation = Simulation::new(2, 4, DeliveryConfig { replication: 2, ..config() }, 8);
     simulation.restart(2.0 * MINUTE, 2, 20_000.0);
     simulation.run(10.0 * MINUTE);
@@ -191,7 +197,7 @@
 }
 
 #[test]
-fn a_receiver_that_is_too_slow_for_its_share_does_not_hold_up_the_others() {
+fn slow_receiver_does_not_delay_others() {
     let mut simulation = Simulation::new(1, 3, config(), 9);
     simulation.fault(MINUTE, 0, ReceiverState::Slow(12_000.0));
     simulation.run(30.0 * MINUTE);
@@ -201,10 +207,10 @@
     check_sums(&simulation);
 }
 
-/// Its receipts all come in time, and yet it takes less than is made: it falls behind, and holds up those
-/// that share the window with it.
+/// All acknowledgements of the receiver arrive in time, but it reads less than is produced: it falls behind,
+/// and keeps the receivers that share the window with it waiting.
 #[test]
-fn a_receiver_that_never_fails_and_never_keeps_up_goes_out_of_service() {
+fn lagging_receiver_goes_out_of_service() {
     let mut simulation =
         Simulation::new(1, 3, DeliveryConfig { ack_timeout_ms: 15.0 * MINUTE, ..config() }, 14);
     simulation.fault(MINUTE, 0, ReceiverState::Slow(14_000.0));
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn one_that_does_not_even_refuse_is_left_in_time() {
+fn unreachable_receiver_times_out() {
     let mut simulation = Simulation::new(1, 1, config(), 15);
     simulation.fault(0.0, 0, ReceiverState::Unreachable);
     simulation.run(5.0 * MINUTE);
@@ -229,7 +235,7 @@
 }
 
 #[test]
-fn one_that_takes_a_byte_now_and_then_is_left() {
+fn disconnects_receiver_without_minimum_progress() {
     let mut simulation = Simulation::new(1, 1, config(), 16);
     simulation.run(2.0 * MINUTE + 1000.0);
     simulation.fault(simulation.now, 0, ReceiverState::BufferFull);
@@ -240,12 +246,13 @@
     check_sums(&simulation);
 }
 
-/// Receivers that answer each send keep their connection; one that stops answering is left in time.
+/// A receiver that answers each message keeps its connection. Once it stops answering, it is disconnected in
+/// time.
 #[test]
-fn receipts_that_come_by_themselves() {
+fn inline_acknowledgements_keep_connection_open() {
     let mut simulation = Simulation::new(2, 1, DeliveryConfig { ack_mode: AckMode::Inline, ..config() }, 17);
     simulation.run(10.0 * MINUTE);
-    assert_eq!(simulation.receivers[0].connects.len(), 2, "one each");
+    assert_eq!(simulation.receivers[0].connects.len(), 2, "one connection per node");
     simulation.fault(simulation.now, 0, ReceiverState::Stalled);
     simulation.run(15.0 * MINUTE);
     assert!(disconnects(&simulation, 0, DisconnectReason::AckTimeout) > 0);
@@ -256,9 +263,9 @@
     check_sums(&simulation);
 }
 
-/// An end in order before everything was read is no receipt for the rest.
+/// An orderly close before all messages were read does not acknowledge the unread messages.
 #[test]
-fn a_receiver_that_closes_before_it_has_read_all_gets_the_rest_again() {
+fn resends_messages_unread_at_orderly_close() {
     let mut simulation = Simulation::new(1, 1, config(), 18);
     simulation.fault(0.0, 0, ReceiverState::Stalled);
     simulation.last_interval_ms = 0.0;
@@ -275,10 +282,10 @@
 }
 
 #[test]
-fn receivers_that_are_added_and_removed_move_only_the_paths_that_must() {
+fn added_and_removed_receivers_move_only_affected_paths() {
     let mut simulation = Simulation::new(1, 4, config(), 10);
     simulation.run(5.0 * MINUTE);
-    let holds = |simulation: &Simulation, receiver: usize, from: u64| -> Vec<u16> {
+    let stored_points = |simulation: &Simulation, receiver: usize, from: u64| -> Vec<u16> {
         let store = &simulation.receivers[receiver].store;
         let newer = |slots: &std::collections::BTreeMap<u64, f64>| slots.range(from..).next().is_some();
         let mut points: Vec<u16> =
@@ -286,44 +293,47 @@
         points.sort_unstable();
         points
     };
-    let before: Vec<Vec<u16>> = (0..4).map(|receiver| holds(&simulation, receiver, 0)).collect();
+    let before: Vec<Vec<u16>> = (0..4).map(|receiver| stored_points(&simulation, receiver, 0)).collect();
     let names: Vec<String> = [0, 2, 3].into_iter().map(sim::name).collect();
     simulation.handle(0, Event::ReceiversChanged(names));
     let from = (simulation.now / 1000.0) as u64 + 10;
     simulation.run(10.0 * MINUTE);
-    assert!(holds(&simulation, 1, from).is_empty());
+    assert!(stored_points(&simulation, 1, from).is_empty());
     for receiver in [0, 2, 3] {
-        let after = holds(&simulation, receiver, from);
-        assert!(before[receiver].iter().all(|point| after.contains(point)), "{receiver} lost a path");
+        let after = stored_points(&simulation, receiver, from);
+        assert!(
+            before[receiver].iter().all(|point| after.contains(point)),
+            "receiver {receiver} lost a path"
+        );
     }
     simulation.handle(0, Event::ReceiversChanged((0..4).map(sim::name).collect()));
     let from = (simulation.now / 1000.0) as u64 + 70;
     simulation.run(15.0 * MINUTE);
-    let after: Vec<Vec<u16>> = (0..4).map(|receiver| holds(&simulation, receiver, from)).collect();
+    let after: Vec<Vec<u16>> = (0..4).map(|receiver| stored_points(&simulation, receiver, from)).collect();
     assert_eq!(after, before);
     settle(&mut simulation);
     check_sums(&simulation);
 }
 
-/// At the end everything that is left goes out at once, over connections that are closed in order.
+/// At shutdown all remaining intervals are sent at once, over connections that are closed in order.
 #[test]
-fn the_last_interval_goes_out_at_once() {
+fn shutdown_sends_last_interval_at_once() {
     let mut simulation = Simulation::new(1, 2, config(), 11);
     simulation.run(3.0 * MINUTE + 4000.0);
     simulation.last_interval_ms = simulation.now;
     simulation.end_interval(0);
     simulation.handle(0, Event::Shutdown);
-    let left = simulation.now;
-    while !simulation.nodes[0].delivery.is_done() && simulation.now < left + 1000.0 {
+    let shutdown_ms = simulation.now;
+    while !simulation.nodes[0].delivery.is_done() && simulation.now < shutdown_ms + 1000.0 {
         simulation.run(simulation.now + 1.0);
     }
-    assert!(simulation.now - left < 50.0, "{} ms", simulation.now - left);
+    assert!(simulation.now - shutdown_ms < 50.0, "the delivery took {} ms", simulation.now - shutdown_ms);
     check_sums(&simulation);
 }
 
-/// With a receiver that stalls there is no end; the process that asks is not held up by that.
+/// With a stalled receiver the delivery never completes; the process that shuts down is not delayed by that.
 #[test]
-fn a_stalled_receiver_at_the_end_leaves_what_it_owes_and_nothing_else() {
+fn shutdown_does_not_wait_for_stalled_receiver() {
     let mut simulation = Simulation::new(1, 2, config(), 12);
     simulation.run(3.0 * MINUTE);
     simulation.fault(simulation.now, 0, ReceiverState::Stalled);
@@ -333,22 +343,28 @@
     simulation.handle(0, Event::Shutdown);
     simulation.run(simulation.now + 200.0);
     assert!(!simulation.nodes[0].delivery.is_done());
-    assert_eq!(disconnects(&simulation, 0, DisconnectReason::AckTimeout), 0, "it is not waited for");
+    assert_eq!(
+        disconnects(&simulation, 0, DisconnectReason::AckTimeout),
+        0,
+        "shutdown does not wait for the timeout"
+    );
 }
 
-/// 500 processes lose one receiver together. They come back spread, and with little each.
+/// 500 processes lose the same receiver at once. Their reconnections are spread over time, and each sends
+/// little at first.
 #[test]
-fn five_hundred_that_lost_a_receiver_together_do_not_come_back_together() {
+fn reconnections_of_500_nodes_are_spread() {
     let mut simulation = Simulation::new(500, 1, config(), 13);
     simulation.run(2.0 * MINUTE);
     simulation.restart(2.0 * MINUTE + 1.0, 0, 5.0 * MINUTE);
     simulation.run(7.0 * MINUTE);
-    let back = simulation.now;
-    simulation.run(back + MINUTE);
+    let recovered_ms = simulation.now;
+    simulation.run(recovered_ms + MINUTE);
     let connects = &simulation.receivers[0].connects;
     let in_second = |from: f64| connects.iter().filter(|at| (from..from + 1000.0).contains(*at)).count();
-    let busiest = (0..60).map(|second| in_second(back + f64::from(second) * 1000.0)).max();
-    // Each makes a probe and a few connections with growing loads, begun within the longest wait of 30 s.
+    let busiest = (0..60).map(|second| in_second(recovered_ms + f64::from(second) * 1000.0)).max();
+    // Each node makes a health check and a few connections with growing loads, beginning within the longest
+    // backoff of 30 s.
     assert!(busiest < Some(300), "{busiest:?} connections of 500 in one second");
     settle(&mut simulation);
     check_sums(&simulation);
@@ -380,7 +396,7 @@
     })]
 
     #[test]
-    fn whatever_fails_the_sums_are_right_in_the_end(
+    fn sums_are_right_after_random_failures(
         faults in proptest::collection::vec(fault(), 0..14),
         receivers in 1..=3_usize,
         replication in 1..=2_u32,
--- a/crates/pinepoint-telemetry/tests/sim/mod.rs
+++ b/crates/pinepoint-telemetry/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Receivers and a network in simulated time, for one delivery or for hundreds at once. Everything follows
-//! from a seed.
+//! Receivers and a network in simulated time, for one delivery or for hundreds at once. A run depends on its
+//! seed alone.
 
 mod receiver;
 
@@ -20,10 +20,10 @@
 pub const POINTS: usize = 12;
 /// Length of a reporting interval, ms.
 pub const EVERY_MS: f64 = 10_000.0;
-/// Between an action and its effect, ms.
+/// Time between an action and its effect, ms.
 const LATENCY_MS: f64 = 2.0;
 
-/// The configuration of deliveries unless a test says otherwise.
+/// The default configuration of deliveries in the tests.
 pub fn config() -> DeliveryConfig {
     DeliveryConfig {
         spool: Bounds { bytes: 60_000, age_ms: 86_400_000.0, window: 8 },
@@ -52,7 +52,7 @@
     pub totals: Vec<f64>,
     /// Notices of the delivery, with their time.
     pub notices: Vec<(f64, Notice)>,
-    /// The most bytes that its spool has held.
+    /// The maximum size of the spool so far, bytes.
     pub max_backlog_bytes: usize,
     intervals: u64,
     /// The time of its next scheduled tick.
@@ -74,7 +74,7 @@
     }
 }
 
-/// What is scheduled for some time. Nodes and receivers are given by index.
+/// A scheduled occurrence. Nodes and receivers are given by index.
 enum Scheduled {
     /// A node handles an event.
     NodeEvent(usize, Event),
@@ -84,13 +84,13 @@
     Interval(usize),
     /// A receiver changes its state.
     Fault(usize, ReceiverState),
-    /// A receiver goes down and comes up so much later, ms.
+    /// A receiver goes down, and comes up again after this time, ms.
     Restart(usize, f64),
     /// A receiver reads.
     Read(usize),
 }
 
-/// Nodes, receivers and the time.
+/// The simulation of nodes, receivers and the time.
 pub struct Simulation {
     pub now: f64,
     pub nodes: Vec<Node>,
@@ -100,7 +100,7 @@
     random: Pcg64Mcg,
     /// Time in microseconds and sequence number, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    /// By sequence number.
+    /// Scheduled occurrences by sequence number.
     scheduled: HashMap<u64, Scheduled>,
     last_sequence: u64,
     ack_mode: AckMode,
@@ -126,11 +126,11 @@
         simulation
     }
 
-    fn schedule(&mut self, at_ms: f64, what: Scheduled) {
+    fn schedule(&mut self, at_ms: f64, occurrence: Scheduled) {
         self.last_sequence += 1;
         let at_us = (at_ms * 1000.0).ceil() as u64 + 1;
         self.queue.push(Reverse((at_us, self.last_sequence)));
-        self.scheduled.insert(self.last_sequence, what);
+        self.scheduled.insert(self.last_sequence, occurrence);
     }
 
     /// Changes the state of a receiver at some time.
@@ -138,12 +138,12 @@
         self.schedule(at_ms, Scheduled::Fault(receiver, state));
     }
 
-    /// Takes a receiver down at some time, and up again so much later.
+    /// Takes a receiver down at some time, and up again `down_ms` later.
     pub fn restart(&mut self, at_ms: f64, receiver: usize, down_ms: f64) {
         self.schedule(at_ms, Scheduled::Restart(receiver, down_ms));
     }
 
-    /// Hands an event to a node now, and carries out what follows.
+    /// Hands an event to a node now, and carries out the resulting actions.
     pub fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         let now = self.now;
@@ -154,7 +154,10 @@
         let state = &mut self.nodes[node];
         state.max_backlog_bytes = state.max_backlog_bytes.max(state.delivery.stats().backlog_bytes);
         let Some(due) = state.delivery.next_due() else { return };
-        assert!(due > now || due <= 0.0, "node {node} wants a tick at once, forever: {due} at {now}");
+        assert!(
+            due > now || due <= 0.0,
+            "node {node} wants a tick that is due already: due at {due} ms, now {now} ms"
+        );
         if due < state.next_tick_ms || state.next_tick_ms <= now {
             state.next_tick_ms = due;
             self.schedule(due, Scheduled::Tick(node));
@@ -213,14 +216,14 @@
             }
             self.queue.pop();
             self.now = self.now.max(at_ms);
-            let what = self.scheduled.remove(&sequence).expect("scheduled");
-            self.happen(what);
+            let occurrence = self.scheduled.remove(&sequence).expect("scheduled");
+            self.process(occurrence);
         }
         self.now = self.now.max(until_ms);
     }
 
-    fn happen(&mut self, what: Scheduled) {
-        match what {
+    fn process(&mut self, occurrence: Scheduled) {
+        match occurrence {
             Scheduled::NodeEvent(node, event) => self.handle(node, event),
             Scheduled::Tick(node) => {
                 self.nodes[node].next_tick_ms = f64::INFINITY;
@@ -266,8 +269,8 @@
         self.handle(node, Event::IntervalEnded(snapshot));
     }
 
-    /// For each point of a node the sum of its values at all receivers, each slot once. Panics if two
-    /// receivers have different values of one point.
+    /// The sum of the values of each point of a node at all receivers, with each slot counted once. Panics if
+    /// two receivers have different values of one point.
     pub fn sums(&self, node: usize) -> Vec<f64> {
         (0..POINTS as u16).map(|point| self.sum(node, point)).collect()
     }
--- a/crates/pinepoint-telemetry/tests/sim/receiver.rs
+++ b/crates/pinepoint-telemetry/tests/sim/receiver.rs
@@ -1,4 +1,4 @@
-//! A simulated receiver: what it does with connections and messages, and what it has stored.
+//! A simulated receiver: its connections, its handling of messages, and the values that it has stored.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,7 +6,7 @@
 use pinepoint_telemetry::snapshot::Interval;
 use rand_core::Rng;
 
-/// What a receiver does.
+/// The behaviour of a receiver.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReceiverState {
     /// Reads and acknowledges everything.
@@ -15,11 +15,11 @@
     Stalled,
     /// Refuses connections.
     Down,
-    /// Reads one message in so many ms.
+    /// Reads one message per this many ms.
     Slow(f64),
-    /// Accepts connections, and its kernel has no room for what is sent.
+    /// Accepts connections, and its kernel has no space for the data sent on them.
     BufferFull,
-    /// Does not even refuse connections.
+    /// Neither accepts nor refuses connections.
     Unreachable,
 }
 
@@ -30,7 +30,7 @@
     /// Sequence number of the last message that was read.
     last_read: u64,
     ack_requested: bool,
-    /// The node no longer has it; what the receiver's kernel has may yet be read.
+    /// The node or the receiver closed the connection; messages in the receiver's kernel may still be read.
     closed: bool,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A node connects. Returns what the node hears of it.
+    /// Handles a connection attempt of a node. Returns the resulting event for the node.
     pub fn connect(&mut self, now: f64, node: usize, id: ConnectionId) -> Option<Event> {
         self.connects.push(now);
         match self.state {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A node sends a message. The kernel accepts it, whether or not anyone reads it.
+    /// Handles a message from a node. The kernel accepts the message, whether or not the process reads it.
     pub fn send(&mut self, node: usize, id: ConnectionId, sequence: u64, message: Message) -> Event {
         if let Some(connection) = self.connections.get_mut(&(node, id)) {
             connection.unread.push((sequence, message));
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Reads what its state allows. Returns the acknowledgements.
+    /// Reads the messages that the state allows. Returns the acknowledgements.
     pub fn read(&mut self, now: f64, ack_mode: AckMode) -> Vec<NodeEvent> {
         let mut quota = self.read_quota(now);
         let is_reading = matches!(self.state, ReceiverState::Up | ReceiverState::Slow(_));
@@ -136,7 +136,7 @@
         acknowledgements
     }
 
-    /// Messages that may be read now.
+    /// Number of messages that may be read now.
     fn read_quota(&mut self, now: f64) -> usize {
         match self.state {
             ReceiverState::Up => usize::MAX,
@@ -155,7 +155,8 @@
         (is_slow && has_unread).then_some(self.next_read_ms.max(now + 1.0))
     }
 
-    /// Loses all connections, as when its process dies. Returns what the nodes hear of it.
+    /// Loses all connections, as when the receiver's process ends. Returns the resulting events for the
+    /// nodes.
     pub fn lose_connections(&mut self, random: &mut impl Rng) -> Vec<NodeEvent> {
         let mut events = Vec::new();
         for ((node, id), connection) in std::mem::take(&mut self.connections) {
