--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -141,7 +141,7 @@
     }
 }
 
-fn untagged_path(name: &str) -> String {
+fn untagged(name: &str) -> String {
     format!("pinepoint.n1.{name}")
 }
 
@@ -151,11 +151,11 @@
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 2\n", graphite.address()));
     let mut workload = Workload::new();
     workload.round(&mut world);
-    wait_for("the first interval", || graphite.points().sum(&untagged_path("class.look.read")) >= 4.0);
+    wait_for("the first interval", || graphite.points().sum(&untagged("class.look.read")) >= 4.0);
     workload.round(&mut world);
     workload.round(&mut world);
     shut_down(&mut world);
-    workload.check(&graphite.points(), untagged_path);
+    workload.check(&graphite.points(), untagged);
 }
 
 #[test]
@@ -193,19 +193,15 @@
     wait_for("a reset", || graphite.points().connections >= 2);
     workload.round(&mut world);
     graphite.set_mode(Mode::Normal);
-    wait_for("the counts after the reset", || {
-        graphite.points().sum(&untagged_path("class.look.read")) >= 10.0
-    });
+    wait_for("the counts after the reset", || graphite.points().sum(&untagged("class.look.read")) >= 10.0);
     graphite.stop();
     workload.round(&mut world);
     world.run("node wait receiver-lost to=graphite *");
     graphite.restart().expect("the receiver listens");
     world.run("node wait receiver-back to=graphite *");
-    wait_for("the counts after the outage", || {
-        graphite.points().sum(&untagged_path("class.look.read")) >= 15.0
-    });
+    wait_for("the counts after the outage", || graphite.points().sum(&untagged("class.look.read")) >= 15.0);
     shut_down(&mut world);
-    workload.check(&graphite.points(), untagged_path);
+    workload.check(&graphite.points(), untagged);
 }
 
 /// The receiver is stalled for the whole run: requests are answered as usual, the exit is not delayed, and
@@ -233,17 +229,17 @@
     let mut world = start(&section(old.address()));
     let mut workload = Workload::new();
     workload.round(&mut world);
-    wait_for("the counts at the old receiver", || old.points().sum(&untagged_path("class.look.read")) >= 5.0);
+    wait_for("the counts at the old receiver", || old.points().sum(&untagged("class.look.read")) >= 5.0);
     world.write_edge("[graphite]\naddress = \"nowhere\"\n");
     world.run("node send HUP\nnode wait edge-reload-failed receivers=kept *");
     world.write_edge(&section(new.address()));
     world.run("node send HUP\nnode wait edge-reloaded*");
     workload.round(&mut world);
-    wait_for("the counts at the new receiver", || new.points().sum(&untagged_path("class.look.read")) >= 5.0);
+    wait_for("the counts at the new receiver", || new.points().sum(&untagged("class.look.read")) >= 5.0);
     shut_down(&mut world);
     let mut all = old.points();
     all.merge(&new.points());
-    workload.check(&all, untagged_path);
+    workload.check(&all, untagged);
 }
 
 #[test]
@@ -255,7 +251,7 @@
     workload.round(&mut world);
     shut_down(&mut world);
     let points = graphite.points();
-    let last = |name: &str| points.values[&untagged_path(name)].values().next_back().copied();
+    let last = |name: &str| points.values[&untagged(name)].values().next_back().copied();
     assert_eq!(last("class.look.read"), Some(10.0));
     assert_eq!(last("class.write.reused"), Some(2.0));
 }
@@ -382,11 +378,9 @@
     let graphite = Graphite::start_at(graphite_address, Protocol::Plaintext).expect("the receiver listens");
     world.run("node wait receiver-back to=graphite *");
     workload.round(&mut world);
-    wait_for("the counts after the outage", || {
-        graphite.points().sum(&untagged_path("class.look.read")) >= 10.0
-    });
+    wait_for("the counts after the outage", || graphite.points().sum(&untagged("class.look.read")) >= 10.0);
     shut_down(&mut world);
-    workload.check(&graphite.points(), untagged_path);
+    workload.check(&graphite.points(), untagged);
 }
 
 /// Replaces the class `brief` by the class `extra`.
@@ -416,7 +410,7 @@
     let mut world = start(&format!("[graphite]\naddress = \"{}\"\nreceipt_s = 1\n", graphite.address()));
     let mut workload = Workload::new();
     workload.round(&mut world);
-    wait_for("the first interval", || graphite.points().sum(&untagged_path("class.look.read")) >= 5.0);
+    wait_for("the first interval", || graphite.points().sum(&untagged("class.look.read")) >= 5.0);
     // The classes change in the middle of an interval, while an earlier interval is not acknowledged yet.
     graphite.stop();
     workload.round(&mut world);
@@ -425,18 +419,14 @@
     send_extra(&mut workload, &mut world);
     workload.round(&mut world);
     graphite.restart().expect("the receiver listens");
-    wait_for("the counts after the outage", || {
-        graphite.points().sum(&untagged_path("class.look.read")) >= 15.0
-    });
-    wait_for("the counts of the new class", || {
-        graphite.points().sum(&untagged_path("class.extra.read")) >= 1.0
-    });
+    wait_for("the counts after the outage", || graphite.points().sum(&untagged("class.look.read")) >= 15.0);
+    wait_for("the counts of the new class", || graphite.points().sum(&untagged("class.extra.read")) >= 1.0);
     world.run("node send USR1\nnode wait counters * reloads=1 *");
     shut_down(&mut world);
     let points = graphite.points();
-    workload.check(&points, untagged_path);
-    assert_eq!(points.sum(&untagged_path("node.reloads")), 1.0);
-    let sent = &points.values[&untagged_path("telemetry.graphite.points_sent")];
+    workload.check(&points, untagged);
+    assert_eq!(points.sum(&untagged("node.reloads")), 1.0);
+    let sent = &points.values[&untagged("telemetry.graphite.points_sent")];
     assert!(
         sent.values().all(|sent| *sent >= 0.0),
         "counters of the delivery continue after the reload: {sent:?}"
