--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -19,7 +19,7 @@
     RequestEvent { id: 1, class, kind }
 }
 
-fn read(work_hint_ms: Option<f64>) -> RequestEventKind {
+fn received(work_hint_ms: Option<f64>) -> RequestEventKind {
     RequestEventKind::Received { protocol: Protocol::Rpc, retry: true, work_hint_ms, read_delay_ms: 0.0 }
 }
 
@@ -35,7 +35,7 @@
 fn weight_served_depends_on_lateness_and_degradation() {
     let mut accounts = accounts(false);
     for kind in [served(900.0, false, None), served(901.0, false, None), served(5.0, true, None)] {
-        accounts.record(&event(1, read(None)));
+        accounts.record(&event(1, received(None)));
         accounts.record(&event(1, kind));
     }
     let at = |counter| accounts.totals[accounts.schema.class_counter(1, counter)];
@@ -54,7 +54,7 @@
 fn weight_by_work_uses_mean_hint_for_requests_without_one() {
     let mut accounts = accounts(true);
     for hint in [Some(100.0), Some(300.0), None] {
-        accounts.record(&event(0, read(hint)));
+        accounts.record(&event(0, received(hint)));
     }
     let weight_received = accounts.totals[accounts.schema.class_counter(0, ClassCounter::WeightReceived)];
     assert!((weight_received - 0.6).abs() < 1e-9, "{weight_received}");
@@ -79,10 +79,10 @@
         RequestEventKind::CallerGone { took_ms: 1.0 },
     ];
     for kind in ends {
-        accounts.record(&event(0, read(None)));
+        accounts.record(&event(0, received(None)));
         accounts.record(&event(0, kind));
     }
-    accounts.record(&event(1, read(None)));
+    accounts.record(&event(1, received(None)));
     let state = CoreState { open: vec![0, 1], ..CoreState::default() };
     assert_eq!(accounts.accounting_error(&state), 0.0);
     assert_eq!(
@@ -96,7 +96,7 @@
         1.0,
         "the request ended, and the core still counts it as open"
     );
-    accounts.record(&event(7, read(None)));
+    accounts.record(&event(7, received(None)));
     assert_eq!(accounts.accounting_error(&state), 1.0, "an event of an unknown class is ignored");
 }
 
@@ -113,8 +113,8 @@
         };
         totals[(0..accounts.schema.counts()).find(is_named).expect("a metric")]
     };
-    accounts.record(&event(0, read(None)));
-    accounts.record(&event(1, read(None)));
+    accounts.record(&event(0, received(None)));
+    accounts.record(&event(1, received(None)));
     accounts.set(accounts.schema.log_lines_left_out(), &[7]);
     let names = ["look".into(), "write".into(), "more".into()];
     let schema = Rc::new(accounts.schema.with_classes(&names));
@@ -122,7 +122,7 @@
     let heavier = Class { weight: 5.0, ..class };
     accounts.set_classes(schema, vec![class, class, heavier, heavier], vec![0, 1, 2, 1], false);
     for class in [0, 2, 2, 3] {
-        accounts.record(&event(class, read(None)));
+        accounts.record(&event(class, received(None)));
         accounts.record(&event(class, RequestEventKind::RunStarted { queue_wait_ms: 1.0 }));
     }
     let reads = ["look", "write", "more"].map(|name| total(&accounts, name, "read"));
--- a/crates/pinepoint-telemetry/src/collectd.rs
+++ b/crates/pinepoint-telemetry/src/collectd.rs
@@ -148,7 +148,7 @@
     host.to_owned()
 }
 
-/// The longest prefix of a text that fits into so many bytes.
+/// The longest prefix of a text that fits into `max_bytes`.
 fn truncate(text: &str, max_bytes: usize) -> &str {
     let mut end = text.len().min(max_bytes);
     while !text.is_char_boundary(end) {
--- a/crates/pinepoint-telemetry/src/config/tests.rs
+++ b/crates/pinepoint-telemetry/src/config/tests.rs
@@ -10,9 +10,9 @@
 
 #[test]
 fn accepts_single_receiver_and_defaults_the_rest() {
-    let one = graphite("address = \"127.0.0.1:2003\"").expect("good");
+    let one = graphite("address = \"127.0.0.1:2003\"").expect("valid settings");
     assert_eq!(one.receivers.names(), ["127.0.0.1:2003"]);
-    assert_eq!(one, graphite("receivers = [\"127.0.0.1:2003\"]").expect("good"));
+    assert_eq!(one, graphite("receivers = [\"127.0.0.1:2003\"]").expect("valid settings"));
     assert_eq!((one.replication.get(), one.spool.kb.get()), (1, 1024));
     assert_eq!(one.delivery_config(10_000.0).max_send_delay_ms, 2500.0);
 }
@@ -65,5 +65,5 @@
 #[test]
 fn debug_output_omits_password() {
     let text = "address = \"127.0.0.1:1\"\nsecurity = \"sign\"\nusername = \"u\"\npassword = \"hidden\"";
-    assert!(!format!("{:?}", collectd(text).expect("good")).contains("hidden"));
+    assert!(!format!("{:?}", collectd(text).expect("valid settings")).contains("hidden"));
 }
--- a/crates/pinepoint-telemetry/src/telemetry.rs
+++ b/crates/pinepoint-telemetry/src/telemetry.rs
@@ -66,8 +66,8 @@
     /// For each resource limit, when the last notification about it was sent, ms.
     limit_notifications: RefCell<HashMap<&'static str, f64>>,
     destinations: [DestinationDeliveries; Destination::ALL.len()],
-    /// Notifications for collectd. They are dropped while the queue is full; without `[collectd]` nothing
-    /// reads the queue, and it soon is.
+    /// Notifications for collectd; dropped while the queue is full. Without `[collectd]` nothing reads the
+    /// queue, so that it soon fills up.
     notifications: (Sender<Notification>, Receiver<Notification>),
 }
 
