--- a/crates/pinepoint-store/src/directory.rs
+++ b/crates/pinepoint-store/src/directory.rs
@@ -1,6 +1,8 @@
-//! A directory of segment files that serves [`DiskRequest`]s on a thread of its own, so that a slow disk blocks nobody else.
+//! A directory of segment files that serves [`DiskRequest`]s on a thread of its own, so that a slow disk
+//! blocks no other thread.
 //!
-//! It owns the directory, its lock file and the open segment file. It does not decide what is written.
+//! This module owns the directory, its lock file and the open segment file. The store decides what is
+//! written.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -21,21 +23,21 @@
 /// Why a directory cannot be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// Another process holds the lock.
-    #[error("{} is in use by another process", .0.display())]
+    /// Another process, or another [`SegmentDirectory`] of this process, holds the lock.
+    #[error("store directory {} is locked by another process or another store of this process", .0.display())]
     InUse(PathBuf),
-    /// An I/O error.
-    #[error("{}: {_1}", .0.display())]
+    /// An I/O error while opening.
+    #[error("cannot open store directory {}: {_1}", .0.display())]
     Io(PathBuf, io::Error),
 }
 
-/// A locked directory with its worker thread. The thread ends, and the lock is released, once this value is dropped and the
-/// request under way is finished.
+/// A locked directory with its worker thread. The thread ends and releases the lock once this value is
+/// dropped and the request in progress is finished.
 #[derive(Debug)]
 pub struct SegmentDirectory {
-    /// Requests, one at a time.
+    /// Sends requests, one at a time.
     pub requests: Sender<DiskRequest>,
-    /// Responses, in the order of the requests.
+    /// Receives the responses, in the order of the requests.
     pub responses: Receiver<Result<DiskResponse, DiskError>>,
 }
 
@@ -43,7 +45,8 @@
     /// Creates the directory if it is missing, locks it and starts the worker thread.
     ///
     /// # Errors
-    /// [`OpenError::InUse`] while another process, or another value of this process, holds the directory.
+    /// [`OpenError::InUse`] while another process, or another `SegmentDirectory` of this process, holds the
+    /// lock.
     pub fn open(path: &Path) -> Result<SegmentDirectory, OpenError> {
         let io_error = |error| OpenError::Io(path.to_owned(), error);
         fs::create_dir_all(path).map_err(io_error)?;
@@ -77,11 +80,11 @@
 /// The state of the worker thread.
 struct DirectoryWorker {
     path: PathBuf,
-    /// The directory itself, for syncing it.
+    /// Handle of the directory, for syncing it.
     handle: File,
-    /// The segment that was created, appended to or synced last.
+    /// Number and file of the segment that was created, appended to or synced last.
     open_segment: Option<(u64, File)>,
-    /// Holds the lock until the worker ends.
+    /// The locked file: closing it when the worker ends releases the lock.
     _lock: File,
 }
 
@@ -140,7 +143,7 @@
         self.handle.sync_all()
     }
 
-    /// The file of a segment; opened unless it is the one that is open already.
+    /// Returns the file of a segment, and opens it unless it is open already.
     fn open_segment(&mut self, number: u64) -> io::Result<&File> {
         if self.open_segment.as_ref().is_none_or(|(open, _)| *open != number) {
             let file = OpenOptions::new().write(true).open(self.segment_path(number))?;
--- a/crates/pinepoint-store/src/disk.rs
+++ b/crates/pinepoint-store/src/disk.rs
@@ -1,6 +1,7 @@
-//! The requests that the store makes of a disk, and the responses: plain data, no I/O.
+//! Requests of the store to a disk, and the responses: plain data, no I/O.
 //!
-//! The set is small, so that the tests can put a simulated disk in its place and fail every kind of request.
+//! The set of requests is small, so that tests can substitute a simulated disk and make every kind of request
+//! fail.
 
 use thiserror::Error;
 
@@ -15,16 +16,16 @@
     Create {
         /// Number of the segment.
         segment: u64,
-        /// Its contents.
+        /// Initial contents of the segment.
         bytes: Vec<u8>,
     },
     /// Write bytes at the end of a segment.
     Append {
         /// Number of the segment.
         segment: u64,
-        /// The end of what was appended successfully, bytes.
+        /// Offset to write at, bytes: the end of the last successful append.
         offset: u64,
-        /// What to write.
+        /// Bytes to write.
         bytes: Vec<u8>,
     },
     /// Sync a segment: all appends so far survive a power loss.
@@ -36,21 +37,21 @@
 /// The response to a request that succeeded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskResponse {
-    /// To [`DiskRequest::List`].
+    /// Response to [`DiskRequest::List`]: numbers of all segments.
     Segments(Vec<u64>),
-    /// To [`DiskRequest::Read`].
+    /// Response to [`DiskRequest::Read`]: bytes of the segment.
     Contents(Vec<u8>),
-    /// To all other requests.
+    /// Response to all other requests.
     Done,
 }
 
-/// Why a request failed. Its effect may have happened in part, in full or not at all.
+/// Why a request failed. The request may have taken effect in part, in full or not at all.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DiskError {
     /// No space, quota or file size left.
-    #[error("the disk is full")]
+    #[error("the disk space, quota or maximum file size is exhausted")]
     Full,
     /// Any other I/O error.
-    #[error("the disk failed")]
+    #[error("disk I/O failed")]
     Failed,
 }
--- a/crates/pinepoint-store/src/format.rs
+++ b/crates/pinepoint-store/src/format.rs
@@ -1,13 +1,16 @@
 //! The on-disk format: segment headers, records, and how a segment is read back and verified. No I/O.
 //!
-//! A segment is a header followed by records without gaps; all integers are little endian. Each record carries a checksum that
-//! is seeded with the record's position, a hash chain over all earlier records, and how much of its segment was known to be
-//! synced when it was written. A truncated, altered, moved or missing record therefore fails verification, and a valid record
-//! behind a corrupt one can prove that the corrupt one had been synced: then a crash is not the cause.
+//! A segment is a header followed by records without gaps; all integers are little endian. Each record
+//! carries a checksum that is seeded with the record's position, a hash chain over all earlier records, and
+//! how much of its segment was known to be synced when it was written. A truncated, altered, moved or missing
+//! record therefore fails verification. A valid record after a corrupt one can prove that the corrupt one had
+//! been synced, which rules out a crash as the cause.
 //!
 //! ```text
-//! header:  magic [6], version u16, number u64, previous segment's bytes u64, chain hash u64, XXH3-64 of these bytes
-//! record:  payload length u32, synced bytes u64, chain hash u64, checksum u64, payload (postcard: a list of `Change`)
+//! header:  magic [6], version u16, number u64, previous segment's bytes u64, chain hash u64,
+//!          XXH3-64 of the bytes before
+//! record:  payload length u32, synced bytes u64, chain hash u64, checksum u64,
+//!          payload (postcard: a list of `Change`)
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -39,7 +42,8 @@
     pub expires_at_ms: f64,
 }
 
-/// The header of a segment. It records where the previous segment ends, so that what a crash left behind that end is ignored.
+/// The header of a segment. It records where the previous segment ends, so that recovery ignores
+/// bytes that a crash left after that end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SegmentHeader {
     /// The segment's number: that of the previous segment plus one.
@@ -54,10 +58,10 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SegmentHeaderError {
     /// Truncated, altered, or not a segment of this number.
-    #[error("the segment header is corrupt")]
+    #[error("the segment header is truncated, altered or of another segment")]
     Corrupt,
     /// Written by a later version of the program.
-    #[error("format version {0} is not supported")]
+    #[error("segment format version {0} is not supported")]
     UnsupportedVersion(u16),
 }
 
@@ -74,7 +78,7 @@
         bytes
     }
 
-    /// Decodes the header from the beginning of the file with this segment number.
+    /// Decodes the header of the segment with this number from the beginning of its file.
     pub fn decode(bytes: &[u8], number: u64) -> Result<SegmentHeader, SegmentHeaderError> {
         let bytes = bytes.get(..SEGMENT_HEADER_BYTES).ok_or(SegmentHeaderError::Corrupt)?;
         let checksum_offset = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
@@ -101,7 +105,7 @@
     field.map_or(0, |field| u64::from_le_bytes(*field))
 }
 
-/// Where a record is written: what its checksum and its header cover beside the payload.
+/// Where a record is written. The record's header and checksum cover these values in addition to the payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
     /// Number of the segment.
@@ -142,14 +146,15 @@
     xxh3_64_with_seed(&checksum.to_le_bytes(), chain_hash)
 }
 
-/// The checksum of a record's header and payload. It is seeded with the position: a record that was moved is not valid.
+/// The checksum of a record's header and payload. It is seeded with the position, so that a
+/// moved record fails verification.
 fn record_checksum(record: &[u8], segment: u64, offset: u64) -> u64 {
     let position_seed = segment.rotate_left(40) ^ offset;
     let header = &record[..RECORD_HEADER_BYTES - CHECKSUM_BYTES];
     xxh3_64_with_seed(&record[RECORD_HEADER_BYTES..], xxh3_64_with_seed(header, position_seed))
 }
 
-/// A record whose checksum is right. Whether it continues the hash chain is not checked yet.
+/// A record with a valid checksum. Whether it continues the hash chain is not checked yet.
 struct ValidRecord<'a> {
     payload: &'a [u8],
     synced_bytes: u64,
@@ -183,22 +188,22 @@
     pub batches: Vec<Vec<Change>>,
     /// Length of the valid part, bytes.
     pub valid_bytes: u64,
-    /// The hash chain at its end.
+    /// The hash chain after the last valid record.
     pub chain_hash: u64,
 }
 
-/// Corruption of data that had been synced: a crash alone does not cause it.
+/// Corruption of synced data, which a crash alone does not cause.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("segment {segment} is damaged at byte {offset}")]
+#[error("segment {segment} is corrupted at byte {offset}")]
 pub struct Corruption {
     /// Number of the segment.
     pub segment: u64,
-    /// Offset at which its valid part ends.
+    /// Offset at which the valid part of the segment ends.
     pub offset: u64,
 }
 
-/// Reads the records of a segment. `expected_bytes` is the segment's length according to the next segment's header; `None` for
-/// the last segment, whose unsynced end a crash may have truncated or torn.
+/// Reads the records of a segment. `expected_bytes` is the segment's length according to the next segment's
+/// header; `None` for the last segment, whose unsynced end a crash may have truncated or partly overwritten.
 ///
 /// # Errors
 /// [`Corruption`] if bytes that had been synced are missing or not valid.
@@ -210,12 +215,12 @@
     let segment = header.number;
     let end = expected_bytes.map_or(bytes.len(), |expected| expected as usize);
     let corruption = |offset: usize| Corruption { segment, offset: offset as u64 };
-    let within = bytes.get(..end).ok_or(corruption(bytes.len()))?;
+    let content = bytes.get(..end).ok_or(corruption(bytes.len()))?;
     let mut offset = SEGMENT_HEADER_BYTES;
     let mut chain_hash = header.chain_hash;
     let mut batches = Vec::new();
     while offset < end {
-        let record = validate_record(within, segment, offset);
+        let record = validate_record(content, segment, offset);
         let Some(record) = record.filter(|record| record.chain_hash == chain_hash) else { break };
         let Ok(changes) = postcard::from_bytes(record.payload) else { break };
         batches.push(changes);
@@ -223,20 +228,21 @@
         offset += RECORD_HEADER_BYTES + record.payload.len();
     }
     let is_complete = offset == end;
-    if !is_complete && (expected_bytes.is_some() || was_synced_beyond(within, segment, offset)) {
+    if !is_complete && (expected_bytes.is_some() || was_synced_beyond(content, segment, offset)) {
         return Err(corruption(offset));
     }
     Ok(SegmentContents { batches, valid_bytes: offset as u64, chain_hash })
 }
 
-/// Whether a valid record behind this offset proves that the bytes at the offset had been synced.
+/// Whether a valid record after this offset proves that the bytes at the offset had been synced.
 fn was_synced_beyond(bytes: &[u8], segment: u64, offset: usize) -> bool {
     (offset + 1..bytes.len()).any(|later| {
         validate_record(bytes, segment, later).is_some_and(|record| record.synced_bytes > offset as u64)
     })
 }
 
-/// Whether a file without a valid header contains a record. Its header was then synced before, and is corrupt now.
+/// Whether a file without a valid header contains a valid record. If so, the header had been synced and was
+/// corrupted later.
 pub fn contains_valid_record(bytes: &[u8], segment: u64) -> bool {
     (SEGMENT_HEADER_BYTES..bytes.len()).any(|offset| validate_record(bytes, segment, offset).is_some())
 }
--- a/crates/pinepoint-store/src/store.rs
+++ b/crates/pinepoint-store/src/store.rs
@@ -1,8 +1,8 @@
-//! The store as a state machine: events and the time go in, actions come out. It owns the tables in memory and decides what is
-//! written, synced, compacted and recovered; it does no I/O and reads no clock.
+//! The store as a state machine: events and the current time go in, actions come out. It owns the tables in
+//! memory and decides what is written, synced, compacted and recovered; it does no I/O and reads no clock.
 //!
-//! One disk request is under way at a time. Each concern has its own module: `recovery`, `write_group` (group commit),
-//! `compaction` and `table_index`.
+//! One disk request is in progress at a time. Each concern has its own module: `recovery`, `write_group`
+//! (group commit), `compaction` and `table_index`.
 
 mod compaction;
 mod error;
@@ -21,13 +21,13 @@
 /// Limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Length from which on a segment is full, bytes.
+    /// Length at which a segment is full, bytes.
     pub segment_bytes: u64,
-    /// Maximum length of all segments, bytes. One segment of it is reserved for compaction.
+    /// Maximum total length of all segments, bytes. The length of one segment is reserved for compaction.
     pub disk_bytes: u64,
     /// Maximum memory of all entries and queued batches, bytes.
     pub memory_bytes: usize,
-    /// How long a [lazy](Durability::Lazy) batch may wait for others to be written with, ms.
+    /// Maximum time that a [lazy](Durability::Lazy) batch waits to be written together with others, ms.
     pub max_lazy_delay_ms: f64,
 }
 
@@ -45,11 +45,11 @@
 /// When a batch is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// Once it is synced: it survives a power loss.
+    /// Once the batch is synced: it survives a power loss.
     Durable,
-    /// Once it is written: it survives the end of the process.
+    /// Once the batch is written: it survives the end of the process.
     Written,
-    /// At once: it may be lost.
+    /// Immediately: the batch may be lost.
     Lazy,
 }
 
@@ -60,11 +60,11 @@
     Tick,
     /// Write a batch of changes, atomically.
     Write {
-        /// Names the batch in [`Action::Complete`].
+        /// Identifies the batch in [`Action::Complete`].
         ticket: u64,
         /// The changes, in order.
         changes: Vec<Change>,
-        /// When it is acknowledged.
+        /// When the batch is acknowledged.
         durability: Durability,
     },
     /// The disk has finished the last request.
@@ -74,22 +74,22 @@
 /// An output of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this request to the disk. The next one comes only after [`Event::DiskCompleted`].
+    /// Send this request to the disk. The next request follows only after [`Event::DiskCompleted`].
     Disk(DiskRequest),
     /// A write is finished.
     Complete {
-        /// Names the batch.
+        /// Identifies the batch.
         ticket: u64,
-        /// Whether it is as durable as it was to be.
+        /// `Ok` if the batch has reached the requested durability.
         result: Result<(), WriteError>,
     },
     /// Recovery is finished: the tables are complete, and writes are accepted.
     Opened,
-    /// No writes are accepted any more.
+    /// The store accepts no more writes.
     Closed(CloseReason),
 }
 
-/// The disk request that is under way.
+/// The disk request that is in progress.
 enum PendingRequest {
     List,
     Read(u64),
@@ -99,7 +99,7 @@
     Remove(u64),
 }
 
-/// What follows a successful sync.
+/// The next step after a successful sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterSync {
     Nothing,
@@ -113,17 +113,17 @@
     Closed(CloseReason),
 }
 
-/// The segment that is being written. During recovery: the end of what was replayed so far.
+/// The segment that is being written. During recovery, the end of the log that was replayed so far.
 #[derive(Default)]
 struct ActiveSegment {
     number: u64,
-    /// Length of what was appended successfully.
+    /// Length up to the end of the last successful append.
     bytes: u64,
-    /// The part of it that is known to be synced.
+    /// Length that is known to be synced.
     synced_bytes: u64,
     /// The hash chain over all records so far.
     chain_hash: u64,
-    /// A failed append may have left bytes behind the end.
+    /// Whether a failed append may have left bytes after the end.
     has_torn_tail: bool,
 }
 
@@ -139,8 +139,9 @@
 }
 
 impl Store {
-    /// Starts recovery; [`Action::Opened`] or [`Action::Closed`] ends it. Entries that expire before `expired_before_ms`, Unix
-    /// ms, are skipped: a time that has certainly passed, even if the clock was set.
+    /// Starts recovery, which ends with [`Action::Opened`] or [`Action::Closed`]. Entries that expire before
+    /// `expired_before_ms`, Unix ms, are skipped. It has to be a time that has certainly passed, even if the
+    /// clock was set.
     pub fn open(options: Options, expired_before_ms: f64, out: &mut Vec<Action>) -> Store {
         let mut store = Store {
             options,
@@ -165,7 +166,7 @@
         self.tables.table(now_ms, table)
     }
 
-    /// Why the store is closed, if it is.
+    /// Why the store is closed; `None` if it is not.
     pub fn close_reason(&self) -> Option<CloseReason> {
         if let Phase::Closed(reason) = self.phase { Some(reason) } else { None }
     }
@@ -200,7 +201,8 @@
         out.push(Action::Disk(request));
     }
 
-    /// Starts what is most urgent, if no request is under way: a new segment, the queued writes, or compaction.
+    /// Starts the most urgent request if none is in progress: a new segment, else the queued writes, else
+    /// compaction.
     fn start_next_request(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         if self.pending_request.is_some() {
             return;
@@ -235,7 +237,7 @@
             (PendingRequest::Sync { group, .. }, Err(_)) => self.sync_failed(group, out),
             (PendingRequest::Remove(number), Ok(_)) => self.tables.remove_segment(number),
             (_, Err(error)) => self.close(CloseReason::Disk(error), out),
-            // A response that does not belong to the request.
+            // The response is of another kind than the request.
             (_, Ok(_)) => self.close(CloseReason::Disk(DiskError::Failed), out),
         }
     }
--- a/crates/pinepoint-store/src/store/compaction.rs
+++ b/crates/pinepoint-store/src/store/compaction.rs
@@ -1,20 +1,20 @@
-//! Compaction: the oldest segment is removed once none of its entries is live. Live entries that keep it are written again to
-//! the active segment, a batch at a time while no other write is due.
+//! Compaction: the oldest segment is removed once none of its entries is live. Its live entries are rewritten
+//! to the active segment, one batch at a time, while no other write is due.
 //!
-//! Segments are removed strictly from the oldest on, each only after what replaced its entries is synced, so that no removal
-//! can bring back an older version of an entry.
+//! Segments are removed strictly in order of age, and each only after the records that replaced its entries
+//! are synced. No removal can therefore bring back an older version of an entry.
 
 use super::write_group::PendingWrite;
 use super::{Action, AfterSync, Durability, PendingRequest, Store};
 use crate::disk::DiskRequest;
 
-/// Keys and values that are rewritten in one batch, bytes; the last entry may exceed it.
+/// Maximum size of the keys and values that one batch rewrites, bytes; its last entry may exceed the maximum.
 const MAX_COMPACTION_BATCH_BYTES: usize = 64 * 1024;
-/// A segment with a smaller live fraction is rewritten.
+/// A segment with a smaller live fraction is rewritten even if at most half of the disk limit is used.
 const MIN_LIVE_FRACTION: f64 = 0.5;
 
 impl Store {
-    /// Does the next step of compaction, if there is one.
+    /// Starts the next step of compaction, if one is needed.
     pub(super) fn compact(&mut self, now_ms: f64, out: &mut Vec<Action>) {
         let Some((oldest, segment)) = self.tables.oldest_segment() else { return };
         if oldest == self.active.number {
--- a/crates/pinepoint-store/src/store/recovery.rs
+++ b/crates/pinepoint-store/src/store/recovery.rs
@@ -1,7 +1,8 @@
-//! Opening: all segments are read in order and replayed into the tables, then a new segment is created for writing.
+//! Recovery: all segments are read in order and replayed into the tables, then a new segment is created for
+//! writing.
 //!
-//! How long a segment is, the header of the next one tells. A segment is therefore verified and replayed only after the next
-//! one's header is read, or when there is none.
+//! The header of a segment records the length of the previous one. A segment is therefore verified and
+//! replayed only after the next segment's header is read, or when there is no next segment.
 
 use std::collections::VecDeque;
 
@@ -9,14 +10,14 @@
 use crate::disk::DiskRequest;
 use crate::format::{self, Corruption, SegmentHeader, SegmentHeaderError};
 
-/// How far recovery is.
+/// Progress of recovery.
 #[derive(Default)]
 pub(super) struct Recovery {
     /// Numbers of the segments to be read, ascending.
     unread: VecDeque<u64>,
     /// The segment that was read last.
     unverified: Option<UnverifiedSegment>,
-    /// The highest number that a segment of the past may have.
+    /// The highest number of a listed segment, except a last segment whose creation a crash interrupted.
     highest_number: u64,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl Store {
-    /// The segments were listed.
+    /// Starts to read the listed segments in ascending order.
     pub(super) fn segments_listed(&mut self, mut numbers: Vec<u64>, out: &mut Vec<Action>) {
         numbers.sort_unstable();
         let highest_number = numbers.last().copied().unwrap_or(0);
@@ -35,7 +36,7 @@
         self.read_next_segment(out);
     }
 
-    /// A segment was read.
+    /// Checks the header of a segment that was read, and replays the segment before it.
     pub(super) fn segment_read(&mut self, number: u64, bytes: Vec<u8>, out: &mut Vec<Action>) {
         match self.check_header(number, bytes) {
             Ok(()) => self.read_next_segment(out),
@@ -55,7 +56,7 @@
         {
             return self.close(reason, out);
         }
-        // Always a new segment: nothing is written behind what a crash may have left.
+        // Always a new segment, so that nothing is written after bytes that a crash may have left.
         let newest = self.tables.newest_segment_number().unwrap_or(highest_number);
         self.create_segment(newest + 1, out);
     }
@@ -66,11 +67,11 @@
         match SegmentHeader::decode(&bytes, number) {
             Ok(header) => {
                 let previous = recovery.unverified.replace(UnverifiedSegment { header, bytes });
-                previous.map_or(Ok(()), |previous| self.replay_before(&previous, &header))
+                previous.map_or(Ok(()), |previous| self.replay_previous(&previous, &header))
             }
             Err(SegmentHeaderError::UnsupportedVersion(version)) => Err(CloseReason::NewerFormat(version)),
-            // A header is synced before any record is written. Without records, a crash interrupted the creation of the
-            // segment, which is then created again.
+            // A header is synced before any record is written. Without a valid record, a crash must have
+            // interrupted the creation of the segment, and the segment is created again.
             Err(SegmentHeaderError::Corrupt) if is_last && !format::contains_valid_record(&bytes, number) => {
                 recovery.highest_number = number.saturating_sub(1);
                 Ok(())
@@ -81,7 +82,7 @@
         }
     }
 
-    fn replay_before(
+    fn replay_previous(
         &mut self,
         segment: &UnverifiedSegment,
         next: &SegmentHeader,
@@ -93,7 +94,8 @@
         self.replay_segment(segment, Some(next))
     }
 
-    /// Verifies a segment, against the header of the next one if there is one, and applies its batches to the tables.
+    /// Verifies a segment, against the header of the next one if there is one, and applies its batches to the
+    /// tables.
     fn replay_segment(
         &mut self,
         segment: &UnverifiedSegment,
--- a/crates/pinepoint-store/src/store/table_index.rs
+++ b/crates/pinepoint-store/src/store/table_index.rs
@@ -1,12 +1,13 @@
-//! The tables in memory: entries by key and by expiry, which segment holds each, and an undo log of what is not synced yet.
+//! The tables in memory: entries by key and by expiry time, the segment that holds each entry, and an undo
+//! log of changes that are not synced yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::format::Change;
 
-/// Approximate memory of an entry beside its key and value, bytes.
+/// Approximate memory of an entry besides its key and value, bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 160;
-/// Upper bound of an entry's size in a record beside its key and value, bytes.
+/// Upper bound of an entry's size in a record besides its key and value, bytes.
 const RECORD_OVERHEAD_BYTES: usize = 24;
 
 /// Memory that a batch takes once it is applied, bytes.
@@ -31,12 +32,12 @@
 struct Entry {
     value: Vec<u8>,
     expires_at_ms: f64,
-    /// The segment that holds it.
+    /// Number of the segment that holds this version.
     segment: u64,
 }
 
 impl Entry {
-    /// A key that orders by expiry: the bits of floats that are not negative order as the floats do.
+    /// Sort key of the expiry time: the bits of non-negative floats sort in the same order as the floats.
     fn expiry_bits(&self) -> u64 {
         self.expires_at_ms.to_bits()
     }
@@ -50,24 +51,24 @@
     }
 }
 
-/// What is known of a segment on disk.
+/// A segment on disk, with its live entries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Segment {
-    /// Its length, bytes.
+    /// Length of the segment, bytes.
     bytes: u64,
-    /// The entries whose latest version it holds.
+    /// Keys of the entries whose latest version is in this segment.
     live_keys: BTreeSet<EntryKey>,
-    /// Their size in it, bytes.
+    /// Size of these entries in the segment, bytes.
     live_bytes: u64,
 }
 
 impl Segment {
-    /// Whether no entry's latest version is in it.
+    /// Whether the segment holds no entry's latest version.
     pub(super) fn is_dead(&self) -> bool {
         self.live_keys.is_empty()
     }
 
-    /// The part of it that is live, from 0 to 1.
+    /// The fraction of the segment that is live, from 0 to 1.
     pub(super) fn live_fraction(&self) -> f64 {
         self.live_bytes as f64 / self.bytes.max(1) as f64
     }
@@ -83,7 +84,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Savepoint(usize);
 
-/// The state before all changes that are not synced.
+/// The state at the last successful sync.
 pub(super) const LAST_SYNC: Savepoint = Savepoint(0);
 
 /// All tables, and the segments that hold their entries.
@@ -116,13 +117,14 @@
 
     // ---- changes ----
 
-    /// Applies a change that this segment holds; it can be rolled back until [`Self::commit`].
+    /// Applies a change that is in this segment. It can be rolled back until [`Self::commit`].
     pub(super) fn apply(&mut self, change: &Change, segment: u64) {
         let undo = self.apply_unlogged(change, segment);
         self.undo_log.push(undo);
     }
 
-    /// Applies a change that is read back from this segment, unless its entry expired before that time.
+    /// Applies a change that was read back from this segment. If it expires before `expired_before_ms`, its
+    /// key is removed.
     pub(super) fn replay(&mut self, change: &Change, segment: u64, expired_before_ms: f64) {
         let UndoRecord { key, .. } = self.apply_unlogged(change, segment);
         if change.expires_at_ms < expired_before_ms {
@@ -138,7 +140,7 @@
         UndoRecord { key, previous }
     }
 
-    /// The state now, to roll back to.
+    /// The current state, for [`Self::roll_back`].
     pub(super) fn savepoint(&self) -> Savepoint {
         Savepoint(self.undo_log.len())
     }
@@ -146,13 +148,13 @@
     /// Undoes all changes since the savepoint.
     pub(super) fn roll_back(&mut self, savepoint: Savepoint) {
         for UndoRecord { key, previous } in self.undo_log.split_off(savepoint.0).into_iter().rev() {
-            // The segment of the earlier version may be removed by now: that version has then expired.
+            // If the segment of the previous version has been removed since, that version has expired.
             let previous = previous.filter(|entry| self.segments.contains_key(&entry.segment));
             self.replace(key, previous);
         }
     }
 
-    /// All changes so far are synced, and are not rolled back any more.
+    /// Marks all changes so far as synced: they can no longer be rolled back.
     pub(super) fn commit(&mut self) {
         self.undo_log.clear();
     }
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Puts an entry in place of the previous one, which it returns.
+    /// Replaces the entry of a key, and returns the previous one.
     fn replace(&mut self, key: EntryKey, entry: Option<Entry>) -> Option<Entry> {
         let previous = self.entries.remove(&key);
         if let Some(previous) = &previous {
@@ -206,14 +208,14 @@
         self.segments.insert(number, Segment { bytes, ..Segment::default() });
     }
 
-    /// Records how long a segment is now.
+    /// Updates the length of a segment.
     pub(super) fn set_segment_bytes(&mut self, number: u64, bytes: u64) {
         if let Some(segment) = self.segments.get_mut(&number) {
             segment.bytes = bytes;
         }
     }
 
-    /// Forgets a segment.
+    /// Drops a segment that was removed from the disk.
     pub(super) fn remove_segment(&mut self, number: u64) {
         self.segments.remove(&number);
     }
@@ -233,7 +235,8 @@
         self.segments.values().map(|segment| segment.bytes).sum()
     }
 
-    /// Live entries of a segment as changes that write them again: in key order, until their keys and values reach `max_bytes`.
+    /// Changes that rewrite the live entries of a segment, in key order, until their keys and values reach
+    /// `max_bytes`.
     pub(super) fn live_changes(&self, segment: u64, max_bytes: usize) -> Vec<Change> {
         let mut changes = Vec::new();
         let mut bytes = 0;
--- a/crates/pinepoint-store/src/store/write_group.rs
+++ b/crates/pinepoint-store/src/store/write_group.rs
@@ -1,4 +1,5 @@
-//! Group commit: batches that arrive while a disk request is under way are appended together and share one sync.
+//! Group commit: batches that arrive while a disk request is in progress are appended together and share one
+//! sync.
 
 use std::collections::VecDeque;
 
@@ -11,7 +12,7 @@
 
 /// A batch that is not acknowledged yet.
 pub(super) struct PendingWrite {
-    /// Names it in its acknowledgement; `None` if it needs none any more.
+    /// Identifies the batch in its acknowledgement; `None` if no acknowledgement is due any more.
     pub(super) ticket: Option<u64>,
     pub(super) changes: Vec<Change>,
     pub(super) durability: Durability,
@@ -37,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct WriteQueue {
     writes: VecDeque<PendingWrite>,
-    /// Memory that they take, bytes.
+    /// Memory of the queued batches, bytes.
     bytes: usize,
 }
 
@@ -57,13 +58,13 @@
     }
 }
 
-/// An append that the disk is working on.
+/// An append that is in progress.
 pub(super) struct PendingAppend {
     writes: Vec<PendingWrite>,
     bytes: u64,
-    /// The hash chain once it is written.
+    /// The hash chain after the append.
     chain_hash: u64,
-    /// The tables before it.
+    /// The state of the tables before the append.
     savepoint: Savepoint,
 }
 
@@ -90,7 +91,7 @@
         self.queue.push(PendingWrite { ticket, changes, durability, queued_at_ms: now_ms }, bytes);
     }
 
-    /// Whether a batch of this size may be queued.
+    /// Checks whether a batch of this size may be queued.
     fn check_capacity(&self, bytes: usize) -> Result<(), RejectReason> {
         match self.phase {
             Phase::Closed(reason) => return Err(RejectReason::Closed(reason)),
@@ -113,7 +114,7 @@
         Ok(())
     }
 
-    /// Whether the queue is to be appended now.
+    /// Whether the queued batches have to be appended now.
     pub(super) fn is_write_group_due(&self, now_ms: f64) -> bool {
         let is_due = |write: &PendingWrite| {
             write.durability != Durability::Lazy
@@ -151,7 +152,7 @@
         self.submit(request, PendingRequest::Append(pending), out);
     }
 
-    /// Requests a sync, which acknowledges this group.
+    /// Requests a sync. Its success acknowledges this group.
     pub(super) fn sync(&mut self, group: Vec<PendingWrite>, then: AfterSync, out: &mut Vec<Action>) {
         let request = DiskRequest::Sync(self.active.number);
         self.submit(request, PendingRequest::Sync { group, then }, out);
@@ -172,7 +173,7 @@
 
     pub(super) fn append_failed(&mut self, append: PendingAppend, error: DiskError, out: &mut Vec<Action>) {
         self.tables.roll_back(append.savepoint);
-        // Part of it may be on disk: nothing is written behind that.
+        // Part of the append may be on disk, and nothing is written after that part.
         self.active.has_torn_tail = true;
         complete_all(append.writes, Err(WriteError::OutcomeUnknown(CloseReason::Disk(error))), out);
     }
@@ -188,14 +189,15 @@
         }
     }
 
-    /// The kernel may have dropped the dirty pages, and a second sync would succeed without them: the store is closed.
+    /// Closes the store: the kernel may have dropped the dirty pages, and a second sync would then succeed
+    /// without writing them.
     pub(super) fn sync_failed(&mut self, group: Vec<PendingWrite>, out: &mut Vec<Action>) {
         self.tables.roll_back(LAST_SYNC);
         complete_all(group, Err(WriteError::OutcomeUnknown(CloseReason::SyncFailed)), out);
         self.close(CloseReason::SyncFailed, out);
     }
 
-    /// Rejects everything that is queued, and whatever comes from now on.
+    /// Closes the store: rejects all queued batches and all later ones.
     pub(super) fn close(&mut self, reason: CloseReason, out: &mut Vec<Action>) {
         self.phase = Phase::Closed(reason);
         let rejected = Err(WriteError::Rejected(RejectReason::Closed(reason)));
