--- a/crates/pinepoint-store/tests/directory.rs
+++ b/crates/pinepoint-store/tests/directory.rs
@@ -1,5 +1,5 @@
-//! The store over a real directory: a second process is kept out, and a process that is killed at any moment has lost nothing that
-//! it was told is durable.
+//! The store on a real directory: the lock keeps a second opener out, and a process that is killed at any
+//! moment loses no batch that was acknowledged as durable.
 
 mod drive;
 
@@ -46,61 +46,62 @@
 }
 
 #[test]
-fn what_was_durable_is_there_again_and_a_second_opening_is_refused() {
+fn reopened_store_has_durable_entries_and_second_open_is_rejected() {
     let directory = TemporaryDirectory::new("again");
-    let mut held = open(&directory.0);
+    let mut opened = open(&directory.0);
     for n in 0..300 {
-        put(&mut held, n, &format!("k{}", n % 40), n);
-        assert_eq!(held.actions.pop(), Some(Action::Complete { ticket: n, result: Ok(()) }));
+        put(&mut opened, n, &format!("k{}", n % 40), n);
+        assert_eq!(opened.actions.pop(), Some(Action::Complete { ticket: n, result: Ok(()) }));
     }
     assert!(matches!(SegmentDirectory::open(&directory.0), Err(OpenError::InUse(_))));
-    drop(held);
-    let held = open(&directory.0);
+    drop(opened);
+    let opened = open(&directory.0);
     for n in 260..300 {
-        assert_eq!(get(&held, &format!("k{}", n % 40)), Some(n));
+        assert_eq!(get(&opened, &format!("k{}", n % 40)), Some(n));
     }
 }
 
-/// Not a test of its own: what the next one kills.
+/// Not a test of its own: the child process of the next test, which kills it.
 #[test]
-fn writes_until_it_is_killed() {
+fn child_writes_until_killed() {
     let Some(dir) = std::env::var_os("STORE_TEST_DIR") else { return };
-    let mut held = open(Path::new(&dir));
-    let first = get(&held, "n").map_or(0, |n| n + 1);
+    let mut opened = open(Path::new(&dir));
+    let first = get(&opened, "n").map_or(0, |n| n + 1);
     for n in first.. {
-        put(&mut held, n, "n", n);
+        put(&mut opened, n, "n", n);
         println!("durable {n}");
     }
 }
 
 #[test]
-fn a_process_that_is_killed_has_lost_nothing_that_was_durable() {
+fn killed_process_loses_no_durable_batch() {
     let directory = TemporaryDirectory::new("killed");
-    let mut known = None;
+    let mut last_durable = None;
     for round in 0..12 {
-        let own = std::env::current_exe().expect("this program");
-        let mut child = Command::new(own)
-            .args(["--exact", "--nocapture", "writes_until_it_is_killed"])
+        let test_program = std::env::current_exe().expect("path of this test program");
+        let mut child = Command::new(test_program)
+            .args(["--exact", "--nocapture", "child_writes_until_killed"])
             .env("STORE_TEST_DIR", &directory.0)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("started");
-        let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-        let durable = |line: String| line.strip_prefix("durable ").and_then(|n| n.parse::<u64>().ok());
-        let mut told = lines.by_ref().map_while(Result::ok).filter_map(durable).take(20 + 7 * round);
-        known = told.by_ref().last().max(known);
-        child.kill().expect("killed");
-        // What it had told before is to be there too.
-        known = lines.map_while(Result::ok).filter_map(durable).last().max(known);
-        child.wait().expect("ended");
-        let held = open(&directory.0);
-        assert_eq!(held.store.close_reason(), None);
+            .expect("the child starts");
+        let mut lines = BufReader::new(child.stdout.take().expect("the child's output")).lines();
+        let parse_durable = |line: String| line.strip_prefix("durable ").and_then(|n| n.parse::<u64>().ok());
+        let mut reported =
+            lines.by_ref().map_while(Result::ok).filter_map(parse_durable).take(20 + 7 * round);
+        last_durable = reported.by_ref().last().max(last_durable);
+        child.kill().expect("the child is killed");
+        // Batches that the child reported before it was killed have to be there too.
+        last_durable = lines.map_while(Result::ok).filter_map(parse_durable).last().max(last_durable);
+        child.wait().expect("the child ends");
+        let opened = open(&directory.0);
+        assert_eq!(opened.store.close_reason(), None);
         assert!(
-            get(&held, "n") >= known,
-            "round {round}: {:?} is there, {known:?} was durable",
-            get(&held, "n")
+            get(&opened, "n") >= last_durable,
+            "round {round}: found {:?}, but {last_durable:?} was reported as durable",
+            get(&opened, "n")
         );
     }
-    assert!(known > Some(500), "{known:?}");
+    assert!(last_durable > Some(500), "{last_durable:?}");
 }
--- a/crates/pinepoint-store/tests/drive/mod.rs
+++ b/crates/pinepoint-store/tests/drive/mod.rs
@@ -1,4 +1,4 @@
-//! A store over a real directory, driven one request at a time: for tests and for the measure alike.
+//! A store on a real directory, driven one request at a time, for the tests and the benchmark.
 
 use std::path::Path;
 
@@ -8,14 +8,14 @@
 
 pub struct OpenStore {
     pub store: Store,
-    /// What it did beside asking the disk.
+    /// Actions of the store other than disk requests.
     pub actions: Vec<Action>,
     directory: SegmentDirectory,
     now: f64,
 }
 
 impl OpenStore {
-    /// Opens a directory as soon as whoever had it has let it go; the store is told this time throughout.
+    /// Opens a directory once its previous user has released the lock. All events have the time `now`.
     pub fn new(dir: &Path, options: Options, now: f64) -> OpenStore {
         let directory = loop {
             match SegmentDirectory::open(dir) {
@@ -39,15 +39,15 @@
                     self.actions.push(action);
                     continue;
                 };
-                self.directory.requests.send_blocking(request).expect("the thread runs");
-                let answer = self.directory.responses.recv_blocking().expect("the thread answers");
-                self.store.handle(self.now, Event::DiskCompleted(answer), &mut next);
+                self.directory.requests.send_blocking(request).expect("the worker thread runs");
+                let response = self.directory.responses.recv_blocking().expect("the worker thread responds");
+                self.store.handle(self.now, Event::DiskCompleted(response), &mut next);
             }
             actions = next;
         }
     }
 
-    /// Writes these durably, each under its ticket; all of them are queued at once.
+    /// Writes these batches durably, each with its ticket. All of them are queued at once.
     pub fn put(&mut self, batches: impl Iterator<Item = (u64, Vec<Change>)>) {
         let mut out = Vec::new();
         for (ticket, changes) in batches {
--- a/crates/pinepoint-store/tests/format.rs
+++ b/crates/pinepoint-store/tests/format.rs
@@ -1,5 +1,6 @@
-//! The on-disk format, version 1: segment files that an earlier build of the program wrote (`tests/fixtures/v1`) are opened
-//! with exactly the entries that were written, and the same writes still give the same bytes.
+//! The on-disk format, version 1: segment files that an earlier build of the program wrote
+//! (`tests/fixtures/v1`) open with exactly the entries that were written, and the same writes still produce
+//! the same bytes.
 
 mod drive;
 
@@ -23,12 +24,18 @@
 
 /// Bytes of all segment files of a directory, by file name.
 fn segment_files(directory: &Path) -> BTreeMap<String, Vec<u8>> {
-    let paths =
-        std::fs::read_dir(directory).expect("a directory").map(|entry| entry.expect("an entry").path());
+    let paths = std::fs::read_dir(directory)
+        .expect("the directory is readable")
+        .map(|entry| entry.expect("the directory entry is readable").path());
     let segments = paths.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
     let files = segments.map(|path| {
-        let name = path.file_name().expect("a name").to_str().expect("in ASCII").to_owned();
-        (name, std::fs::read(path).expect("a file"))
+        let name = path
+            .file_name()
+            .expect("the path has a file name")
+            .to_str()
+            .expect("the file name is ASCII")
+            .to_owned();
+        (name, std::fs::read(path).expect("the file is readable"))
     });
     files.collect()
 }
@@ -42,7 +49,8 @@
     }
 }
 
-/// What the fixture was written from: batches of changes in two tables, with overwritten, removed and expiring entries.
+/// The batches that the fixture was written from: changes in two tables, with overwritten, removed and
+/// expiring entries.
 fn batches() -> Vec<Vec<Change>> {
     let later = NOW + 1e9;
     let filler = |n: u8| change("a", &format!("filler-{}", n % 9), Some(&[n; 300]), later);
@@ -63,7 +71,7 @@
     batches
 }
 
-/// Entries by table and key at a time when one of them has expired.
+/// Expected entries by table and key, at a time when the entry with the key `expired` has expired.
 fn expected() -> Vec<(&'static str, &'static [u8], Vec<u8>)> {
     vec![
         ("a", b"empty", Vec::new()),
@@ -83,21 +91,21 @@
     ]
 }
 
-/// A directory for a store, removed at the end.
+/// A directory for a store, removed when dropped.
 struct TemporaryDirectory(PathBuf);
 
 impl TemporaryDirectory {
     fn new(name: &str) -> TemporaryDirectory {
         let directory = std::env::temp_dir().join(format!("pinepoint-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
-        std::fs::create_dir_all(&directory).expect("a directory");
+        std::fs::create_dir_all(&directory).expect("the directory is created");
         TemporaryDirectory(directory)
     }
 
     fn copy_of_fixture(name: &str) -> TemporaryDirectory {
         let copy = TemporaryDirectory::new(name);
         for (name, bytes) in segment_files(&fixture_directory()) {
-            std::fs::write(copy.0.join(name), bytes).expect("copied");
+            std::fs::write(copy.0.join(name), bytes).expect("the fixture is copied");
         }
         copy
     }
@@ -126,7 +134,7 @@
 }
 
 #[test]
-fn segment_files_of_an_earlier_build_are_opened_with_exactly_what_was_written() {
+fn opens_segment_files_of_earlier_build() {
     let mut expected: Vec<_> =
         expected().into_iter().map(|(table, key, value)| (table, key.to_vec(), value)).collect();
     let copy = TemporaryDirectory::copy_of_fixture("format-after");
@@ -136,7 +144,7 @@
     expected.push(("b", b"expired".to_vec(), b"y".to_vec()));
     expected.sort();
     assert_eq!(entries(&open, NOW), expected);
-    // New batches go behind what is there, and both are found again.
+    // A new batch is added to the existing entries, and all of them are found after the next opening.
     open.put(std::iter::once((1, vec![change("b", "new", Some(b"z"), NOW + 1e9)])));
     assert_eq!(open.actions, [Action::Opened, Action::Complete { ticket: 1, result: Ok(()) }]);
     drop(open);
@@ -146,7 +154,7 @@
 }
 
 #[test]
-fn the_same_writes_give_the_same_bytes_as_an_earlier_build() {
+fn same_writes_produce_same_bytes_as_earlier_build() {
     let directory = TemporaryDirectory::new("format-written");
     let mut open = directory.open(NOW);
     for (ticket, changes) in (1..).zip(batches()) {
@@ -155,6 +163,6 @@
     }
     let written = segment_files(&directory.0);
     let fixture = segment_files(&fixture_directory());
-    assert!(fixture.len() > 1, "several segments");
+    assert!(fixture.len() > 1, "the fixture needs several segments");
     assert!(written == fixture, "the bytes differ from those of format version 1");
 }
