--- a/crates/pinepoint-idempotency/src/clock.rs
+++ b/crates/pinepoint-idempotency/src/clock.rs
@@ -1,7 +1,8 @@
-//! How the clock of an earlier process relates to the current one. No clock is read here.
+//! Relates the clock of an earlier process to the current one. No clock is read here.
 //!
-//! The Unix clock may have been set across a restart, in either direction. Within one boot of the machine the time since boot
-//! shows by how much; across a boot nothing does, and then all windows are assumed to start again.
+//! The Unix clock may have been set across a restart, in either direction. Within one boot of the machine the
+//! time since boot shows by how much. Across a boot nothing shows whether it was set, and all windows
+//! are assumed to start again.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,32 +13,32 @@
     pub unix_ms: f64,
     /// Time since the machine's boot, including suspended time, ms.
     pub boot_ms: f64,
-    /// Identifies that boot.
+    /// Identifies the boot that `boot_ms` counts from.
     pub boot_id: u128,
 }
 
-/// How the Unix clock went on between an earlier reading and now.
+/// Whether and how the Unix clock was set between an earlier reading and the current one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClockContinuity {
-    /// It was not set.
+    /// The clock was not set.
     Continuous {
         /// Time between the readings, ms.
         elapsed_ms: f64,
     },
-    /// It was set.
+    /// The clock was set, by a known step.
     Stepped {
         /// Time between the readings, ms.
         elapsed_ms: f64,
-        /// By how much it was set, ms; negative if backwards.
+        /// The step, ms; negative if the clock was set back.
         step_ms: f64,
     },
-    /// The machine was booted between the readings, and the clock shows less than before.
+    /// The machine was booted between the readings, and the clock shows an earlier time than before.
     SteppedBack,
     /// The machine was booted between the readings: whether the clock was set is not known.
     Unknown,
 }
 
-/// Maximum difference of the two clocks through drift and slewing, ms; a larger one is a step.
+/// Maximum difference between the two clocks due to drift and slewing, ms; a larger difference is a step.
 const MAX_SLEW_MS: f64 = 1000.0;
 
 impl ClockContinuity {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Converts a time of the earlier clock to the current one, both Unix ms; `None` if their relation is not known.
+    /// Converts a time of the earlier clock to the current one, both Unix ms; `None` if their relation is not
+    /// known.
     pub fn to_current_clock(self, earlier_ms: f64) -> Option<f64> {
         match self {
             ClockContinuity::Continuous { .. } => Some(earlier_ms),
--- a/crates/pinepoint-idempotency/src/records.rs
+++ b/crates/pinepoint-idempotency/src/records.rs
@@ -1,9 +1,10 @@
-//! The state machine of idempotency keys: for each attempt it decides whether to run it, to wait for a run, to respond, to
-//! reject or to fail. Events and the time go in, actions come out; it does no I/O and reads no clock.
+//! The state machine of idempotency keys: for each attempt it decides whether to run the request, wait for a
+//! run, respond, reject or fail. Events and the current time go in, actions come out; it does no I/O and
+//! reads no clock.
 //!
-//! The intent of a run is durable before the run starts, and its outcome is written before it is delivered. What is read back
-//! after a crash therefore tells for each key whether a run may have started; such a key is not run again in its window, and its
-//! attempts are failed, not rejected.
+//! The intent of a run is durable before the run starts, and its outcome is written before it is delivered.
+//! The records that are read back after a crash therefore show for each key whether a run may have started.
+//! Such a key is not run again in its window, and its attempts are failed, not rejected.
 
 mod event;
 mod options;
@@ -28,29 +29,30 @@
     options: Options,
     table: RecordTable,
     last_write: WriteId,
-    /// The key of each write that is under way.
+    /// The key of each write that is in progress.
     pending_writes: BTreeMap<WriteId, Key>,
     is_store_available: bool,
 }
 
-/// What was read back from the store.
+/// Result of restoring the records from the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveryReport {
-    /// The records whose windows were moved to the current clock. They have to be written in one batch with a new
-    /// [`ClockReading`](crate::clock::ClockReading), and before any other reading: otherwise a second restart would judge them
-    /// by a clock that they do not follow.
+    /// Changes that store the records whose windows were moved to the current clock. They have to be written
+    /// in one batch with a new [`ClockReading`](crate::clock::ClockReading), and before any other reading.
+    /// Otherwise a second restart would compare them with a clock that they do not follow.
     pub rewritten: Vec<Change>,
-    /// Keys with a result.
+    /// Number of keys with a result.
     pub completed: usize,
-    /// Keys without a result: their runs may have happened.
+    /// Number of keys without a result: their requests may have run.
     pub may_have_run: usize,
-    /// Stored values that are not records of this program.
+    /// Number of stored values that are not records of this program.
     pub unreadable: usize,
 }
 
 impl IdempotencyRecords {
-    /// Restores the records from keys and values of the store's table [`TABLE`]. `continuity` relates the clock of the process
-    /// that wrote them to the current one; where it is not known, all windows start again at `now_ms`, Unix ms.
+    /// Restores the records from keys and values of the store's table [`TABLE`]. `continuity` relates the
+    /// clock of the process that wrote them to the current one; if the relation is not known, all windows
+    /// start again at `now_ms`, Unix ms.
     pub fn open<'a>(
         options: Options,
         now_ms: f64,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// A fault that tests inject.
+    /// Implements [`Fault::EvictAtBound`], a fault that tests inject.
     fn evict_at_bound(&mut self) {
         if self.table.len() >= self.options.max_records
             && let Some(key) = self.table.first_key()
@@ -195,11 +197,12 @@
                     let running = record.running_attempt();
                     out.extend(running.map(|ticket| Action::Run { ticket, key }));
                 } else {
-                    // Nothing ran. If the intent is found after a restart all the same, the key fails for one window.
+                    // The request did not run. If the intent is found after a restart nevertheless, attempts
+                    // with this key fail for one window.
                     self.reject_all(&key, RejectReason::IntentNotDurable, out);
                 }
             }
-            // Also if the write failed: the intent is still stored, and keeps the key from running again.
+            // Even if the write failed: the intent is still stored and prevents a second run.
             State::PersistingOutcome(pending, outcome) if *pending == write => {
                 let outcome = outcome.clone();
                 self.finish(&key, outcome, out);
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Forgets a key that never ran, and rejects all its attempts.
+    /// Removes the record of a key whose request never ran, and rejects all its attempts.
     fn reject_all(&mut self, key: &[u8], reason: RejectReason, out: &mut Vec<Action>) {
         let Some(mut record) = self.table.remove(key) else { return };
         out.extend(record.take_attempts().into_iter().map(|ticket| Action::Reject { ticket, reason }));
--- a/crates/pinepoint-idempotency/src/records/event.rs
+++ b/crates/pinepoint-idempotency/src/records/event.rs
@@ -7,34 +7,34 @@
 /// An idempotency key: the request class and the client's token, encoded as bytes.
 pub type Key = Vec<u8>;
 
-/// Names a durable write between [`Action::WriteDurably`] and [`Event::WriteCompleted`].
+/// Identifies a durable write in [`Action::WriteDurably`] and [`Event::WriteCompleted`].
 pub type WriteId = u64;
 
 /// An attempt of a keyed request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Names the attempt in actions.
+    /// Identifies the attempt in actions.
     pub ticket: u64,
     /// The idempotency key.
     pub key: Key,
-    /// The caller that sent it.
+    /// The caller that sent the attempt.
     pub caller: u64,
-    /// Digest of the request's body; the same after a restart.
+    /// Digest of the request's body; it must not change across restarts.
     pub digest: u64,
     /// When the request was first sent, Unix ms.
     pub first_sent_ms: f64,
-    /// How long from then on the request must not take effect a second time, ms.
+    /// How long after `first_sent_ms` the request must not take effect a second time, ms.
     pub window_ms: f64,
 }
 
 /// How a run ended. The order of the variants is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// With this result.
+    /// The run ended with this result.
     Completed(Vec<u8>),
-    /// Without a result; it may have taken effect.
+    /// The run ended without a result; the request may have taken effect.
     NoResult,
-    /// It is proved that it never ran.
+    /// It is certain that the request never ran.
     NeverRan,
 }
 
@@ -43,21 +43,21 @@
 pub enum Event {
     /// An attempt arrived.
     Attempt(Attempt),
-    /// A write of [`Action::WriteDurably`] is finished.
+    /// A write that [`Action::WriteDurably`] requested is finished.
     WriteCompleted {
         /// The write.
         write: WriteId,
-        /// Whether it is durable. If not, it may still be found after a restart.
+        /// Whether the write is durable. If not, it may still be found after a restart.
         is_durable: bool,
     },
     /// The run of a key ended.
     RunEnded {
         /// The key.
         key: Key,
-        /// How it ended.
+        /// How the run ended.
         outcome: RunOutcome,
     },
-    /// Nobody waits for the response to an attempt any more.
+    /// The caller no longer waits for the response to an attempt.
     AttemptCancelled {
         /// The attempt.
         ticket: u64,
@@ -101,11 +101,11 @@
 /// An output.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write these changes durably, and answer with [`Event::WriteCompleted`].
+    /// Write these changes durably, and report the result with [`Event::WriteCompleted`].
     WriteDurably {
-        /// Names the write.
+        /// Identifies the write.
         write: WriteId,
-        /// What to write.
+        /// The changes to write.
         changes: Vec<Change>,
     },
     /// Write these changes at any time; they may be lost.
@@ -128,14 +128,14 @@
     Reject {
         /// The attempt.
         ticket: u64,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
     },
     /// Fail the attempt.
     Fail {
         /// The attempt.
         ticket: u64,
-        /// Why.
+        /// The reason.
         reason: FailReason,
     },
 }
--- a/crates/pinepoint-idempotency/src/records/options.rs
+++ b/crates/pinepoint-idempotency/src/records/options.rs
@@ -7,9 +7,11 @@
     pub max_records: usize,
     /// Maximum number of keys of one caller.
     pub max_records_per_caller: usize,
-    /// Maximum size of all retained results, bytes. A result beyond it is delivered and not retained.
+    /// Maximum size of all retained results, bytes. A result that would exceed it is delivered but not
+    /// retained.
     pub max_result_bytes: usize,
-    /// How long a record is retained after its window, ms, for attempts that were sent within the window and arrive late.
+    /// How long a record is retained after its window, ms, for attempts that were sent within the window and
+    /// arrive late.
     pub grace_ms: f64,
     /// What happens to new keys while the store does not accept writes.
     pub store_unavailable: StoreUnavailablePolicy,
@@ -33,13 +35,13 @@
 /// What happens to new keys while the store does not accept writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreUnavailablePolicy {
-    /// Their attempts are rejected.
+    /// Attempts with new keys are rejected.
     Reject,
-    /// They run; a restart forgets them.
+    /// Requests with new keys run without a stored intent, and a restart forgets the keys.
     RunUnrecorded,
 }
 
-/// A fault that tests inject and have to find.
+/// A fault that tests inject to show that they detect it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
--- a/crates/pinepoint-idempotency/src/records/table.rs
+++ b/crates/pinepoint-idempotency/src/records/table.rs
@@ -9,7 +9,8 @@
 
 /// The table of the store that holds the records.
 pub const TABLE: &str = "ledger";
-/// Records are removed explicitly: the store's expiry follows a clock that may be wrong.
+/// Expiry time in the store, ms. Records are removed explicitly, because the store's expiry depends on a
+/// clock that may be wrong.
 const NEVER_EXPIRES_MS: f64 = f64::MAX;
 
 /// A record as it is stored. The order of the fields is part of the stored format.
@@ -56,7 +57,7 @@
     Completed(Vec<u8>),
     /// The run ended without a result, or its result is not retained.
     NoResult,
-    /// An intent was found at the start: the run may have happened.
+    /// An intent without an outcome was read back after a restart: the request may have run.
     MayHaveRun,
 }
 
@@ -64,7 +65,7 @@
 pub(super) struct Record {
     pub(super) stored: StoredRecord,
     pub(super) state: State,
-    /// The attempt that runs.
+    /// The attempt that is being run.
     running: Option<u64>,
     /// Attempts that wait for the same run.
     waiting: Vec<u64>,
@@ -90,13 +91,14 @@
         matches!(self.state, State::Completed(_) | State::NoResult | State::MayHaveRun)
     }
 
-    /// Whether a request that was first sent at this time is another one than the record's.
+    /// Whether a request that was first sent at this time is a new request, because the window of the
+    /// finished record is over.
     pub(super) fn is_outdated_for(&self, now_ms: f64, first_sent_ms: f64) -> bool {
         let window_end_ms = self.stored.window_end_ms();
         self.is_finished() && first_sent_ms >= window_end_ms && now_ms >= window_end_ms
     }
 
-    /// Whether it is finished, and so long after its window that no attempt refers to it any more.
+    /// Whether the record is finished and its grace period is over, so that no attempt refers to it any more.
     pub(super) fn is_expired(&self, now_ms: f64, grace_ms: f64) -> bool {
         self.is_finished() && now_ms >= self.stored.window_end_ms() + grace_ms
     }
@@ -113,7 +115,7 @@
         self.waiting.retain(|waiting| *waiting != ticket);
     }
 
-    /// All attempts that are to be answered: the one that ran first, then those that waited.
+    /// Takes all attempts that have to be answered: first the running attempt, then the waiting ones.
     pub(super) fn take_attempts(&mut self) -> Vec<u64> {
         let running = self.running.take();
         running.into_iter().chain(std::mem::take(&mut self.waiting)).collect()
@@ -172,7 +174,8 @@
         Some(record)
     }
 
-    /// Finishes the record of a key, and returns the attempts to be answered. The result is retained only within the limit.
+    /// Finishes the record of a key, and returns the attempts that have to be answered. The result is
+    /// retained only if all results then stay within `max_result_bytes`.
     pub(super) fn finish(&mut self, key: &[u8], outcome: RunOutcome, max_result_bytes: usize) -> Vec<u64> {
         let available_bytes = max_result_bytes.saturating_sub(self.result_bytes);
         let Some(record) = self.records.get_mut(key) else { return Vec::new() };
