--- a/crates/pinepoint-idempotency/tests/format.rs
+++ b/crates/pinepoint-idempotency/tests/format.rs
@@ -1,4 +1,5 @@
-//! The bytes of a stored record: what an earlier build wrote is read back, and the same events still write the same bytes.
+//! The format of stored records: bytes that an earlier build wrote are read back, and the same events still
+//! write the same bytes.
 
 use pinepoint_idempotency::clock::{ClockContinuity, ClockReading};
 use pinepoint_idempotency::records::{
@@ -18,8 +19,8 @@
     }
 }
 
-/// Values that the events of one key write, by how its run ends.
-fn written(end: RunOutcome) -> Vec<(String, Vec<u8>)> {
+/// Tables and values that the events of one key write when its run ends with this outcome.
+fn written_values(run_outcome: RunOutcome) -> Vec<(String, Vec<u8>)> {
     let (mut records, _) = IdempotencyRecords::open(
         Options::default(),
         1.7e12,
@@ -29,7 +30,7 @@
     let mut out = Vec::new();
     records.handle(1.7e12, Event::Attempt(attempt()), &mut out);
     records.handle(1.7e12, Event::WriteCompleted { write: 1, is_durable: true }, &mut out);
-    records.handle(1.7e12, Event::RunEnded { key: b"key".to_vec(), outcome: end }, &mut out);
+    records.handle(1.7e12, Event::RunEnded { key: b"key".to_vec(), outcome: run_outcome }, &mut out);
     let changes = out.into_iter().filter_map(|action| match action {
         Action::WriteDurably { changes, .. } => Some(changes),
         _ => None,
@@ -47,8 +48,9 @@
     )
 }
 
-/// What every record begins with: caller and digest as varints, `first_sent_ms` and the window as `f64`, little endian.
-const HEAD: [u8; 27] = [
+/// The beginning of every record: caller and digest as varints, `first_sent_ms` and `window_ms` as
+/// little-endian `f64`.
+const RECORD_PREFIX: [u8; 27] = [
     172, 2, 239, 155, 175, 205, 248, 172, 209, 145, 1, 0, 0, 128, 86, 254, 188, 120, 66, 0, 0, 0, 0, 0, 118,
     214, 64,
 ];
@@ -58,21 +60,21 @@
 const NEVER_RAN: &[u8] = &[1, 2];
 
 fn record(outcome: &[u8]) -> Vec<u8> {
-    [&HEAD, outcome].concat()
+    [&RECORD_PREFIX, outcome].concat()
 }
 
 #[test]
-fn the_same_events_write_the_same_bytes_as_an_earlier_build() {
+fn same_events_write_same_bytes_as_earlier_build() {
     let cases =
         [(RunOutcome::Completed(b"result".to_vec()), WITH_RESULT), (RunOutcome::NoResult, WITHOUT_RESULT)];
-    for (end, outcome) in cases {
+    for (run_outcome, outcome) in cases {
         let expected = [WITHOUT_OUTCOME, outcome].map(|outcome| ("ledger".to_owned(), record(outcome)));
-        assert_eq!(written(end), expected);
+        assert_eq!(written_values(run_outcome), expected);
     }
 }
 
 #[test]
-fn records_of_an_earlier_build_are_read_back() {
+fn reads_records_of_earlier_build() {
     let cases = [
         (WITHOUT_OUTCOME, Action::Fail { ticket: TICKET, reason: FailReason::MayHaveRun }),
         (WITH_RESULT, Action::Respond { ticket: TICKET, result: b"result".to_vec() }),
@@ -89,9 +91,9 @@
 }
 
 #[test]
-fn a_stored_time_mark_keeps_its_bytes() {
-    let mark = ClockReading { unix_ms: 1.7e12, boot_ms: 5000.0, boot_id: 300 };
+fn stored_clock_reading_keeps_its_bytes() {
+    let reading = ClockReading { unix_ms: 1.7e12, boot_ms: 5000.0, boot_id: 300 };
     let bytes = [0, 0, 128, 86, 254, 188, 120, 66, 0, 0, 0, 0, 0, 136, 179, 64, 172, 2];
-    assert_eq!(postcard::to_allocvec(&mark).as_deref(), Ok(bytes.as_slice()));
-    assert_eq!(postcard::from_bytes(&bytes), Ok(mark));
+    assert_eq!(postcard::to_allocvec(&reading).as_deref(), Ok(bytes.as_slice()));
+    assert_eq!(postcard::from_bytes(&bytes), Ok(reading));
 }
--- a/crates/pinepoint-idempotency/tests/model.rs
+++ b/crates/pinepoint-idempotency/tests/model.rs
@@ -1,7 +1,8 @@
-//! Every course of two keys, three attempts, failing writes, ends of runs, power losses that keep any of the unsynced writes, and
-//! time that passes, up to a depth: at most one effect for each key in its window, one final answer for each attempt, and no
-//! rejection of what may have run. The records are the program's own; the choices around them are enumerated. Two injected faults
-//! have to be found.
+//! Model check of the idempotency records. It explores every sequence, up to a depth, of attempts with two
+//! keys, failing writes, ends of runs, power losses that keep any number of the unsynced writes, and passing
+//! time. Invariants: each key takes effect at most once in its window, each attempt gets one final answer,
+//! and no attempt is rejected whose request may have run. The records are the program's own; their
+//! environment is modelled. Two injected faults have to be detected.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,28 +13,28 @@
 };
 use pinepoint_store::format::Change;
 
-const WINDOW: f64 = 1000.0;
-const GRACE: f64 = 500.0;
-/// The table of the clock reading.
+const WINDOW_MS: f64 = 1000.0;
+const GRACE_MS: f64 = 500.0;
+/// The table that holds the clock reading.
 const CLOCK_TABLE: &str = "clock";
-/// Choices in a row, where `LEDGER_DEPTH` says nothing else.
-const DEPTH: usize = 7;
+/// Length of the sequences, unless `LEDGER_DEPTH` sets another one.
+const DEFAULT_DEPTH: usize = 7;
 
-/// One step of the world around the records.
+/// One step of the modelled environment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Choice {
-    /// An attempt of this key, with this body.
+    /// An attempt with this key and this digest of the body arrives.
     Attempt(u8, u64),
-    /// The oldest write is durable.
-    Synced,
-    /// The oldest write fails, and is on disk or not.
-    Fails(bool),
-    /// A run of this key ends.
-    Ends(u8, RunEnd),
-    /// The power fails, with so many of the pending writes on disk.
-    Cut(usize, Clock),
-    /// A window passes.
-    Passes,
+    /// The oldest write becomes durable.
+    WriteSynced,
+    /// The oldest write fails; the flag says whether it is on disk nevertheless.
+    WriteFails(bool),
+    /// The run of this key ends.
+    RunEnds(u8, RunEnd),
+    /// The power fails, with this number of the pending writes on disk, oldest first.
+    PowerLoss(usize, ClockChange),
+    /// A window and its grace period pass.
+    WindowPasses,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,13 +44,14 @@
     NeverRan,
 }
 
-/// What the clock does over a power loss.
+/// How the clock is set over a power loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Clock {
-    Right,
-    /// The machine was booted, and the clock shows an hour more.
+enum ClockChange {
+    Unchanged,
+    /// The machine was booted, and the clock was set forward by an hour.
     Forward,
-    Back,
+    /// The machine was booted, and the clock was set back by 10 s.
+    Backward,
 }
 
 /// An attempt that was sent.
@@ -57,10 +59,10 @@
 struct SentAttempt {
     key: Key,
     digest: u64,
-    /// True time.
+    /// Model time, ms.
     sent_ms: f64,
     is_answered: bool,
-    /// The power failed before it was answered.
+    /// The power failed before the attempt was answered.
     is_interrupted: bool,
 }
 
@@ -69,11 +71,11 @@
 struct Effect {
     key: Key,
     digest: u64,
-    /// When its request was first sent, true time.
+    /// When the request was first sent, model time, ms.
     sent_ms: f64,
 }
 
-/// A write that is not on disk yet; a lazy one has no id.
+/// A write that is not on disk yet. A lazy write has no id.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     id: Option<WriteId>,
@@ -81,35 +83,37 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Model {
     options: Options,
     records: IdempotencyRecords,
-    /// True time, and by how much the clock differs from it, ms.
+    /// Model time, ms.
     now_ms: f64,
+    /// Difference of the clock from the model time, ms.
     clock_error_ms: f64,
     disk: BTreeMap<Key, Vec<u8>>,
-    /// The clock reading on disk is of an earlier process than the last, and the clock may have been set since.
+    /// The clock reading on disk is from an earlier process than the running one, and the clock may have been
+    /// set since.
     has_old_reading: bool,
     writes: Vec<PendingWrite>,
-    /// Keys of the runs under way.
+    /// Keys of the runs in progress.
     running: Vec<Key>,
     effects: Vec<Effect>,
     attempts: Vec<SentAttempt>,
-    cuts: u32,
-    fails: u32,
-    passed: u32,
-    wrong: Option<String>,
+    power_losses: u32,
+    failed_writes: u32,
+    passed_windows: u32,
+    violation: Option<String>,
 }
 
-impl World {
-    fn new(options: Options) -> World {
+impl Model {
+    fn new(options: Options) -> Model {
         let (records, _) = IdempotencyRecords::open(
             options,
             0.0,
             ClockContinuity::Continuous { elapsed_ms: 0.0 },
             std::iter::empty(),
         );
-        World {
+        Model {
             options,
             records,
             now_ms: 1e9,
@@ -120,62 +124,66 @@
             running: Vec::new(),
             effects: Vec::new(),
             attempts: Vec::new(),
-            cuts: 0,
-            fails: 0,
-            passed: 0,
-            wrong: None,
+            power_losses: 0,
+            failed_writes: 0,
+            passed_windows: 0,
+            violation: None,
         }
     }
 
-    fn choices(&self, max_attempts: usize, max_cuts: u32) -> Vec<Choice> {
-        let mut all = Vec::new();
+    fn choices(&self, max_attempts: usize, max_power_losses: u32) -> Vec<Choice> {
+        let mut choices = Vec::new();
         if self.attempts.len() < max_attempts {
-            all.extend([Choice::Attempt(0, 1), Choice::Attempt(1, 1)]);
+            choices.extend([Choice::Attempt(0, 1), Choice::Attempt(1, 1)]);
             if self.attempts.len() == 1 {
-                all.push(Choice::Attempt(0, 2));
+                choices.push(Choice::Attempt(0, 2));
             }
         }
         if !self.writes.is_empty() {
-            all.push(Choice::Synced);
-            if self.fails == 0 {
-                all.extend([Choice::Fails(true), Choice::Fails(false)]);
+            choices.push(Choice::WriteSynced);
+            if self.failed_writes == 0 {
+                choices.extend([Choice::WriteFails(true), Choice::WriteFails(false)]);
             }
         }
         for key in &self.running {
-            all.extend(
-                [RunEnd::Completed, RunEnd::NoResult, RunEnd::NeverRan].map(|end| Choice::Ends(key[0], end)),
+            choices.extend(
+                [RunEnd::Completed, RunEnd::NoResult, RunEnd::NeverRan]
+                    .map(|end| Choice::RunEnds(key[0], end)),
             );
         }
-        if self.cuts < max_cuts {
-            for kept in 0..=self.writes.len() {
-                all.extend([Clock::Right, Clock::Forward, Clock::Back].map(|clock| Choice::Cut(kept, clock)));
+        if self.power_losses < max_power_losses {
+            for kept_writes in 0..=self.writes.len() {
+                choices.extend(
+                    [ClockChange::Unchanged, ClockChange::Forward, ClockChange::Backward]
+                        .map(|clock_change| Choice::PowerLoss(kept_writes, clock_change)),
+                );
             }
         }
-        if self.passed == 0 {
-            all.push(Choice::Passes);
+        if self.passed_windows == 0 {
+            choices.push(Choice::WindowPasses);
         }
-        all
+        choices
     }
 
     fn step(&mut self, choice: Choice) {
         match choice {
             Choice::Attempt(key, digest) => self.attempt(vec![key], digest),
-            Choice::Synced => self.complete_oldest_write(true, true),
-            Choice::Fails(is_on_disk) => {
-                self.fails += 1;
+            Choice::WriteSynced => self.complete_oldest_write(true, true),
+            Choice::WriteFails(is_on_disk) => {
+                self.failed_writes += 1;
                 self.complete_oldest_write(is_on_disk, false);
             }
-            Choice::Ends(key, end) => self.end_run(key, end),
-            Choice::Cut(kept, clock) => self.cut_power(kept, clock),
-            Choice::Passes => {
-                self.passed += 1;
-                self.now_ms += WINDOW + GRACE;
+            Choice::RunEnds(key, end) => self.end_run(key, end),
+            Choice::PowerLoss(kept_writes, clock_change) => self.lose_power(kept_writes, clock_change),
+            Choice::WindowPasses => {
+                self.passed_windows += 1;
+                self.now_ms += WINDOW_MS + GRACE_MS;
                 self.handle(Event::Tick);
             }
         }
     }
 
-    /// What the clock shows.
+    /// The time that the clock shows, ms.
     fn clock_ms(&self) -> f64 {
         self.now_ms + self.clock_error_ms
     }
@@ -191,7 +199,7 @@
             is_interrupted: false,
         });
         let first_sent_ms = self.clock_ms();
-        let attempt = Attempt { ticket, key, caller: 1, digest, first_sent_ms, window_ms: WINDOW };
+        let attempt = Attempt { ticket, key, caller: 1, digest, first_sent_ms, window_ms: WINDOW_MS };
         self.handle(Event::Attempt(attempt));
     }
 
@@ -232,22 +240,22 @@
         }
     }
 
-    fn cut_power(&mut self, kept: usize, clock: Clock) {
-        self.cuts += 1;
+    fn lose_power(&mut self, kept_writes: usize, clock_change: ClockChange) {
+        self.power_losses += 1;
         let writes = std::mem::take(&mut self.writes);
-        writes[..kept].iter().for_each(|write| self.apply(&write.changes));
+        writes[..kept_writes].iter().for_each(|write| self.apply(&write.changes));
         self.running.clear();
         self.attempts.iter_mut().for_each(|attempt| attempt.is_interrupted |= !attempt.is_answered);
-        let continuity = match clock {
-            Clock::Right if self.has_old_reading => ClockContinuity::Unknown,
-            Clock::Right => ClockContinuity::Continuous { elapsed_ms: 0.0 },
-            Clock::Forward => ClockContinuity::Unknown,
-            Clock::Back => ClockContinuity::SteppedBack,
+        let continuity = match clock_change {
+            ClockChange::Unchanged if self.has_old_reading => ClockContinuity::Unknown,
+            ClockChange::Unchanged => ClockContinuity::Continuous { elapsed_ms: 0.0 },
+            ClockChange::Forward => ClockContinuity::Unknown,
+            ClockChange::Backward => ClockContinuity::SteppedBack,
         };
-        self.clock_error_ms += match clock {
-            Clock::Right => 0.0,
-            Clock::Forward => 3_600_000.0,
-            Clock::Back => -10_000.0,
+        self.clock_error_ms += match clock_change {
+            ClockChange::Unchanged => 0.0,
+            ClockChange::Forward => 3_600_000.0,
+            ClockChange::Backward => -10_000.0,
         };
         let entries = self.disk.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
         let (records, mut report) =
@@ -275,83 +283,83 @@
                     self.writes.push(PendingWrite { id: Some(write), changes });
                 }
                 Action::WriteLazily(changes) => self.writes.push(PendingWrite { id: None, changes }),
-                Action::Run { ticket, key } => self.runs(ticket, key),
-                Action::Respond { ticket, .. } | Action::Fail { ticket, .. } => self.answered(ticket),
+                Action::Run { ticket, key } => self.start_run(ticket, key),
+                Action::Respond { ticket, .. } | Action::Fail { ticket, .. } => self.record_answer(ticket),
                 Action::Reject { ticket, reason } => {
-                    self.answered(ticket);
+                    self.record_answer(ticket);
                     if self.had_effect(&self.attempts[ticket as usize]) {
-                        self.wrong =
-                            Some(format!("try {ticket} is refused ({reason:?}), and its key has run"));
+                        self.violation =
+                            Some(format!("attempt {ticket} is rejected ({reason:?}), but its key has run"));
                     }
                 }
             }
         }
     }
 
-    /// Whether the request of an attempt may have taken effect in the window in which it was sent.
+    /// Whether the request of an attempt may have taken effect in the window in which the attempt was sent.
     fn had_effect(&self, attempt: &SentAttempt) -> bool {
         self.effects.iter().any(|effect| {
             effect.key == attempt.key
                 && effect.digest == attempt.digest
-                && attempt.sent_ms < effect.sent_ms + WINDOW
+                && attempt.sent_ms < effect.sent_ms + WINDOW_MS
         })
     }
 
-    fn runs(&mut self, ticket: u64, key: Key) {
+    fn start_run(&mut self, ticket: u64, key: Key) {
         let attempt = &self.attempts[ticket as usize];
         if self.had_effect(attempt) {
-            self.wrong = Some(format!("key {key:?} runs a second time in its window, for try {ticket}"));
+            self.violation = Some(format!("attempt {ticket} runs key {key:?} a second time in its window"));
         }
         let (digest, sent_ms) = (attempt.digest, attempt.sent_ms);
         self.effects.push(Effect { key: key.clone(), digest, sent_ms });
         self.running.push(key);
     }
 
-    fn answered(&mut self, ticket: u64) {
+    fn record_answer(&mut self, ticket: u64) {
         let attempt = &mut self.attempts[ticket as usize];
         if attempt.is_answered {
-            self.wrong = Some(format!("a second answer to try {ticket}"));
+            self.violation = Some(format!("attempt {ticket} is answered a second time"));
         }
         attempt.is_answered = true;
     }
 
-    /// Once nothing is under way, every attempt is answered, unless the power failed.
-    fn check(&mut self) {
+    /// Checks that every attempt is answered once no run or write is in progress, unless the power failed.
+    fn check_all_answered(&mut self) {
         let is_idle = self.running.is_empty() && self.writes.iter().all(|write| write.id.is_none());
-        let waits = |attempt: &SentAttempt| !attempt.is_answered && !attempt.is_interrupted;
-        if is_idle && let Some(ticket) = self.attempts.iter().position(waits) {
-            self.wrong = Some(format!("try {ticket} waits for nothing"));
+        let is_unanswered = |attempt: &SentAttempt| !attempt.is_answered && !attempt.is_interrupted;
+        if is_idle && let Some(ticket) = self.attempts.iter().position(is_unanswered) {
+            self.violation = Some(format!("attempt {ticket} is unanswered, but no run or write is pending"));
         }
     }
 }
 
 struct Search {
-    seen: HashSet<u64>,
-    wrong: Option<(Vec<Choice>, String)>,
+    visited: HashSet<u64>,
+    violation: Option<(Vec<Choice>, String)>,
     max_attempts: usize,
-    max_cuts: u32,
+    max_power_losses: u32,
 }
 
 impl Search {
-    fn go(&mut self, world: &World, path: &mut Vec<Choice>, left: usize) {
-        if left == 0 || self.wrong.is_some() {
+    fn explore(&mut self, model: &Model, sequence: &mut Vec<Choice>, remaining_depth: usize) {
+        if remaining_depth == 0 || self.violation.is_some() {
             return;
         }
-        for choice in world.choices(self.max_attempts, self.max_cuts) {
-            let mut next = world.clone();
+        for choice in model.choices(self.max_attempts, self.max_power_losses) {
+            let mut next = model.clone();
             next.step(choice);
-            next.check();
-            path.push(choice);
-            if let Some(wrong) = next.wrong.take() {
-                self.wrong = Some((path.clone(), wrong));
+            next.check_all_answered();
+            sequence.push(choice);
+            if let Some(violation) = next.violation.take() {
+                self.violation = Some((sequence.clone(), violation));
                 return;
             }
             let mut hasher = DefaultHasher::new();
-            (format!("{next:?}"), left).hash(&mut hasher);
-            if self.seen.insert(hasher.finish()) {
-                self.go(&next, path, left - 1);
+            (format!("{next:?}"), remaining_depth).hash(&mut hasher);
+            if self.visited.insert(hasher.finish()) {
+                self.explore(&next, sequence, remaining_depth - 1);
             }
-            path.pop();
+            sequence.pop();
         }
     }
 }
@@ -359,37 +367,37 @@
 fn search(
     options: Options,
     max_attempts: usize,
-    max_cuts: u32,
+    max_power_losses: u32,
     depth: usize,
 ) -> (Option<(Vec<Choice>, String)>, usize) {
-    let mut search = Search { seen: HashSet::new(), wrong: None, max_attempts, max_cuts };
-    search.go(&World::new(options), &mut Vec::new(), depth);
-    (search.wrong, search.seen.len())
+    let mut search = Search { visited: HashSet::new(), violation: None, max_attempts, max_power_losses };
+    search.explore(&Model::new(options), &mut Vec::new(), depth);
+    (search.violation, search.visited.len())
 }
 
 fn depth() -> usize {
-    std::env::var("LEDGER_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEPTH)
+    std::env::var("LEDGER_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEPTH)
 }
 
 fn options() -> Options {
-    Options { max_records: 1, grace_ms: GRACE, ..Options::default() }
+    Options { max_records: 1, grace_ms: GRACE_MS, ..Options::default() }
 }
 
 #[test]
-fn no_course_runs_a_key_twice_refuses_what_ran_or_leaves_a_try_without_its_answer() {
-    // One key more than may be kept, and room for both.
+fn all_sequences_keep_invariants() {
+    // Capacity for one of the two keys, and for both.
     for max_records in [1, 2] {
-        let (wrong, states) = search(Options { max_records, ..options() }, 3, 2, depth());
-        println!("{states} states with room for {max_records}");
-        assert!(wrong.is_none(), "with room for {max_records}, after {states} states: {wrong:#?}");
+        let (violation, states) = search(Options { max_records, ..options() }, 3, 2, depth());
+        println!("{states} states with max_records {max_records}");
+        assert!(violation.is_none(), "max_records {max_records}, after {states} states: {violation:#?}");
     }
 }
 
 #[test]
-fn an_intent_after_the_run_and_an_open_window_that_is_given_up_are_found() {
+fn detects_injected_faults() {
     for fault in [Fault::IntentAfterRun, Fault::EvictAtBound] {
-        let (wrong, states) = search(Options { fault: Some(fault), ..options() }, 3, 2, depth());
-        println!("{fault:?} after {states} states: {wrong:?}");
-        assert!(wrong.is_some(), "{fault:?} is not found in {states} states");
+        let (violation, states) = search(Options { fault: Some(fault), ..options() }, 3, 2, depth());
+        println!("{fault:?} after {states} states: {violation:?}");
+        assert!(violation.is_some(), "{fault:?} is not detected in {states} states");
     }
 }
