--- a/crates/pinepoint-idempotency/src/lib.rs
+++ b/crates/pinepoint-idempotency/src/lib.rs
@@ -3,7 +3,7 @@
 //! Guarantees, as long as those of [`pinepoint_store`] hold:
 //! - Within a key's window its request takes effect at most once, whenever and however often the process is
 //!   restarted.
-//! - An attempt whose request may have run is never rejected (which would say that it did not run).
+//! - An attempt whose request may have run is never rejected, because a rejection means that it did not run.
 //! - A run starts only after its intent is durable; its result is written before it is delivered.
 //! - Keys, keys of one caller and retained results are bounded; at a bound new keys are rejected, and no
 //!   record whose window is open is evicted.
--- a/crates/pinepoint-idempotency/src/records/event.rs
+++ b/crates/pinepoint-idempotency/src/records/event.rs
@@ -38,7 +38,7 @@
     NeverRan,
 }
 
-/// An input.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An attempt arrived.
@@ -98,7 +98,7 @@
     }
 }
 
-/// An output.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Write these changes durably, and report the result with [`Event::WriteCompleted`].
--- a/crates/pinepoint-store/benches/measure.rs
+++ b/crates/pinepoint-store/benches/measure.rs
@@ -1,5 +1,5 @@
-//! Benchmark for the measurement page of the store, on a real directory: batches per second with and without a
-//! shared sync, and the time to open and the bytes per entry by number of entries.
+//! Benchmark for the measurement page of the store, on a real directory: batches per second with and without
+//! a shared sync, and the time to open and the bytes per entry by number of entries.
 //!
 //! `cargo bench -p pinepoint-store --bench measure -- commit --dir DIR`
 
--- a/crates/pinepoint-store/src/store.rs
+++ b/crates/pinepoint-store/src/store.rs
@@ -127,7 +127,7 @@
     has_torn_tail: bool,
 }
 
-/// The store.
+/// The state of a store: its tables, the segment that is being written, and the queued batches.
 pub struct Store {
     options: Options,
     expired_before_ms: f64,
--- a/crates/pinepoint-store/tests/directory.rs
+++ b/crates/pinepoint-store/tests/directory.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn reopened_store_has_durable_entries_and_second_open_is_rejected() {
+fn reopens_with_durable_entries_and_rejects_second_open() {
     let directory = TemporaryDirectory::new("again");
     let mut opened = open(&directory.0);
     for n in 0..300 {
@@ -103,5 +103,5 @@
             get(&opened, "n")
         );
     }
-    assert!(last_durable > Some(500), "{last_durable:?}");
+    assert!(last_durable > Some(500), "only {last_durable:?} was reported as durable");
 }
--- a/crates/pinepoint-store/tests/recovery.rs
+++ b/crates/pinepoint-store/tests/recovery.rs
@@ -97,9 +97,7 @@
                 continue;
             }
             let n = matching_batch_count(&simulation.contents(), &batches);
-            let n = n.unwrap_or_else(|| {
-                panic!("byte {offset} of segment {number} flipped: the tables match no batch")
-            });
+            let n = n.unwrap_or_else(|| panic!("segment {number}, byte {offset}: tables match no batch"));
             if n == batches.len() {
                 unchanged += 1;
             } else {
@@ -108,7 +106,7 @@
                 assert_eq!(
                     (*number, n),
                     (last, batches.len() - 1),
-                    "byte {offset} of segment {number} flipped: wrong batches lost"
+                    "segment {number}, byte {offset}: other batches than the last are lost"
                 );
                 lost += 1;
             }
@@ -340,9 +338,9 @@
         simulation.run_until_idle();
         assert_eq!(simulation.results[&ticket], Ok(()), "batch {n}");
         let used: usize = simulation.disk.files.values().map(|file| file.bytes.len()).sum();
-        assert!(used as u64 <= options.disk_bytes, "{used} bytes");
+        assert!(used as u64 <= options.disk_bytes, "the segments take {used} bytes after batch {n}");
     }
-    assert!(simulation.disk.files.len() < 8, "{} segments", simulation.disk.files.len());
+    assert!(simulation.disk.files.len() < 8, "{} segments are left", simulation.disk.files.len());
     let simulation = simulation.crash(options, 3);
     assert_eq!(simulation.contents().len(), 6);
 }
