--- a/crates/pinepoint-membership/benches/measure/convergence.rs
+++ b/crates/pinepoint-membership/benches/measure/convergence.rs
@@ -32,7 +32,7 @@
     end_faults(&mut simulation, size);
     let periods = simulation.run_until_converged(MAX_PERIODS);
     if periods.is_none() {
-        println!("seed {seed}: not in {MAX_PERIODS} periods: {}", simulation.wrong_beliefs());
+        println!("seed {seed}: not in {MAX_PERIODS} periods: {}", simulation.view_errors());
     }
     periods
 }
--- a/crates/pinepoint-membership/src/config.rs
+++ b/crates/pinepoint-membership/src/config.rs
@@ -11,9 +11,9 @@
 use crate::membership::MembershipSettings;
 
 /// Bounds of the protocol period, ms. Below, a busy machine looks dead; above, nobody hears of a change in time.
-const PERIOD_MS: RangeInclusive<f64> = 50.0..=60_000.0;
+const PERIOD_MS_BOUNDS: RangeInclusive<f64> = 50.0..=60_000.0;
 /// Bounds of the number of members.
-const MEMBERS: RangeInclusive<usize> = 2..=8192;
+const MEMBER_BOUNDS: RangeInclusive<usize> = 2..=8192;
 const MAX_SEEDS: usize = 16;
 
 /// The validated section.
@@ -48,10 +48,10 @@
     #[error("zone has to have at most {MAX_NAME_BYTES} bytes")]
     ZoneLength,
     /// The period is out of its bounds, ms.
-    #[error("period_ms is {0} and has to be {min} to {max}", min = PERIOD_MS.start(), max = PERIOD_MS.end())]
+    #[error("period_ms is {0} and has to be {min} to {max}", min = PERIOD_MS_BOUNDS.start(), max = PERIOD_MS_BOUNDS.end())]
     PeriodOutOfRange(f64),
     /// The most members is out of its bounds.
-    #[error("members is {0} and has to be {min} to {max}", min = MEMBERS.start(), max = MEMBERS.end())]
+    #[error("members is {0} and has to be {min} to {max}", min = MEMBER_BOUNDS.start(), max = MEMBER_BOUNDS.end())]
     MembersOutOfRange(usize),
     /// There are more seeds than allowed.
     #[error("seeds are {0} and may be {MAX_SEEDS} at most")]
@@ -103,10 +103,10 @@
         if raw.zone.len() > MAX_NAME_BYTES {
             return Err(ConfigError::ZoneLength);
         }
-        if !PERIOD_MS.contains(&raw.period_ms) {
+        if !PERIOD_MS_BOUNDS.contains(&raw.period_ms) {
             return Err(ConfigError::PeriodOutOfRange(raw.period_ms));
         }
-        if !MEMBERS.contains(&raw.members) {
+        if !MEMBER_BOUNDS.contains(&raw.members) {
             return Err(ConfigError::MembersOutOfRange(raw.members));
         }
         if raw.seeds.len() > MAX_SEEDS {
--- a/crates/pinepoint-membership/src/diagnosis.rs
+++ b/crates/pinepoint-membership/src/diagnosis.rs
@@ -13,7 +13,7 @@
 pub use verdict::{Verdict, VerdictChange, VerdictKind};
 
 /// A verdict about a link needs a message of the member within so many periods.
-const LINK_HEARD_WITHIN: f64 = 4.0;
+const LINK_RECEIVED_WITHIN: f64 = 4.0;
 /// Consecutive missed probes that count as a sign of trouble on the way.
 const MIN_MISSED_PROBES: u32 = 2;
 
@@ -109,8 +109,8 @@
     }
 
     /// Whether a verdict of this kind holds, whatever its subject.
-    pub fn holds(&self, kind: VerdictKind) -> bool {
-        self.verdicts.holds(kind)
+    pub fn has_active(&self, kind: VerdictKind) -> bool {
+        self.verdicts.has_active(kind)
     }
 
     /// Notes that a message came from another process of this member's name, at this address.
@@ -161,11 +161,11 @@
         table: &MemberTable,
         changes: &mut Vec<VerdictChange>,
     ) {
-        let heard_within_ms = LINK_HEARD_WITHIN * self.period_ms;
+        let received_within_ms = LINK_RECEIVED_WITHIN * self.period_ms;
         for member in local.unreachable_directly.iter().filter_map(|key| table.get(*key)) {
-            let silence_ms = now - member.last_heard_ms;
+            let silence_ms = now - member.last_received_ms;
             let missed = member.missed_probes;
-            if missed < MIN_MISSED_PROBES || silence_ms >= heard_within_ms || !member.record.is_up() {
+            if missed < MIN_MISSED_PROBES || silence_ms >= received_within_ms || !member.record.is_up() {
                 continue;
             }
             let finding = Finding {
@@ -189,10 +189,10 @@
         if self.fleet_is_older || local.uptime_ms > 2.0 * window_ms {
             return;
         }
-        let heard = table.heard();
+        let senders = table.senders();
         let started_ms = now - local.uptime_ms;
-        self.fleet_is_older = table.has_seen_leave() || started_ms - heard.earliest_start_ms > window_ms;
-        let members = heard.members;
+        self.fleet_is_older = table.has_seen_leave() || started_ms - senders.earliest_start_ms > window_ms;
+        let members = senders.members;
         if self.fleet_is_older || members < self.settings.min_members || local.uptime_ms >= window_ms {
             return;
         }
--- a/crates/pinepoint-membership/src/diagnosis/hold_down.rs
+++ b/crates/pinepoint-membership/src/diagnosis/hold_down.rs
@@ -30,7 +30,7 @@
         hold_down_ms * f64::from((1_u32 << self.flaps.min(MAX_FLAPS)) - 1)
     }
 
-    fn is_over(&self, now: f64, hold_down_ms: f64, period_ms: f64) -> bool {
+    fn has_expired(&self, now: f64, hold_down_ms: f64, period_ms: f64) -> bool {
         let unconfirmed_ms = self.extension_ms(hold_down_ms).max(UNCONFIRMED_PERIODS * period_ms);
         now - self.confirmed_ms >= unconfirmed_ms && now - self.verdict.since_ms >= hold_down_ms
     }
@@ -72,12 +72,12 @@
     }
 
     /// Whether a verdict of this kind holds, whatever its subject.
-    pub(super) fn holds(&self, kind: VerdictKind) -> bool {
+    pub(super) fn has_active(&self, kind: VerdictKind) -> bool {
         self.active.keys().any(|(active, _)| *active == kind)
     }
 
     /// Whether this verdict holds.
-    pub(super) fn holds_of(&self, kind: VerdictKind, subject: &str) -> bool {
+    pub(super) fn is_active(&self, kind: VerdictKind, subject: &str) -> bool {
         self.active.contains_key(&(kind, subject.to_owned()))
     }
 
@@ -150,10 +150,10 @@
     /// Ends the verdicts whose evidence is over and that were held long enough.
     pub(super) fn expire(&mut self, now: f64, changes: &mut Vec<VerdictChange>) {
         let (hold_down_ms, period_ms) = (self.hold_down_ms, self.period_ms);
-        let is_over = |active: &ActiveVerdict| active.is_over(now, hold_down_ms, period_ms);
-        let over = self.active.iter().filter(|(_, active)| is_over(active));
-        let over: Vec<VerdictKey> = over.map(|(key, _)| key.clone()).collect();
-        for (kind, subject) in over {
+        let has_expired = |active: &ActiveVerdict| active.has_expired(now, hold_down_ms, period_ms);
+        let expired = self.active.iter().filter(|(_, active)| has_expired(active));
+        let expired: Vec<VerdictKey> = expired.map(|(key, _)| key.clone()).collect();
+        for (kind, subject) in expired {
             self.withdraw(now, kind, &subject, changes);
         }
     }
--- a/crates/pinepoint-membership/src/diagnosis/zones.rs
+++ b/crates/pinepoint-membership/src/diagnosis/zones.rs
@@ -16,26 +16,33 @@
     /// Members that answer, or did until the outage.
     total: usize,
     /// Of these, not answering since the outage began.
-    out: usize,
+    unresponsive: usize,
     /// Of those that are out, with nobody listening at their address.
     refused: usize,
     /// Of those that are out, heard since they stopped answering.
-    heard_since: usize,
-    first_out_ms: f64,
+    received_since: usize,
+    first_unresponsive_ms: f64,
 }
 
 impl<'a> ZoneTally<'a> {
     fn new(members: &'a BTreeSet<u64>) -> Self {
         let total = members.len();
-        ZoneTally { members, total, out: 0, refused: 0, heard_since: 0, first_out_ms: f64::INFINITY }
+        ZoneTally {
+            members,
+            total,
+            unresponsive: 0,
+            refused: 0,
+            received_since: 0,
+            first_unresponsive_ms: f64::INFINITY,
+        }
     }
 
-    fn count_out(&mut self, member: &MemberState, out_since_ms: f64) {
-        self.out += 1;
-        self.first_out_ms = self.first_out_ms.min(out_since_ms);
+    fn count_unresponsive(&mut self, member: &MemberState, unresponsive_since_ms: f64) {
+        self.unresponsive += 1;
+        self.first_unresponsive_ms = self.first_unresponsive_ms.min(unresponsive_since_ms);
         self.refused += usize::from(member.connection_refused);
         // It was heard after it was held lost: it runs, and hears nothing from here.
-        self.heard_since += usize::from(member.last_heard_ms > member.state_since_ms);
+        self.received_since += usize::from(member.last_received_ms > member.state_since_ms);
     }
 
     /// Members that came back restarted since the outage began.
@@ -50,19 +57,20 @@
 /// All zones together.
 struct FleetTally {
     total: usize,
-    out: usize,
+    unresponsive: usize,
     refused: usize,
-    first_out_ms: f64,
+    first_unresponsive_ms: f64,
 }
 
 impl FleetTally {
     fn of(zones: &BTreeMap<&str, ZoneTally<'_>>) -> Self {
-        let mut fleet = FleetTally { total: 0, out: 0, refused: 0, first_out_ms: f64::INFINITY };
+        let mut fleet =
+            FleetTally { total: 0, unresponsive: 0, refused: 0, first_unresponsive_ms: f64::INFINITY };
         for zone in zones.values() {
             fleet.total += zone.total;
-            fleet.out += zone.out;
+            fleet.unresponsive += zone.unresponsive;
             fleet.refused += zone.refused;
-            fleet.first_out_ms = fleet.first_out_ms.min(zone.first_out_ms);
+            fleet.first_unresponsive_ms = fleet.first_unresponsive_ms.min(zone.first_unresponsive_ms);
         }
         fleet
     }
@@ -87,16 +95,16 @@
         let isolation = self.find_isolation(now, window_ms, &fleet, local, table);
         self.zone_outages.retain(|name, _| zones.contains_key(name.as_str()));
         if let Some(finding) = isolation {
-            self.isolated_since_ms.get_or_insert(fleet.first_out_ms.min(now));
+            self.isolated_since_ms.get_or_insert(fleet.first_unresponsive_ms.min(now));
             self.verdicts.confirm(now, finding, changes);
             self.withdraw_zone_verdicts(now, &zones, changes);
             return;
         }
         self.isolated_since_ms = None;
-        let some_answer = fleet.total > fleet.out;
+        let any_member_answers = fleet.total > fleet.unresponsive;
         for (name, zone) in &zones {
-            let may_be_out = some_answer && *name != local.zone && !name.is_empty();
-            if may_be_out && self.is_zone_out(name, zone) {
+            let may_be_down = any_member_answers && *name != local.zone && !name.is_empty();
+            if may_be_down && self.is_zone_down(name, zone) {
                 self.diagnose_zone(now, name, zone, table, changes);
             } else {
                 self.zone_outages.remove(*name);
@@ -116,15 +124,15 @@
         for member in table.unresponsive().iter().filter_map(|key| table.get(*key)) {
             let name = member.record.identity.zone.as_str();
             let Some(zone) = zones.get_mut(name) else { continue };
-            let out_since_ms = self.out_since_ms(member);
-            if out_since_ms > now {
+            let unresponsive_since_ms = self.unresponsive_since_ms(member);
+            if unresponsive_since_ms > now {
                 continue;
             }
             let outage_ms = self.isolated_since_ms.or_else(|| self.zone_outages.get(name).copied());
-            if out_since_ms < outage_ms.unwrap_or(now) - window_ms {
+            if unresponsive_since_ms < outage_ms.unwrap_or(now) - window_ms {
                 zone.total -= 1;
             } else {
-                zone.count_out(member, out_since_ms);
+                zone.count_unresponsive(member, unresponsive_since_ms);
             }
         }
         zones
@@ -132,7 +140,7 @@
 
     /// Since when a member that does not answer counts as out, ms. A loss that came by gossip alone may be the belief of a
     /// member that was isolated itself, until those concerned refute it: it counts only after it has stood for a while.
-    fn out_since_ms(&self, member: &MemberState) -> f64 {
+    fn unresponsive_since_ms(&self, member: &MemberState) -> f64 {
         let delay = if member.lost_by_gossip { self.settings.outage_window * self.period_ms } else { 0.0 };
         member.state_since_ms + delay
     }
@@ -147,24 +155,25 @@
         local: LocalObservation<'_>,
         table: &MemberTable,
     ) -> Option<Finding> {
-        let FleetTally { total, out, refused, .. } = *fleet;
+        let FleetTally { total, unresponsive, refused, .. } = *fleet;
         if total <= self.settings.min_members {
             return None;
         }
-        let silence_ms = now - table.last_heard_ms();
+        let silence_ms = now - table.last_received_ms();
         let unanswered = local.unanswered_probes;
-        let hears_nobody = silence_ms.is_finite()
+        let receives_nothing = silence_ms.is_finite()
             && silence_ms >= self.settings.isolation_silence * self.period_ms
             && unanswered >= MIN_MISSED_PROBES;
-        let lost_most = 2 * out > total + 1 && 2 * refused < out;
-        let (confidence, evidence) = if hears_nobody {
+        let most_are_unresponsive = 2 * unresponsive > total + 1 && 2 * refused < unresponsive;
+        let (confidence, evidence) = if receives_nothing {
             let evidence = format!(
                 "nobody of {total} members heard for {silence_ms:.0} ms, {unanswered} questions unanswered"
             );
             (1.0, evidence)
-        } else if lost_most {
-            let evidence = format!("{out} of {total} members stopped answering within {window_ms:.0} ms");
-            (fraction(out, total), evidence)
+        } else if most_are_unresponsive {
+            let evidence =
+                format!("{unresponsive} of {total} members stopped answering within {window_ms:.0} ms");
+            (fraction(unresponsive, total), evidence)
         } else {
             return None;
         };
@@ -186,11 +195,11 @@
         }
     }
 
-    fn is_zone_out(&self, name: &str, zone: &ZoneTally<'_>) -> bool {
+    fn is_zone_down(&self, name: &str, zone: &ZoneTally<'_>) -> bool {
         let is_ongoing = self.zone_outages.contains_key(name);
         let threshold =
             if is_ongoing { self.settings.ongoing_outage_fraction } else { self.settings.outage_fraction };
-        zone.total >= self.settings.min_members && fraction(zone.out, zone.total) >= threshold
+        zone.total >= self.settings.min_members && fraction(zone.unresponsive, zone.total) >= threshold
     }
 
     fn diagnose_zone(
@@ -201,36 +210,36 @@
         table: &MemberTable,
         changes: &mut Vec<VerdictChange>,
     ) {
-        let outage_ms = *self.zone_outages.entry(name.to_owned()).or_insert(zone.first_out_ms);
+        let outage_ms = *self.zone_outages.entry(name.to_owned()).or_insert(zone.first_unresponsive_ms);
         let restarted = zone.restarted_since(outage_ms, table);
-        let ZoneTally { total, out, refused, heard_since, .. } = *zone;
-        let found = if heard_since > 0 {
+        let ZoneTally { total, unresponsive, refused, received_since, .. } = *zone;
+        let found = if received_since > 0 {
             VerdictKind::ZoneCutOff
-        } else if 2 * refused >= out || restarted > 0 {
+        } else if 2 * refused >= unresponsive || restarted > 0 {
             VerdictKind::ZoneLost
         } else {
             VerdictKind::ZoneUnreachable
         };
         let evidence = format!(
-            "{out} of {total} stopped answering; of these {refused} have nobody listening, {heard_since} were heard \
-             since, {restarted} came back with a new start"
+            "{unresponsive} of {total} stopped answering; of these {refused} have nobody listening, {received_since} \
+             were heard since, {restarted} came back with a new start"
         );
         let finding = Finding {
-            kind: self.best_founded(found, name),
+            kind: self.most_specific_kind(found, name),
             subject: name.to_owned(),
-            confidence: fraction(out, total),
+            confidence: fraction(unresponsive, total),
             evidence,
         };
         self.verdicts.confirm(now, finding, changes);
     }
 
     /// A better founded verdict about a zone replaces a poorer one, and not the other way round.
-    fn best_founded(&self, found: VerdictKind, zone: &str) -> VerdictKind {
+    fn most_specific_kind(&self, found: VerdictKind, zone: &str) -> VerdictKind {
         if found != VerdictKind::ZoneUnreachable {
             return found;
         }
-        let better = [VerdictKind::ZoneLost, VerdictKind::ZoneCutOff];
-        let held = better.into_iter().find(|kind| self.verdicts.holds_of(*kind, zone));
-        held.unwrap_or(found)
+        let specific = [VerdictKind::ZoneLost, VerdictKind::ZoneCutOff];
+        let active = specific.into_iter().find(|kind| self.verdicts.is_active(*kind, zone));
+        active.unwrap_or(found)
     }
 }
--- a/crates/pinepoint-membership/src/io/view_client.rs
+++ b/crates/pinepoint-membership/src/io/view_client.rs
@@ -25,7 +25,7 @@
     NoAnswer,
     /// The answer is not JSON.
     #[error("what came is no view: {0}")]
-    NotAView(#[source] serde_json::Error),
+    InvalidView(#[source] serde_json::Error),
 }
 
 /// One page of a snapshot.
@@ -53,7 +53,7 @@
         json.extend(part);
         page += 1;
         if page >= page_count {
-            return serde_json::from_slice(&json).map_err(QueryError::NotAView);
+            return serde_json::from_slice(&json).map_err(QueryError::InvalidView);
         }
     }
 }
--- a/crates/pinepoint-membership/src/membership/anti_entropy.rs
+++ b/crates/pinepoint-membership/src/membership/anti_entropy.rs
@@ -16,7 +16,7 @@
 /// A difference that was seen longer ago is not acted on, periods.
 const DIVERGENCE_LIFETIME: f64 = 2.0;
 /// A peer that knows more members than this by the local number knows many more.
-const MANY_MORE: f64 = 1.1;
+const MANY_MORE_FACTOR: f64 = 1.1;
 
 /// A peer whose table was last seen to differ.
 #[derive(Clone, Copy)]
@@ -112,18 +112,18 @@
     pub(super) fn sync_with_divergent_peer(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(divergence) = self.anti_entropy.divergence else { return };
         let period_ms = self.settings.period_ms;
-        let many_members = MANY_MORE * self.table.len() as f64 + 1.0;
-        let peer_knows_many_more = f64::from(divergence.known_members) > many_members;
+        let many_more_threshold = MANY_MORE_FACTOR * self.table.len() as f64 + 1.0;
+        let peer_knows_many_more = f64::from(divergence.known_members) > many_more_threshold;
         let since_sync_ms = now - self.anti_entropy.last_sync_ms;
-        let is_calm = now - self.last_change_ms >= period_ms;
+        let is_stable = now - self.last_change_ms >= period_ms;
         let is_overdue = since_sync_ms >= MAX_SYNC_INTERVAL * period_ms;
-        let is_old = now - divergence.seen_ms > DIVERGENCE_LIFETIME * period_ms;
+        let is_expired = now - divergence.seen_ms > DIVERGENCE_LIFETIME * period_ms;
         let is_due = if peer_knows_many_more {
             since_sync_ms >= 0.0
         } else {
-            since_sync_ms >= period_ms && (is_calm || is_overdue)
+            since_sync_ms >= period_ms && (is_stable || is_overdue)
         };
-        if is_old || !is_due {
+        if is_expired || !is_due {
             return;
         }
         self.anti_entropy.last_sync_ms = now;
@@ -181,16 +181,16 @@
         actions: &mut Vec<Action>,
     ) {
         let mut batches = RecordBatches::new();
-        let mut sent_whole = 0_u128;
+        let mut complete_buckets = 0_u128;
         for bucket in buckets {
             if !self.records_in(*bucket).into_iter().all(|record| batches.push(record)) {
                 break;
             }
-            sent_whole |= 1 << bucket;
+            complete_buckets |= 1 << bucket;
         }
         for (index, updates) in batches.batches.into_iter().enumerate() {
             let body = if pull == Pull::Requested && index == 0 {
-                PacketBody::SyncPull { buckets: sent_whole }
+                PacketBody::SyncPull { buckets: complete_buckets }
             } else {
                 PacketBody::Gossip
             };
--- a/crates/pinepoint-membership/src/membership/heartbeat.rs
+++ b/crates/pinepoint-membership/src/membership/heartbeat.rs
@@ -14,8 +14,8 @@
         let up = self.table.iter().filter(|(_, member)| member.record.is_up());
         let members: Vec<_> = up
             .map(|(key, member)| {
-                let last_sign_ms = member.last_heard_ms.max(member.state_since_ms);
-                (key, member.record.identity.clone(), last_sign_ms < silent_since_ms)
+                let last_activity_ms = member.last_received_ms.max(member.state_since_ms);
+                (key, member.record.identity.clone(), last_activity_ms < silent_since_ms)
             })
             .collect();
         for (key, identity, is_silent) in members {
--- a/crates/pinepoint-membership/src/membership/name_conflict.rs
+++ b/crates/pinepoint-membership/src/membership/name_conflict.rs
@@ -40,12 +40,17 @@
 
     /// Handles a message from another process of this name: it runs. The name belongs to the later generation, and both
     /// processes report the conflict.
-    pub(super) fn handle_namesake(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
+    pub(super) fn confirm_name_conflict(
+        &mut self,
+        now: f64,
+        record: &MemberRecord,
+        actions: &mut Vec<Action>,
+    ) {
         if record.identity.instance == self.local.record.identity.instance {
             return;
         }
         let address = record.identity.address;
-        let is_known = self.diagnosis.holds(VerdictKind::NameClash);
+        let is_known = self.diagnosis.has_active(VerdictKind::NameClash);
         let mut changes = Vec::new();
         self.diagnosis.report_name_conflict(now, &address.to_string(), &mut changes);
         let notifications = changes.into_iter().map(Notification::VerdictChanged);
--- a/crates/pinepoint-membership/src/membership/reception.rs
+++ b/crates/pinepoint-membership/src/membership/reception.rs
@@ -30,7 +30,7 @@
         let Packet { sender, body, updates } = packet;
         let key = sender.record.identity.key();
         if key == self.local.key() {
-            self.handle_namesake(now, &sender.record, actions);
+            self.confirm_name_conflict(now, &sender.record, actions);
             return;
         }
         if self.local.record.phase == Phase::Left {
@@ -42,7 +42,7 @@
         let is_current = member.record.process_id() == sender.record.process_id();
         let has_to_refute = !is_current || member.record.liveness != Liveness::Alive;
         if is_current {
-            self.table.record_heard(now, key, sender.load);
+            self.table.record_received(now, key, sender.load);
         }
         let peer = Peer { key, address: sender.record.identity.address, has_to_refute };
         let refutations = self.merge_updates(now, &updates, actions);
--- a/crates/pinepoint-membership/src/membership/view.rs
+++ b/crates/pinepoint-membership/src/membership/view.rs
@@ -90,8 +90,8 @@
     /// The view.
     pub fn view(&self, now: f64) -> MembershipView {
         let others = self.table.iter().map(|(_, member)| {
-            let heard_ms = member.last_heard_ms;
-            let load = heard_ms.is_finite().then_some((member.load, now - heard_ms));
+            let last_received_ms = member.last_received_ms;
+            let load = last_received_ms.is_finite().then_some((member.load, now - last_received_ms));
             MemberView::new(&member.record, now - member.state_since_ms, load)
         });
         let mut members: Vec<MemberView> = others.collect();
--- a/crates/pinepoint-membership/src/table.rs
+++ b/crates/pinepoint-membership/src/table.rs
@@ -26,7 +26,7 @@
     /// When its liveness, phase or process changed here, ms.
     pub state_since_ms: f64,
     /// When a message of this process last came, ms; minus infinity if none did.
-    pub last_heard_ms: f64,
+    pub last_received_ms: f64,
     /// Its load, as reported then.
     pub load: Load,
     /// Consecutive direct probes of ours that it did not answer.
@@ -47,7 +47,7 @@
         MemberState {
             record,
             state_since_ms: now,
-            last_heard_ms: f64::NEG_INFINITY,
+            last_received_ms: f64::NEG_INFINITY,
             load: Load::default(),
             missed_probes: 0,
             connection_refused: false,
@@ -58,8 +58,8 @@
     }
 
     /// Whether a message of this process has come.
-    fn is_heard(&self) -> bool {
-        self.last_heard_ms.is_finite()
+    fn has_sent_message(&self) -> bool {
+        self.last_received_ms.is_finite()
     }
 
     /// Takes over a record of higher precedence and returns the previous one.
@@ -71,7 +71,7 @@
             self.recovered_ms = now;
         }
         if is_new_process {
-            self.last_heard_ms = f64::NEG_INFINITY;
+            self.last_received_ms = f64::NEG_INFINITY;
             self.load = Load::default();
             self.connection_refused = false;
         }
@@ -120,7 +120,7 @@
 
 /// The processes that were heard since the table is kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardSummary {
+pub struct SenderSummary {
     /// Members of whose current process a message came.
     pub members: usize,
     /// Earliest start of a process that was ever heard, by its own uptime, Unix ms; infinity if none was.
@@ -141,8 +141,8 @@
     digest: u64,
     indexes: Indexes,
     /// When a message of any member last came, ms.
-    last_heard_ms: f64,
-    heard: HeardSummary,
+    last_received_ms: f64,
+    senders: SenderSummary,
     has_seen_leave: bool,
 }
 
@@ -164,8 +164,8 @@
             bucket_digests: [0; BUCKET_COUNT],
             digest: 0,
             indexes: Indexes::default(),
-            last_heard_ms: f64::NEG_INFINITY,
-            heard: HeardSummary { members: 0, earliest_start_ms: f64::INFINITY },
+            last_received_ms: f64::NEG_INFINITY,
+            senders: SenderSummary { members: 0, earliest_start_ms: f64::INFINITY },
             has_seen_leave: false,
         }
     }
@@ -238,13 +238,13 @@
     }
 
     /// When a message of any member last came, ms; minus infinity if none did.
-    pub fn last_heard_ms(&self) -> f64 {
-        self.last_heard_ms
+    pub fn last_received_ms(&self) -> f64 {
+        self.last_received_ms
     }
 
     /// The processes that were heard.
-    pub fn heard(&self) -> HeardSummary {
-        self.heard
+    pub fn senders(&self) -> SenderSummary {
+        self.senders
     }
 
     /// Whether a member has left in order since this table is kept.
@@ -265,15 +265,15 @@
     }
 
     /// Notes that a message came from a member itself, of the process that is known of it.
-    pub fn record_heard(&mut self, now: f64, key: u64, load: Load) {
+    pub fn record_received(&mut self, now: f64, key: u64, load: Load) {
         let Some(member) = self.members.get_mut(&key) else { return };
-        self.heard.members += usize::from(!member.is_heard());
-        member.last_heard_ms = now;
+        self.senders.members += usize::from(!member.has_sent_message());
+        member.last_received_ms = now;
         member.load = load;
         member.connection_refused = false;
-        self.last_heard_ms = self.last_heard_ms.max(now);
+        self.last_received_ms = self.last_received_ms.max(now);
         let start_ms = now - f64::from(load.up_s) * 1000.0;
-        self.heard.earliest_start_ms = self.heard.earliest_start_ms.min(start_ms);
+        self.senders.earliest_start_ms = self.senders.earliest_start_ms.min(start_ms);
     }
 
     /// Notes that the system reported that nobody listens at this address.
@@ -298,7 +298,7 @@
     }
 
     fn insert(&mut self, now: f64, key: u64, record: &MemberRecord) -> MergeOutcome {
-        if self.members.len() >= self.capacity && !self.evict_longest_gone() {
+        if self.members.len() >= self.capacity && !self.evict_longest_down() {
             return MergeOutcome::TableFull;
         }
         self.update_digests(key, record.digest());
@@ -315,9 +315,9 @@
             std::cmp::Ordering::Equal => return MergeOutcome::Duplicate,
             std::cmp::Ordering::Greater => {}
         }
-        let was_heard = member.is_heard();
+        let had_sent_message = member.has_sent_message();
         let previous = member.replace_record(now, record);
-        self.heard.members -= usize::from(was_heard && !member.is_heard());
+        self.senders.members -= usize::from(had_sent_message && !member.has_sent_message());
         self.update_digests(key, previous.digest() ^ record.digest());
         self.reindex(key, Some(&previous), Some(record));
         MergeOutcome::Applied
@@ -335,9 +335,9 @@
     }
 
     /// Removes the member that is left or lost for longest; returns whether there was one.
-    fn evict_longest_gone(&mut self) -> bool {
-        let gone = self.indexes.gone.iter();
-        let since = gone.filter_map(|key| Some((*key, self.members.get(key)?.state_since_ms)));
+    fn evict_longest_down(&mut self) -> bool {
+        let down = self.indexes.down.iter();
+        let since = down.filter_map(|key| Some((*key, self.members.get(key)?.state_since_ms)));
         let oldest = since.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(key, _)| key);
         oldest.is_some_and(|key| self.remove(key))
     }
@@ -345,7 +345,7 @@
     fn remove(&mut self, key: u64) -> bool {
         let Some(member) = self.members.remove(&key) else { return false };
         self.keys.remove(&key);
-        self.heard.members -= usize::from(member.is_heard());
+        self.senders.members -= usize::from(member.has_sent_message());
         self.update_digests(key, member.record.digest());
         self.reindex(key, Some(&member.record), None);
         true
@@ -357,8 +357,8 @@
             Phase::Left => member.state_since_ms < left_before_ms,
             _ => member.state_since_ms < lost_before_ms,
         };
-        let gone = self.indexes.gone.iter();
-        let expired = gone.filter(|key| self.members.get(key).is_some_and(is_expired));
+        let down = self.indexes.down.iter();
+        let expired = down.filter(|key| self.members.get(key).is_some_and(is_expired));
         let keys: Vec<u64> = expired.copied().collect();
         keys.iter().filter(|key| self.remove(**key)).count()
     }
--- a/crates/pinepoint-membership/src/table/indexes.rs
+++ b/crates/pinepoint-membership/src/table/indexes.rs
@@ -16,7 +16,7 @@
     /// Neither left nor lost, in an order from which one can be drawn at random.
     pub(super) up: IndexSet<u64, FxBuildHasher>,
     /// Left or lost.
-    pub(super) gone: BTreeSet<u64>,
+    pub(super) down: BTreeSet<u64>,
     /// Suspected or lost, and not left.
     pub(super) unresponsive: BTreeSet<u64>,
     /// Lost, and not left.
@@ -51,8 +51,8 @@
         } else {
             self.up.swap_remove(&key);
         }
-        let is_gone = current.is_some_and(|record| !record.is_up());
-        set_membership(&mut self.gone, key, is_gone);
+        let is_down = current.is_some_and(|record| !record.is_up());
+        set_membership(&mut self.down, key, is_down);
         let present = current.filter(|record| record.phase != Phase::Left);
         let is_unresponsive = present.is_some_and(|record| record.liveness != Liveness::Alive);
         set_membership(&mut self.unresponsive, key, is_unresponsive);
--- a/crates/pinepoint-membership/src/table/tests.rs
+++ b/crates/pinepoint-membership/src/table/tests.rs
@@ -5,13 +5,13 @@
 use super::*;
 
 /// What the indexes have to be, computed from the members alone.
-fn check(table: &MemberTable) {
+fn check_indexes(table: &MemberTable) {
     let keys = |is: fn(&MemberState) -> bool| -> BTreeSet<u64> {
         table.iter().filter(|(_, member)| is(member)).map(|(key, _)| key).collect()
     };
     let has_not_left = |m: &MemberState| m.record.phase != Phase::Left;
     assert_eq!(table.indexes.up.iter().copied().collect::<BTreeSet<_>>(), keys(|m| m.record.is_up()));
-    assert_eq!(table.indexes.gone, keys(|m| !m.record.is_up()));
+    assert_eq!(table.indexes.down, keys(|m| !m.record.is_up()));
     let unresponsive =
         |m: &MemberState| m.record.phase != Phase::Left && m.record.liveness != Liveness::Alive;
     assert_eq!(table.indexes.unresponsive, keys(unresponsive));
@@ -19,7 +19,7 @@
         table.indexes.lost,
         keys(|m| m.record.phase != Phase::Left && m.record.liveness == Liveness::Lost)
     );
-    assert_eq!(table.heard.members, keys(|m| m.last_heard_ms.is_finite()).len());
+    assert_eq!(table.senders.members, keys(|m| m.last_received_ms.is_finite()).len());
     let mut zones: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
     for (key, member) in table.iter().filter(|(_, m)| has_not_left(m)) {
         zones.entry(member.record.identity.zone.clone()).or_default().insert(key);
@@ -55,16 +55,16 @@
     #[test]
     fn its_indexes_are_what_its_members_say(records in proptest::collection::vec((record(), any::<bool>()), 1..120)) {
         let mut table = MemberTable::new(6);
-        for (at, (record, heard)) in records.into_iter().enumerate() {
-            let now = at as f64;
+        for (step, (record, is_received)) in records.into_iter().enumerate() {
+            let now = step as f64;
             table.merge(now, 1e6, &record);
-            if heard {
-                table.record_heard(now, record.identity.key(), Load::default());
+            if is_received {
+                table.record_received(now, record.identity.key(), Load::default());
             }
-            if at % 7 == 6 {
+            if step % 7 == 6 {
                 table.expire(now - 5.0, now - 20.0);
             }
-            check(&table);
+            check_indexes(&table);
         }
     }
 }
--- a/crates/pinepoint-membership/tests/courses.rs
+++ b/crates/pinepoint-membership/tests/courses.rs
@@ -23,7 +23,7 @@
         assert!(
             took.is_some(),
             "FLEET_SEED={seed}: not true after {within} periods: {}",
-            simulation.wrong_beliefs()
+            simulation.view_errors()
         );
         worst = worst.max(took.unwrap_or_default());
     }
@@ -53,7 +53,7 @@
         simulation.clear_records();
         simulation.resume(7);
         let took = simulation.run_until_converged(15.0);
-        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.wrong_beliefs());
+        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.view_errors());
         // It distrusts itself before it accuses others.
         let accused = simulation.notifications_of(7).filter(|notification| {
             matches!(notification, Notification::MemberChanged { record, .. } if record.liveness != Liveness::Alive)
@@ -151,7 +151,7 @@
         );
         simulation.start(1);
         let took = simulation.run_until_converged(20.0);
-        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.wrong_beliefs());
+        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.view_errors());
     }
 }
 
@@ -201,6 +201,6 @@
             .into_iter()
             .for_each(|at| simulation.resume(at));
         let took = simulation.run_until_converged(20.0);
-        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.wrong_beliefs());
+        assert!(took.is_some(), "FLEET_SEED={seed}: {}", simulation.view_errors());
     }
 }
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -83,7 +83,7 @@
         simulation.kill(1);
         simulation.start(1);
     }
-    simulation.run_until_converged(25.0).is_none().then(|| simulation.wrong_beliefs())
+    simulation.run_until_converged(25.0).is_none().then(|| simulation.view_errors())
 }
 
 /// The first course that ends wrongly, and how many were run.
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -55,7 +55,7 @@
         let mut simulation = Simulation::settled(60, 3, settings(FailureDetector::Lifeguard), seed);
         simulation.net.loss = 0.05;
         simulation.run(200.0);
-        assert_eq!(simulation.false_beliefs(Liveness::Lost), 0, "seed {seed}");
+        assert_eq!(simulation.false_positives(Liveness::Lost), 0, "seed {seed}");
     }
 }
 
@@ -175,7 +175,7 @@
     let mut simulation = Simulation::settled(8, 2, settings(FailureDetector::Lifeguard), 3);
     simulation.net.cut_links = vec![(2, 5)];
     simulation.run(60.0);
-    assert_eq!(simulation.false_beliefs(Liveness::Lost), 0, "others can ask");
+    assert_eq!(simulation.false_positives(Liveness::Lost), 0, "others can ask");
     assert!(
         verdicts_made(&simulation).contains(&(VerdictKind::OneWay, "n5".to_owned())),
         "{:?}",
@@ -373,7 +373,7 @@
     assert!(simulation.notifications_of(1).any(is_rejection), "nothing is told of the forged start");
     // The stranger never answers and is lost in the end; those it spoke of are themselves again.
     let took = simulation.run_until_converged(40.0);
-    assert!(took.is_some(), "{}", simulation.wrong_beliefs());
+    assert!(took.is_some(), "{}", simulation.view_errors());
 }
 
 #[test]
--- a/crates/pinepoint-membership/tests/sim/mod.rs
+++ b/crates/pinepoint-membership/tests/sim/mod.rs
@@ -124,7 +124,7 @@
         assert!(
             took.is_some(),
             "seed {seed}: {members} members that start together do not settle: {}",
-            simulation.wrong_beliefs()
+            simulation.view_errors()
         );
         simulation.clear_records();
         simulation
@@ -342,11 +342,11 @@
     pub fn has_converged(&self) -> bool {
         let mut digests = self.running().map(|(_, membership)| membership.digest());
         let first = digests.next();
-        digests.all(|digest| Some(digest) == first) && self.wrong_beliefs().is_empty()
+        digests.all(|digest| Some(digest) == first) && self.view_errors().is_empty()
     }
 
     /// The first few beliefs that are wrong, for messages of failures.
-    pub fn wrong_beliefs(&self) -> String {
+    pub fn view_errors(&self) -> String {
         let mut wrong = Vec::new();
         for (at, membership) in self.running() {
             for (other, node) in self.nodes.iter().enumerate().filter(|(other, _)| *other != at) {
@@ -399,7 +399,7 @@
     }
 
     /// How often a member notified that one that runs has this liveness.
-    pub fn false_beliefs(&self, liveness: Liveness) -> usize {
+    pub fn false_positives(&self, liveness: Liveness) -> usize {
         let is_false = |notification: &Notification| match notification {
             Notification::MemberChanged { record, .. } if record.liveness == liveness => {
                 self.nodes.iter().any(|node| node.membership.is_some() && node.name == record.identity.name)
