--- a/crates/pinepoint-membership/src/membership.rs
+++ b/crates/pinepoint-membership/src/membership.rs
@@ -1,10 +1,12 @@
-//! One member's part in the membership protocol: whom it probes, whom it suspects, what it gossips and what it announces of
-//! itself. A state machine: events and the time go in, actions come out. It does no I/O and reads no clock.
+//! One member's part in the membership protocol: which members it probes and suspects, what it gossips, and
+//! what it announces about itself. A state machine: events and the time go in, actions come out. It does no
+//! I/O and reads no clock.
 //!
-//! It follows SWIM (Das, Gupta, Motivala, DSN 2002): probing in random rounds, indirect probes, suspicion, incarnations,
-//! gossip that rides on probes; and Lifeguard (Dadgar, Phillips, Currey, 2017): the local health multiplier, suspicions that
-//! shorten with confirmations, and telling the accused first. Beyond these it has generations, anti-entropy by digests of
-//! buckets, probes of lost members, and gossip on its own between probes while there is any.
+//! From SWIM (Das, Gupta, Motivala, DSN 2002) come probing in random rounds, indirect probes, suspicion,
+//! incarnations, and gossip piggybacked on probes. From Lifeguard (Dadgar, Phillips, Currey, 2017) come the
+//! local health multiplier, suspicions that shorten with confirmations, and notifying the suspected member
+//! first. Beyond these, the protocol has generations, anti-entropy by digests of buckets, probes of lost
+//! members, and separate gossip packets between probes while updates are pending.
 
 mod anti_entropy;
 mod discovery;
@@ -43,10 +45,10 @@
 use suspicion::Suspicion;
 pub use view::{MemberView, MembershipView};
 
-/// Ticks in a period: updates are gossiped on their own once in each.
+/// Ticks in a period. Pending updates are gossiped once per tick.
 const TICKS_PER_PERIOD: f64 = 5.0;
 
-/// One member.
+/// The protocol state of one member.
 pub struct Membership {
     settings: MembershipSettings,
     random: Pcg64Mcg,
@@ -64,15 +66,16 @@
     next_tick_ms: f64,
     next_maintenance_ms: f64,
     last_change_ms: f64,
-    /// The latest of all plausible clocks heard: generations far beyond it are rejected.
+    /// The latest plausible clock received from any member. Generations far beyond it are rejected.
     clock_horizon_ms: f64,
-    /// As it was last reported.
+    /// Whether the view was settled when this was last reported.
     was_settled: bool,
 }
 
 impl Membership {
-    /// A member that starts at this time, Unix ms, and knows nobody. Its generation is that time, unless others know a later
-    /// one. `seeds` are the addresses to contact first; all random choices follow from `random_seed`.
+    /// A member that starts at `now`, Unix ms, and knows no other member. Its generation is that time, unless
+    /// other members know a later generation of it. `seeds` are the addresses to contact first; all random
+    /// choices follow from `random_seed`.
     pub fn new(
         settings: MembershipSettings,
         now: f64,
@@ -81,7 +84,7 @@
         random_seed: u64,
     ) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(random_seed);
-        // The first probes of members that start in one instant are spread over a period.
+        // Spreads the first probes of members that start at the same instant over a period.
         let offset = random.next_u32() as f64 / f64::from(u32::MAX);
         let first_probe_ms = now + settings.period_ms * offset;
         let local = LocalMember::new(now, identity);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Fills the table as if this member had been there for long: for simulations of large fleets.
+    /// Fills the table as if this member had been running for long, for simulations of large fleets.
     #[doc(hidden)]
     pub fn preload<'a>(&mut self, now: f64, records: impl Iterator<Item = &'a MemberRecord>) {
         for record in records.filter(|record| record.identity.key() != self.local.key()) {
@@ -126,23 +129,23 @@
         &self.local.record
     }
 
-    /// The other members that it knows.
+    /// The other members that this member knows.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// Digest of its view: the same for members that hold the same view.
+    /// Digest of this member's view. Members with equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.table.digest(&self.local.record)
     }
 
-    /// The verdicts that hold.
+    /// The active verdicts.
     pub fn verdicts(&self) -> impl Iterator<Item = &Verdict> {
         self.diagnosis.verdicts()
     }
 
-    /// Handles one event at this time, Unix ms, and appends the actions that follow from it. Time may jump in either
-    /// direction, which a member takes for a stall of its own if it is forward.
+    /// Handles one event at `now`, Unix ms, and appends the actions that follow from it. Time may jump in
+    /// either direction; a member treats a forward jump as a stall of its own process.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock_horizon_ms = self.clock_horizon_ms.max(now);
         self.detect_stall(now, actions);
@@ -186,14 +189,14 @@
         self.report_settled(now, actions);
     }
 
-    /// Ticks keep their rhythm unless one comes late by more than a tick.
+    /// Keeps ticks at a fixed rate; after a delay of more than one tick, the rate restarts from `now`.
     fn schedule_next_tick(&mut self, now: f64) {
         let interval_ms = self.settings.period_ms / TICKS_PER_PERIOD;
         let is_late = now - self.next_tick_ms > interval_ms;
         self.next_tick_ms = if is_late { now + interval_ms } else { self.next_tick_ms + interval_ms };
     }
 
-    /// What is done once a period, whatever the local health.
+    /// Runs the tasks that are due once a period, whatever the local health.
     fn maintain(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.discover(now, actions);
         self.expire_name_conflict(now, actions);
--- a/crates/pinepoint-membership/src/membership/anti_entropy.rs
+++ b/crates/pinepoint-membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: every packet carries a digest of its sender's table. Where two differ, the digests of their buckets are
-//! exchanged, and the records of those buckets that differ.
+//! Anti-entropy: every packet carries a digest of its sender's table. Two members whose digests differ
+//! exchange the digests of their buckets, and then the records of the buckets that differ.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
 use crate::table::bucket_of;
 use crate::wire::{BUCKET_COUNT, FRAME_BYTES, MAX_DATAGRAM_BYTES, Packet, PacketBody, SenderState};
 
-/// Most datagrams in which one side sends its records.
+/// Maximum number of datagrams in which one side sends its records.
 const MAX_SYNC_DATAGRAMS: usize = 4;
-/// Periods between exchanges while the table changes all the time.
+/// Maximum time between exchanges while the table changes constantly, periods.
 const MAX_SYNC_INTERVAL: f64 = 5.0;
-/// A difference that was seen longer ago is not acted on, periods.
+/// Time after which a detected difference is ignored, periods.
 const DIVERGENCE_LIFETIME: f64 = 2.0;
-/// A peer that knows more members than this by the local number knows many more.
+/// A peer knows many more members if it knows over this many times the local number, plus one.
 const MANY_MORE_FACTOR: f64 = 1.1;
 
-/// A peer whose table was last seen to differ.
+/// The peer whose table was last found to differ from the local one.
 #[derive(Clone, Copy)]
 struct Divergence {
     seen_ms: f64,
@@ -26,7 +26,7 @@
     known_members: u32,
 }
 
-/// What the digests in packets have told.
+/// Results of comparing the digests in packets with the local one.
 pub(super) struct AntiEntropy {
     last_agreement_ms: f64,
     divergence: Option<Divergence>,
@@ -38,18 +38,18 @@
         AntiEntropy { last_agreement_ms: f64::NEG_INFINITY, divergence: None, last_sync_ms: now }
     }
 
-    /// Whether a peer agreed within this time and none was seen to differ.
+    /// Whether the digest of a peer was equal within this time and no other was found to differ.
     pub(super) fn agrees_with_peers(&self, now: f64, within_ms: f64) -> bool {
         let differs = self.divergence.is_some_and(|divergence| now - divergence.seen_ms < within_ms);
         now - self.last_agreement_ms < within_ms && !differs
     }
 
-    /// Notes that the digest in a packet of this peer differs from the local one.
+    /// Records that the digest in a packet of this peer differs from the local one.
     fn record_divergence(&mut self, now: f64, peer: SocketAddr, known_members: u32) {
         self.divergence = Some(Divergence { seen_ms: now, peer, known_members });
     }
 
-    /// Notes that the digest in a packet of this peer equals the local one.
+    /// Records that the digest in a packet of this peer equals the local one.
     fn record_agreement(&mut self, now: f64, peer: SocketAddr) {
         self.last_agreement_ms = now;
         if self.divergence.is_some_and(|divergence| divergence.peer == peer) {
@@ -58,14 +58,14 @@
     }
 }
 
-/// Whether the receiver of records is asked for its own.
+/// Whether the receiver of records is asked to send its own.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Pull {
     Requested,
     NotRequested,
 }
 
-/// Records in datagrams, as many as fit.
+/// Records grouped into datagrams, as many as fit.
 struct RecordBatches {
     batches: Vec<Vec<MemberRecord>>,
     remaining_bytes: usize,
@@ -78,7 +78,7 @@
         RecordBatches { batches: vec![Vec::new()], remaining_bytes: Self::CAPACITY }
     }
 
-    /// Adds a record; false if there is no space left for it.
+    /// Adds a record. Returns false if no space is left for it.
     fn push(&mut self, record: MemberRecord) -> bool {
         let bytes = record.max_encoded_bytes();
         if bytes > self.remaining_bytes {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Starts an exchange with a peer that was seen to differ: at once if it knows many more members, otherwise once this
-    /// member's own updates have spread.
+    /// Starts an exchange with a peer whose table differs: at once if the peer knows many more members,
+    /// otherwise once this member's own updates have had time to spread.
     pub(super) fn sync_with_divergent_peer(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(divergence) = self.anti_entropy.divergence else { return };
         let period_ms = self.settings.period_ms;
@@ -138,7 +138,8 @@
         self.send(now, Recipient::unknown(peer), PacketBody::SyncDigests { bucket_digests }, actions);
     }
 
-    /// Answers the digests of a peer with this side's records of the buckets that differ, and asks for its.
+    /// Answers the digests of a peer with the local records of the buckets that differ, and requests the
+    /// peer's records.
     pub(super) fn answer_sync(
         &mut self,
         now: f64,
@@ -153,13 +154,14 @@
         if differing.is_empty() {
             return;
         }
-        // From a random bucket on: where not all fit, exchanges with several peers cover all.
+        // Starts at a random bucket, so that exchanges with several peers cover all buckets where one can't
+        // send them all.
         let first = self.random_index(differing.len());
         differing.rotate_left(first);
         self.send_buckets(now, peer, &differing, Pull::Requested, actions);
     }
 
-    /// Answers a pull with this side's records of the buckets asked for.
+    /// Answers a pull with the local records of the requested buckets.
     pub(super) fn answer_pull(
         &mut self,
         now: f64,
@@ -171,7 +173,7 @@
         self.send_buckets(now, peer, &requested, Pull::NotRequested, actions);
     }
 
-    /// Sends the records of these buckets, as far as a few datagrams hold them.
+    /// Sends the records of these buckets, as far as they fit into `MAX_SYNC_DATAGRAMS`.
     fn send_buckets(
         &self,
         now: f64,
--- a/crates/pinepoint-membership/src/membership/discovery.rs
+++ b/crates/pinepoint-membership/src/membership/discovery.rs
@@ -1,13 +1,14 @@
-//! How members that do not know each other meet: through the seeds, and by pinging lost members again.
+//! Discovery of members that do not know each other: through the seeds, and by pinging lost members again.
 
 use super::dissemination::Recipient;
 use super::{Action, Membership};
 
-/// Seeds pinged in a period while no member is up.
+/// Seeds pinged per period while no other member is up.
 const SEEDS_PER_PERIOD: usize = 3;
-/// Otherwise one seed is pinged in so many periods on average.
+/// While other members are up, one seed is pinged in so many periods on average.
 const SEED_INTERVAL: usize = 10;
-/// Where fewer members are lost than half of those that are up, one is pinged in so many periods on average.
+/// If lost members number at most half of the members that are up, one of them is pinged in so many periods
+/// on average.
 const LOST_INTERVAL: usize = 2;
 
 impl Membership {
@@ -16,8 +17,9 @@
         self.ping_lost_member(now, actions);
     }
 
-    /// Pings seeds while nobody is known, and now and then one at whose address no member is: fleets that were never one, or
-    /// parted for longer than lost members are remembered, meet through these.
+    /// Pings seeds while no other member is up, and otherwise now and then a seed at whose address no member
+    /// is known. This joins fleets that were never connected, or were partitioned for longer than lost
+    /// members are retained.
     fn ping_seeds(&mut self, now: f64, actions: &mut Vec<Action>) {
         let is_alone = self.table.up_count() == 0;
         let count =
@@ -32,13 +34,14 @@
         }
     }
 
-    /// Pings a lost member with what is believed of it, so that it can refute that: halves of a fleet meet again this way.
+    /// Pings a lost member and sends it the record about itself, so that it can refute it. This reconnects
+    /// the sides of a partition after it has healed.
     fn ping_lost_member(&mut self, now: f64, actions: &mut Vec<Action>) {
         let lost = self.table.lost().len();
         if lost == 0 {
             return;
         }
-        // All members that are up share the work: where they are few, each does it every period.
+        // All members that are up share the work. If they are few, each pings a lost member every period.
         let few_are_up = self.table.up_count() < 2 * lost;
         if !few_are_up && self.random_index(LOST_INTERVAL) != 0 {
             return;
--- a/crates/pinepoint-membership/src/membership/dissemination.rs
+++ b/crates/pinepoint-membership/src/membership/dissemination.rs
@@ -1,5 +1,6 @@
-//! Dissemination of updates: records ride on all packets, and are gossiped on their own while there are any. Each is sent a
-//! number of times that grows with the logarithm of the fleet.
+//! Dissemination of updates: records are piggybacked on all packets, and sent in separate gossip packets
+//! while any are pending. Each record is sent a number of times that grows with the logarithm of the fleet's
+//! size.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,14 +11,14 @@
 
 /// Members to which updates are gossiped in each tick.
 const GOSSIP_FANOUT: usize = 3;
-/// Transmissions of an update for each started power of ten of the fleet's size.
+/// Transmissions of an update, multiplied by log10 of the fleet's size, rounded up.
 const TRANSMISSIONS_PER_DECADE: u32 = 4;
 
-/// Where a packet goes.
+/// The destination of a packet.
 #[derive(Clone, Copy)]
 pub(super) struct Recipient {
     address: SocketAddr,
-    /// Key of the member, where it is known which one is there.
+    /// Key of the member at this address, if it is known.
     key: Option<u64>,
 }
 
@@ -26,29 +27,29 @@
         Recipient { address: identity.address, key: Some(identity.key()) }
     }
 
-    /// The member of this key, at the address it has just sent from.
+    /// The member of this key, at the address from which it has just sent a packet.
     pub(super) fn known(address: SocketAddr, key: u64) -> Self {
         Recipient { address, key: Some(key) }
     }
 
-    /// Whoever listens at this address.
+    /// Whichever member listens at this address.
     pub(super) fn unknown(address: SocketAddr) -> Self {
         Recipient { address, key: None }
     }
 }
 
-/// Members whose records are to be gossiped, and how often each was sent.
+/// Members whose records are to be gossiped, and how often each record was sent.
 pub(super) struct GossipQueue {
     transmissions: BTreeMap<u64, u32>,
 }
 
 impl GossipQueue {
-    /// A queue with one record that was not sent yet.
+    /// A queue with the record of this member, not sent yet.
     pub(super) fn with(key: u64) -> Self {
         GossipQueue { transmissions: BTreeMap::from([(key, 0)]) }
     }
 
-    /// Gossips the record of this member, from the first transmission on.
+    /// Queues the record of this member, and counts its transmissions from 0.
     pub(super) fn enqueue(&mut self, key: u64) {
         self.transmissions.insert(key, 0);
     }
@@ -61,7 +62,7 @@
         self.transmissions.is_empty()
     }
 
-    /// Transmissions so far and keys: the least sent first.
+    /// Transmissions so far and keys, in ascending order of transmissions.
     fn by_transmissions(&self) -> Vec<(u32, u64)> {
         let mut queue: Vec<(u32, u64)> = self.transmissions.iter().map(|(key, sent)| (*sent, *key)).collect();
         queue.sort_unstable();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Sends a packet with as much gossip as fits into it.
+    /// Sends a packet with as many updates as fit into it.
     pub(super) fn send(&mut self, now: f64, to: Recipient, body: PacketBody, actions: &mut Vec<Action>) {
         let reserved = match body {
             PacketBody::SyncDigests { .. } => MAX_DATAGRAM_BYTES,
@@ -107,7 +108,7 @@
         actions.push(Action::Send(to.address, packet));
     }
 
-    /// Gossips to a few random members while there is anything to gossip.
+    /// Sends pending updates to a few random members.
     pub(super) fn gossip_to_random_members(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.gossip.is_empty() {
             return;
@@ -120,13 +121,14 @@
         }
     }
 
-    /// How often an update is sent.
+    /// Number of times that an update is sent.
     pub(super) fn transmission_limit(&self) -> u32 {
         let members = (self.table.len() + 2) as f64;
         TRANSMISSIONS_PER_DECADE * members.log10().ceil() as u32
     }
 
-    /// The record that is gossiped about a member. A suspected one names its accusers in turns, so that each is counted.
+    /// The record that is gossiped about a member. The record of a suspected member names its accusers in
+    /// turn, so that every accuser is counted.
     pub(super) fn record_to_gossip(&self, key: u64, transmission: u32) -> Option<MemberRecord> {
         if key == self.local.key() {
             return Some(self.local.record.clone());
@@ -140,7 +142,8 @@
         Some(record)
     }
 
-    /// Picks records of `capacity` bytes at most: first what the recipient has to refute, then what was sent least.
+    /// Picks records of `capacity` bytes at most: first the one about the recipient if the recipient has to
+    /// refute it, then the least sent ones.
     fn pick_updates(&mut self, recipient: Option<u64>, capacity: usize) -> Vec<MemberRecord> {
         let mut picked = Vec::new();
         let mut remaining = capacity;
--- a/crates/pinepoint-membership/src/membership/event.rs
+++ b/crates/pinepoint-membership/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a member and what comes out of it.
+//! Inputs and outputs of a member's state machine.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 /// An input of a member.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The time given by [`super::Membership::next_due`] has come.
+    /// The time given by [`super::Membership::next_due`] is reached.
     Tick,
     /// A packet was received.
     PacketReceived(Packet),
-    /// The system reports that nobody listens at this address.
+    /// The system reports that no process listens at this address.
     ConnectionRefused(SocketAddr),
-    /// The load of this member.
+    /// The current load of this member.
     LoadChanged(Load),
     /// The phase that this member is to announce from now on.
     PhaseChanged(Phase),
@@ -35,41 +35,42 @@
 reason_codes! {
     /// Why a record was rejected.
     RecordRejectReason {
-        /// Its generation lies too far in the future.
+        /// The record's generation is too far in the future.
         ForgedGeneration = "forged-start",
         /// The table of members is full.
         TableFull = "full",
     }
 }
 
-/// A change that operators may want to know of.
+/// A change that is reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
     /// A member is new, or its phase, liveness or process has changed.
     MemberChanged {
-        /// Its record now.
+        /// The member's current record.
         record: MemberRecord,
-        /// The member was not known, or it is another process than before.
+        /// The member was not known before, or the record is of another process of it.
         is_new_process: bool,
     },
-    /// A verdict holds from now on, or no longer.
+    /// A verdict was made or has ended.
     VerdictChanged(VerdictChange),
     /// This process was stopped or starved.
     Stalled {
-        /// For how long, ms.
+        /// Duration of the stall, ms.
         late_ms: f64,
     },
-    /// Others believed this member suspected or lost, and it refutes that.
+    /// Other members had this member as suspected or lost, and it has refuted that.
     Refuted(Liveness),
-    /// Others knew a later generation of this member, which goes on with this one.
+    /// Other members knew the same or a later generation of this member, which has raised its own to this
+    /// one.
     GenerationRaised(u64),
     /// A record was rejected.
     RecordRejected {
-        /// Why.
+        /// Why the record was rejected.
         reason: RecordRejectReason,
-        /// Whom it was about.
+        /// Name of the member that the record is about.
         member: String,
     },
-    /// The view is settled, or no longer.
+    /// The view has become settled, or is no longer settled.
     SettledChanged(bool),
 }
--- a/crates/pinepoint-membership/src/membership/heartbeat.rs
+++ b/crates/pinepoint-membership/src/membership/heartbeat.rs
@@ -1,11 +1,11 @@
-//! The all-to-all heartbeat, a baseline for measurements: everybody sends to everybody once a period.
+//! The all-to-all heartbeat, a baseline for measurements: each member sends to all others once a period.
 
 use super::dissemination::Recipient;
 use super::{Action, Membership};
 use crate::member::Liveness;
 use crate::wire::PacketBody;
 
-/// A member that was not heard for this time is lost, periods.
+/// A member that was silent for this time is declared lost, periods.
 const HEARTBEAT_TIMEOUT: f64 = 5.0;
 
 impl Membership {
--- a/crates/pinepoint-membership/src/membership/local_health.rs
+++ b/crates/pinepoint-membership/src/membership/local_health.rs
@@ -1,20 +1,21 @@
-//! Lifeguard's local health: a member that is slow or was stopped itself mistrusts its own observations.
+//! Lifeguard's local health: a member whose own process is slow or was stopped relies less on its own
+//! observations.
 
 use super::probing::INDIRECT_PROBES;
 use super::{Action, FailureDetector, Membership, Notification};
 
-/// Largest score: own timeouts are multiplied by up to this plus one.
+/// Maximum score. A member's own timeouts are multiplied by up to this plus one.
 pub(super) const MAX_HEALTH_SCORE: u32 = 8;
-/// A tick that comes later than this was a stall, in periods.
+/// Delay of a tick that counts as a stall, periods.
 const STALL_THRESHOLD: f64 = 0.6;
-/// What a stall adds to the score.
+/// Added to the score by a stall.
 const STALL_PENALTY: u32 = 2;
 
-/// Signs of trouble of the local process.
+/// Health of the local process.
 pub(super) struct LocalHealth {
     /// Lifeguard's local health multiplier, less one: 0 is healthy.
     score: u32,
-    /// Nobody is accused and no suspicion ends before this time, ms.
+    /// Until this time, ms, this member accuses no other member and no suspicion expires.
     accusations_paused_until_ms: f64,
 }
 
@@ -43,18 +44,18 @@
         self.settings.detector == FailureDetector::Lifeguard
     }
 
-    /// By how much own timeouts are multiplied, from 1.
+    /// Multiplier of this member's own timeouts, 1 or more.
     pub(super) fn health_multiplier(&self) -> f64 {
         if self.uses_lifeguard() { f64::from(self.local_health.score + 1) } else { 1.0 }
     }
 
-    /// Whether this member has just been stalled and accuses nobody.
+    /// Whether this member was stalled just now and therefore accuses no other member.
     pub(super) fn accusations_are_paused(&self, now: f64) -> bool {
         self.uses_lifeguard() && self.local_health.is_paused(now)
     }
 
-    /// Detects that the clock jumped or that the process was not run: probes that look unanswered may have been answered,
-    /// and suspicions that look expired may have been refuted.
+    /// Detects that the clock jumped or that the process did not run. In that time, probes that look
+    /// unanswered may have been answered, and suspicions that look expired may have been refuted.
     pub(super) fn detect_stall(&mut self, now: f64, actions: &mut Vec<Action>) {
         let late_ms = now - self.next_tick_ms;
         if !self.uses_lifeguard() || late_ms < STALL_THRESHOLD * self.settings.period_ms {
@@ -64,7 +65,7 @@
         self.probing.in_flight.clear();
         self.relays.clear();
         self.suspicions.values_mut().for_each(|suspicion| suspicion.restart(now));
-        // Refutations were not heard meanwhile: others are asked for what they know.
+        // Refutations may have been missed during the stall: an exchange with other members fetches them.
         for identity in self.random_members(INDIRECT_PROBES, None) {
             self.start_sync(now, identity.address, actions);
         }
--- a/crates/pinepoint-membership/src/membership/name_conflict.rs
+++ b/crates/pinepoint-membership/src/membership/name_conflict.rs
@@ -1,12 +1,12 @@
-//! Two processes of one name: a record of another process may be a trace of this member's past, or its process may run.
-//! Only a message from that process tells.
+//! Two processes of one name. A record of another process of this name may be of an earlier process of this
+//! member, or of a process that is running. Only a message from that process shows that it runs.
 
 use super::dissemination::Recipient;
 use super::{Action, Membership, Notification};
 use crate::diagnosis::VerdictKind;
 use crate::member::MemberRecord;
 
-/// A process of this name that does not answer for this time is gone, periods.
+/// Time without an answer after which the other process of this name counts as ended, periods.
 const CONFLICT_TIMEOUT: f64 = 2.0;
 
 /// A record of another process of this name, whose address was pinged.
@@ -16,7 +16,8 @@
 }
 
 impl Membership {
-    /// Pings the address of a record of another process of this name, unless one of higher precedence is being checked.
+    /// Pings the address in a record of another process of this name, unless a record of the same or higher
+    /// precedence is being checked.
     pub(super) fn check_name_conflict(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
         let precedence = record.precedence();
         if self.name_conflict.as_ref().is_some_and(|known| known.record.precedence() >= precedence) {
@@ -26,7 +27,7 @@
         self.ping(now, Recipient::unknown(record.identity.address), actions);
     }
 
-    /// Takes the name from a process that did not answer.
+    /// Takes over the name from a process that did not answer in time.
     pub(super) fn expire_name_conflict(&mut self, now: f64, actions: &mut Vec<Action>) {
         let timeout_ms = CONFLICT_TIMEOUT * self.settings.period_ms;
         let Some(conflict) = &self.name_conflict else { return };
@@ -38,8 +39,8 @@
         self.raise_generation(now, generation, actions);
     }
 
-    /// Handles a message from another process of this name: it runs. The name belongs to the later generation, and both
-    /// processes report the conflict.
+    /// Handles a message from another process of this name, which shows that it runs. The name belongs to the
+    /// process of the later generation, and both processes report the conflict.
     pub(super) fn confirm_name_conflict(
         &mut self,
         now: f64,
--- a/crates/pinepoint-membership/src/membership/probing.rs
+++ b/crates/pinepoint-membership/src/membership/probing.rs
@@ -1,5 +1,5 @@
-//! SWIM's probes: each period one member is pinged, in random rounds; one that does not answer is pinged through others, and
-//! suspected if that fails too.
+//! SWIM's probes. Each period one member is pinged, in random rounds. A member that does not answer is pinged
+//! through other members, and suspected if that fails too.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,16 @@
 use super::{Action, Membership};
 use crate::wire::PacketBody;
 
-/// Members asked to probe in this one's place (SWIM's k). As many confirmations end a suspicion soonest.
+/// Members asked to probe on behalf of this one (SWIM's k). This is also the number of confirmations that
+/// shorten a suspicion to its minimum.
 pub(super) const INDIRECT_PROBES: usize = 3;
-/// Most probes in flight.
+/// Maximum number of probes in flight.
 const MAX_PROBES: usize = 8;
-/// Timeouts in periods, multiplied by the local health multiplier: of the direct ping, and of the whole probe.
+/// Timeout of the direct ping, periods, multiplied by the local health multiplier.
 pub(super) const DIRECT_PROBE_TIMEOUT: f64 = 0.3;
+/// Timeout of the whole probe, periods, multiplied by the local health multiplier.
 const PROBE_TIMEOUT: f64 = 0.8;
-/// Consecutive missed direct probes after which the direct path to a member is in doubt.
+/// Consecutive missed direct probes after which a member counts as not directly reachable.
 pub(super) const UNREACHABLE_AFTER: u32 = 2;
 
 /// A probe in flight.
@@ -22,20 +24,20 @@
     sequence: u32,
     target: u64,
     sent_ms: f64,
-    /// Members that were asked to probe indirectly; 0 while the direct ping is awaited.
+    /// Number of indirect probes requested, at least 1 once the direct ping has timed out; 0 before.
     indirect_requests: u32,
     nacks: u32,
 }
 
-/// The state of probing.
+/// State of the failure detector's probes.
 pub(super) struct Probing {
-    /// Members still to be probed in this round; the last one is next.
+    /// Keys of the members still to be probed in this round. The last key is probed next.
     pub(super) order: Vec<u64>,
     pub(super) in_flight: Vec<Probe>,
     pub(super) next_probe_ms: f64,
     /// Consecutive probes that neither the target nor a relay answered.
     pub(super) unanswered: u32,
-    /// Members that missed two or more direct probes in a row.
+    /// Keys of the members that missed two or more direct probes in a row.
     pub(super) unreachable_directly: BTreeSet<u64>,
     last_sequence: u32,
 }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Probes a member, unless it is being probed or too many are.
+    /// Probes a member, unless it is being probed or too many probes are in flight.
     pub(super) fn probe(&mut self, now: f64, target: u64, actions: &mut Vec<Action>) {
         let in_flight = &self.probing.in_flight;
         if in_flight.len() >= MAX_PROBES || in_flight.iter().any(|probe| probe.target == target) {
@@ -112,7 +114,7 @@
         self.probing.in_flight.push(probe);
     }
 
-    /// Goes on with the probes whose timeouts are over.
+    /// Requests indirect probes where the direct ping has timed out, and handles probes that have failed.
     pub(super) fn check_probe_timeouts(&mut self, now: f64, actions: &mut Vec<Action>) {
         let multiplier = self.health_multiplier();
         let direct_timeout_ms = DIRECT_PROBE_TIMEOUT * self.settings.period_ms * multiplier;
@@ -144,7 +146,7 @@
     }
 
     fn handle_probe_failure(&mut self, now: f64, probe: &Probe, actions: &mut Vec<Action>) {
-        // Relays that say nothing either are a sign that it is this member that does not hear.
+        // If the relays do not answer either, this member itself probably does not receive packets.
         let silent_relays = probe.indirect_requests.saturating_sub(probe.nacks);
         self.local_health.worsen(silent_relays.min(1));
         self.probing.unanswered = if probe.nacks == 0 { self.probing.unanswered + 1 } else { 0 };
@@ -164,7 +166,7 @@
         if target == answered_by {
             self.record_direct_answer(target);
         } else {
-            // The ack came through a relay: the target lives, and the direct path to it is in doubt.
+            // The ack came through a relay: the target is alive, but may not be directly reachable.
             self.record_missed_probe(target);
         }
     }
@@ -192,7 +194,8 @@
         }
     }
 
-    /// Forgets doubts about members that are forgotten or whose count began anew.
+    /// Removes members that have left the table, or whose count of missed probes was reset, from the members
+    /// that are not directly reachable.
     pub(super) fn prune_unreachable(&mut self) {
         let table = &self.table;
         let is_unreachable =
--- a/crates/pinepoint-membership/src/membership/reception.rs
+++ b/crates/pinepoint-membership/src/membership/reception.rs
@@ -1,4 +1,4 @@
-//! Received packets: their records are merged into the table, and they are answered by their kind.
+//! Received packets: their records are merged into the table, and each kind of packet is answered.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,16 @@
 use crate::table::{MAX_GENERATION_AHEAD_MS, MergeOutcome};
 use crate::wire::{FRAME_BYTES, MAX_DATAGRAM_BYTES, Packet, PacketBody};
 
-/// Members expected to probe a newly suspected one at once, so that a suspicion is confirmed or refuted soon.
+/// Expected number of members that probe a newly suspected member at once, so that the suspicion is confirmed
+/// or refuted soon.
 const EXPECTED_VERIFIERS: f64 = 6.0;
 
 /// The sender of a packet that is being handled.
 struct Peer {
     key: u64,
     address: SocketAddr,
-    /// Its record here is not alive or of another process: it has to hear that to refute it.
+    /// The local record of it is not alive or of another process. The peer has to receive that record to
+    /// refute it.
     has_to_refute: bool,
 }
 
@@ -46,7 +48,7 @@
         }
         let peer = Peer { key, address: sender.record.identity.address, has_to_refute };
         let refutations = self.merge_updates(now, &updates, actions);
-        // A pull is answered by the records themselves.
+        // A pull is answered with the records of its buckets anyway.
         if !matches!(body, PacketBody::SyncPull { .. }) {
             self.send_refutations(now, peer.address, refutations, actions);
         }
@@ -54,7 +56,8 @@
         self.handle_body(now, &peer, body, actions);
     }
 
-    /// Follows clocks that are somewhat ahead; one that is far off does not count.
+    /// Advances the horizon to a clock that is ahead of it by less than `MAX_GENERATION_AHEAD_MS`. Clocks
+    /// further ahead are ignored.
     fn advance_clock_horizon(&mut self, clock_ms: f64) {
         let horizon_ms = self.clock_horizon_ms;
         if clock_ms > horizon_ms && clock_ms < horizon_ms + MAX_GENERATION_AHEAD_MS {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Merges gossip. Returns what overrides those of the records that are stale accusations.
+    /// Merges gossiped records. For those that are stale accusations, returns the records that override them.
     fn merge_updates(
         &mut self,
         now: f64,
@@ -103,7 +106,7 @@
         refutations
     }
 
-    /// Tells whoever sent stale accusations what overrides them, as far as one datagram holds it.
+    /// Answers stale accusations with the records that override them, as many as fit into one datagram.
     fn send_refutations(
         &mut self,
         now: f64,
@@ -126,7 +129,7 @@
         actions.push(Action::Send(to, packet));
     }
 
-    /// Merges one record, whoever it is about.
+    /// Merges one record, about this member or another.
     pub(super) fn merge_record(
         &mut self,
         now: f64,
@@ -155,7 +158,7 @@
         outcome
     }
 
-    /// The injected fault: a record of an earlier generation is applied as if it were of the known one.
+    /// Injects a fault: a record of an earlier generation is applied as if it were of the known generation.
     fn inject_stale_generation(&mut self, now: f64, record: &MemberRecord, known: Option<&MemberRecord>) {
         if self.settings.injected_fault != Some(InjectedFault::AcceptStaleGeneration) {
             return;
@@ -170,7 +173,7 @@
         self.table.merge(now, self.clock_horizon_ms, &forged);
     }
 
-    /// Follows a record that changed the table: gossips it, and begins or ends a suspicion.
+    /// Handles a record that changed the table: gossips it, and begins or ends a suspicion.
     fn handle_update(
         &mut self,
         now: f64,
@@ -200,7 +203,8 @@
         }
     }
 
-    /// A few members probe for themselves at once, however large the fleet.
+    /// Probes a newly suspected member at once, with a probability such that only a few members of the fleet
+    /// do, whatever its size.
     fn maybe_verify_suspicion(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
         let members = self.table.up_count() as f64;
         if record.accuser != self.accuser_key() && self.random_event(EXPECTED_VERIFIERS / members) {
--- a/crates/pinepoint-membership/src/membership/refutation.rs
+++ b/crates/pinepoint-membership/src/membership/refutation.rs
@@ -1,4 +1,5 @@
-//! What a member announces about itself, and how it refutes what others believe of it.
+//! The record that a member announces about itself, and its refutation of wrong records that others have
+//! about it.
 
 use std::rc::Rc;
 
@@ -11,7 +12,7 @@
 
 /// The local member.
 pub(super) struct LocalMember {
-    /// Key of its name, which never changes.
+    /// Key of the member's name, which never changes.
     key: u64,
     pub(super) record: MemberRecord,
     pub(super) load: Load,
@@ -44,7 +45,7 @@
 }
 
 impl Membership {
-    /// Announces another phase of this member. Having left is final.
+    /// Announces another phase of this member. [`Phase::Left`] is final.
     pub(super) fn change_phase(&mut self, now: f64, phase: Phase, actions: &mut Vec<Action>) {
         if self.local.record.phase == phase || self.local.record.phase == Phase::Left {
             return;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// This member sends no more after it has left: the last update goes out at once, to several members.
+    /// Sends the last update at once to several members, because this member sends nothing after it has left.
     fn announce_leave(&mut self, now: f64, actions: &mut Vec<Action>) {
         let count = self.transmission_limit() as usize;
         for identity in self.random_members(count, None) {
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Makes the local record override what others know of this process.
+    /// Makes the local record override the records that others have of this process.
     pub(super) fn raise_incarnation(&mut self, now: f64) {
         self.local.record.incarnation = self.local.record.incarnation.saturating_add(1);
         self.last_change_ms = now;
         self.gossip.enqueue(self.local.key());
     }
 
-    /// Makes the local record override those of a process of this name with this generation.
+    /// Makes the local record override those of a process of this name whose generation is `above`.
     pub(super) fn raise_generation(&mut self, now: f64, above: u64, actions: &mut Vec<Action>) {
         if above < self.local.record.generation {
             return;
@@ -84,7 +85,7 @@
         actions.push(Action::Notify(Notification::GenerationRaised(generation)));
     }
 
-    /// Handles what others say of this member.
+    /// Handles a record about this member that another member has sent.
     pub(super) fn handle_record_about_self(
         &mut self,
         now: f64,
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Overrides a record that says that this process is suspected or lost.
+    /// Overrides a record in which this process is suspected or lost.
     fn refute(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
         if record.incarnation == u32::MAX {
-            // There is no later incarnation: only a later generation overrides this one.
+            // The largest incarnation can only be overridden by a later generation.
             self.raise_generation(now, self.local.record.generation, actions);
             return;
         }
@@ -117,11 +118,12 @@
         actions.push(Action::Notify(Notification::Refuted(record.liveness)));
     }
 
-    /// Handles a record of another process of this name: an earlier one of this member, or a namesake.
+    /// Handles a record of another process of this name: an earlier process of this member, or a process with
+    /// the same name.
     fn handle_record_of_other_process(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
         let local = &self.local.record;
         if record.generation < local.generation {
-            // Somebody knows the earlier process only.
+            // The sender knows only the earlier process.
             self.gossip.enqueue(self.local.key());
             return;
         }
--- a/crates/pinepoint-membership/src/membership/relay.rs
+++ b/crates/pinepoint-membership/src/membership/relay.rs
@@ -1,4 +1,5 @@
-//! Indirect probes on behalf of other members: a relay pings the target and passes on its ack, or sends a nack.
+//! Indirect probes on behalf of other members: a relay pings the target and passes on its ack, or sends a
+//! nack.
 
 use std::net::SocketAddr;
 
@@ -9,16 +10,16 @@
 use crate::member::Identity;
 use crate::wire::PacketBody;
 
-/// Most relayed probes in flight; the oldest gives way.
+/// Maximum number of relayed probes in flight. The oldest is evicted.
 const MAX_RELAYED_PROBES: usize = 64;
 
 /// A probe that is relayed for another member.
 pub(super) struct RelayedProbe {
-    /// Of the ping sent from here.
+    /// Sequence number of the ping that this member has sent to the target.
     sequence: u32,
     origin: SocketAddr,
     origin_sequence: u32,
-    /// When the nack is due, ms; none once it was sent.
+    /// When the nack is due, ms. None once the nack was sent.
     nack_due_ms: Option<f64>,
     expires_ms: f64,
 }
@@ -47,7 +48,7 @@
         });
     }
 
-    /// Passes on the ack of a relayed probe to its origin, if the sequence number is of one.
+    /// Forwards an ack to the origin of the relayed probe that has this sequence number, if there is one.
     pub(super) fn forward_ack(&mut self, now: f64, sequence: u32, actions: &mut Vec<Action>) {
         let position = self.relays.iter().position(|relay| relay.sequence == sequence);
         let Some(relay) = position.and_then(|position| self.relays.remove(position)) else { return };
--- a/crates/pinepoint-membership/src/membership/sampling.rs
+++ b/crates/pinepoint-membership/src/membership/sampling.rs
@@ -1,4 +1,4 @@
-//! Random choices of a member: the same seed gives the same choices.
+//! Random choices of a member. The same seed gives the same choices.
 
 use std::rc::Rc;
 
@@ -21,8 +21,8 @@
         (self.random_index(PROBABILITY_STEPS) as f64) < probability * PROBABILITY_STEPS as f64
     }
 
-    /// Up to `count` different members that are up, without the excluded one. The number of draws does not depend on the
-    /// size of the fleet.
+    /// Up to `count` different members that are up, without the excluded one. The expected number of draws
+    /// does not grow with the size of the fleet.
     pub(super) fn random_members(&mut self, count: usize, excluded: Option<u64>) -> Vec<Rc<Identity>> {
         let up = self.table.up_count();
         let is_excluded = |key: u64| excluded == Some(key);
--- a/crates/pinepoint-membership/src/membership/settings.rs
+++ b/crates/pinepoint-membership/src/membership/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::diagnosis::DiagnosisSettings;
 
-/// The failure detector in use. Those other than the default are baselines for measurements.
+/// The failure detector in use. All but the default are baselines for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FailureDetector {
     /// SWIM with Lifeguard's extensions.
@@ -14,7 +14,7 @@
     Heartbeat,
 }
 
-/// A fault that is injected for tests that have to find it.
+/// A fault injected by tests to check that it is detected.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
@@ -29,13 +29,13 @@
 pub struct MembershipSettings {
     /// Protocol period, ms: the time between two probes of one member.
     pub period_ms: f64,
-    /// How failures are detected.
+    /// The failure detector.
     pub detector: FailureDetector,
-    /// Most members to keep track of, the local one included.
+    /// Maximum number of members to keep track of, the local one included.
     pub max_members: usize,
-    /// How long a member that left is remembered, ms.
+    /// Time for which a member that left is retained, ms.
     pub left_retention_ms: f64,
-    /// How long a lost member is remembered and probed now and then, ms.
+    /// Time for which a lost member is retained and pinged now and then, ms.
     pub lost_retention_ms: f64,
     /// Thresholds of diagnosis.
     pub diagnosis: DiagnosisSettings,
--- a/crates/pinepoint-membership/src/membership/suspicion.rs
+++ b/crates/pinepoint-membership/src/membership/suspicion.rs
@@ -1,5 +1,6 @@
-//! SWIM's suspicions: a member that failed a probe is suspected before it is lost, and may refute that meanwhile. By
-//! Lifeguard, a suspicion is the shorter the more members have confirmed it independently.
+//! SWIM's suspicions: a member that failed a probe is suspected before it is declared lost, and may refute
+//! the suspicion until then. With Lifeguard, a suspicion is shorter the more members have confirmed it
+//! independently.
 
 use super::dissemination::Recipient;
 use super::probing::INDIRECT_PROBES;
@@ -7,10 +8,11 @@
 use crate::member::{Liveness, MemberRecord};
 use crate::wire::PacketBody;
 
-/// Shortest duration of a suspicion, periods: the larger of this and of `DURATION_PER_DECADE` times log10 of the members.
+/// The minimum duration of a suspicion, periods, is the larger of this and of `DURATION_PER_DECADE` times
+/// log10 of the number of members.
 const MIN_DURATION: f64 = 1.5;
 const DURATION_PER_DECADE: f64 = 0.8;
-/// Longest duration by the shortest, with Lifeguard.
+/// With Lifeguard, ratio of the maximum duration of a suspicion to the minimum.
 const MAX_DURATION_FACTOR: f64 = 3.0;
 
 /// A member that is suspected.
@@ -23,8 +25,8 @@
 }
 
 impl Suspicion {
-    /// Lifeguard's formula for suspicion timeouts: from the longest duration with one accuser to the shortest with
-    /// `INDIRECT_PROBES` more, logarithmically.
+    /// Lifeguard's formula for suspicion timeouts: the duration falls logarithmically from the maximum, with
+    /// one accuser, to the minimum, with `INDIRECT_PROBES` more.
     fn ends_ms(&self) -> f64 {
         let accusers = self.accusers.len().max(1) as f64;
         let confirmed = accusers.ln() / ((INDIRECT_PROBES + 1) as f64).ln();
@@ -32,19 +34,19 @@
         self.began_ms + (self.max_duration_ms - range_ms * confirmed).max(self.min_duration_ms)
     }
 
-    /// Lets the whole duration pass again.
+    /// Starts the suspicion's duration anew.
     pub(super) fn restart(&mut self, now: f64) {
         self.began_ms = now;
     }
 }
 
 impl Membership {
-    /// The short key under which this member accuses others; never 0.
+    /// The short key under which this member accuses others. It is never 0, which stands for no accuser.
     pub(super) fn accuser_key(&self) -> u32 {
         (self.local.key() as u32) | 1
     }
 
-    /// Suspects a member that failed a probe, or confirms the suspicion of others.
+    /// Suspects a member that failed a probe, or confirms a suspicion raised by other members.
     pub(super) fn suspect(&mut self, now: f64, key: u64, actions: &mut Vec<Action>) {
         let Some(member) = self.table.get(key) else { return };
         if !member.record.is_up() {
@@ -56,11 +58,11 @@
         } else {
             self.confirm_suspicion(key, self.accuser_key());
         }
-        // The accused hears of it first (Lifeguard's buddy system), so that it can refute at once.
+        // The accused is notified first (Lifeguard's buddy system), so that it can refute at once.
         self.send(now, accused, PacketBody::Gossip, actions);
     }
 
-    /// Takes this member's own verdict on another's liveness into the table, and so into gossip.
+    /// Records this member's own observation of another's liveness in the table, which also gossips it.
     pub(super) fn declare(&mut self, now: f64, key: u64, liveness: Liveness, actions: &mut Vec<Action>) {
         let Some(member) = self.table.get(key) else { return };
         let record = MemberRecord { liveness, accuser: self.accuser_key(), ..member.record.clone() };
@@ -89,7 +91,7 @@
         self.suspicions.insert(key, suspicion);
     }
 
-    /// Declares the members lost that did not refute their suspicion in time.
+    /// Declares those members lost that did not refute the suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.accusations_are_paused(now) {
             return;
--- a/crates/pinepoint-membership/src/membership/view.rs
+++ b/crates/pinepoint-membership/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! A member's view of the fleet, as it is shown to operators, and whether it is settled.
+//! A member's view of the fleet, as shown to operators, and whether the view is settled.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,21 @@
 use crate::diagnosis::Verdict;
 use crate::member::{Load, MemberRecord};
 
-/// Periods without a change after which a view may be settled, and for which agreement with others counts.
+/// Periods without a change after which a view may be settled. Agreement with other members counts for the
+/// same time.
 const SETTLED_AFTER: f64 = 3.0;
 
-/// A member's view. It is shown as JSON: names of keys are part of the interface.
+/// A member's view. It is serialised to JSON; the names of its keys are part of the interface.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct MembershipView {
-    /// Name of the member whose view it is.
+    /// Name of the member that has this view.
     #[serde(rename = "self")]
     pub local_name: String,
-    /// Nothing changes, and the members heard lately hold the same view.
+    /// Nothing changes, and members that sent packets lately have the same view.
     pub settled: bool,
-    /// Digest, 16 hexadecimal digits: the same in all views that are equal.
+    /// Digest, 16 hexadecimal digits. Equal views have equal digests.
     pub digest: String,
-    /// The verdicts that hold.
+    /// The active verdicts.
     pub verdicts: Vec<Verdict>,
     /// All members, the local one included, by name.
     pub members: Vec<MemberView>,
@@ -39,13 +40,13 @@
     /// Its generation.
     #[serde(rename = "start")]
     pub generation: u64,
-    /// How long it has been in this state here, ms.
+    /// Time since this view has had the member in this state, ms.
     pub age_ms: f64,
-    /// Address at which it is reached.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
     /// Cores of its engine.
     pub cores: u16,
-    /// Its load and how old that report is, ms; none if no message came from itself.
+    /// Its load and the age of that report, ms. None if no message was received from the member itself.
     pub load: Option<(Load, f64)>,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Membership {
-    /// Whether nothing changes and the members heard lately hold the same view.
+    /// Whether nothing changes and members that sent packets lately have the same view.
     pub fn is_settled(&self, now: f64) -> bool {
         let settling_ms = SETTLED_AFTER * self.settings.period_ms;
         let is_quiet = now - self.last_change_ms >= settling_ms;
@@ -76,7 +77,7 @@
             && (is_alone || self.anti_entropy.agrees_with_peers(now, settling_ms))
     }
 
-    /// The view in figures.
+    /// Counts over the view.
     pub fn summary(&self, now: f64) -> MembershipSummary {
         MembershipSummary {
             up: self.table.up_count() as u32 + 1,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The view.
+    /// The view as shown to operators.
     pub fn view(&self, now: f64) -> MembershipView {
         let others = self.table.iter().map(|(_, member)| {
             let last_received_ms = member.last_received_ms;
--- a/crates/pinepoint-membership/src/table.rs
+++ b/crates/pinepoint-membership/src/table.rs
@@ -1,6 +1,6 @@
-//! The table of other members: the latest record about each, and the digests that anti-entropy compares. It owns the bound
-//! on members and rejects generations too far in the future; it does no I/O, reads no clock and does not decide whom to
-//! contact.
+//! The table of other members: the latest record about each, and the digests that anti-entropy compares. The
+//! table enforces the maximum number of members and rejects generations too far in the future. It does no
+//! I/O, reads no clock and does not decide which members to contact.
 
 mod indexes;
 
@@ -15,29 +15,29 @@
 use crate::wire::BUCKET_COUNT;
 use indexes::Indexes;
 
-/// A generation further ahead of all clocks heard than this is forged or of a broken clock, ms.
+/// A generation further ahead than this of all received clocks is forged or comes from a broken clock, ms.
 pub const MAX_GENERATION_AHEAD_MS: f64 = 86_400_000.0;
 
-/// A member as it is known here.
+/// The local state of another member.
 #[derive(Clone, Debug)]
 pub struct MemberState {
     /// The record of highest precedence.
     pub record: MemberRecord,
-    /// When its liveness, phase or process changed here, ms.
+    /// When its liveness, phase or process last changed in this table, ms.
     pub state_since_ms: f64,
-    /// When a message of this process last came, ms; minus infinity if none did.
+    /// When a message of this process was last received, ms. Minus infinity if none was.
     pub last_received_ms: f64,
-    /// Its load, as reported then.
+    /// Its load, as reported in its last message.
     pub load: Load,
-    /// Consecutive direct probes of ours that it did not answer.
+    /// Consecutive direct probes of the local member that it did not answer.
     pub missed_probes: u32,
-    /// The system reported that nobody listens at its address.
+    /// The system reported that no process listens at its address.
     pub connection_refused: bool,
-    /// It became lost by gossip alone: it was not seen suspected first.
+    /// It became lost by gossip alone, without having been suspected in this table first.
     pub lost_by_gossip: bool,
-    /// How it last came back after it was lost.
+    /// How it last recovered from being lost.
     pub recovery: Recovery,
-    /// When it came back, ms; minus infinity if it never did.
+    /// When it last recovered, ms. Minus infinity if it never did.
     pub recovered_ms: f64,
 }
 
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether a message of this process has come.
+    /// Whether a message of this process was received.
     fn has_sent_message(&self) -> bool {
         self.last_received_ms.is_finite()
     }
 
-    /// Takes over a record of higher precedence and returns the previous one.
+    /// Replaces the record with one of higher precedence and returns the previous one.
     fn replace_record(&mut self, now: f64, record: &MemberRecord) -> MemberRecord {
         let previous = &self.record;
         let is_new_process = previous.process_id() != record.process_id();
@@ -84,55 +84,56 @@
             self.state_since_ms = now;
             self.missed_probes = 0;
         }
-        // One identity is shared by all records of a process.
+        // All records of a process share one identity.
         let is_same_identity = previous.identity == record.identity;
         let identity = if is_same_identity { previous.identity.clone() } else { record.identity.clone() };
         std::mem::replace(&mut self.record, MemberRecord { identity, ..record.clone() })
     }
 }
 
-/// How a member came back after it was lost.
+/// How a member recovered from being lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Recovery {
-    /// It was not lost.
+    /// It was never lost.
     #[default]
     None,
-    /// The same process came back.
+    /// The same process is up again.
     SameGeneration,
-    /// It was restarted.
+    /// The member was restarted.
     NewGeneration,
 }
 
-/// What became of a record that was merged.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It changed the table.
+    /// The record changed the table.
     Applied,
-    /// It has the precedence of what is known.
+    /// The record has the same precedence as the known one.
     Duplicate,
-    /// What is known overrides it.
+    /// The known record overrides it.
     Stale,
-    /// Its generation is too far in the future.
+    /// The record's generation is too far in the future.
     ForgedGeneration,
     /// The table is full.
     TableFull,
 }
 
-/// The processes that were heard since the table is kept.
+/// The processes from which messages were received since the table was created.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SenderSummary {
-    /// Members of whose current process a message came.
+    /// Number of members from whose current process a message was received.
     pub members: usize,
-    /// Earliest start of a process that was ever heard, by its own uptime, Unix ms; infinity if none was.
+    /// Earliest start of any process from which a message was received, computed from the uptime it reported,
+    /// Unix ms. Infinity if no message was received.
     pub earliest_start_ms: f64,
 }
 
-/// The table of all members but the local one. Indexes are kept beside the members as records come, so that the work of a
+/// The table of all members but the local one. Indexes are updated with each record, so that the work of a
 /// period depends neither on the size of the fleet nor on how much of it is lost.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     members: FxHashMap<u64, MemberState>,
-    /// Sorted keys: a bucket is a range of these.
+    /// Sorted keys. A bucket is a range of these.
     keys: BTreeSet<u64>,
     capacity: usize,
     /// XOR of the digests of the records in each bucket.
@@ -140,13 +141,13 @@
     /// XOR of the digests of all records.
     digest: u64,
     indexes: Indexes,
-    /// When a message of any member last came, ms.
+    /// When a message of any member was last received, ms.
     last_received_ms: f64,
     senders: SenderSummary,
     has_seen_leave: bool,
 }
 
-/// Bits of a key below those that name its bucket.
+/// Number of low bits of a key below those that give its bucket.
 const BUCKET_SHIFT: u32 = u64::BITS - BUCKET_COUNT.ilog2();
 
 /// The bucket of a member's key.
@@ -175,12 +176,12 @@
         self.members.get(&key)
     }
 
-    /// The member of this key. Its record is changed by [`MemberTable::merge`] only.
+    /// The member of this key, mutable. Only [`MemberTable::merge`] may change its record.
     pub fn get_mut(&mut self, key: u64) -> Option<&mut MemberState> {
         self.members.get_mut(&key)
     }
 
-    /// Who a member is.
+    /// The identity of the member of this key.
     pub fn identity(&self, key: u64) -> Option<&Rc<Identity>> {
         self.members.get(&key).map(|member| &member.record.identity)
     }
@@ -197,12 +198,12 @@
         self.keys.range(first..=last).filter_map(|key| Some((*key, self.members.get(key)?)))
     }
 
-    /// The members that give this address as theirs: more than one where a member took the place of another.
+    /// The members that announce this address: more than one if a member has replaced another at its address.
     pub fn members_at(&self, address: SocketAddr) -> impl Iterator<Item = u64> {
         self.indexes.members_at(address)
     }
 
-    /// How many members are known, whatever their state.
+    /// Number of known members, whatever their state.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -212,12 +213,12 @@
         self.members.is_empty()
     }
 
-    /// How many members are neither left nor lost.
+    /// Number of members that are neither left nor lost.
     pub fn up_count(&self) -> usize {
         self.indexes.up.len()
     }
 
-    /// Keys of the members that are neither left nor lost, in no meaningful order: each can be reached by its position.
+    /// Keys of the members that are neither left nor lost, in no meaningful order, accessible by position.
     pub fn up(&self) -> &IndexSet<u64, FxBuildHasher> {
         &self.indexes.up
     }
@@ -237,34 +238,34 @@
         self.indexes.zones.iter().map(|(zone, members)| (zone.as_str(), members))
     }
 
-    /// When a message of any member last came, ms; minus infinity if none did.
+    /// When a message of any member was last received, ms. Minus infinity if none was.
     pub fn last_received_ms(&self) -> f64 {
         self.last_received_ms
     }
 
-    /// The processes that were heard.
+    /// The processes from which messages were received.
     pub fn senders(&self) -> SenderSummary {
         self.senders
     }
 
-    /// Whether a member has left in order since this table is kept.
+    /// Whether any member has left gracefully since the table was created.
     pub fn has_seen_leave(&self) -> bool {
         self.has_seen_leave
     }
 
-    /// Digests of the buckets, with the local member's own record.
+    /// Digests of the buckets, the local member's own record included.
     pub fn bucket_digests(&self, local: &MemberRecord) -> [u64; BUCKET_COUNT] {
         let mut digests = self.bucket_digests;
         digests[bucket_of(local.identity.key())] ^= local.digest();
         digests
     }
 
-    /// Digest of the whole table, with the local member's own record.
+    /// Digest of the whole table, the local member's own record included.
     pub fn digest(&self, local: &MemberRecord) -> u64 {
         self.digest ^ local.digest()
     }
 
-    /// Notes that a message came from a member itself, of the process that is known of it.
+    /// Records that a message was received from the known process of a member.
     pub fn record_received(&mut self, now: f64, key: u64, load: Load) {
         let Some(member) = self.members.get_mut(&key) else { return };
         self.senders.members += usize::from(!member.has_sent_message());
@@ -276,7 +277,7 @@
         self.senders.earliest_start_ms = self.senders.earliest_start_ms.min(start_ms);
     }
 
-    /// Notes that the system reported that nobody listens at this address.
+    /// Records that the system reported that no process listens at this address.
     pub fn record_connection_refused(&mut self, address: SocketAddr) {
         for key in self.indexes.members_at(address) {
             if let Some(member) = self.members.get_mut(&key) {
@@ -285,7 +286,8 @@
         }
     }
 
-    /// Merges a record: it is applied if it overrides what is known. `clock_horizon_ms` is the latest of all clocks heard.
+    /// Merges a record: applies it if it overrides the known one. `clock_horizon_ms` is the latest plausible
+    /// clock received from any member.
     pub fn merge(&mut self, now: f64, clock_horizon_ms: f64, record: &MemberRecord) -> MergeOutcome {
         if record.generation as f64 > clock_horizon_ms + MAX_GENERATION_AHEAD_MS {
             return MergeOutcome::ForgedGeneration;
@@ -323,7 +325,7 @@
         MergeOutcome::Applied
     }
 
-    /// Applies the change of one record's digest to the digests that contain it.
+    /// Applies the change of one record's digest to the digests of its bucket and of the table.
     fn update_digests(&mut self, key: u64, change: u64) {
         self.bucket_digests[bucket_of(key)] ^= change;
         self.digest ^= change;
@@ -334,7 +336,7 @@
         self.indexes.update(key, previous, current);
     }
 
-    /// Removes the member that is left or lost for longest; returns whether there was one.
+    /// Removes the member that has been left or lost for longest. Returns whether there was one.
     fn evict_longest_down(&mut self) -> bool {
         let down = self.indexes.down.iter();
         let since = down.filter_map(|key| Some((*key, self.members.get(key)?.state_since_ms)));
@@ -351,7 +353,7 @@
         true
     }
 
-    /// Removes the members that left or were lost before these times, ms; returns how many.
+    /// Removes the members that left or were lost before these times, ms. Returns how many were removed.
     pub fn expire(&mut self, left_before_ms: f64, lost_before_ms: f64) -> usize {
         let is_expired = |member: &MemberState| match member.record.phase {
             Phase::Left => member.state_since_ms < left_before_ms,
--- a/crates/pinepoint-membership/src/table/indexes.rs
+++ b/crates/pinepoint-membership/src/table/indexes.rs
@@ -1,5 +1,5 @@
-//! Indexes of the table of members: keys by state, zone and address. They follow each change of a record, and hold nothing
-//! that could not be computed from the members.
+//! Indexes of the table of members: keys by state, zone and address. Each change of a record updates them.
+//! They contain nothing that could not be computed from the members.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,30 +10,31 @@
 
 use crate::member::{Liveness, MemberRecord, Phase};
 
-/// Keys of members by what their records say.
+/// Keys of members by state, zone and address, as in their records.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Indexes {
-    /// Neither left nor lost, in an order from which one can be drawn at random.
+    /// Neither left nor lost. Accessible by position, so that a member can be drawn at random.
     pub(super) up: IndexSet<u64, FxBuildHasher>,
     /// Left or lost.
     pub(super) down: BTreeSet<u64>,
-    /// Suspected or lost, and not left.
+    /// Suspected or lost, but not left.
     pub(super) unresponsive: BTreeSet<u64>,
-    /// Lost, and not left.
+    /// Lost, but not left.
     pub(super) lost: BTreeSet<u64>,
     /// Not left, by zone.
     pub(super) zones: BTreeMap<String, BTreeSet<u64>>,
-    /// By the address that the member gives.
+    /// All members, by the address that each announces.
     pub(super) addresses: BTreeSet<(SocketAddr, u64)>,
 }
 
 impl Indexes {
-    /// The members that give this address as theirs.
+    /// The members that announce this address.
     pub(super) fn members_at(&self, address: SocketAddr) -> impl Iterator<Item = u64> {
         self.addresses.range((address, 0)..=(address, u64::MAX)).map(|(_, key)| *key)
     }
 
-    /// Follows the change of a member's record; `None` where it was not known before or is not any more.
+    /// Updates the indexes after a change of a member's record. `previous` is `None` for a new member,
+    /// `current` for a removed one.
     pub(super) fn update(
         &mut self,
         key: u64,
@@ -75,7 +76,7 @@
     }
 
     fn update_zone(&mut self, key: u64, previous: Option<&MemberRecord>, current: Option<&MemberRecord>) {
-        // Zone names are compared only where they may differ: nearly always both records share one identity.
+        // Zone names are compared only if they may differ. Both records nearly always share one identity.
         if let (Some(previous), Some(current)) = (previous, current)
             && Rc::ptr_eq(&previous.identity, &current.identity)
             && (previous.phase == Phase::Left) == (current.phase == Phase::Left)
@@ -101,7 +102,7 @@
     }
 }
 
-/// The zone under which a member is indexed: none once it has left.
+/// The zone under which a member is indexed. None once the member has left.
 fn indexed_zone(record: &MemberRecord) -> Option<&str> {
     (record.phase != Phase::Left).then_some(record.identity.zone.as_str())
 }
--- a/crates/pinepoint-membership/src/table/tests.rs
+++ b/crates/pinepoint-membership/src/table/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// What the indexes have to be, computed from the members alone.
+/// Checks indexes, counts and digests against values computed from the members alone.
 fn check_indexes(table: &MemberTable) {
     let keys = |is: fn(&MemberState) -> bool| -> BTreeSet<u64> {
         table.iter().filter(|(_, member)| is(member)).map(|(key, _)| key).collect()
@@ -53,7 +53,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn its_indexes_are_what_its_members_say(records in proptest::collection::vec((record(), any::<bool>()), 1..120)) {
+    fn indexes_match_members(records in proptest::collection::vec((record(), any::<bool>()), 1..120)) {
         let mut table = MemberTable::new(6);
         for (step, (record, is_received)) in records.into_iter().enumerate() {
             let now = step as f64;
