--- a/crates/pinepoint-membership/src/diagnosis.rs
+++ b/crates/pinepoint-membership/src/diagnosis.rs
@@ -1,6 +1,7 @@
-//! Diagnosis of faults that concern more than one member: a zone that is lost or cut off, a link that is dead in one
-//! direction, this member's own isolation, a start of the whole fleet, two processes of one name. It owns the verdicts and
-//! their evidence; it does no I/O, reads no clock and does not change what is known of a member.
+//! Diagnosis of faults that concern more than one member: a lost or unreachable zone, a link that fails in
+//! one direction, isolation of this member, a start of the whole fleet, two processes of one name. The
+//! diagnosis owns the verdicts and their evidence. It does no I/O, reads no clock and does not change the
+//! table of members.
 
 mod hold_down;
 mod verdict;
@@ -12,31 +13,32 @@
 use hold_down::{Finding, VerdictStore};
 pub use verdict::{Verdict, VerdictChange, VerdictKind};
 
-/// A verdict about a link needs a message of the member within so many periods.
+/// A verdict about a link requires that a message of the member was received within this time, periods.
 const LINK_RECEIVED_WITHIN: f64 = 4.0;
-/// Consecutive missed probes that count as a sign of trouble on the way.
+/// Consecutive missed probes that count as a sign of a network fault.
 const MIN_MISSED_PROBES: u32 = 2;
 
 /// The thresholds of diagnosis. Times are in protocol periods.
 #[derive(Clone, Copy, Debug)]
 pub struct DiagnosisSettings {
-    /// Members that stop answering within this time do so together.
+    /// Members that stop answering within this time count as having stopped together.
     pub outage_window: f64,
     /// Fraction of a zone that has to stop answering together for a verdict about the zone.
     pub outage_fraction: f64,
-    /// The zone is still out while at least this fraction of it is.
+    /// An outage of a zone lasts while at least this fraction of the zone is unresponsive.
     pub ongoing_outage_fraction: f64,
-    /// Fewer members than this make neither a zone nor a fleet.
+    /// No verdict is made about a zone or a fleet with fewer members than this.
     pub min_members: usize,
-    /// A verdict holds at least this long. If it is made again within `flap_memory` of its end, it is also held for this
-    /// time after its evidence is over, then for three and for seven times as long. This dampens flapping as BGP route flap
-    /// damping does (RFC 2439): changes become rare, and no verdict is made late.
+    /// Minimum duration of a verdict. A verdict that is made again within `flap_memory` of its end stays
+    /// active for this time after its evidence has ended, on further repetitions for three and for seven
+    /// times as long. This dampens flapping as BGP route flap damping does (RFC 2439): changes become rare,
+    /// and no verdict is made late.
     pub hold_down: f64,
-    /// See `hold_down`.
+    /// Time after the end of a verdict in which making it again counts as a flap, see `hold_down`.
     pub flap_memory: f64,
-    /// All processes of a fleet that starts anew start within this time.
+    /// A fleet start requires that all processes of the fleet started within this time.
     pub fleet_start_window: f64,
-    /// A member that hears nobody for this time is isolated.
+    /// A member that has received nothing for this time may be isolated.
     pub isolation_silence: f64,
 }
 
@@ -55,18 +57,18 @@
     }
 }
 
-/// What a member knows of itself when it diagnoses.
+/// The local member's state, as input of a diagnosis.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalObservation<'a> {
     /// Its zone.
     pub zone: &'a str,
     /// Its uptime, ms.
     pub uptime_ms: f64,
-    /// It was stopped or starved lately: what it believes of others is no evidence.
+    /// It was stopped or starved lately, so that its observations of other members are no evidence.
     pub is_recovering: bool,
     /// Consecutive probes that neither the target nor a relay answered.
     pub unanswered_probes: u32,
-    /// Its local health multiplier, from 1: its own failure detection takes that much longer.
+    /// Its local health multiplier, 1 or more: its own failure detection takes that many times as long.
     pub health_multiplier: f64,
     /// Keys of the members that missed two or more direct probes in a row.
     pub unreachable_directly: &'a BTreeSet<u64>,
@@ -78,11 +80,12 @@
     settings: DiagnosisSettings,
     period_ms: f64,
     verdicts: VerdictStore,
-    /// When the members of a zone that is out began to stop answering, ms.
+    /// Per zone with an outage, when its first member stopped answering, ms.
     zone_outages: BTreeMap<String, f64>,
-    /// When the members began to stop answering on whose account this member is isolated, ms; while it is.
+    /// While this member is isolated, when the first other member stopped answering, ms.
     isolated_since_ms: Option<f64>,
-    /// A process was there long before this one, or one left in order: the fleet did not start with this member.
+    /// Another process started long before this one, or a member left gracefully, so that the fleet did not
+    /// start together with this member.
     fleet_is_older: bool,
 }
 
@@ -103,17 +106,17 @@
         }
     }
 
-    /// The verdicts that hold.
+    /// The active verdicts.
     pub fn verdicts(&self) -> impl Iterator<Item = &Verdict> {
         self.verdicts.iter()
     }
 
-    /// Whether a verdict of this kind holds, whatever its subject.
+    /// Whether a verdict of this kind is active, whatever its subject.
     pub fn has_active(&self, kind: VerdictKind) -> bool {
         self.verdicts.has_active(kind)
     }
 
-    /// Notes that a message came from another process of this member's name, at this address.
+    /// Records that a message was received from another process of this member's name, at this address.
     pub fn report_name_conflict(&mut self, now: f64, address: &str, changes: &mut Vec<VerdictChange>) {
         let finding = Finding {
             kind: VerdictKind::NameClash,
@@ -124,7 +127,7 @@
         self.verdicts.confirm(now, finding, changes);
     }
 
-    /// Diagnoses the table as it is now. To be called once a period.
+    /// Diagnoses the current table. Has to be called once a period.
     pub fn evaluate(
         &mut self,
         now: f64,
@@ -140,13 +143,14 @@
         }
         self.diagnose_fleet_start(now, local, table, changes);
         self.verdicts.refresh(now);
-        // A process that was stopped has not looked: its verdicts stand.
+        // A process that was stopped has made no observations meanwhile, so its verdicts do not expire.
         if !local.is_recovering {
             self.verdicts.expire(now, changes);
         }
     }
 
-    /// Whether zones need to be looked at: while all members answer they need not, however large the fleet.
+    /// Whether zones have to be examined. While all members answer this is not needed, which saves work in
+    /// large fleets.
     fn has_signs_of_outage(&self, local: LocalObservation<'_>, table: &MemberTable) -> bool {
         !table.unresponsive().is_empty()
             || local.unanswered_probes >= MIN_MISSED_PROBES
--- a/crates/pinepoint-membership/src/diagnosis/hold_down.rs
+++ b/crates/pinepoint-membership/src/diagnosis/hold_down.rs
@@ -1,4 +1,4 @@
-//! The verdicts that hold, and their hold-down against flapping.
+//! The active verdicts, and their hold-down against flapping.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 /// Flaps beyond this number do not lengthen the hold-down further.
 const MAX_FLAPS: u32 = 3;
-/// Evidence that was not confirmed for so many periods is over.
+/// Evidence that was not confirmed for this time has ended, periods.
 const UNCONFIRMED_PERIODS: f64 = 2.0;
 
-/// What was found true just now.
+/// A condition that is found to be true now, from which a verdict is made or renewed.
 pub(super) struct Finding {
     pub(super) kind: VerdictKind,
     pub(super) subject: String,
@@ -25,7 +25,8 @@
 }
 
 impl ActiveVerdict {
-    /// How long the verdict is held after its evidence is over: 0, 1, 3 or 7 times the hold-down.
+    /// Time for which the verdict stays active after its evidence has ended: 0, 1, 3 or 7 times the
+    /// hold-down.
     fn extension_ms(&self, hold_down_ms: f64) -> f64 {
         hold_down_ms * f64::from((1_u32 << self.flaps.min(MAX_FLAPS)) - 1)
     }
@@ -36,17 +37,17 @@
     }
 }
 
-/// A verdict that ended lately, by its family.
+/// A verdict that ended lately.
 #[derive(Clone, Copy, Debug)]
 struct EndedVerdict {
     ended_ms: f64,
     flaps: u32,
 }
 
-/// Kind and subject of a verdict.
+/// Kind and subject of a verdict. Ended verdicts are stored under the family of the kind.
 type VerdictKey = (VerdictKind, String);
 
-/// The verdicts that hold, by kind and subject.
+/// The active verdicts, by kind and subject, and those that ended lately.
 #[derive(Clone, Debug)]
 pub(super) struct VerdictStore {
     hold_down_ms: f64,
@@ -71,17 +72,17 @@
         self.active.values().map(|active| &active.verdict)
     }
 
-    /// Whether a verdict of this kind holds, whatever its subject.
+    /// Whether a verdict of this kind is active, whatever its subject.
     pub(super) fn has_active(&self, kind: VerdictKind) -> bool {
         self.active.keys().any(|(active, _)| *active == kind)
     }
 
-    /// Whether this verdict holds.
+    /// Whether the verdict of this kind about this subject is active.
     pub(super) fn is_active(&self, kind: VerdictKind, subject: &str) -> bool {
         self.active.contains_key(&(kind, subject.to_owned()))
     }
 
-    /// Renews the verdict of a finding, or makes it.
+    /// Renews the verdict that follows from a finding, or makes it.
     pub(super) fn confirm(&mut self, now: f64, finding: Finding, changes: &mut Vec<VerdictChange>) {
         let Finding { kind, subject, confidence, evidence } = finding;
         if let Some(active) = self.active.get_mut(&(kind, subject.clone())) {
@@ -91,7 +92,7 @@
             return;
         }
         let flaps = match self.replace_family(kind, &subject, changes) {
-            // It gives way to another of its family, which is no flap.
+            // Replacing another verdict of its family is no flap.
             Some(replaced) => replaced.flaps,
             None => {
                 let ended = self.ended.remove(&(kind.family(), subject.clone()));
@@ -110,7 +111,7 @@
         self.active.insert((kind, subject), ActiveVerdict { verdict, confirmed_ms: now, flaps });
     }
 
-    /// Removes the verdict of the same family about the same subject, if there is one.
+    /// Removes the active verdict of the same family about the same subject, if there is one.
     fn replace_family(
         &mut self,
         kind: VerdictKind,
@@ -124,7 +125,7 @@
         Some(replaced)
     }
 
-    /// Ends a verdict at once, if it holds.
+    /// Ends a verdict at once, if it is active.
     pub(super) fn withdraw(
         &mut self,
         now: f64,
@@ -138,7 +139,8 @@
         changes.push(VerdictChange { verdict: active.verdict, holds: false });
     }
 
-    /// Marks the verdicts that were not confirmed just now, and forgets those that ended long ago.
+    /// Marks the verdicts that were not confirmed at `now` as held down, and removes the ended verdicts that are
+    /// older than the flap memory.
     pub(super) fn refresh(&mut self, now: f64) {
         for active in self.active.values_mut() {
             active.verdict.is_held_down = active.confirmed_ms < now;
@@ -147,7 +149,7 @@
         self.ended.retain(|_, ended| now - ended.ended_ms < flap_memory_ms);
     }
 
-    /// Ends the verdicts whose evidence is over and that were held long enough.
+    /// Ends the verdicts whose evidence has ended and whose hold-down has passed.
     pub(super) fn expire(&mut self, now: f64, changes: &mut Vec<VerdictChange>) {
         let (hold_down_ms, period_ms) = (self.hold_down_ms, self.period_ms);
         let has_expired = |active: &ActiveVerdict| active.has_expired(now, hold_down_ms, period_ms);
--- a/crates/pinepoint-membership/src/diagnosis/verdict.rs
+++ b/crates/pinepoint-membership/src/diagnosis/verdict.rs
@@ -1,20 +1,21 @@
-//! Verdicts and their changes, as they are logged and shown in the view.
+//! Verdicts and their changes, as logged and shown in the view.
 
 use pinepoint_events::{ReasonCode, reason_codes};
 use serde::Serialize;
 
 reason_codes! {
-    /// What a verdict says.
+    /// The condition that a verdict states.
     VerdictKind {
         /// The members of a zone stopped answering together, and their processes are gone.
         ZoneLost = "zone-lost",
-        /// The members of a zone stopped answering together, and some of them were heard since.
+        /// The members of a zone stopped answering together, and messages of some of them were received
+        /// since.
         ZoneCutOff = "zone-cut-off",
-        /// The members of a zone stopped answering together; whether they run is not known.
+        /// The members of a zone stopped answering together. It is unknown whether they run.
         ZoneUnreachable = "zone-unreachable",
-        /// A member is heard and does not answer direct probes.
+        /// Messages of a member are received, but it does not answer direct probes.
         OneWay = "one-way",
-        /// This member is isolated: it lost most of the fleet at once, or hears nobody.
+        /// This member is isolated: it lost most of the fleet at once, or receives nothing.
         SelfCutOff = "self-cut-off",
         /// All processes of the fleet have started just now.
         FleetStart = "fleet-start",
@@ -24,7 +25,8 @@
 }
 
 impl VerdictKind {
-    /// Kinds of one family exclude each other about one subject, and count as one when they flap.
+    /// The family of this kind. At most one verdict of a family is active about a subject, and flaps are
+    /// counted per family.
     pub(super) fn family(self) -> VerdictKind {
         match self {
             VerdictKind::ZoneLost | VerdictKind::ZoneCutOff => VerdictKind::ZoneUnreachable,
@@ -39,30 +41,30 @@
     }
 }
 
-/// A diagnosis that holds.
+/// A diagnosis of the fleet, with its evidence.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// What it says.
+    /// The condition that it states.
     pub kind: VerdictKind,
-    /// Who it is about: a zone, a member or an address; empty where it is this member or the whole fleet.
+    /// The zone, member or address that it is about. Empty for this member or the whole fleet.
     #[serde(rename = "of")]
     pub subject: String,
-    /// From 0 to 1: the fraction of the members concerned that bear it out.
+    /// From 0 to 1: the fraction of the members concerned that support it.
     pub confidence: f64,
-    /// Evidence, for people.
+    /// Evidence as text, for operators.
     pub evidence: String,
-    /// When it was made, Unix ms.
+    /// When the verdict was made, Unix ms.
     pub since_ms: f64,
-    /// Its evidence is over, and it is held down against flapping.
+    /// Its evidence has ended, and it stays active against flapping.
     #[serde(rename = "held")]
     pub is_held_down: bool,
 }
 
-/// A change of a verdict.
+/// The beginning or end of a verdict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictChange {
-    /// The verdict.
+    /// The verdict that has begun or ended.
     pub verdict: Verdict,
-    /// Whether it holds from now on, or no longer.
+    /// Whether the verdict is active from now on, or has ended.
     pub holds: bool,
 }
--- a/crates/pinepoint-membership/src/diagnosis/zones.rs
+++ b/crates/pinepoint-membership/src/diagnosis/zones.rs
@@ -1,4 +1,4 @@
-//! Outages of zones, and the isolation of this member, which looks like an outage of all others.
+//! Outages of zones, and isolation of this member, which looks like an outage of all other members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,20 +6,20 @@
 use super::{DiagnosisEngine, LocalObservation, MIN_MISSED_PROBES, VerdictChange, VerdictKind};
 use crate::table::{MemberState, MemberTable, Recovery};
 
-/// Kinds of verdicts about a zone.
+/// The kinds of verdicts about a zone.
 const ZONE_KINDS: [VerdictKind; 3] =
     [VerdictKind::ZoneUnreachable, VerdictKind::ZoneLost, VerdictKind::ZoneCutOff];
 
-/// The members of one zone, counted. Those that were lost long before the outage are not part of it.
+/// Counts of the members of one zone. Members that were lost long before the outage are not counted.
 struct ZoneTally<'a> {
     members: &'a BTreeSet<u64>,
-    /// Members that answer, or did until the outage.
+    /// Members that answer, or answered until the outage.
     total: usize,
-    /// Of these, not answering since the outage began.
+    /// Members of `total` that have not answered since the outage began.
     unresponsive: usize,
-    /// Of those that are out, with nobody listening at their address.
+    /// Unresponsive members at whose address no process listens.
     refused: usize,
-    /// Of those that are out, heard since they stopped answering.
+    /// Unresponsive members from which messages were received since they stopped answering.
     received_since: usize,
     first_unresponsive_ms: f64,
 }
@@ -41,11 +41,12 @@
         self.unresponsive += 1;
         self.first_unresponsive_ms = self.first_unresponsive_ms.min(unresponsive_since_ms);
         self.refused += usize::from(member.connection_refused);
-        // It was heard after it was held lost: it runs, and hears nothing from here.
+        // A message received after it became suspected or lost shows that it runs but receives nothing from
+        // this member.
         self.received_since += usize::from(member.last_received_ms > member.state_since_ms);
     }
 
-    /// Members that came back restarted since the outage began.
+    /// Number of members that came back with a new process since the outage began.
     fn restarted_since(&self, outage_ms: f64, table: &MemberTable) -> usize {
         let members = self.members.iter().filter_map(|key| table.get(*key));
         let restarted = members
@@ -54,7 +55,7 @@
     }
 }
 
-/// All zones together.
+/// Counts of the members of all zones.
 struct FleetTally {
     total: usize,
     unresponsive: usize,
@@ -81,7 +82,7 @@
 }
 
 impl DiagnosisEngine {
-    /// Looks for zones that are out, unless it is this member that is isolated.
+    /// Detects outages of zones, unless this member itself is isolated.
     pub(super) fn diagnose_outages(
         &mut self,
         now: f64,
@@ -120,7 +121,7 @@
     ) -> BTreeMap<&'a str, ZoneTally<'a>> {
         let mut zones: BTreeMap<&str, ZoneTally<'_>> =
             table.zones().map(|(name, members)| (name, ZoneTally::new(members))).collect();
-        // Only those that do not answer are looked at one by one.
+        // Only unresponsive members are examined one by one.
         for member in table.unresponsive().iter().filter_map(|key| table.get(*key)) {
             let name = member.record.identity.zone.as_str();
             let Some(zone) = zones.get_mut(name) else { continue };
@@ -138,15 +139,16 @@
         zones
     }
 
-    /// Since when a member that does not answer counts as out, ms. A loss that came by gossip alone may be the belief of a
-    /// member that was isolated itself, until those concerned refute it: it counts only after it has stood for a while.
+    /// Time from which a member that does not answer counts as unresponsive, ms. A loss learnt by gossip
+    /// alone may come from a member that was isolated itself, and be refuted soon by the members concerned.
+    /// It therefore counts only after a delay.
     fn unresponsive_since_ms(&self, member: &MemberState) -> f64 {
         let delay = if member.lost_by_gossip { self.settings.outage_window * self.period_ms } else { 0.0 };
         member.state_since_ms + delay
     }
 
-    /// Whether it is this member that is isolated: it hears nobody at all, or it lost most of the fleet at once without a
-    /// sign that the fleet is down.
+    /// Detects that this member itself is isolated: it receives nothing at all, or it lost most of the fleet
+    /// at once without a sign that the fleet is down.
     fn find_isolation(
         &self,
         now: f64,
@@ -180,7 +182,7 @@
         Some(Finding { kind: VerdictKind::SelfCutOff, subject: String::new(), confidence, evidence })
     }
 
-    /// What was believed of zones while this member was isolated is void.
+    /// Withdraws all verdicts about zones, which are void while this member is isolated.
     fn withdraw_zone_verdicts(
         &mut self,
         now: f64,
@@ -233,7 +235,8 @@
         self.verdicts.confirm(now, finding, changes);
     }
 
-    /// A better founded verdict about a zone replaces a poorer one, and not the other way round.
+    /// The kind of verdict to make about a zone. A more specific kind replaces
+    /// [`VerdictKind::ZoneUnreachable`], but not the other way round.
     fn most_specific_kind(&self, found: VerdictKind, zone: &str) -> VerdictKind {
         if found != VerdictKind::ZoneUnreachable {
             return found;
