--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -1,20 +1,21 @@
-//! SWIM/Lifeguard gossip membership: each member keeps a view of the fleet by itself. It says who is there, who is shutting
-//! down, who is new, and which part of the fleet this member is cut off from. There is no central service, no election, and
-//! no guarantee about anything but this view.
+//! SWIM/Lifeguard gossip membership: each member keeps its own view of the fleet. The view shows which
+//! members are up, which are shutting down, which are new, and which part of the fleet this member is cut off
+//! from. There is no central service, no election, and no guarantee about anything but this view.
 //!
 //! Guarantees:
-//! - A member that is gone is declared lost by all, in a time that grows with the logarithm of the fleet; one that runs
-//!   refutes.
-//! - Draining and left are announced by the member itself, never guessed.
-//! - A restart is told from a return: generations only grow, and a record of an earlier one never overrides a later one.
+//! - All members declare a crashed member lost, in a time that grows with the logarithm of the fleet's size.
+//!   A running member refutes the suspicion.
+//! - A member announces itself that it drains or has left; other members never infer it.
+//! - A restart is distinguished from a recovery of the same process: generations only grow, and a record of
+//!   an earlier generation never overrides a later one.
 //! - After the last fault, all members that reach each other converge to the same view.
 //!
-//! Not guaranteed: that two views are equal at any instant; that a lost member does not run; that a verdict is more than its
-//! evidence says.
+//! Not guaranteed: that two views are equal at any instant; that a lost member does not run; that a verdict
+//! is true beyond the evidence it states.
 //!
-//! [`membership`] is the protocol, a state machine over [`table`] and [`member`]; [`diagnosis`] finds faults that concern
-//! more than one member; [`wire`] is the format of messages; [`io`] runs a member on a socket; [`config`] is the section of
-//! the edge file. Only [`io`] does I/O and reads a clock.
+//! [`membership`] is the protocol, a state machine over [`table`] and [`member`]. [`diagnosis`] detects
+//! faults that concern more than one member. [`wire`] is the message format, [`io`] runs a member on a
+//! socket, and [`config`] is the `[fleet]` section of the edge file. Only [`io`] does I/O and reads a clock.
 //!
 //! ```
 //! use std::net::SocketAddr;
--- a/crates/pinepoint-membership/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -1,4 +1,5 @@
-//! What is known of one member, and which of two records about it takes precedence. It knows no time, wire format or peer.
+//! The record about one member, and which of two records about it takes precedence. This module depends on no
+//! clock, wire format or peer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,21 +8,21 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest name of a member, zone or fleet, bytes.
+/// Maximum length of the name of a member, zone or fleet, bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Who a process is, for the whole of its life.
+/// Identity of a process, constant for its lifetime.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// Name of the member, the same after a restart: 1 to 64 bytes.
     pub name: String,
-    /// Its zone; empty where there are no zones.
+    /// Its zone. Empty if the fleet has no zones.
     pub zone: String,
-    /// Address at which others reach it.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
     /// Cores of its engine.
     pub cores: u16,
-    /// Drawn at random by each process, to tell two processes of one name apart.
+    /// Chosen at random by each process, to distinguish two processes of one name.
     pub instance: u32,
 }
 
@@ -34,7 +35,7 @@
 
 #[cfg(test)]
 impl Identity {
-    /// An identity that takes as many bytes as any can.
+    /// An identity of the maximum encoded size.
     pub(crate) fn largest() -> Self {
         Identity {
             name: "n".repeat(MAX_NAME_BYTES),
@@ -52,29 +53,30 @@
 }
 
 reason_codes! {
-    /// The phase of its life that a member announces for itself. Others never guess it.
+    /// The lifecycle phase that a member announces for itself. Other members never infer it.
     #[derive(Serialize, Deserialize)]
     Phase {
-        /// It has started and learns who is there.
+        /// It has started and is learning the other members.
         Joining = "joining",
         /// Its engine is up and warming up, or not up yet.
         Cold = "cold",
-        /// It takes work.
+        /// It accepts requests.
         Serving = "serving",
-        /// It was told to shut down gracefully.
+        /// It is shutting down gracefully.
         Draining = "draining",
-        /// It has left in order.
+        /// It has left gracefully.
         Left = "left",
     }
 }
 
 reason_codes! {
-    /// What others believe of a member's life (SWIM's alive, suspect and faulty), in ascending order of precedence.
+    /// A member's state as other members see it (SWIM's alive, suspect and faulty), in ascending order of
+    /// precedence.
     #[derive(Serialize, Deserialize)]
     Liveness {
-        /// It answers.
+        /// It answers probes.
         Alive = "alive",
-        /// It failed somebody's probe and may still refute the suspicion.
+        /// It failed a probe of another member and may still refute the suspicion.
         Suspected = "suspected",
         /// It did not refute the suspicion in time.
         Lost = "lost",
@@ -84,21 +86,23 @@
 /// One update about one member, as it is gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who it is about.
+    /// The process that the record is about.
     pub identity: Rc<Identity>,
-    /// Generation of the process: Unix ms of its start, raised above every earlier generation of its name.
+    /// Generation of the process: Unix ms of its start, raised above every earlier generation of the same
+    /// name.
     pub generation: u64,
     /// SWIM's incarnation number: the member raises it to announce a phase or to refute a suspicion.
     pub incarnation: u32,
-    /// What the member announces of itself.
+    /// The phase that the member announces for itself.
     pub phase: Phase,
-    /// What others believe of it.
+    /// The member's state as other members see it.
     pub liveness: Liveness,
-    /// Short key of the member that accused it while it is suspected; 0 for none.
+    /// Short key of the member that raised or confirmed the suspicion. 0 for none.
     pub accuser: u32,
 }
 
-/// Precedence of a record over others about the same member: the larger overrides. Compared field by field.
+/// Precedence of a record over others about the same member: the larger overrides the smaller. Compared field
+/// by field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     generation: u64,
@@ -108,7 +112,8 @@
     liveness: Liveness,
 }
 
-/// Identifies one process of a member: restarts have another generation, namesakes another instance.
+/// Identifies one process of a member. A restart has another generation, another process of the same name
+/// another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     generation: u64,
@@ -116,9 +121,9 @@
 }
 
 impl MemberRecord {
-    /// A later generation overrides an earlier one; of two processes of one generation, one overrides the other the same
-    /// way everywhere. Within one process, having left is final; otherwise a later incarnation overrides, and within one
-    /// incarnation the graver liveness.
+    /// A later generation overrides an earlier one. Of two processes of one generation, every member prefers
+    /// the same one. Within one process, [`Phase::Left`] is final; otherwise a later incarnation overrides,
+    /// and within one incarnation the more severe liveness.
     pub fn precedence(&self) -> Precedence {
         Precedence {
             generation: self.generation,
@@ -129,12 +134,12 @@
         }
     }
 
-    /// Which process of the member this record is about.
+    /// The process of the member that this record is about.
     pub fn process_id(&self) -> ProcessId {
         ProcessId { generation: self.generation, instance: self.identity.instance }
     }
 
-    /// The state shown to operators: its phase while it is believed alive, otherwise its liveness.
+    /// The state shown to operators: the phase while the member is alive, otherwise its liveness.
     pub fn state_code(&self) -> &'static str {
         match self.liveness {
             Liveness::Alive => self.phase.code(),
@@ -142,12 +147,12 @@
         }
     }
 
-    /// Whether it is believed to be there: neither left nor lost.
+    /// Whether the member is up: neither left nor lost.
     pub fn is_up(&self) -> bool {
         self.phase != Phase::Left && self.liveness != Liveness::Lost
     }
 
-    /// Hash of the record; digests of tables are the XOR of these. The accuser is not part of it.
+    /// Hash of the record without the accuser. The digest of a table is the XOR of these hashes.
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::with_capacity(64);
         bytes.extend_from_slice(&self.identity.key().to_le_bytes());
@@ -158,7 +163,7 @@
         xxh3_64(&bytes)
     }
 
-    /// Upper bound of its encoded size, bytes.
+    /// Upper bound of the record's encoded size, bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         // Varints take up to 3, 5 and 10 bytes for 16, 32 and 64 bits; enum variants take 1.
         const CORES: usize = 3;
@@ -175,18 +180,18 @@
     }
 }
 
-/// The load that a member reports of itself. Fractions are in 255ths.
+/// The load that a member reports. Fractions are in units of 1/255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Fraction of arrivals that are rejected when they are read.
+    /// Fraction of requests that are rejected on arrival.
     pub refusal: u8,
-    /// Fraction of time that its cores are busy, filtered.
+    /// Fraction of time for which its cores are busy, filtered.
     pub busy: u8,
-    /// Wait in the queue, ms.
+    /// Waiting time in the queue, ms.
     pub hold_ms: u16,
     /// Fraction of the capacity for idempotency keys that is free.
     pub keys_room: u8,
-    /// It takes work, as its health checks are answered.
+    /// It accepts requests, as its health checks report.
     pub healthy: bool,
     /// Uptime, seconds.
     pub up_s: u32,
--- a/crates/pinepoint-membership/src/member/tests.rs
+++ b/crates/pinepoint-membership/src/member/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn later_generations_leaving_incarnations_and_graver_liveness_override_in_that_order() {
+fn precedence_orders_generation_leave_incarnation_liveness() {
     use Liveness::{Alive, Lost, Suspected};
     use Phase::{Left, Serving};
     let order = [
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_record_never_takes_more_than_it_says() {
+fn encoded_record_fits_size_bound() {
     let mut largest = record(u64::MAX, u32::MAX, Phase::Left, Liveness::Lost);
     largest.identity = Rc::new(Identity::largest());
     largest.accuser = u32::MAX;
-    let bytes = postcard::to_allocvec(&largest).expect("encoded");
+    let bytes = postcard::to_allocvec(&largest).expect("a record can be encoded");
     assert!(
         bytes.len() <= largest.max_encoded_bytes(),
-        "{} over {}",
+        "{} bytes encoded, expected at most {}",
         bytes.len(),
         largest.max_encoded_bytes()
     );
--- a/crates/pinepoint-membership/src/wire.rs
+++ b/crates/pinepoint-membership/src/wire.rs
@@ -1,5 +1,6 @@
-//! The wire format of messages between members and of queries for the view: types, and a codec of a version byte, a keyed
-//! checksum and postcard. It checks form and bounds; it does no I/O and does not judge whether a message is true.
+//! The wire format of messages between members and of queries for the view: their types, and a codec of a
+//! version byte, a keyed checksum and postcard. The codec checks form and bounds. It does no I/O and does not
+//! check whether a message's content is true.
 //!
 //! postcard encodes enum variants and fields by their order: neither may be reordered.
 
@@ -12,27 +13,28 @@
 
 /// First byte of every message.
 pub const VERSION: u8 = 1;
-/// Longest message, bytes: one datagram on every path.
+/// Maximum length of a message, bytes. A message is one unfragmented datagram on every path.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Most that a packet takes beside its updates and bucket digests, bytes.
+/// Upper bound of the size of a packet without its updates and bucket digests, bytes.
 pub const FRAME_BYTES: usize = 330;
-/// Buckets into which a table is divided for anti-entropy, by the highest bits of the members' keys.
+/// Number of buckets into which a table is divided for anti-entropy, by the highest bits of the members'
+/// keys.
 pub const BUCKET_COUNT: usize = 128;
-/// Most updates in a packet: more do not fit into a datagram.
+/// Maximum number of updates in a packet. More do not fit into a datagram.
 const MAX_UPDATES: usize = 64;
-/// Version and checksum, bytes.
+/// Size of the version and checksum, bytes.
 const HEADER_BYTES: usize = 5;
 
 /// The sender of a packet, as it describes itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SenderState {
-    /// Its record of itself.
+    /// Its record about itself.
     pub record: MemberRecord,
     /// Its load.
     pub load: Load,
     /// Digest of its table, its own record included.
     pub digest: u64,
-    /// Members that it knows, itself excluded.
+    /// Number of members that it knows, itself excluded.
     pub known_members: u32,
     /// Its clock, Unix ms.
     pub now_ms: f64,
@@ -46,33 +48,34 @@
         /// Sequence number chosen by the prober.
         sequence: u32,
     },
-    /// Request for an indirect probe: ping the target in my place.
+    /// Request for an indirect probe: the receiver pings the target on behalf of the sender.
     PingReq {
         /// Sequence number chosen by the prober.
         sequence: u32,
         /// The member to probe.
         target: Rc<Identity>,
     },
-    /// Answer to a ping of the receiver, by its target or by the relay of an indirect probe.
+    /// Answer to a ping or to a request for an indirect probe, sent by the target or by the relay.
     Ack {
-        /// Of the ping or of the request.
+        /// Sequence number of the ping or of the request.
         sequence: u32,
     },
     /// The target of an indirect probe did not answer the relay.
     Nack {
-        /// Of the request.
+        /// Sequence number of the request.
         sequence: u32,
     },
     /// Carries updates only.
     Gossip,
-    /// Starts an anti-entropy exchange: asks for what differs.
+    /// Starts an anti-entropy exchange: asks for the records of buckets that differ.
     SyncDigests {
         /// Digest of each bucket of the sender's table, lower 32 bits.
         bucket_digests: Vec<u32>,
     },
-    /// Second step of the exchange: the updates are the sender's side of what differs, and the receiver's is asked for.
+    /// Second step of the exchange: carries the sender's records of buckets that differ, and asks for the
+    /// receiver's.
     SyncPull {
-        /// A bit for each bucket asked for.
+        /// Bit set of the requested buckets.
         buckets: u128,
     },
 }
@@ -80,60 +83,61 @@
 /// One message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who sent it.
+    /// The sender of the packet.
     pub sender: SenderState,
-    /// What it is for.
+    /// Kind of the packet, with its fields.
     pub body: PacketBody,
     /// Gossip: records of other members.
     pub updates: Vec<MemberRecord>,
 }
 
-/// Everything that is sent to the address of a member.
+/// A message sent to or by a member's socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between members.
+    /// A packet between members.
     Peer(Packet),
-    /// Asks for a page of the view. It is padded to the size of the largest answer, so that it can't be used to amplify
-    /// traffic.
+    /// Requests a page of the view. The request is padded to the size of the largest answer, so that it can't
+    /// be used to amplify traffic.
     ViewRequest {
-        /// Chosen by the client: all pages requested under one id are of one snapshot.
+        /// Chosen by the client. All pages requested under one id are of one snapshot.
         snapshot_id: u64,
-        /// Page, from 0.
+        /// Number of the page, from 0.
         page: u16,
         /// Zero bytes.
         padding: Vec<u8>,
     },
     /// A page of the view.
     ViewPage {
-        /// As requested.
+        /// Snapshot id of the request.
         snapshot_id: u64,
-        /// As requested.
+        /// Page number of the request.
         page: u16,
-        /// Pages of the snapshot.
+        /// Number of pages of the snapshot.
         page_count: u16,
         /// This page's part of the JSON text.
         json: Vec<u8>,
     },
 }
 
-/// Why bytes are not a valid message. The text is the reason that is logged.
+/// Why bytes are not a valid message. The error text is the reason that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
     /// Longer than [`MAX_DATAGRAM_BYTES`], or shorter than the header.
     #[error("length")]
     InvalidLength,
-    /// Of another version.
+    /// The message is of another version.
     #[error("version-{0}")]
     UnsupportedVersion(u8),
-    /// Truncated, changed, garbage, or of a fleet of another name.
+    /// The bytes are truncated, corrupted or no message, or are of a fleet of another name.
     #[error("checksum-or-other-fleet")]
     ChecksumMismatch,
-    /// Intact bytes that are not a message of this version, or that exceed a bound.
+    /// The checksum is right, but the bytes are not a message of this version, or exceed a bound.
     #[error("form")]
     Malformed,
 }
 
-/// The codec of one fleet: its checksum is keyed by the fleet's name, so that messages of other fleets are not understood.
+/// The codec of one fleet. Its checksum is keyed by the fleet's name, so that messages of other fleets are
+/// rejected.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     checksum_seed: u64,
@@ -149,8 +153,8 @@
         (xxh3_64_with_seed(body, self.checksum_seed) as u32).to_le_bytes()
     }
 
-    /// Encodes a message. Fails with [`WireError::InvalidLength`] if it does not fit into a datagram, which its maker has to
-    /// ensure.
+    /// Encodes a message. Fails with [`WireError::InvalidLength`] if the message does not fit into a
+    /// datagram, which the caller has to ensure.
     pub fn encode(&self, message: &Message) -> Result<Vec<u8>, WireError> {
         let body = postcard::to_allocvec(message).map_err(|_| WireError::Malformed)?;
         if body.len() + HEADER_BYTES > MAX_DATAGRAM_BYTES {
--- a/crates/pinepoint-membership/src/wire/tests.rs
+++ b/crates/pinepoint-membership/src/wire/tests.rs
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn what_is_sent_is_read_and_what_is_cut_changed_or_of_others_is_not() {
+fn decodes_intact_messages_and_rejects_others() {
     let codec = Codec::new("f");
     let message = Message::Peer(packet());
-    let bytes = codec.encode(&message).expect("within the bound");
+    let bytes = codec.encode(&message).expect("it fits into a datagram");
     assert_eq!(codec.decode(&bytes), Ok(message));
     assert_eq!(Codec::new("g").decode(&bytes), Err(WireError::ChecksumMismatch));
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[at] ^= 1;
-        assert!(codec.decode(&changed).is_err(), "byte {at}");
-        assert!(codec.decode(&bytes[..at]).is_err(), "cut at {at}");
+        changed[index] ^= 1;
+        assert!(codec.decode(&changed).is_err(), "a flipped bit in byte {index} was accepted");
+        assert!(codec.decode(&bytes[..index]).is_err(), "a message truncated to {index} bytes was accepted");
     }
     assert_eq!(
         codec.decode(&[&[VERSION + 1], &bytes[1..]].concat()),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_largest_frame_leaves_the_room_that_is_counted_on() {
+fn largest_frames_fit_size_bounds() {
     let mut largest = packet();
     let identity = Identity::largest();
     let record = &mut largest.sender.record;
@@ -54,17 +54,17 @@
     largest.sender.load = Load { hold_ms: u16::MAX, up_s: u32::MAX, ..Load::default() };
     largest.updates.clear();
     largest.body = PacketBody::SyncPull { buckets: u128::MAX };
-    let bytes = Codec::new("f").encode(&Message::Peer(largest.clone())).expect("within the bound");
-    assert!(bytes.len() <= FRAME_BYTES, "{}", bytes.len());
+    let bytes = Codec::new("f").encode(&Message::Peer(largest.clone())).expect("it fits into a datagram");
+    assert!(bytes.len() <= FRAME_BYTES, "{} bytes, expected at most {FRAME_BYTES}", bytes.len());
     largest.body = PacketBody::SyncDigests { bucket_digests: vec![u32::MAX; BUCKET_COUNT] };
     assert!(Codec::new("f").encode(&Message::Peer(largest.clone())).is_ok());
     largest.body = PacketBody::PingReq { sequence: u32::MAX, target: Rc::new(identity) };
-    let bytes = Codec::new("f").encode(&Message::Peer(largest)).expect("within the bound");
-    assert!(bytes.len() <= 2 * FRAME_BYTES, "{}", bytes.len());
+    let bytes = Codec::new("f").encode(&Message::Peer(largest)).expect("it fits into a datagram");
+    assert!(bytes.len() <= 2 * FRAME_BYTES, "{} bytes, expected at most 2 * {FRAME_BYTES}", bytes.len());
 }
 
 #[test]
-fn the_bytes_of_each_kind_of_message_are_those_of_version_1() {
+fn encoding_matches_version_1() {
     let target = packet().sender.record.identity;
     let bodies = [
         PacketBody::Ping { sequence: 3 },
@@ -79,7 +79,8 @@
     messages.push(Message::ViewRequest { snapshot_id: 3, page: 1, padding: vec![0; 4] });
     messages.push(Message::ViewPage { snapshot_id: 3, page: 1, page_count: 2, json: b"{}".to_vec() });
     let codec = Codec::new("f");
-    let hashes = messages.iter().map(|message| xxh3_64(&codec.encode(message).expect("within the bound")));
+    let hashes =
+        messages.iter().map(|message| xxh3_64(&codec.encode(message).expect("it fits into a datagram")));
     let version_1 = [
         0x056655d35208f553,
         0xc0987ae21fc35247,
