--- a/crates/pinepoint-membership/src/config.rs
+++ b/crates/pinepoint-membership/src/config.rs
@@ -1,5 +1,5 @@
-//! The `[fleet]` section of the edge file: its keys, defaults, bounds and the errors for values outside of them. It does
-//! not act on any of them.
+//! Parses and validates the `[fleet]` section of the edge file: its keys, defaults and bounds, and the errors
+//! for values outside of the bounds.
 
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -10,13 +10,14 @@
 use crate::member::MAX_NAME_BYTES;
 use crate::membership::MembershipSettings;
 
-/// Bounds of the protocol period, ms. Below, a busy machine looks dead; above, nobody hears of a change in time.
+/// Bounds of the protocol period, ms. With a shorter period a busy machine is declared lost; with a longer
+/// one changes spread too late.
 const PERIOD_MS_BOUNDS: RangeInclusive<f64> = 50.0..=60_000.0;
-/// Bounds of the number of members.
+/// Bounds of the maximum number of members.
 const MEMBER_BOUNDS: RangeInclusive<usize> = 2..=8192;
 const MAX_SEEDS: usize = 16;
 
-/// The validated section.
+/// The validated `[fleet]` section.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(try_from = "RawConfig")]
 pub struct Config {
@@ -24,17 +25,17 @@
     pub listen: SocketAddr,
     /// Address at which other members reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Name of the fleet, 1 to 64 bytes. Messages of fleets of other names are not understood.
+    /// Name of the fleet, 1 to 64 bytes. Messages of fleets of other names are rejected.
     pub name: String,
-    /// Zone of this member, 0 to 64 bytes; empty where there are no zones.
+    /// Zone of this member, 0 to 64 bytes. Empty if the fleet has no zones.
     pub zone: String,
     /// Addresses of members to contact first, 16 at most.
     pub seeds: Vec<SocketAddr>,
     /// Protocol period, ms: 50 to 60,000.
     pub period_ms: f64,
-    /// Most members to keep track of, this one included: 2 to 8,192.
+    /// Maximum number of members to keep track of, this one included: 2 to 8,192.
     pub members: usize,
-    /// Networks that may query the view, beside loopback.
+    /// Networks that may query the view, in addition to loopback.
     pub view_from: Vec<IpNet>,
 }
 
@@ -42,22 +43,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
     /// The fleet's name is empty or too long.
-    #[error("name has to have 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("name must have 1 to {MAX_NAME_BYTES} bytes")]
     NameLength,
     /// The zone's name is too long.
-    #[error("zone has to have at most {MAX_NAME_BYTES} bytes")]
+    #[error("zone must have at most {MAX_NAME_BYTES} bytes")]
     ZoneLength,
-    /// The period is out of its bounds, ms.
-    #[error("period_ms is {0} and has to be {min} to {max}", min = PERIOD_MS_BOUNDS.start(), max = PERIOD_MS_BOUNDS.end())]
+    /// The period, ms, is out of its bounds.
+    #[error("period_ms is {0}, but must be {min} to {max}", min = PERIOD_MS_BOUNDS.start(), max = PERIOD_MS_BOUNDS.end())]
     PeriodOutOfRange(f64),
-    /// The most members is out of its bounds.
-    #[error("members is {0} and has to be {min} to {max}", min = MEMBER_BOUNDS.start(), max = MEMBER_BOUNDS.end())]
+    /// The maximum number of members is out of its bounds.
+    #[error("members is {0}, but must be {min} to {max}", min = MEMBER_BOUNDS.start(), max = MEMBER_BOUNDS.end())]
     MembersOutOfRange(usize),
     /// There are more seeds than allowed.
-    #[error("seeds are {0} and may be {MAX_SEEDS} at most")]
+    #[error("seeds has {0} addresses, but at most {MAX_SEEDS} are allowed")]
     TooManySeeds(usize),
-    /// Other members would be told an unspecified address such as `0.0.0.0`.
-    #[error("nobody reaches {0}: advertise has to name an address of this machine")]
+    /// This member would announce an unspecified address such as `0.0.0.0` to other members.
+    #[error("other members cannot reach {0}: set advertise to an address of this machine")]
     UnspecifiedAddress(SocketAddr),
 }
 
@@ -122,7 +123,7 @@
 }
 
 impl Config {
-    /// The settings of the membership protocol that follow from this section.
+    /// The settings of the membership protocol given by this section.
     pub fn membership_settings(&self) -> MembershipSettings {
         MembershipSettings {
             period_ms: self.period_ms,
--- a/crates/pinepoint-membership/src/diagnosis/hold_down.rs
+++ b/crates/pinepoint-membership/src/diagnosis/hold_down.rs
@@ -139,8 +139,8 @@
         changes.push(VerdictChange { verdict: active.verdict, holds: false });
     }
 
-    /// Marks the verdicts that were not confirmed at `now` as held down, and removes the ended verdicts that are
-    /// older than the flap memory.
+    /// Marks the verdicts that were not confirmed at `now` as held down, and removes the ended verdicts that
+    /// are older than the flap memory.
     pub(super) fn refresh(&mut self, now: f64) {
         for active in self.active.values_mut() {
             active.verdict.is_held_down = active.confirmed_ms < now;
--- a/crates/pinepoint-membership/src/io/refusal_check.rs
+++ b/crates/pinepoint-membership/src/io/refusal_check.rs
@@ -1,5 +1,6 @@
-//! Checks whether anybody listens at the address of a suspected member. An empty datagram is sent from a socket of its own,
-//! which is told if the port is closed; the shared socket is not.
+//! Checks whether a process listens at the address of a suspected member. The check sends an empty datagram
+//! from a socket of its own, connected to that address: the system reports a closed port to such a socket,
+//! but not to the shared socket.
 
 use std::cell::Cell;
 use std::io;
@@ -12,12 +13,12 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-/// Most checks at once: further addresses are not checked.
+/// Maximum number of concurrent checks. Further addresses are not checked.
 const MAX_RUNNING_CHECKS: u32 = 8;
-/// Most results that wait to be read: further ones are dropped.
+/// Maximum number of results that wait to be read. Further results are dropped.
 const MAX_PENDING_RESULTS: usize = 64;
 
-/// Runs checks and hands out their results.
+/// Runs checks and returns their results.
 pub(super) struct RefusalChecks {
     executor: Rc<LocalExecutor<'static>>,
     timeout: Duration,
@@ -26,7 +27,7 @@
     refused: Receiver<SocketAddr>,
 }
 
-/// Counts a running check for as long as it lives.
+/// Counts a running check until it is dropped.
 struct RunningCheck(Rc<Cell<u32>>);
 
 impl RunningCheck {
@@ -43,7 +44,7 @@
 }
 
 impl RefusalChecks {
-    /// Checks run on this executor, for `timeout_ms` each.
+    /// Checks run on this executor, for up to `timeout_ms` each.
     pub(super) fn new(executor: Rc<LocalExecutor<'static>>, timeout_ms: f64) -> Self {
         let (results, refused) = async_channel::bounded(MAX_PENDING_RESULTS);
         let timeout = Duration::from_secs_f64(timeout_ms / 1000.0);
@@ -66,7 +67,7 @@
         self.executor.spawn(check).detach();
     }
 
-    /// The next address at which nobody listens.
+    /// The next address at which no process listens.
     pub(super) async fn next_refused(&self) -> Result<SocketAddr, RecvError> {
         self.refused.recv().await
     }
--- a/crates/pinepoint-membership/src/io/report.rs
+++ b/crates/pinepoint-membership/src/io/report.rs
@@ -1,4 +1,4 @@
-//! Notifications as log lines for operators. Their words are documented in `docs/operations/fleet.md`.
+//! Notifications as log lines for operators. The lines are documented in `docs/operations/fleet.md`.
 
 use pinepoint_events::ReasonCode;
 
--- a/crates/pinepoint-membership/src/io/service.rs
+++ b/crates/pinepoint-membership/src/io/service.rs
@@ -1,4 +1,4 @@
-//! The service: it owns the socket and the task that receives, ticks and sends.
+//! The membership service, which owns the socket and the task that receives, ticks and sends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -21,15 +21,15 @@
 use crate::membership::{Action, Event, Membership, MembershipView, Notification};
 use crate::wire::{Codec, MAX_DATAGRAM_BYTES, Message, Packet};
 
-/// The status of the process, which a member announces.
+/// Source of the process status that a member announces.
 pub trait StatusSource {
-    /// The phase that the member is to announce.
+    /// The phase that the member announces.
     fn phase(&self) -> Phase;
     /// The load of the process.
     fn load(&self) -> Load;
 }
 
-/// What [`start`] needs beside the configuration.
+/// The inputs of [`start`] besides the configuration.
 pub struct Dependencies {
     /// Name of this member, 1 to 64 bytes.
     pub name: String,
@@ -39,7 +39,7 @@
     pub seed: u64,
     /// The clock of the process.
     pub clock: Clock,
-    /// Where the tasks run.
+    /// Executor that runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The status of the process.
     pub source: Rc<dyn StatusSource>,
@@ -56,21 +56,21 @@
     clock: Clock,
     source: Rc<dyn StatusSource>,
     observer: Rc<dyn Observer>,
-    /// As the observer was last told.
+    /// The summary that was last reported to the observer.
     reported_summary: Cell<MembershipSummary>,
     view_server: RefCell<ViewServer>,
     refusal_checks: RefusalChecks,
 }
 
-/// Opens the socket and spawns the task of a member. It runs for as long as the executor does.
+/// Opens the socket and spawns the task of a member. The task runs for as long as the executor does.
 ///
-/// Fails if the name is too long, or if the system does not give the address.
+/// Fails if the name is too long, or if the socket cannot be bound to the address.
 pub fn start(config: &Config, dependencies: Dependencies) -> io::Result<Rc<MembershipService>> {
     let Dependencies { name, cores, seed, clock, executor, source, observer } = dependencies;
     if name.len() > MAX_NAME_BYTES {
         let length = name.len();
         let error =
-            format!("the comparer's name has {length} bytes, and {MAX_NAME_BYTES} are the most in a fleet");
+            format!("the comparer's name has {length} bytes, but a fleet allows at most {MAX_NAME_BYTES}");
         return Err(io::Error::new(io::ErrorKind::InvalidInput, error));
     }
     let socket = Async::<UdpSocket>::bind(config.listen)?;
@@ -102,13 +102,13 @@
     Ok(service)
 }
 
-/// A number that no other process of this name has: a hash of what differs between two processes, under a key drawn by
-/// the system.
+/// A number that distinguishes this process from others of the same name: a hash of values that differ
+/// between processes, under a random key of the system.
 fn random_instance(clock: &Clock, address: SocketAddr) -> u32 {
     RandomState::new().hash_one((std::process::id(), address, clock.now().to_bits())) as u32
 }
 
-/// What the task was woken by.
+/// The event that woke the task.
 enum Wake {
     TickDue,
     DatagramReceived {
@@ -116,12 +116,12 @@
         from: SocketAddr,
     },
     ConnectionRefused(SocketAddr),
-    /// An error that belongs to an earlier datagram: no reason to stop receiving.
+    /// An error caused by an earlier datagram. The task continues to receive.
     Error,
 }
 
 impl MembershipService {
-    /// The view now.
+    /// The current view.
     pub fn view(&self) -> MembershipView {
         self.membership.borrow().view(self.clock.now())
     }
@@ -135,7 +135,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due_ms = self.membership.borrow().next_due();
-            // A tick that is due comes first, however much is received.
+            // A due tick is handled before received datagrams, so that a flood of datagrams can't delay it.
             if self.clock.now() >= due_ms {
                 self.tick();
                 continue;
@@ -201,13 +201,13 @@
         }
     }
 
-    /// A datagram that the system does not take at once counts as lost on the way.
+    /// Sends a datagram. If the system does not accept it at once, it counts as lost on the network.
     fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         let _ = self.socket.get_ref().send_to(bytes, to);
     }
 
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
-        // Another member checks whether anybody listens here: see `refusal_check`.
+        // An empty datagram is another member's check that this process listens, see `refusal_check`.
         if bytes.is_empty() {
             return;
         }
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Sends a page of the view to those who may query it. The answer is never larger than the request.
+    /// Sends a page of the view if the client may query it. The answer is never larger than the request.
     fn answer_view_request(&self, snapshot_id: u64, page: u16, request_bytes: usize, from: SocketAddr) {
         if !self.config.may_query_view(from.ip()) {
             tracing::warn!(%from, reason = "not-allowed", "fleet-view-refused");
--- a/crates/pinepoint-membership/src/io/view_client.rs
+++ b/crates/pinepoint-membership/src/io/view_client.rs
@@ -1,4 +1,4 @@
-//! Queries a member for its view, as the command-line tool does. Blocking.
+//! Blocking client that queries a member for its view, used by the command-line tool.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -8,24 +8,25 @@
 
 use crate::wire::{Codec, MAX_DATAGRAM_BYTES, Message};
 
-/// What a request takes beside its padding, bytes, at most.
+/// Upper bound of the size of a request without its padding, bytes.
 const REQUEST_FRAME_BYTES: usize = 40;
 
-/// Why there is no view.
+/// Why a query has failed.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The system does not give a socket, or does not send.
+    /// The socket could not be opened or set up.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// Nobody answered: no member runs there, its fleet has another name, or it may not be queried from here.
+    /// No answer was received: no member runs there, its fleet has another name, or it does not allow queries
+    /// from here.
     #[error(
-        "no answer: no member listens there, its fleet has another name (--fleet), or it may not be asked from here \
-         (view_from)"
+        "no answer: no member listens there, its fleet has another name (--fleet), or it does not allow queries from \
+         here (view_from)"
     )]
     NoAnswer,
     /// The answer is not JSON.
-    #[error("what came is no view: {0}")]
-    InvalidView(#[source] serde_json::Error),
+    #[error("the answer is not valid JSON: {0}")]
+    InvalidJson(#[source] serde_json::Error),
 }
 
 /// One page of a snapshot.
@@ -34,8 +35,8 @@
     page_count: u16,
 }
 
-/// Queries the member at this address for its view, as JSON. Each page is requested up to `attempts` times, with `timeout`
-/// for each attempt.
+/// Queries the member at this address for its view, as JSON. Each page is requested up to `attempts` times,
+/// with `timeout` for each attempt.
 pub fn query_view(
     fleet_name: &str,
     address: SocketAddr,
@@ -53,7 +54,7 @@
         json.extend(part);
         page += 1;
         if page >= page_count {
-            return serde_json::from_slice(&json).map_err(QueryError::InvalidView);
+            return serde_json::from_slice(&json).map_err(QueryError::InvalidJson);
         }
     }
 }
@@ -69,7 +70,7 @@
     let request = Message::ViewRequest { snapshot_id, page, padding };
     let bytes = codec.encode(&request).map_err(|_| QueryError::NoAnswer)?;
     for _ in 0..attempts.max(1) {
-        // A closed port is reported by the next call: nobody listens there, or not yet.
+        // The system reports a closed port on the next call. The member may still start to listen.
         if socket.send(&bytes).is_err() {
             continue;
         }
@@ -80,7 +81,7 @@
     Err(QueryError::NoAnswer)
 }
 
-/// Waits for a page, until nothing comes for the socket's timeout.
+/// Waits for a page, until nothing is received for the socket's timeout.
 fn receive_page(codec: &Codec, socket: &UdpSocket, snapshot_id: u64, page: u16) -> Option<Page> {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     while let Ok(length) = socket.recv(&mut buffer) {
--- a/crates/pinepoint-membership/src/io/view_server.rs
+++ b/crates/pinepoint-membership/src/io/view_server.rs
@@ -1,4 +1,5 @@
-//! The view as JSON in pages: a client asks for them one by one and gets all of them from one snapshot.
+//! Serves the view as JSON in pages. A client requests the pages one by one and gets all of them from one
+//! snapshot.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -6,9 +7,9 @@
 use crate::membership::MembershipView;
 use crate::wire::Message;
 
-/// Text in one page, bytes: with its header an answer is never larger than the request.
+/// Maximum text in one page, bytes. With its header, an answer is never larger than the request.
 pub const PAGE_BYTES: usize = 1200;
-/// Snapshots retained for their further pages; the oldest gives way.
+/// Maximum number of snapshots retained for further pages. The oldest is evicted.
 const MAX_SNAPSHOTS: usize = 4;
 
 struct Snapshot {
@@ -16,14 +17,14 @@
     json: Rc<[u8]>,
 }
 
-/// Retains snapshots of the view and cuts them into pages.
+/// Retains snapshots of the view and splits them into pages.
 #[derive(Default)]
 pub(super) struct ViewServer {
     snapshots: VecDeque<Snapshot>,
 }
 
 impl ViewServer {
-    /// The answer to a request for a page; none if the snapshot has no such page.
+    /// The answer to a request for a page. None if the snapshot has no such page.
     pub(super) fn page(
         &mut self,
         snapshot_id: u64,
@@ -36,7 +37,7 @@
         Some(Message::ViewPage { snapshot_id, page, page_count, json: text.to_vec() })
     }
 
-    /// The retained snapshot of this id, or one taken now.
+    /// The retained snapshot of this id, or a new one.
     fn snapshot(&mut self, id: u64, view: impl FnOnce() -> MembershipView) -> Rc<[u8]> {
         if let Some(snapshot) = self.snapshots.iter().find(|snapshot| snapshot.id == id) {
             return snapshot.json.clone();
