--- a/crates/pinepoint-membership/benches/measure/convergence.rs
+++ b/crates/pinepoint-membership/benches/measure/convergence.rs
@@ -42,26 +42,26 @@
     let count = 1 + simulation.random_index(size / 10 + 1);
     let picked: Vec<usize> = (0..count).map(|_| simulation.random_index(size)).collect();
     match kind {
-        0 => picked.iter().for_each(|at| simulation.kill(*at)),
-        1 => picked.iter().for_each(|at| simulation.pause(*at)),
-        2 => simulation.net.partitions = (0..size).map(|at| at % (2 + seed as usize % 2)).collect(),
-        3 => simulation.net.loss = 0.2,
-        4 => simulation.net.receive_loss = picked.iter().map(|at| (*at, 0.3)).collect(),
-        5 => simulation.net.cut_links.extend(picked.iter().map(|at| (*at, (at + 1) % size))),
-        6 => simulation.net = Network { max_delay_ms: 5.0, ..Network::default() },
-        7 => (0..size).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at)),
-        _ => picked.iter().for_each(|at| {
-            simulation.kill(*at);
-            simulation.start(*at);
+        0 => picked.iter().for_each(|index| simulation.kill(*index)),
+        1 => picked.iter().for_each(|index| simulation.pause(*index)),
+        2 => simulation.network.partitions = (0..size).map(|index| index % (2 + seed as usize % 2)).collect(),
+        3 => simulation.network.loss = 0.2,
+        4 => simulation.network.receive_loss = picked.iter().map(|index| (*index, 0.3)).collect(),
+        5 => simulation.network.cut_links.extend(picked.iter().map(|index| (*index, (index + 1) % size))),
+        6 => simulation.network = Network { max_delay_ms: 5.0, ..Network::default() },
+        7 => (0..size).filter(|index| index % 3 == 1).for_each(|index| simulation.kill(index)),
+        _ => picked.iter().for_each(|index| {
+            simulation.kill(*index);
+            simulation.start(*index);
         }),
     }
 }
 
 /// The network is whole again, paused members resume, and half of those that do not run start.
 fn end_faults(simulation: &mut Simulation, size: usize) {
-    simulation.net = Network { max_delay_ms: 5.0, ..Network::default() };
-    let paused: Vec<usize> = (0..size).filter(|at| simulation.nodes[*at].is_paused).collect();
-    paused.into_iter().for_each(|at| simulation.resume(at));
-    let gone: Vec<usize> = (0..size).filter(|at| simulation.nodes[*at].membership.is_none()).collect();
-    gone.into_iter().filter(|at| at % 2 == 0).for_each(|at| simulation.start(at));
+    simulation.network = Network { max_delay_ms: 5.0, ..Network::default() };
+    let paused: Vec<usize> = (0..size).filter(|index| simulation.nodes[*index].is_paused).collect();
+    paused.into_iter().for_each(|index| simulation.resume(index));
+    let gone: Vec<usize> = (0..size).filter(|index| simulation.nodes[*index].membership.is_none()).collect();
+    gone.into_iter().filter(|index| index % 2 == 0).for_each(|index| simulation.start(index));
 }
--- a/crates/pinepoint-membership/benches/measure/cpu.rs
+++ b/crates/pinepoint-membership/benches/measure/cpu.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::report::median;
-use crate::sim::{PERIOD, address};
+use crate::sim::{PERIOD_MS, address};
 
 const PERIODS_PER_ROUND: u32 = 2000;
 
@@ -45,9 +45,9 @@
 impl LoneMember {
     fn new(size: usize, lost: usize) -> LoneMember {
         let now = 1.7e12;
-        let record = |at: usize| {
-            let liveness = if at <= lost { Liveness::Lost } else { Liveness::Alive };
-            peer_record(at, liveness, now as u64 - 9_000_000)
+        let record = |index: usize| {
+            let liveness = if index <= lost { Liveness::Lost } else { Liveness::Alive };
+            peer_record(index, liveness, now as u64 - 9_000_000)
         };
         let identity = (*record(0).identity).clone();
         let peers: Vec<MemberRecord> = (1..size).map(record).collect();
@@ -62,7 +62,7 @@
     fn run_round(&mut self, changes: Changes) -> f64 {
         self.spent_s = 0.0;
         for _ in 0..PERIODS_PER_ROUND {
-            let until = self.now + PERIOD;
+            let until = self.now + PERIOD_MS;
             self.receive_ping(changes);
             while self.membership.next_due() < until {
                 self.now = self.membership.next_due();
@@ -99,7 +99,7 @@
                 continue;
             };
             let target = self.peers.iter().position(|peer| peer.identity.address == to);
-            if let Some(target) = target.filter(|at| self.peers[*at].liveness == Liveness::Alive) {
+            if let Some(target) = target.filter(|index| self.peers[*index].liveness == Liveness::Alive) {
                 let ack = self.packet(target, PacketBody::Ack { sequence }, Vec::new());
                 actions.extend(self.handle(ack));
             }
@@ -130,13 +130,13 @@
     }
 }
 
-fn peer_record(at: usize, liveness: Liveness, generation: u64) -> MemberRecord {
+fn peer_record(index: usize, liveness: Liveness, generation: u64) -> MemberRecord {
     let identity = Identity {
-        name: format!("n{at}"),
-        zone: format!("z{}", at % 3),
-        address: address(at),
+        name: format!("n{index}"),
+        zone: format!("z{}", index % 3),
+        address: address(index),
         cores: 4,
-        instance: at as u32,
+        instance: index as u32,
     };
     MemberRecord {
         identity: identity.into(),
--- a/crates/pinepoint-membership/benches/measure/detect.rs
+++ b/crates/pinepoint-membership/benches/measure/detect.rs
@@ -4,7 +4,7 @@
 use pinepoint_membership::membership::FailureDetector;
 
 use crate::report::{percentiles, run_seeds};
-use crate::sim::PERIOD;
+use crate::sim::PERIOD_MS;
 use crate::simulation;
 
 const MAX_PERIODS: f64 = 60.0;
@@ -35,13 +35,13 @@
     simulation.kill(crashed);
     let others = size - 1;
     let mut times = Vec::new();
-    while times.len() < others && simulation.now - since < MAX_PERIODS * PERIOD {
+    while times.len() < others && simulation.now - since < MAX_PERIODS * PERIOD_MS {
         simulation.run(1.0);
         times = simulation.notification_times(crashed, Liveness::Lost, since);
     }
     let is_complete = times.len() == others;
     Detection {
-        first: times.first().map(|ms| ms / PERIOD),
-        all: is_complete.then(|| times[others - 1] / PERIOD),
+        first: times.first().map(|ms| ms / PERIOD_MS),
+        all: is_complete.then(|| times[others - 1] / PERIOD_MS),
     }
 }
--- a/crates/pinepoint-membership/benches/measure/diagnosis.rs
+++ b/crates/pinepoint-membership/benches/measure/diagnosis.rs
@@ -4,7 +4,7 @@
 use pinepoint_membership::membership::{FailureDetector, Notification};
 
 use crate::report::{percentiles, run_seeds};
-use crate::sim::{Network, PERIOD, Simulation};
+use crate::sim::{Network, PERIOD_MS, Simulation};
 use crate::simulation;
 
 const ZONES: usize = 3;
@@ -55,15 +55,15 @@
 }
 
 fn inject_random_fault(simulation: &mut Simulation, size: usize) {
-    let at = simulation.random_index(size);
+    let index = simulation.random_index(size);
     match simulation.random_index(5) {
-        0 => simulation.kill(at),
-        1 => simulation.leave(at),
-        2 => simulation.pause(at),
-        3 => simulation.net = Network { loss: 0.1, max_delay_ms: 60.0, ..Network::default() },
+        0 => simulation.kill(index),
+        1 => simulation.leave(index),
+        2 => simulation.pause(index),
+        3 => simulation.network = Network { loss: 0.1, max_delay_ms: 60.0, ..Network::default() },
         _ => {
-            simulation.kill(at);
-            simulation.start(at);
+            simulation.kill(index);
+            simulation.start(index);
         }
     }
 }
@@ -79,13 +79,13 @@
 fn diagnose_killed_zone(size: usize, seed: u64) -> Diagnosis {
     let mut simulation = simulation(size, FailureDetector::Lifeguard, seed);
     let since = simulation.now;
-    (0..size).filter(|at| at % ZONES == 1).for_each(|at| simulation.kill(at));
+    (0..size).filter(|index| index % ZONES == 1).for_each(|index| simulation.kill(index));
     simulation.run(25.0);
     let verdicts = zone_verdicts(&simulation);
     let is_right =
         |verdict: &&ZoneVerdict| verdict.kind == VerdictKind::ZoneUnreachable && verdict.subject == "z1";
     let right = verdicts.iter().filter(is_right);
-    let mut periods: Vec<f64> = right.map(|verdict| (verdict.made_ms - since) / PERIOD).collect();
+    let mut periods: Vec<f64> = right.map(|verdict| (verdict.made_ms - since) / PERIOD_MS).collect();
     periods.sort_by(f64::total_cmp);
     Diagnosis {
         first: periods.first().copied(),
--- a/crates/pinepoint-membership/benches/measure/false_positives.rs
+++ b/crates/pinepoint-membership/benches/measure/false_positives.rs
@@ -77,14 +77,14 @@
 
 fn run_scenario(size: usize, detector: FailureDetector, scenario: &Scenario, seed: u64) -> Counts {
     let mut simulation = simulation(size, detector, seed);
-    simulation.net.loss = scenario.loss;
+    simulation.network.loss = scenario.loss;
     let mut counts = Counts::default();
     let mut paused: Vec<usize> = Vec::new();
     for round in 0..ROUNDS {
         let resumed = std::mem::take(&mut paused);
-        resumed.iter().for_each(|at| simulation.resume(*at));
+        resumed.iter().for_each(|index| simulation.resume(*index));
         paused = (0..scenario.paused).map(|n| (round * scenario.paused + n) % size).collect();
-        paused.iter().for_each(|at| simulation.pause(*at));
+        paused.iter().for_each(|index| simulation.pause(*index));
         simulation.run(ROUND_PERIODS);
         // Of those that are paused, or were a moment ago, a suspicion is right.
         let excluded: Vec<usize> = paused.iter().chain(&resumed).copied().collect();
@@ -95,7 +95,7 @@
 }
 
 fn count_notifications(simulation: &Simulation, excluded: &[usize], counts: &mut Counts) {
-    let is_excluded = |name: &str| excluded.iter().any(|at| simulation.nodes[*at].name == name);
+    let is_excluded = |name: &str| excluded.iter().any(|index| simulation.nodes[*index].name == name);
     for node in &simulation.nodes {
         for (_, notification) in &node.notifications {
             let Notification::MemberChanged { record, .. } = notification else { continue };
--- a/crates/pinepoint-membership/tests/model.rs
+++ b/crates/pinepoint-membership/tests/model.rs
@@ -1,34 +1,34 @@
-//! An exhaustive search: every course of three members with one crash, leave or pause, at most one restart, and at most one
-//! datagram that is lost or late, in steps of a fifth of a period. No course may leave a view wrong, and two injected faults
-//! have to be found.
+//! An exhaustive search over scenarios of three members with one crash, leave or pause, at most one restart,
+//! and at most one lost or delayed datagram, in steps of a fifth of a period. After each scenario all views
+//! have to be correct, and the search has to find two injected faults.
 //!
-//! What is enumerated are the choices, and each course runs the protocol itself to its end. A model checker that enumerates
-//! states would see a new state at each step, as states hold times and random numbers.
+//! The search enumerates choices, and runs the protocol itself to the end for each scenario. A model checker
+//! that enumerates states would see a new state at each step, as states contain times and random numbers.
 
 mod sim;
 
 use pinepoint_membership::membership::{InjectedFault, MembershipSettings};
 use sim::{DatagramFault, Simulation};
 
-/// Moments of a disturbance, in fifths of a period.
-const MOMENTS: u64 = 5;
-/// Periods from a disturbance to a restart.
+/// Number of possible times of a disturbance, in steps of a fifth of a period.
+const STEPS: u64 = 5;
+/// Possible times from a disturbance to a restart, periods.
 const RESTARTS: [f64; 4] = [0.0, 0.4, 3.0, 9.0];
-/// Datagrams that may be lost or late, from the first after the start of the course.
+/// Number of datagrams, from the start of the scenario, of which one may be lost or delayed.
 const DATAGRAMS: u64 = 40;
 
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
     Crash,
     Leave,
-    /// Until the others declare it lost.
+    /// Long enough for the other members to declare the paused one lost.
     Pause,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Course {
+struct Scenario {
     disturbance: Disturbance,
-    moment: u64,
+    step: u64,
     restart: Option<f64>,
     datagram_fault: Option<(u64, DatagramFault)>,
     seed: u64,
@@ -44,15 +44,15 @@
     std::iter::once(None).chain(faults)
 }
 
-fn courses() -> Vec<Course> {
-    let mut all = Vec::new();
+fn scenarios() -> Vec<Scenario> {
+    let mut scenarios = Vec::new();
     for seed in 0..2 {
         for disturbance in [Disturbance::Crash, Disturbance::Leave, Disturbance::Pause] {
-            for moment in 0..MOMENTS {
+            for step in 0..STEPS {
                 for restart in restarts() {
-                    all.extend(datagram_faults().map(|datagram_fault| Course {
+                    scenarios.extend(datagram_faults().map(|datagram_fault| Scenario {
                         disturbance,
-                        moment,
+                        step,
                         restart,
                         datagram_fault,
                         seed,
@@ -61,15 +61,15 @@
             }
         }
     }
-    all
+    scenarios
 }
 
-/// Runs a course; returns what stays wrong, if anything does.
-fn run(settings: MembershipSettings, course: Course) -> Option<String> {
-    let mut simulation = Simulation::settled(3, 2, settings, course.seed);
-    simulation.net.datagram_fault = course.datagram_fault;
-    simulation.run(course.moment as f64 / 5.0);
-    match course.disturbance {
+/// Runs a scenario. Returns the remaining errors in the views, if any.
+fn run(settings: MembershipSettings, scenario: Scenario) -> Option<String> {
+    let mut simulation = Simulation::settled(3, 2, settings, scenario.seed);
+    simulation.network.datagram_fault = scenario.datagram_fault;
+    simulation.run(scenario.step as f64 / 5.0);
+    match scenario.disturbance {
         Disturbance::Crash => simulation.kill(1),
         Disturbance::Leave => simulation.leave(1),
         Disturbance::Pause => {
@@ -78,7 +78,7 @@
             simulation.resume(1);
         }
     }
-    if let Some(periods) = course.restart {
+    if let Some(periods) = scenario.restart {
         simulation.run(periods);
         simulation.kill(1);
         simulation.start(1);
@@ -86,29 +86,29 @@
     simulation.run_until_converged(25.0).is_none().then(|| simulation.view_errors())
 }
 
-/// The first course that ends wrongly, and how many were run.
-fn search(fault: Option<InjectedFault>) -> (Option<(Course, String)>, usize) {
+/// The first scenario that leaves errors in a view, and the number of scenarios run.
+fn search(fault: Option<InjectedFault>) -> (Option<(Scenario, String)>, usize) {
     let settings = MembershipSettings { injected_fault: fault, ..MembershipSettings::default() };
-    let mut ran = 0;
-    let wrong = courses().into_iter().find_map(|course| {
-        ran += 1;
-        Some((course, run(settings, course)?))
+    let mut scenarios_run = 0;
+    let failure = scenarios().into_iter().find_map(|scenario| {
+        scenarios_run += 1;
+        Some((scenario, run(settings, scenario)?))
     });
-    (wrong, ran)
+    (failure, scenarios_run)
 }
 
 #[test]
-fn no_course_of_three_members_leaves_a_wrong_state() {
-    let (wrong, all) = search(None);
-    println!("{all} courses");
-    assert!(wrong.is_none(), "after {all} courses: {wrong:?}");
+fn all_scenarios_converge() {
+    let (failure, scenarios_run) = search(None);
+    println!("{scenarios_run} scenarios");
+    assert!(failure.is_none(), "after {scenarios_run} scenarios: {failure:?}");
 }
 
 #[test]
-fn without_refutation_and_with_earlier_starts_taken_it_finds_wrong_states() {
+fn search_finds_injected_faults() {
     for fault in [InjectedFault::NoRefutation, InjectedFault::AcceptStaleGeneration] {
-        let (wrong, all) = search(Some(fault));
-        println!("{fault:?}: after {all} courses: {wrong:?}");
-        assert!(wrong.is_some(), "{fault:?} is not found in {all} courses");
+        let (failure, scenarios_run) = search(Some(fault));
+        println!("{fault:?}: after {scenarios_run} scenarios: {failure:?}");
+        assert!(failure.is_some(), "{fault:?} was not found in {scenarios_run} scenarios");
     }
 }
--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -1,4 +1,5 @@
-//! Guarantees in numbers, in simulated time: how soon a crash is detected, false positives, cost, and verdicts.
+//! Quantitative guarantees, checked in simulated time: detection time of a crash, false positives, cost, and
+//! verdicts.
 
 mod sim;
 
@@ -13,7 +14,7 @@
     MembershipSettings { detector, ..MembershipSettings::default() }
 }
 
-/// Verdicts that came to hold anywhere, each once.
+/// Verdicts made by any member, each listed once.
 fn verdicts_made(simulation: &Simulation) -> Vec<(VerdictKind, String)> {
     let mut all: Vec<(VerdictKind, String)> = Vec::new();
     for notification in simulation.notifications() {
@@ -21,7 +22,7 @@
             && change.holds
         {
             let verdict = (change.verdict.kind, change.verdict.subject.clone());
-            // All members of a simulation start at once, and say so.
+            // All members of a simulation start at once, which makes a verdict of its own.
             if !all.contains(&verdict) && verdict.0 != VerdictKind::FleetStart {
                 all.push(verdict);
             }
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_crash_is_held_lost_by_all_within_eight_periods_at_a_hundred_members() {
+fn hundred_members_detect_crash_within_eight_periods() {
     let mut last: Vec<f64> = (0..10)
         .map(|seed| {
             let mut simulation = Simulation::settled(100, 3, settings(FailureDetector::Lifeguard), seed);
@@ -40,61 +41,63 @@
             simulation.kill(31);
             simulation.run(20.0);
             let times = simulation.notification_times(31, Liveness::Lost, since);
-            assert_eq!(times.len(), 99, "seed {seed}: all hold it lost");
-            times[98] / sim::PERIOD
+            assert_eq!(times.len(), 99, "seed {seed}: all other members must declare the crashed one lost");
+            times[98] / sim::PERIOD_MS
         })
         .collect();
     last.sort_by(f64::total_cmp);
-    println!("periods till all: {last:?}");
-    assert!(last[9] <= 8.0, "{last:?}");
+    println!("periods until all members detected the crash, per seed: {last:?}");
+    assert!(last[9] <= 8.0, "expected at most 8 periods: {last:?}");
 }
 
 #[test]
-fn members_that_live_are_not_held_lost_at_a_twentieth_lost() {
+fn no_false_losses_at_five_percent_datagram_loss() {
     for seed in 0..3 {
         let mut simulation = Simulation::settled(60, 3, settings(FailureDetector::Lifeguard), seed);
-        simulation.net.loss = 0.05;
+        simulation.network.loss = 0.05;
         simulation.run(200.0);
         assert_eq!(simulation.false_positives(Liveness::Lost), 0, "seed {seed}");
     }
 }
 
-/// Members wrongly held lost by others while a tenth is paused in turns, each for three periods.
-fn wrongly_lost_with_pauses(detector: FailureDetector, seed: u64) -> usize {
+/// Number of false suspicions and losses while a tenth of the members is paused in turns, each for three
+/// periods.
+fn false_accusations_with_pauses(detector: FailureDetector, seed: u64) -> usize {
     let mut simulation = Simulation::settled(60, 3, settings(detector), seed);
     let mut paused: Vec<usize> = Vec::new();
-    let mut lost = 0;
+    let mut accusations = 0;
     for round in 0..20 {
-        let before = paused.clone();
-        paused.iter().for_each(|at| simulation.resume(*at));
+        let resumed = paused.clone();
+        paused.iter().for_each(|index| simulation.resume(*index));
         paused = (0..6).map(|n| (round * 6 + n * 10) % 60).collect();
-        paused.iter().for_each(|at| simulation.pause(*at));
+        paused.iter().for_each(|index| simulation.pause(*index));
         simulation.run(3.0);
-        // Accused by one that was paused itself: what own trouble is about.
+        // Only members that were not paused lately count: a member that was paused itself may accuse them
+        // falsely.
         let names: Vec<String> = (0..60)
-            .filter(|at| !paused.contains(at) && !before.contains(at))
-            .map(|at| simulation.nodes[at].name.clone())
+            .filter(|index| !paused.contains(index) && !resumed.contains(index))
+            .map(|index| simulation.nodes[index].name.clone())
             .collect();
-        let wrong = |notification: &Notification| {
+        let is_false = |notification: &Notification| {
             matches!(notification, Notification::MemberChanged { record, .. }
             if record.liveness != Liveness::Alive && names.contains(&record.identity.name))
         };
-        lost += simulation.notifications().filter(|notification| wrong(notification)).count();
+        accusations += simulation.notifications().filter(|notification| is_false(notification)).count();
         simulation.clear_records();
     }
-    lost
+    accusations
 }
 
 #[test]
-fn one_that_was_paused_accuses_hardly_anyone_where_plain_swim_does() {
-    let sum = |detector| (0..3).map(|seed| wrongly_lost_with_pauses(detector, seed)).sum::<usize>();
-    let (own, plain) = (sum(FailureDetector::Lifeguard), sum(FailureDetector::Swim));
-    println!("accusations of members that were not paused: {own} against {plain} of plain SWIM");
-    assert!(plain >= 5 * own.max(1), "{own} against {plain}");
+fn lifeguard_makes_fewer_false_accusations_after_pauses_than_swim() {
+    let sum = |detector| (0..3).map(|seed| false_accusations_with_pauses(detector, seed)).sum::<usize>();
+    let (lifeguard, swim) = (sum(FailureDetector::Lifeguard), sum(FailureDetector::Swim));
+    println!("accusations of members that were not paused: Lifeguard {lifeguard}, plain SWIM {swim}");
+    assert!(swim >= 5 * lifeguard.max(1), "false accusations: Lifeguard {lifeguard}, plain SWIM {swim}");
 }
 
 #[test]
-fn what_it_costs_a_member_does_not_grow_with_the_fleet() {
+fn cost_per_member_is_independent_of_fleet_size() {
     let cost = |n: usize| {
         let mut simulation = Simulation::settled(n, 3, settings(FailureDetector::Lifeguard), 1);
         simulation.run(10.0);
@@ -103,44 +106,45 @@
         (simulation.datagrams as f64 / 30.0 / n as f64, simulation.bytes as f64 / 30.0 / n as f64)
     };
     let (small, large) = (cost(25), cost(150));
-    println!("datagrams and bytes a member and period: {small:?} at 25, {large:?} at 150 members");
+    println!("datagrams and bytes per member and period: {small:?} at 25, {large:?} at 150 members");
     assert!(large.0 <= 1.3 * small.0 && large.1 <= 1.3 * small.1);
 }
 
 #[test]
-fn a_zone_that_is_killed_cut_off_or_does_not_hear_is_judged_so() {
-    // Killed, and whether anybody listens there is not known.
+fn diagnoses_killed_and_cut_off_zones() {
+    // The zone is killed, and it is unknown whether processes listen there.
     let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 5);
-    (0..30).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at));
+    (0..30).filter(|index| index % 3 == 1).for_each(|index| simulation.kill(index));
     simulation.run(14.0);
     assert_eq!(verdicts_made(&simulation), [(VerdictKind::ZoneUnreachable, "z1".to_owned())]);
 
-    // Killed, and the system of others says that nobody listens.
+    // The zone is killed, and the system reports to the other members that no process listens there.
     let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 6);
-    (0..30).filter(|at| at % 3 == 1).for_each(|at| simulation.kill(at));
-    for at in (0..30).filter(|at| at % 3 != 1) {
-        for zone in (0..30).filter(|at| at % 3 == 1) {
-            simulation.handle(at, pinepoint_membership::membership::Event::ConnectionRefused(address(zone)));
+    (0..30).filter(|index| index % 3 == 1).for_each(|index| simulation.kill(index));
+    for index in (0..30).filter(|index| index % 3 != 1) {
+        for zone in (0..30).filter(|index| index % 3 == 1) {
+            simulation
+                .handle(index, pinepoint_membership::membership::Event::ConnectionRefused(address(zone)));
         }
     }
     simulation.run(14.0);
     assert_eq!(verdicts_made(&simulation), [(VerdictKind::ZoneLost, "z1".to_owned())]);
 
-    // Cut off: those within know that it is they, those outside that the zone is gone.
+    // The zone is cut off. Members inside report their own isolation, members outside the unreachable zone.
     let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 7);
-    simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.network.partitions = (0..30).map(|index| usize::from(index % 3 == 1)).collect();
     simulation.run(25.0);
-    for (at, membership) in simulation.running() {
+    for (index, membership) in simulation.running() {
         let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
         let kinds: Vec<VerdictKind> =
             kinds.into_iter().filter(|kind| *kind != VerdictKind::FleetStart).collect();
-        let wanted = if at % 3 == 1 { VerdictKind::SelfCutOff } else { VerdictKind::ZoneUnreachable };
-        assert_eq!(kinds, [wanted], "n{at}");
+        let expected = if index % 3 == 1 { VerdictKind::SelfCutOff } else { VerdictKind::ZoneUnreachable };
+        assert_eq!(kinds, [expected], "n{index}");
     }
 
-    // Its messages still come out, and nothing goes in.
+    // The zone still sends datagrams, but receives none.
     let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 8);
-    simulation.net.cut_links = (0..30)
+    simulation.network.cut_links = (0..30)
         .flat_map(|from| (0..30).map(move |to| (from, to)))
         .filter(|(from, to)| from % 3 != 1 && to % 3 == 1)
         .collect();
@@ -153,29 +157,29 @@
 }
 
 #[test]
-fn one_that_loses_most_at_once_knows_that_it_is_cut_off_itself() {
+fn isolated_member_diagnoses_own_isolation() {
     for seed in 0..5 {
         let mut simulation = Simulation::settled(20, 3, settings(FailureDetector::Lifeguard), seed);
-        simulation.net.partitions = (0..20).map(|at| usize::from(at == 7)).collect();
+        simulation.network.partitions = (0..20).map(|index| usize::from(index == 7)).collect();
         simulation.run(40.0);
-        let own = simulation.nodes[7].membership.as_ref().expect("it runs");
-        assert!(own.verdicts().any(|verdict| verdict.kind == VerdictKind::SelfCutOff), "seed {seed}");
-        let others = simulation.running().filter(|(at, _)| *at != 7);
+        let isolated = simulation.nodes[7].membership.as_ref().expect("member 7 runs");
+        assert!(isolated.verdicts().any(|verdict| verdict.kind == VerdictKind::SelfCutOff), "seed {seed}");
+        let others = simulation.running().filter(|(index, _)| *index != 7);
         assert!(
             others
                 .flat_map(|(_, membership)| membership.verdicts())
-                .all(|v| v.kind != VerdictKind::SelfCutOff),
+                .all(|verdict| verdict.kind != VerdictKind::SelfCutOff),
             "seed {seed}"
         );
     }
 }
 
 #[test]
-fn one_dead_direction_of_a_link_is_seen_by_the_one_who_is_not_heard() {
+fn diagnoses_one_way_link() {
     let mut simulation = Simulation::settled(8, 2, settings(FailureDetector::Lifeguard), 3);
-    simulation.net.cut_links = vec![(2, 5)];
+    simulation.network.cut_links = vec![(2, 5)];
     simulation.run(60.0);
-    assert_eq!(simulation.false_positives(Liveness::Lost), 0, "others can ask");
+    assert_eq!(simulation.false_positives(Liveness::Lost), 0, "indirect probes must keep n5 alive");
     assert!(
         verdicts_made(&simulation).contains(&(VerdictKind::OneWay, "n5".to_owned())),
         "{:?}",
@@ -184,16 +188,16 @@
 }
 
 #[test]
-fn crashes_drains_slow_members_and_loss_make_no_verdict() {
+fn common_faults_make_no_zone_verdict() {
     for seed in 0..6 {
         let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), seed);
         simulation.run(100.0);
         simulation.clear_records();
-        simulation.net = Network { loss: 0.05, max_delay_ms: 60.0, ..Network::default() };
-        for at in [4, 9, 14] {
-            simulation.leave(at);
+        simulation.network = Network { loss: 0.05, max_delay_ms: 60.0, ..Network::default() };
+        for index in [4, 9, 14] {
+            simulation.leave(index);
             simulation.run(4.0);
-            simulation.start(at);
+            simulation.start(index);
             simulation.run(4.0);
         }
         simulation.kill(20);
@@ -208,52 +212,52 @@
 }
 
 #[test]
-fn a_zone_that_flaps_is_held_gone_and_its_verdict_changes_rarely() {
+fn hold_down_limits_verdict_changes_of_flapping_zone() {
     for seed in 0..3 {
         let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), seed);
         let rounds = 30;
         for _ in 0..rounds {
-            simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+            simulation.network.partitions = (0..30).map(|index| usize::from(index % 3 == 1)).collect();
             simulation.run(14.0);
-            simulation.net.partitions.clear();
+            simulation.network.partitions.clear();
             simulation.run(14.0);
         }
         let of_zone = |notification: &Notification| matches!(notification, Notification::VerdictChanged(change) if change.verdict.subject == "z1");
-        for at in (0..30).filter(|at| at % 3 != 1) {
-            let changes: Vec<f64> = simulation.nodes[at]
+        for index in (0..30).filter(|index| index % 3 != 1) {
+            let changes: Vec<f64> = simulation.nodes[index]
                 .notifications
                 .iter()
-                .filter(|(_, t)| of_zone(t))
-                .map(|(when, _)| *when)
+                .filter(|(_, notification)| of_zone(notification))
+                .map(|(time, _)| *time)
                 .collect();
-            assert!(!changes.is_empty(), "seed {seed}: n{at} judged nothing");
-            // Twice a round, were it not held.
+            assert!(!changes.is_empty(), "seed {seed}: n{index} made no verdict about the zone");
+            // Without hold-down the verdict would change twice per round.
             assert!(
                 changes.len() <= 12,
-                "seed {seed}: n{at} changed its mind {} times in {rounds} rounds",
+                "seed {seed}: verdict of n{index} changed {} times in {rounds} rounds, expected at most 12",
                 changes.len()
             );
         }
-        // And it is over in the end.
+        // The verdict ends after the flapping.
         simulation.run(100.0);
-        let holds = simulation
+        let active = simulation
             .running()
-            .filter(|(_, membership)| membership.verdicts().any(|v| v.subject == "z1"))
+            .filter(|(_, membership)| membership.verdicts().any(|verdict| verdict.subject == "z1"))
             .count();
-        assert_eq!(holds, 0, "seed {seed}");
+        assert_eq!(active, 0, "seed {seed}: members with a verdict about the zone");
     }
 }
 
-/// What the larger side judges wrongly of itself and of its own zones when a zone that was cut off comes back and tells what
-/// it held meanwhile: that all others are gone.
-fn wrongly_judged_after_a_cut(members: usize, periods: f64, seed: u64) -> Vec<(VerdictKind, String)> {
+/// False verdicts of the larger side of a partition about itself and its own zones. They may come about when
+/// the zone that was cut off is connected again and gossips its records, in which all other members are lost.
+fn false_verdicts_after_partition(members: usize, periods: f64, seed: u64) -> Vec<(VerdictKind, String)> {
     let mut simulation = Simulation::settled(members, 3, settings(FailureDetector::Lifeguard), seed);
-    simulation.net.partitions = (0..members).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.network.partitions = (0..members).map(|index| usize::from(index % 3 == 1)).collect();
     simulation.run(periods);
-    simulation.net.partitions.clear();
+    simulation.network.partitions.clear();
     simulation.run(20.0);
     let mut wrong = Vec::new();
-    for (_, node) in simulation.nodes.iter().enumerate().filter(|(at, _)| at % 3 != 1) {
+    for (_, node) in simulation.nodes.iter().enumerate().filter(|(index, _)| index % 3 != 1) {
         for (_, notification) in &node.notifications {
             if let Notification::VerdictChanged(change) = notification
                 && change.holds
@@ -268,69 +272,79 @@
 }
 
 #[test]
-fn a_zone_that_comes_back_does_not_make_the_others_judge_themselves_cut_off() {
+fn reconnected_zone_causes_no_false_verdicts() {
     let mut wrong = Vec::new();
     for seed in 0..4 {
         for periods in [3.0, 5.0, 8.0, 14.0, 40.0] {
-            let found = wrongly_judged_after_a_cut(30, periods, seed);
+            let found = false_verdicts_after_partition(30, periods, seed);
             wrong.extend((!found.is_empty()).then(|| (seed, periods, found.len(), found[0].clone())));
         }
     }
-    assert!(wrong.is_empty(), "{} of 20 courses: {wrong:?}", wrong.len());
+    assert!(wrong.is_empty(), "false verdicts in {} of 20 scenarios: {wrong:?}", wrong.len());
 }
 
 #[test]
-fn a_restart_long_ago_says_nothing_of_a_zone_that_goes_now() {
+fn earlier_restart_does_not_affect_zone_verdict() {
     let mut simulation = Simulation::settled(30, 3, settings(FailureDetector::Lifeguard), 3);
     simulation.kill(4);
     simulation.run(20.0);
     simulation.start(4);
     simulation.run(60.0);
     simulation.clear_records();
-    simulation.net.partitions = (0..30).map(|at| usize::from(at % 3 == 1)).collect();
+    simulation.network.partitions = (0..30).map(|index| usize::from(index % 3 == 1)).collect();
     simulation.run(25.0);
-    let outside = simulation.running().filter(|(at, _)| at % 3 != 1);
-    for (at, membership) in outside {
+    let outside = simulation.running().filter(|(index, _)| index % 3 != 1);
+    for (index, membership) in outside {
         let kinds: Vec<VerdictKind> = membership.verdicts().map(|verdict| verdict.kind).collect();
-        assert_eq!(kinds, [VerdictKind::ZoneUnreachable], "n{at}");
+        assert_eq!(kinds, [VerdictKind::ZoneUnreachable], "n{index}");
     }
 }
 
 #[test]
-fn a_start_of_the_whole_fleet_is_told_from_a_rolling_deploy() {
+fn distinguishes_fleet_start_from_rolling_deploy() {
     let mut simulation = Simulation::settled(12, 3, settings(FailureDetector::Lifeguard), 2);
     simulation.run(120.0);
     assert!(
-        simulation.running().all(|(_, f)| f.verdicts().all(|v| v.kind != VerdictKind::FleetStart)),
-        "long over"
+        simulation.running().all(|(_, membership)| membership
+            .verdicts()
+            .all(|verdict| verdict.kind != VerdictKind::FleetStart)),
+        "the verdict about the first start must have ended"
     );
-    (0..12).for_each(|at| simulation.kill(at));
-    (0..12).for_each(|at| simulation.start(at));
+    (0..12).for_each(|index| simulation.kill(index));
+    (0..12).for_each(|index| simulation.start(index));
     simulation.run(40.0);
     let count_fleet_starts = |simulation: &Simulation| {
-        simulation.running().filter(|(_, f)| f.verdicts().any(|v| v.kind == VerdictKind::FleetStart)).count()
+        simulation
+            .running()
+            .filter(|(_, membership)| {
+                membership.verdicts().any(|verdict| verdict.kind == VerdictKind::FleetStart)
+            })
+            .count()
     };
     assert_eq!(count_fleet_starts(&simulation), 12);
     simulation.run(200.0);
     simulation.clear_records();
-    for at in 0..12 {
-        simulation.leave(at);
-        simulation.start(at);
+    for index in 0..12 {
+        simulation.leave(index);
+        simulation.start(index);
         simulation.run(6.0);
     }
-    assert_eq!(count_fleet_starts(&simulation), 0, "a rolling deploy is no start of the fleet");
+    assert_eq!(count_fleet_starts(&simulation), 0, "a rolling deploy must not count as a start of the fleet");
 }
 
 #[test]
-fn two_processes_of_one_name_are_found_and_both_say_so() {
+fn both_processes_report_name_conflict() {
     let mut simulation = Simulation::settled(10, 2, settings(FailureDetector::Lifeguard), 4);
     simulation.nodes[8].name = "n3".into();
     simulation.kill(8);
     simulation.start(8);
     simulation.run(20.0);
-    for at in [3, 8] {
-        let membership = simulation.nodes[at].membership.as_ref().expect("it runs");
-        assert!(membership.verdicts().any(|v| v.kind == VerdictKind::NameClash), "n{at} says nothing");
+    for index in [3, 8] {
+        let membership = simulation.nodes[index].membership.as_ref().expect("the member runs");
+        assert!(
+            membership.verdicts().any(|verdict| verdict.kind == VerdictKind::NameClash),
+            "n{index} reports no name conflict"
+        );
     }
 }
 
@@ -353,37 +367,39 @@
 }
 
 #[test]
-fn forged_starts_and_incarnations_do_bounded_harm_and_are_told() {
+fn recovers_from_forged_generations_and_incarnations() {
     let mut simulation = Simulation::settled(10, 2, settings(FailureDetector::Lifeguard), 4);
     let now = simulation.now as u64;
     let sender =
         |record| SenderState { record, load: Load::default(), digest: 0, known_members: 1, now_ms: 0.0 };
-    let mut stranger = forged(0, now, Liveness::Alive, 0);
-    stranger.identity = Identity { name: "stranger".into(), ..(*stranger.identity).clone() }.into();
-    let own = simulation.nodes[6].membership.as_ref().expect("it runs").local_record().clone();
+    let mut unknown_member = forged(0, now, Liveness::Alive, 0);
+    unknown_member.identity =
+        Identity { name: "stranger".into(), ..(*unknown_member.identity).clone() }.into();
+    let local = simulation.nodes[6].membership.as_ref().expect("member 6 runs").local_record().clone();
     let updates = vec![
         forged(3, u64::MAX, Liveness::Alive, 0),
         forged(4, now + 5000, Liveness::Lost, 0),
-        MemberRecord { liveness: Liveness::Lost, incarnation: u32::MAX, ..own },
+        MemberRecord { liveness: Liveness::Lost, incarnation: u32::MAX, ..local },
     ];
-    simulation.inject_packet(1, Packet { sender: sender(stranger), body: PacketBody::Gossip, updates });
+    simulation.inject_packet(1, Packet { sender: sender(unknown_member), body: PacketBody::Gossip, updates });
     simulation.run(1.0);
     let is_rejection =
         |notification: &Notification| matches!(notification, Notification::RecordRejected { .. });
-    assert!(simulation.notifications_of(1).any(is_rejection), "nothing is told of the forged start");
-    // The stranger never answers and is lost in the end; those it spoke of are themselves again.
-    let took = simulation.run_until_converged(40.0);
-    assert!(took.is_some(), "{}", simulation.view_errors());
+    assert!(simulation.notifications_of(1).any(is_rejection), "the forged generation must be reported");
+    // The unknown member never answers and becomes lost. The members that it sent forged records about
+    // recover.
+    let converged_after = simulation.run_until_converged(40.0);
+    assert!(converged_after.is_some(), "{}", simulation.view_errors());
 }
 
 #[test]
-fn at_the_bound_of_members_the_gone_give_way_and_no_one_else_is_taken() {
+fn full_table_rejects_further_members() {
     let mut simulation =
         Simulation::new(20, 2, MembershipSettings { max_members: 12, ..MembershipSettings::default() }, 1);
-    (0..20).for_each(|at| simulation.start(at));
+    (0..20).for_each(|index| simulation.start(index));
     simulation.run(40.0);
     assert!(simulation.running().all(|(_, membership)| membership.table().len() <= 11));
     assert!(simulation.running().any(|(_, membership)| membership.table().len() == 11));
     let is_full = |notification: &Notification| matches!(notification, Notification::RecordRejected { reason, .. } if reason.code() == "full");
-    assert!(simulation.notifications().any(is_full), "nothing is told of it");
+    assert!(simulation.notifications().any(is_full), "the rejected records must be reported");
 }
--- a/crates/pinepoint-membership/tests/sim/network.rs
+++ b/crates/pinepoint-membership/tests/sim/network.rs
@@ -1,42 +1,43 @@
-//! What the simulated network does to datagrams.
+//! The simulated network and its faults.
 
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Fraction of all datagrams that is lost.
+    /// Fraction of all datagrams that are lost.
     pub loss: f64,
-    /// Partition of each member; empty for a network that is whole. Members of different partitions do not hear each other.
+    /// Partition of each member. Empty for a network without partitions. No datagram passes between
+    /// partitions.
     pub partitions: Vec<usize>,
-    /// Links that lose everything from the first member to the second.
+    /// Links that lose all datagrams from the first member to the second.
     pub cut_links: Vec<(usize, usize)>,
-    /// Fraction that is lost of what these members are sent.
+    /// Per member, fraction of the datagrams sent to it that are lost.
     pub receive_loss: BTreeMap<usize, f64>,
-    /// Fraction that is delivered twice.
+    /// Fraction of all datagrams that are delivered twice.
     pub duplication: f64,
-    /// Largest delay, ms.
+    /// Maximum delay of a datagram, ms.
     pub max_delay_ms: f64,
-    /// What becomes of the datagram of this number, counted from the last [`super::Simulation::clear_records`].
+    /// Fault of the datagram of this number, counted from the last [`super::Simulation::clear_records`].
     pub datagram_fault: Option<(u64, DatagramFault)>,
 }
 
-/// What becomes of one datagram.
+/// Fault of one datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DatagramFault {
-    /// It is lost.
+    /// The datagram is lost.
     Dropped,
-    /// It is delivered so many periods later.
+    /// The datagram is delivered so many periods later.
     Delayed(f64),
 }
 
 impl Network {
-    /// Whether nothing gets from one member to another.
+    /// Whether all datagrams from one member to another are lost.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         let partition = |member: usize| self.partitions.get(member).copied().unwrap_or(0);
         partition(from) != partition(to) || self.cut_links.contains(&(from, to))
     }
 
-    /// Fraction that is lost of what this member is sent.
+    /// Fraction of the datagrams sent to this member that are lost.
     pub fn loss_towards(&self, to: usize) -> f64 {
         self.receive_loss.get(&to).copied().unwrap_or(0.0).max(self.loss)
     }
