--- a/crates/pinepoint-membership/tests/promises.rs
+++ b/crates/pinepoint-membership/tests/promises.rs
@@ -316,9 +316,7 @@
     let count_fleet_starts = |simulation: &Simulation| {
         simulation
             .running()
-            .filter(|(_, membership)| {
-                membership.verdicts().any(|verdict| verdict.kind == VerdictKind::FleetStart)
-            })
+            .filter(|(_, node)| node.verdicts().any(|verdict| verdict.kind == VerdictKind::FleetStart))
             .count()
     };
     assert_eq!(count_fleet_starts(&simulation), 12);
