--- a/crates/pinepoint-membership/benches/measure/convergence.rs
+++ b/crates/pinepoint-membership/benches/measure/convergence.rs
@@ -1,4 +1,4 @@
-//! Periods from the last fault of a random sequence until all views are equal and true.
+//! Periods from the last fault of a random sequence until all views are equal and correct.
 
 use pinepoint_membership::membership::FailureDetector;
 
@@ -11,7 +11,7 @@
 const TARGET_PERIODS: f64 = 15.0;
 
 pub fn print_header() {
-    println!("| members | periods till equal and true: p50 / p99 / most | healed | within 15 |");
+    println!("| members | periods until converged: p50 / p99 / max | converged | within 15 |");
 }
 
 pub fn measure(size: usize, seeds: u64) {
@@ -32,7 +32,7 @@
     end_faults(&mut simulation, size);
     let periods = simulation.run_until_converged(MAX_PERIODS);
     if periods.is_none() {
-        println!("seed {seed}: not in {MAX_PERIODS} periods: {}", simulation.view_errors());
+        println!("seed {seed}: not converged within {MAX_PERIODS} periods: {}", simulation.view_errors());
     }
     periods
 }
@@ -57,11 +57,12 @@
     }
 }
 
-/// The network is whole again, paused members resume, and half of those that do not run start.
+/// Removes all network faults, resumes paused members, and starts half of the members that do not run.
 fn end_faults(simulation: &mut Simulation, size: usize) {
     simulation.network = Network { max_delay_ms: 5.0, ..Network::default() };
     let paused: Vec<usize> = (0..size).filter(|index| simulation.nodes[*index].is_paused).collect();
     paused.into_iter().for_each(|index| simulation.resume(index));
-    let gone: Vec<usize> = (0..size).filter(|index| simulation.nodes[*index].membership.is_none()).collect();
-    gone.into_iter().filter(|index| index % 2 == 0).for_each(|index| simulation.start(index));
+    let stopped: Vec<usize> =
+        (0..size).filter(|index| simulation.nodes[*index].membership.is_none()).collect();
+    stopped.into_iter().filter(|index| index % 2 == 0).for_each(|index| simulation.start(index));
 }
--- a/crates/pinepoint-membership/benches/measure/cost.rs
+++ b/crates/pinepoint-membership/benches/measure/cost.rs
@@ -1,4 +1,4 @@
-//! Datagrams, bytes and time on a core of a member in a period, while nothing happens.
+//! Datagrams, bytes and processing time per member and period, while no member changes.
 
 use std::time::Instant;
 
@@ -8,19 +8,20 @@
 
 const PERIODS: f64 = 20.0;
 const MAX_SEEDS: u64 = 5;
-/// In the first minutes each member judges whether the whole fleet starts.
+/// In the first minutes each member diagnoses whether the whole fleet has started. The measurement begins
+/// afterwards.
 const WARM_UP_PERIODS: f64 = 130.0;
 
-/// For a member and period.
+/// Cost per member and period.
 struct Cost {
     datagrams: f64,
     bytes: f64,
-    core_us: f64,
+    processing_us: f64,
 }
 
 pub fn print_header() {
     println!(
-        "| detector | members | datagrams a member and period | bytes | us of a core, simulation included |"
+        "| detector | members | datagrams per member and period | bytes | processing time, us, simulation included |"
     );
 }
 
@@ -29,8 +30,8 @@
     let mean = |of: fn(&Cost) -> f64| costs.iter().map(of).sum::<f64>() / costs.len() as f64;
     let datagrams = mean(|cost| cost.datagrams);
     let bytes = mean(|cost| cost.bytes);
-    let core_us = mean(|cost| cost.core_us);
-    println!("| {detector:?} | {size} | {datagrams:.2} | {bytes:.0} | {core_us:.1} |");
+    let processing_us = mean(|cost| cost.processing_us);
+    println!("| {detector:?} | {size} | {datagrams:.2} | {bytes:.0} | {processing_us:.1} |");
 }
 
 fn run(size: usize, detector: FailureDetector, seed: u64) -> Cost {
@@ -46,6 +47,6 @@
     Cost {
         datagrams: simulation.datagrams as f64 / member_periods,
         bytes: simulation.bytes as f64 / member_periods,
-        core_us: began.elapsed().as_secs_f64() * 1e6 / member_periods,
+        processing_us: began.elapsed().as_secs_f64() * 1e6 / member_periods,
     }
 }
--- a/crates/pinepoint-membership/benches/measure/cpu.rs
+++ b/crates/pinepoint-membership/benches/measure/cpu.rs
@@ -1,4 +1,4 @@
-//! Time on a core of one member's own decisions in a period, among peers that answer it at once.
+//! Processing time of one member's protocol state machine per period, among peers that answer it at once.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
 
 const PERIODS_PER_ROUND: u32 = 2000;
 
-/// What happens among the peers.
+/// Changes of the peers' records during a round.
 #[derive(Clone, Copy, PartialEq)]
 enum Changes {
     None,
@@ -27,12 +27,12 @@
 }
 
 const SCENARIOS: [Scenario; 3] = [
-    Scenario { name: "nothing happens", lost: 0, changes: Changes::None },
-    Scenario { name: "five are lost", lost: 5, changes: Changes::None },
-    Scenario { name: "one changes each period", lost: 0, changes: Changes::OneEachPeriod },
+    Scenario { name: "no changes", lost: 0, changes: Changes::None },
+    Scenario { name: "five members lost", lost: 5, changes: Changes::None },
+    Scenario { name: "one member changes per period", lost: 0, changes: Changes::OneEachPeriod },
 ];
 
-/// One member, and peers that hold the same view as it does.
+/// One member, and peers with the same view.
 struct LoneMember {
     membership: Membership,
     peers: Vec<MemberRecord>,
@@ -58,7 +58,7 @@
         LoneMember { membership, peers, random, now, sequence: 0, spent_s: 0.0 }
     }
 
-    /// Lets a round of periods pass, in each of which a peer pings. Returns the time on a core of a period, us.
+    /// Runs a round of periods, in each of which a peer pings. Returns the processing time per period, us.
     fn run_round(&mut self, changes: Changes) -> f64 {
         self.spent_s = 0.0;
         for _ in 0..PERIODS_PER_ROUND {
@@ -91,7 +91,7 @@
         self.handle(ping);
     }
 
-    /// Ticks, and lets the peers answer pings.
+    /// Handles a tick, and lets the peers answer the resulting pings.
     fn tick(&mut self) {
         let mut actions = self.handle(Event::Tick);
         while let Some(action) = actions.pop() {
@@ -148,10 +148,13 @@
     }
 }
 
-/// Measures the sizes in turns, so that what the machine does meanwhile favours none.
+/// Measures the sizes in turns, so that other load on the machine affects all of them alike.
 pub fn measure(sizes: &[usize], rounds: u64) {
     let columns: Vec<String> = sizes.iter().map(|size| format!("{size} members")).collect();
-    println!("| us of a core a period, median of {rounds} rounds (to the first) | {} |", columns.join(" | "));
+    println!(
+        "| Processing time per period, us, median of {rounds} rounds (ratio to the first size) | {} |",
+        columns.join(" | ")
+    );
     for scenario in SCENARIOS {
         let mut members: Vec<LoneMember> =
             sizes.iter().map(|size| LoneMember::new(*size, scenario.lost)).collect();
@@ -159,7 +162,7 @@
         for round in 0..=rounds {
             for (member, times_us) in members.iter_mut().zip(&mut times_us) {
                 let time_us = member.run_round(scenario.changes);
-                // The first round warms up the program itself.
+                // The first round is a warm-up of the program.
                 if round > 0 {
                     times_us.push(time_us);
                 }
--- a/crates/pinepoint-membership/benches/measure/detect.rs
+++ b/crates/pinepoint-membership/benches/measure/detect.rs
@@ -11,12 +11,12 @@
 
 struct Detection {
     first: Option<f64>,
-    /// None if not all declared it lost in time.
+    /// None if not all members declared it lost within `MAX_PERIODS`.
     all: Option<f64>,
 }
 
 pub fn print_header() {
-    println!("| detector | members | first, periods: p50 / p99 / most | all | held lost by all |");
+    println!("| detector | members | first, periods: p50 / p99 / max | all | detected by all |");
 }
 
 pub fn measure(size: usize, detector: FailureDetector, seeds: u64) {
--- a/crates/pinepoint-membership/benches/measure/diagnosis.rs
+++ b/crates/pinepoint-membership/benches/measure/diagnosis.rs
@@ -1,4 +1,5 @@
-//! Verdicts over random courses that lose no zone, which have to be none, and after a zone was killed.
+//! Verdicts over random faults without the loss of a zone, of which there must be none, and after a zone was
+//! killed.
 
 use pinepoint_membership::diagnosis::VerdictKind;
 use pinepoint_membership::membership::{FailureDetector, Notification};
@@ -26,23 +27,26 @@
 
 pub fn print_header() {
     println!(
-        "| members | wrong verdicts without a zone's loss | first, periods: p50 / p99 / most | last | judged by all | another verdict |"
+        "| members | false verdicts without loss of a zone | first, periods: p50 / p99 / max | last | made by all | other verdicts |"
     );
 }
 
 pub fn measure(size: usize, seeds: u64) {
-    let wrong = run_seeds(seeds, |seed| wrong_verdicts(size, seed));
-    let wrong = wrong.iter().filter(|count| **count > 0).count();
+    let with_false_verdicts = run_seeds(seeds, |seed| false_verdicts(size, seed));
+    let with_false_verdicts = with_false_verdicts.iter().filter(|count| **count > 0).count();
     let diagnoses = run_seeds(seeds, |seed| diagnose_killed_zone(size, seed));
     let first = percentiles(diagnoses.iter().filter_map(|diagnosis| diagnosis.first).collect());
     let last = percentiles(diagnoses.iter().filter_map(|diagnosis| diagnosis.last).collect());
     let by_all = diagnoses.iter().filter(|diagnosis| diagnosis.made_by_all).count();
     let other = diagnoses.iter().filter(|diagnosis| diagnosis.has_other_verdicts).count();
-    println!("| {size} | {wrong} of {seeds} | {first} | {last} | {by_all} of {seeds} | {other} of {seeds} |");
+    println!(
+        "| {size} | {with_false_verdicts} of {seeds} | {first} | {last} | {by_all} of {seeds} | {other} of {seeds} |"
+    );
 }
 
-/// Verdicts made over a random course, without those about a zone in which chance left nobody that runs.
-fn wrong_verdicts(size: usize, seed: u64) -> usize {
+/// Number of false verdicts over random faults. Verdicts about zones that were left without a running member
+/// do not count.
+fn false_verdicts(size: usize, seed: u64) -> usize {
     let mut simulation = simulation(size, FailureDetector::Lifeguard, seed);
     let mut emptied: Vec<String> = Vec::new();
     for _ in 0..FAULTS {
@@ -82,10 +86,10 @@
     (0..size).filter(|index| index % ZONES == 1).for_each(|index| simulation.kill(index));
     simulation.run(25.0);
     let verdicts = zone_verdicts(&simulation);
-    let is_right =
+    let is_correct =
         |verdict: &&ZoneVerdict| verdict.kind == VerdictKind::ZoneUnreachable && verdict.subject == "z1";
-    let right = verdicts.iter().filter(is_right);
-    let mut periods: Vec<f64> = right.map(|verdict| (verdict.made_ms - since) / PERIOD_MS).collect();
+    let correct = verdicts.iter().filter(is_correct);
+    let mut periods: Vec<f64> = correct.map(|verdict| (verdict.made_ms - since) / PERIOD_MS).collect();
     periods.sort_by(f64::total_cmp);
     Diagnosis {
         first: periods.first().copied(),
--- a/crates/pinepoint-membership/benches/measure/false_positives.rs
+++ b/crates/pinepoint-membership/benches/measure/false_positives.rs
@@ -1,4 +1,4 @@
-//! Suspicions and losses of members that run, at loss of datagrams and while others are paused.
+//! Suspicions and losses of running members, under datagram loss and while other members are paused.
 
 use pinepoint_membership::member::{Liveness, MemberRecord, member_key};
 use pinepoint_membership::membership::{FailureDetector, Notification};
@@ -14,16 +14,16 @@
 struct Scenario {
     name: &'static str,
     loss: f64,
-    /// Members that are paused at once.
+    /// Number of members paused at the same time.
     paused: usize,
 }
 
-/// Notifications over all views.
+/// Counts of notifications over all views.
 #[derive(Default)]
 struct Counts {
     suspected: usize,
     lost: usize,
-    /// Of those lost, declared by the member itself and not heard by gossip.
+    /// Losses that the observing member declared itself, not received by gossip.
     lost_first_hand: usize,
 }
 
@@ -49,7 +49,7 @@
 
 pub fn print_header() {
     println!(
-        "| detector | members | what | suspected (a view and member-hour) | lost | of these first hand |"
+        "| detector | members | scenario | suspected (per view and member-hour) | lost | of these first hand |"
     );
 }
 
@@ -63,7 +63,7 @@
     for scenario in scenarios {
         let counts = run_seeds(seeds, |seed| run_scenario(size, detector, &scenario, seed));
         let Counts { suspected, lost, lost_first_hand } = Counts::sum(&counts);
-        // Each view in which a running member is suspected or lost counts; periods are seconds.
+        // Each view in which a running member is suspected or lost counts. A period is a second.
         let hours = seeds as f64 * size as f64 * ROUNDS as f64 * ROUND_PERIODS / 3600.0;
         let rate = |count: usize| count as f64 / hours / size as f64;
         println!(
@@ -86,7 +86,7 @@
         paused = (0..scenario.paused).map(|n| (round * scenario.paused + n) % size).collect();
         paused.iter().for_each(|index| simulation.pause(*index));
         simulation.run(ROUND_PERIODS);
-        // Of those that are paused, or were a moment ago, a suspicion is right.
+        // A suspicion of a member that is paused, or was until this round, is correct.
         let excluded: Vec<usize> = paused.iter().chain(&resumed).copied().collect();
         count_notifications(&simulation, &excluded, &mut counts);
         simulation.clear_records();
--- a/crates/pinepoint-membership/benches/measure/main.rs
+++ b/crates/pinepoint-membership/benches/measure/main.rs
@@ -1,5 +1,5 @@
-//! The figures of `docs/measurements/fleet.md`: the protocol in simulated time, over sizes and seeds, against the baselines
-//! of SWIM alone and of the all-to-all heartbeat.
+//! Measurements of `docs/measurements/fleet.md`: the protocol in simulated time, over sizes and seeds,
+//! compared with the baselines of SWIM alone and of the all-to-all heartbeat.
 //!
 //! `cargo bench -p pinepoint-membership --bench measure -- detect --sizes 12,100 --seeds 20`
 
@@ -21,22 +21,23 @@
 use sim::Simulation;
 
 const ZONES: usize = 3;
-/// The heartbeat sends n² datagrams: beyond this size it is not simulated unless it is asked for by name.
+/// Maximum fleet size at which the heartbeat, which sends n² datagrams per period, is simulated unless it is
+/// selected by name.
 const MAX_HEARTBEAT_MEMBERS: usize = 300;
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Measurement {
     /// Periods from a crash to the first and to all members that declare it lost
     Detect,
-    /// Suspicions and losses of members that run, at loss of datagrams and with pauses
+    /// Suspicions and losses of running members, under datagram loss and with pauses
     FalsePositives,
-    /// Periods from the last fault of a random sequence until all views are equal and true
+    /// Periods from the last fault of a random sequence until all views are equal and correct
     Convergence,
-    /// Datagrams, bytes and time on a core, for a member and period
+    /// Datagrams, bytes and processing time per member and period
     Cost,
-    /// Time on a core of one member's decisions alone, a period, among so many that answer it
+    /// Processing time of one member's state machine alone per period, among peers that answer it
     Cpu,
-    /// Verdicts over courses with and without the loss of a zone
+    /// Verdicts over random faults with and without the loss of a zone
     Diagnosis,
 }
 
@@ -64,13 +65,13 @@
     sizes: Vec<usize>,
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Only these detectors, with commas
+    /// Only these detectors, separated by commas
     #[arg(long, value_delimiter = ',')]
     detectors: Vec<Detector>,
-    /// Simulations at once; all cores if left out
+    /// Number of concurrent simulations; default: the number of cores
     #[arg(long)]
     jobs: Option<usize>,
-    /// Passed along by cargo.
+    /// Passed by `cargo bench`.
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -88,7 +89,7 @@
     }
 }
 
-/// A settled fleet of so many members, of which no message is encoded.
+/// A settled fleet of so many members, whose messages are not encoded.
 fn simulation(size: usize, detector: FailureDetector, seed: u64) -> Simulation {
     let settings = MembershipSettings { detector, ..MembershipSettings::default() };
     let mut simulation = Simulation::preloaded(size, ZONES, settings, seed);
@@ -118,7 +119,7 @@
         Measurement::FalsePositives => false_positives::print_header(),
         Measurement::Convergence => convergence::print_header(),
         Measurement::Cost => cost::print_header(),
-        // Its columns are the sizes.
+        // The columns of this measurement are the sizes, so it prints its own header.
         Measurement::Cpu => {}
         Measurement::Diagnosis => diagnosis::print_header(),
     }
--- a/crates/pinepoint-membership/benches/measure/report.rs
+++ b/crates/pinepoint-membership/benches/measure/report.rs
@@ -1,12 +1,13 @@
-//! Seeds run in parallel, and rows of figures.
+//! Parallel runs over seeds, and statistics for the printed rows.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Simulations at once.
+/// Number of concurrent simulations.
 pub static JOBS: AtomicU64 = AtomicU64::new(1);
 
-/// Runs each seed from 0 to `seeds`, several at once; progress on standard error. The results come in no order.
+/// Runs each seed below `seeds`, several concurrently, and shows progress on standard error. The results are
+/// in no particular order.
 pub fn run_seeds<T: Send>(seeds: u64, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(0);
     let results = Mutex::new(Vec::new());
@@ -31,7 +32,7 @@
     results.into_inner().expect("no thread panicked")
 }
 
-/// Median, 99th percentile and largest, as text.
+/// Median, 99th percentile and maximum, as text.
 pub fn percentiles(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let rank = |fraction: f64| ((values.len() as f64 * fraction).ceil() as usize).max(1) - 1;
