--- a/crates/pinepoint-membership/src/diagnosis.rs
+++ b/crates/pinepoint-membership/src/diagnosis.rs
@@ -64,7 +64,7 @@
     pub zone: &'a str,
     /// Its uptime, ms.
     pub uptime_ms: f64,
-    /// It was stopped or starved lately, so that its observations of other members are no evidence.
+    /// The local member was stopped or starved lately, so that its observations of others are no evidence.
     pub is_recovering: bool,
     /// Consecutive probes that neither the target nor a relay answered.
     pub unanswered_probes: u32,
--- a/crates/pinepoint-membership/src/diagnosis/zones.rs
+++ b/crates/pinepoint-membership/src/diagnosis/zones.rs
@@ -141,7 +141,7 @@
 
     /// Time from which a member that does not answer counts as unresponsive, ms. A loss learnt by gossip
     /// alone may come from a member that was isolated itself, and be refuted soon by the members concerned.
-    /// It therefore counts only after a delay.
+    /// The loss therefore counts only after a delay.
     fn unresponsive_since_ms(&self, member: &MemberState) -> f64 {
         let delay = if member.lost_by_gossip { self.settings.outage_window * self.period_ms } else { 0.0 };
         member.state_since_ms + delay
--- a/crates/pinepoint-membership/src/lib.rs
+++ b/crates/pinepoint-membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! Guarantees:
 //! - All members declare a crashed member lost, in a time that grows with the logarithm of the fleet's size.
 //!   A running member refutes the suspicion.
-//! - A member announces itself that it drains or has left; other members never infer it.
+//! - Only the member itself announces that it drains or has left; other members never infer it.
 //! - A restart is distinguished from a recovery of the same process: generations only grow, and a record of
 //!   an earlier generation never overrides a later one.
 //! - After the last fault, all members that reach each other converge to the same view.
--- a/crates/pinepoint-membership/src/member.rs
+++ b/crates/pinepoint-membership/src/member.rs
@@ -56,15 +56,15 @@
     /// The lifecycle phase that a member announces for itself. Other members never infer it.
     #[derive(Serialize, Deserialize)]
     Phase {
-        /// It has started and is learning the other members.
+        /// The member has started and is learning the other members.
         Joining = "joining",
-        /// Its engine is up and warming up, or not up yet.
+        /// The member's engine is warming up, or not up yet.
         Cold = "cold",
-        /// It accepts requests.
+        /// The member accepts requests.
         Serving = "serving",
-        /// It is shutting down gracefully.
+        /// The member is shutting down gracefully.
         Draining = "draining",
-        /// It has left gracefully.
+        /// The member has left gracefully.
         Left = "left",
     }
 }
@@ -74,11 +74,11 @@
     /// precedence.
     #[derive(Serialize, Deserialize)]
     Liveness {
-        /// It answers probes.
+        /// The member answers probes.
         Alive = "alive",
-        /// It failed a probe of another member and may still refute the suspicion.
+        /// The member failed a probe of another member and may still refute the suspicion.
         Suspected = "suspected",
-        /// It did not refute the suspicion in time.
+        /// The member did not refute the suspicion in time.
         Lost = "lost",
     }
 }
@@ -191,7 +191,7 @@
     pub hold_ms: u16,
     /// Fraction of the capacity for idempotency keys that is free.
     pub keys_room: u8,
-    /// It accepts requests, as its health checks report.
+    /// Whether the member accepts requests, as its health checks report.
     pub healthy: bool,
     /// Uptime, seconds.
     pub up_s: u32,
--- a/crates/pinepoint-membership/src/membership/reception.rs
+++ b/crates/pinepoint-membership/src/membership/reception.rs
@@ -44,7 +44,7 @@
         let is_current = member.record.process_id() == sender.record.process_id();
         let has_to_refute = !is_current || member.record.liveness != Liveness::Alive;
         if is_current {
-            self.table.record_received(now, key, sender.load);
+            self.table.record_message(now, key, sender.load);
         }
         let peer = Peer { key, address: sender.record.identity.address, has_to_refute };
         let refutations = self.merge_updates(now, &updates, actions);
--- a/crates/pinepoint-membership/src/membership/refutation.rs
+++ b/crates/pinepoint-membership/src/membership/refutation.rs
@@ -123,7 +123,7 @@
     fn handle_record_of_other_process(&mut self, now: f64, record: &MemberRecord, actions: &mut Vec<Action>) {
         let local = &self.local.record;
         if record.generation < local.generation {
-            // The sender knows only the earlier process.
+            // Some member knows only the earlier process.
             self.gossip.enqueue(self.local.key());
             return;
         }
--- a/crates/pinepoint-membership/src/table.rs
+++ b/crates/pinepoint-membership/src/table.rs
@@ -33,9 +33,9 @@
     pub missed_probes: u32,
     /// The system reported that no process listens at its address.
     pub connection_refused: bool,
-    /// It became lost by gossip alone, without having been suspected in this table first.
+    /// The member became lost by gossip alone, without having been suspected in this table first.
     pub lost_by_gossip: bool,
-    /// How it last recovered from being lost.
+    /// How the member last recovered from being lost.
     pub recovery: Recovery,
     /// When it last recovered, ms. Minus infinity if it never did.
     pub recovered_ms: f64,
@@ -94,7 +94,7 @@
 /// How a member recovered from being lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Recovery {
-    /// It was never lost.
+    /// The member was never lost, or has not recovered.
     #[default]
     None,
     /// The same process is up again.
@@ -266,7 +266,7 @@
     }
 
     /// Records that a message was received from the known process of a member.
-    pub fn record_received(&mut self, now: f64, key: u64, load: Load) {
+    pub fn record_message(&mut self, now: f64, key: u64, load: Load) {
         let Some(member) = self.members.get_mut(&key) else { return };
         self.senders.members += usize::from(!member.has_sent_message());
         member.last_received_ms = now;
--- a/crates/pinepoint-membership/src/table/tests.rs
+++ b/crates/pinepoint-membership/src/table/tests.rs
@@ -59,7 +59,7 @@
             let now = step as f64;
             table.merge(now, 1e6, &record);
             if is_received {
-                table.record_received(now, record.identity.key(), Load::default());
+                table.record_message(now, record.identity.key(), Load::default());
             }
             if step % 7 == 6 {
                 table.expire(now - 5.0, now - 20.0);
