--- a/crates/pinepoint-membership/benches/measure/cpu.rs
+++ b/crates/pinepoint-membership/benches/measure/cpu.rs
@@ -1,4 +1,4 @@
-//! Time on a core of one member's own decisions in a period, among peers that answer it at once.
+//! Processing time of one member's protocol state machine per period, among peers that answer it at once.
 
 use std::time::Instant;
 
@@ -9,11 +9,11 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::report::median;
-use crate::sim::{PERIOD, address};
+use crate::sim::{PERIOD_MS, address};
 
 const PERIODS_PER_ROUND: u32 = 2000;
 
-/// What happens among the peers.
+/// Changes of the peers' records during a round.
 #[derive(Clone, Copy, PartialEq)]
 enum Changes {
     None,
@@ -27,12 +27,12 @@
 }
 
 const SCENARIOS: [Scenario; 3] = [
-    Scenario { name: "nothing happens", lost: 0, changes: Changes::None },
-    Scenario { name: "five are lost", lost: 5, changes: Changes::None },
-    Scenario { name: "one changes each period", lost: 0, changes: Changes::OneEachPeriod },
+    Scenario { name: "no changes", lost: 0, changes: Changes::None },
+    Scenario { name: "five members lost", lost: 5, changes: Changes::None },
+    Scenario { name: "one member changes per period", lost: 0, changes: Changes::OneEachPeriod },
 ];
 
-/// One member, and peers that hold the same view as it does.
+/// One member, and peers with the same view.
 struct LoneMember {
     membership: Membership,
     peers: Vec<MemberRecord>,
@@ -45,9 +45,9 @@
 impl LoneMember {
     fn new(size: usize, lost: usize) -> LoneMember {
         let now = 1.7e12;
-        let record = |at: usize| {
-            let liveness = if at <= lost { Liveness::Lost } else { Liveness::Alive };
-            peer_record(at, liveness, now as u64 - 9_000_000)
+        let record = |index: usize| {
+            let liveness = if index <= lost { Liveness::Lost } else { Liveness::Alive };
+            peer_record(index, liveness, now as u64 - 9_000_000)
         };
         let identity = (*record(0).identity).clone();
         let peers: Vec<MemberRecord> = (1..size).map(record).collect();
@@ -58,11 +58,11 @@
         LoneMember { membership, peers, random, now, sequence: 0, spent_s: 0.0 }
     }
 
-    /// Lets a round of periods pass, in each of which a peer pings. Returns the time on a core of a period, us.
+    /// Runs a round of periods, in each of which a peer pings. Returns the processing time per period, us.
     fn run_round(&mut self, changes: Changes) -> f64 {
         self.spent_s = 0.0;
         for _ in 0..PERIODS_PER_ROUND {
-            let until = self.now + PERIOD;
+            let until = self.now + PERIOD_MS;
             self.receive_ping(changes);
             while self.membership.next_due() < until {
                 self.now = self.membership.next_due();
@@ -91,7 +91,7 @@
         self.handle(ping);
     }
 
-    /// Ticks, and lets the peers answer pings.
+    /// Handles a tick, and lets the peers answer the resulting pings.
     fn tick(&mut self) {
         let mut actions = self.handle(Event::Tick);
         while let Some(action) = actions.pop() {
@@ -99,7 +99,7 @@
                 continue;
             };
             let target = self.peers.iter().position(|peer| peer.identity.address == to);
-            if let Some(target) = target.filter(|at| self.peers[*at].liveness == Liveness::Alive) {
+            if let Some(target) = target.filter(|index| self.peers[*index].liveness == Liveness::Alive) {
                 let ack = self.packet(target, PacketBody::Ack { sequence }, Vec::new());
                 actions.extend(self.handle(ack));
             }
@@ -130,13 +130,13 @@
     }
 }
 
-fn peer_record(at: usize, liveness: Liveness, generation: u64) -> MemberRecord {
+fn peer_record(index: usize, liveness: Liveness, generation: u64) -> MemberRecord {
     let identity = Identity {
-        name: format!("n{at}"),
-        zone: format!("z{}", at % 3),
-        address: address(at),
+        name: format!("n{index}"),
+        zone: format!("z{}", index % 3),
+        address: address(index),
         cores: 4,
-        instance: at as u32,
+        instance: index as u32,
     };
     MemberRecord {
         identity: identity.into(),
@@ -148,10 +148,13 @@
     }
 }
 
-/// Measures the sizes in turns, so that what the machine does meanwhile favours none.
+/// Measures the sizes in turns, so that other load on the machine affects all of them alike.
 pub fn measure(sizes: &[usize], rounds: u64) {
     let columns: Vec<String> = sizes.iter().map(|size| format!("{size} members")).collect();
-    println!("| us of a core a period, median of {rounds} rounds (to the first) | {} |", columns.join(" | "));
+    println!(
+        "| Processing time per period, us, median of {rounds} rounds (ratio to the first size) | {} |",
+        columns.join(" | ")
+    );
     for scenario in SCENARIOS {
         let mut members: Vec<LoneMember> =
             sizes.iter().map(|size| LoneMember::new(*size, scenario.lost)).collect();
@@ -159,7 +162,7 @@
         for round in 0..=rounds {
             for (member, times_us) in members.iter_mut().zip(&mut times_us) {
                 let time_us = member.run_round(scenario.changes);
-                // The first round warms up the program itself.
+                // The first round is a warm-up of the program.
                 if round > 0 {
                     times_us.push(time_us);
                 }
--- a/crates/pinepoint-membership/src/membership/heartbeat.rs
+++ b/crates/pinepoint-membership/src/membership/heartbeat.rs
@@ -1,11 +1,11 @@
-//! The all-to-all heartbeat, a baseline for measurements: everybody sends to everybody once a period.
+//! The all-to-all heartbeat, a baseline for measurements: each member sends to all others once a period.
 
 use super::dissemination::Recipient;
 use super::{Action, Membership};
 use crate::member::Liveness;
 use crate::wire::PacketBody;
 
-/// A member that was not heard for this time is lost, periods.
+/// A member that was silent for this time is declared lost, periods.
 const HEARTBEAT_TIMEOUT: f64 = 5.0;
 
 impl Membership {
@@ -14,8 +14,8 @@
         let up = self.table.iter().filter(|(_, member)| member.record.is_up());
         let members: Vec<_> = up
             .map(|(key, member)| {
-                let last_sign_ms = member.last_heard_ms.max(member.state_since_ms);
-                (key, member.record.identity.clone(), last_sign_ms < silent_since_ms)
+                let last_activity_ms = member.last_received_ms.max(member.state_since_ms);
+                (key, member.record.identity.clone(), last_activity_ms < silent_since_ms)
             })
             .collect();
         for (key, identity, is_silent) in members {
