--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,20 +1,21 @@
-//! A host around one controller: it keeps the time, the timers and a log of all actions.
+//! A test harness for one admission controller: it keeps the time, the pending timers and a log of all
+//! actions.
 #![allow(dead_code)]
 
 use pinepoint::admission::*;
 
-/// One server under test.
+/// An admission controller under test, with its clock and its timers.
 pub struct TestServer {
     pub controller: AdmissionController,
-    /// Time, ms.
+    /// Current time, ms.
     pub now: f64,
     /// All actions so far.
     pub log: Vec<Action>,
-    /// Pending timers: when they fire, ms, and their token.
+    /// Pending timers: the time at which each fires, ms, and its token.
     pub timers: Vec<(f64, u32)>,
 }
 
-/// Two cores, a class of reads and a class of keyed requests.
+/// Settings with two cores, a class of reads and a class of keyed requests.
 pub fn settings() -> Settings {
     Settings {
         cores: 2.0,
@@ -48,10 +49,10 @@
         TestServer::started_at(settings, 0.0)
     }
 
-    /// One that starts at this time, ms.
+    /// Starts a controller at the time `now`, ms.
     pub fn started_at(settings: Settings, now: f64) -> Self {
         let mut server = TestServer {
-            controller: AdmissionController::new(settings, 1).expect("sound settings"),
+            controller: AdmissionController::new(settings, 1).expect("valid settings"),
             now,
             log: vec![],
             timers: vec![],
@@ -60,7 +61,7 @@
         server
     }
 
-    /// One event, then the end of its batch; returns the actions that came of it.
+    /// Handles one event as a batch of its own; returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
@@ -69,7 +70,7 @@
         actions
     }
 
-    /// Several events of one batch.
+    /// Handles several events as one batch; returns the resulting actions.
     pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in events {
@@ -93,7 +94,7 @@
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Lets time pass; timers fire with these gauges.
+    /// Advances the time; timers that come due fire with these gauges.
     pub fn advance(&mut self, ms: f64, busy: f64, runnable: f64) -> Vec<Action> {
         let until = self.now + ms;
         let mut all = Vec::new();
@@ -101,7 +102,7 @@
             if at > until {
                 break;
             }
-            let index = self.timers.iter().position(|t| t.0 == at).expect("just found");
+            let index = self.timers.iter().position(|t| t.0 == at).expect("the minimum is one of the timers");
             let (_, token) = self.timers.remove(index);
             self.now = at;
             all.extend(self.handle(Event::TimerFired { token, gauges: vec![busy, runnable] }));
@@ -111,7 +112,7 @@
     }
 }
 
-/// The requests that these actions start, in order.
+/// Ids of the requests that these actions start, in order.
 pub fn started_ids(actions: &[Action]) -> impl Iterator<Item = u32> {
     actions.iter().filter_map(|action| match action {
         Action::StartRun { id } => Some(*id),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -97,7 +97,7 @@
 /// A whole life as the platform has it: start, load with calls, keys and a caller that leaves, reload, drain, end. The
 /// process is checked in between. `wrapper` is a program that the process runs under, with its arguments.
 fn run_whole_life(wrapper: Vec<String>, check: impl Fn(u32) -> DescriptorCounts) {
-    let options = Options { bare: true, under: wrapper, ..Options::default() };
+    let options = Options { without_edge_file: true, wrapper, ..Options::default() };
     let mut world = World::start_with(
         Box::new(scenario::idle_gauges),
         scenario::service(Box::new(|_| Vec::new())),
--- a/tests/scenario/actor.rs
+++ b/tests/scenario/actor.rs
@@ -1,4 +1,4 @@
-//! An actor of a scenario: its inbox of text lines, and the connections on which it sends.
+//! An actor of a scenario: its inbox of text lines and the connections on which it sends.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Read};
@@ -6,14 +6,14 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// Connections by the request that was last named on each; the latest stands under no name.
+/// Connections by the request id that was last named on each. The latest connection has the empty name.
 pub(super) type Streams = Arc<Mutex<HashMap<String, TcpStream>>>;
 
-/// Who acts in a scenario.
+/// A participant of a scenario: the program, a stub service or a client.
 pub struct Actor {
     pub(super) inbox: Receiver<String>,
     pub(super) streams: Streams,
-    /// Bytes that go out later.
+    /// Bytes kept by `cut=N` or `queue`; the next `send` writes them first.
     pub(super) unsent: Vec<u8>,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A stream that remembers whether it was reset.
+/// A stream that records whether the peer reset it.
 pub(super) struct ResetDetector {
     stream: TcpStream,
     was_reset: bool,
@@ -37,10 +37,11 @@
     }
 }
 
-/// What a client reads.
+/// The input of a client.
 pub(super) type Input = BufReader<ResetDetector>;
 
-/// Starts a reader that puts what `read` makes of the stream into the inbox, and `closed` or `reset` at its end.
+/// Connects a client. A reader thread puts the texts that `read` decodes from the stream into its inbox, and
+/// `closed` or `reset` at the end of the stream.
 pub(super) fn connect_client(address: SocketAddr, read: fn(&mut Input) -> Option<String>) -> Actor {
     let stream = TcpStream::connect(address).expect("the program listens");
     let stream_to_read = ResetDetector { stream: stream.try_clone().expect("cloned"), was_reset: false };
@@ -57,14 +58,14 @@
     Actor::new(inbox, Arc::new(Mutex::new(HashMap::from([(String::new(), stream)]))))
 }
 
-/// Reads so many bytes.
+/// Reads `N` bytes.
 pub(super) fn read_array<const N: usize>(input: &mut impl Read) -> Option<[u8; N]> {
     let mut bytes = [0; N];
     input.read_exact(&mut bytes).ok()?;
     Some(bytes)
 }
 
-/// Reads so many bytes as text.
+/// Reads `length` bytes as text.
 pub(super) fn read_text(input: &mut impl Read, length: usize) -> Option<String> {
     let mut bytes = vec![0; length];
     input.read_exact(&mut bytes).ok()?;
--- a/tests/scenario/options.rs
+++ b/tests/scenario/options.rs
@@ -1,30 +1,30 @@
-//! How a scenario starts the program, and the configuration files that follow from it.
+//! Options with which a scenario starts the program, and the configuration files derived from them.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
 
-/// How a scenario starts the program.
+/// Options with which a scenario starts the program.
 pub struct Options {
-    /// Callers close idle connections after that time; 0 for never.
+    /// Time after which callers close idle connections, ms; 0 for never.
     pub idle_ms: u32,
-    /// Limit of memory.
+    /// Memory limit, MB.
     pub memory_mb: f64,
-    /// Sections of the edge file beside that of AJP.
+    /// Further sections of the edge file, besides `[ajp]`.
     pub edge: String,
-    /// The name of the process, as JSON has it.
+    /// Name of the process, escaped for JSON.
     pub name: String,
-    /// As the platform starts it: without an edge file.
-    pub bare: bool,
-    /// What it is started under: a program and its words.
-    pub under: Vec<String>,
-    /// Text of the settings that is replaced by other text.
+    /// Starts the program without an edge file, as the platform does.
+    pub without_edge_file: bool,
+    /// Wrapper program, with its arguments, under which the program is started; empty for none.
+    pub wrapper: Vec<String>,
+    /// Replacements in the text of the settings: old text, new text.
     pub settings: Vec<(&'static str, &'static str)>,
-    /// Where it listens.
+    /// Address on which the program listens.
     pub listen: SocketAddr,
-    /// Signals that come while it reads its configuration for the first time, and the name of the configuration that is
-    /// there when it reads it again.
+    /// Signals sent while the program reads its configuration for the first time, and the name of the
+    /// configuration that it finds when it reads it again.
     pub early: Option<(&'static [&'static str], &'static str)>,
-    /// Has the address, until the program has said that it finds it in use.
+    /// Listener that occupies the address until the program logs `address-in-use`.
     pub blocked: Option<TcpListener>,
 }
 
@@ -35,8 +35,8 @@
             memory_mb: 192.0,
             edge: String::new(),
             name: "n1".into(),
-            bare: false,
-            under: Vec::new(),
+            without_edge_file: false,
+            wrapper: Vec::new(),
             settings: Vec::new(),
             listen: ([127, 0, 0, 1], 0).into(),
             early: None,
@@ -66,7 +66,7 @@
     fn settings_text(&self) -> String {
         let text = SETTINGS.replace("IDLE", &self.idle_ms.to_string());
         self.settings.iter().fold(text, |text, (old, new)| {
-            assert!(text.contains(old), "no {old} in the settings");
+            assert!(text.contains(old), "settings do not contain {old}");
             text.replace(old, new)
         })
     }
@@ -81,8 +81,8 @@
         )
     }
 
-    /// The configurations by the names that scenarios give them: with the first services, with those moved, and the
-    /// latter cut off in the middle.
+    /// Configurations by the names that scenarios use: `first` names the first services, `moved` the moved
+    /// services, and `cut-off` is the first half of `moved`.
     pub(super) fn configs(
         &self,
         first: &ServiceAddresses,
@@ -93,7 +93,7 @@
         HashMap::from([("first", self.config(first)), ("cut-off", cut_off), ("moved", moved)])
     }
 
-    /// The edge file.
+    /// Text of the edge file.
     pub(super) fn edge_file(&self) -> String {
         format!("[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3\"\nmem_kb = 40.0\n{}", self.edge)
     }
--- a/tests/scenario/rpc.rs
+++ b/tests/scenario/rpc.rs
@@ -1,19 +1,20 @@
-//! MessagePack-RPC, as far as the scenarios need it: requests from words, and messages of the program as text.
+//! MessagePack-RPC as far as the scenarios need it: encodes requests from words, and decodes messages of the
+//! program to text.
 
 use std::io::Read;
 
 use super::actor::{Input, read_array, read_text};
 use super::{base_ms, now_ms};
 
-/// Reads one message of the program.
+/// Reads one message of the program as text.
 pub(super) fn read_message(input: &mut Input) -> Option<String> {
     read_value(input)
 }
 
-/// One MessagePack value as text: arrays in brackets, maps as `name=value`.
+/// Reads one MessagePack value as text: arrays in brackets, maps as `name=value`.
 fn read_value(input: &mut impl Read) -> Option<String> {
     let [tag] = read_array::<1>(input)?;
-    let row = |input: &mut _, n: u8| -> Option<String> {
+    let read_items = |input: &mut _, n: u8| -> Option<String> {
         let items: Option<Vec<String>> = (0..n).map(|_| read_value(input)).collect();
         Some(items?.join(" "))
     };
@@ -25,7 +26,7 @@
                 .collect();
             pairs?.join(" ")
         }
-        0x90..=0x9f => format!("[{}]", row(input, tag & 15)?),
+        0x90..=0x9f => format!("[{}]", read_items(input, tag & 15)?),
         0xa0..=0xbf => read_text(input, usize::from(tag & 31))?,
         0xc0 => "nil".into(),
         0xc2 | 0xc3 => (tag == 0xc3).to_string(),
@@ -40,7 +41,7 @@
         0xcc => u8::from_be_bytes(read_array(input)?).to_string(),
         0xcd => u16::from_be_bytes(read_array(input)?).to_string(),
         0xce => u32::from_be_bytes(read_array(input)?).to_string(),
-        other => panic!("unexpected type {other:#x} from the program"),
+        other => panic!("unexpected MessagePack type {other:#x} from the program"),
     })
 }
 
@@ -49,11 +50,12 @@
     out.extend(text.as_bytes());
 }
 
-/// `ID CLASS name=value ...|BODY` as a request, or `ping`/`abort` as such.
+/// Encodes `ID CLASS name=value ...|BODY` as a request, `ID ping` as a health check and `ID abort` as an
+/// abort notice.
 pub fn rpc_request(words: &str) -> Vec<u8> {
     let (head, body) = words.split_once('|').unwrap_or((words, ""));
     let mut words = head.split_whitespace();
-    let id: u32 = words.next().and_then(|word| word.parse().ok()).expect("a message id");
+    let id: u32 = words.next().and_then(|word| word.parse().ok()).expect("a numeric message id");
     let class = words.next().expect("a class");
     let message_id = [&[0xce], &id.to_be_bytes()[..]].concat();
     if class == "abort" {
@@ -61,7 +63,7 @@
     }
     let is_ping = class == "ping";
     let mut fields: Vec<(String, String)> =
-        words.filter_map(|word| word.split_once('=')).map(|(name, value)| field(name, value)).collect();
+        words.filter_map(|word| word.split_once('=')).map(|(name, value)| to_field(name, value)).collect();
     if !is_ping && !fields.iter().any(|(name, _)| name == "t0") {
         fields.push(("t0".into(), now_ms().to_string()));
     }
@@ -89,13 +91,14 @@
     out
 }
 
-/// A field of a request: `rid` is padded, and `t0` counts from now or, behind a `b`, from an instant of the test.
-fn field(name: &str, value: &str) -> (String, String) {
+/// Name and value of a request field: `rid` is padded; `t0` counts from now or, after a `b`, from
+/// [`base_ms`].
+fn to_field(name: &str, value: &str) -> (String, String) {
     let value = match name {
         "rid" => format!("{value:0>16}"),
         "t0" => match value.strip_prefix('b') {
-            Some(after) => base_ms() as i64 + after.parse::<i64>().expect("an offset"),
-            None => now_ms() as i64 + value.parse::<i64>().expect("an offset"),
+            Some(after) => base_ms() as i64 + after.parse::<i64>().expect("an offset in ms"),
+            None => now_ms() as i64 + value.parse::<i64>().expect("an offset in ms"),
         }
         .to_string(),
         _ => value.to_owned(),
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -1,4 +1,4 @@
-//! The program under test among its stubs, and the steps of a scenario.
+//! The program under test among its stub services, and the execution of scenario steps.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -16,25 +16,25 @@
 use super::ajp::{self, ajp_request};
 use super::options::{Options, ServiceAddresses};
 use super::rpc::{self, rpc_request};
-use super::stubs::{Answer, datagrams, idle_gauges, read_line, service, wire_line};
+use super::stubs::{Answer, datagram_service, idle_gauges, read_line, service, wire_line};
 
-/// An event that does not come within this time does not come.
+/// Longest wait for an expected event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The program looks at its test clock again after a millisecond, and its core looks around every 50 ms while it shuts
-/// down: a program that was stopped finds all of it due in the instant in which it goes on.
+/// Pause after a change of the test clock. The program reads that clock again after 1 ms, and its core polls
+/// every 50 ms during shutdown. For a stopped program both are due as soon as it continues.
 const CLOCK_SETTLE: Duration = Duration::from_millis(60);
 
-/// Tells apart the folders of this process.
+/// Number of temporary folders that this process has created; makes their names unique.
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
 
-/// A folder of its own, removed when dropped.
+/// A temporary folder, removed when dropped.
 struct TempDir(PathBuf);
 
 impl TempDir {
     fn new() -> TempDir {
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("pinepoint-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder of its own");
+        std::fs::create_dir_all(&path).expect("a temporary folder");
         TempDir(path)
     }
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// The bytes of what an actor sends.
+/// Encodes the words that an actor sends.
 fn bytes_to_send(actor: &str, words: &str) -> Vec<u8> {
     match (words.strip_prefix("hex="), &actor[..3]) {
         (Some(hex), _) => (0..hex.len() / 2)
@@ -60,24 +60,24 @@
 /// Sends a signal to a process.
 fn send_signal(name: &str, pid: u32) {
     let sent = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
-    assert!(sent.is_ok_and(|status| status.success()), "no {name} to {pid}");
+    assert!(sent.is_ok_and(|status| status.success()), "signal {name} was not sent to process {pid}");
 }
 
-/// The stub services of a scenario, and the addresses before and after they are moved.
-struct Stubs {
+/// The stub services of a scenario, and their addresses before and after `config=moved`.
+struct StubServices {
     actors: HashMap<String, Actor>,
     first: ServiceAddresses,
     moved: ServiceAddresses,
 }
 
-impl Stubs {
-    fn start(engine: Answer, store: (Actor, SocketAddr)) -> Stubs {
+impl StubServices {
+    fn start(engine: Answer, store: (Actor, SocketAddr)) -> StubServices {
         let mut actors = HashMap::new();
         let mut add = |name: &str, (actor, address): (Actor, SocketAddr)| {
             actors.insert(name.to_owned(), actor);
             address
         };
-        let members = || datagrams(|packet| vec![String::from_utf8_lossy(packet).into_owned()]);
+        let members = || datagram_service(|packet| vec![String::from_utf8_lossy(packet).into_owned()]);
         let first = ServiceAddresses {
             engine: add("engine", service(engine)),
             store: add("store", store),
@@ -88,42 +88,43 @@
             store: add("store2", service(Box::new(|_| Vec::new()))),
             members: add("members2", members()),
         };
-        Stubs { actors, first, moved }
+        StubServices { actors, first, moved }
     }
 }
 
-/// The program and everything around it; the program is killed when this is dropped.
+/// The program and the actors around it. The program is killed when this is dropped.
 pub struct World {
     actors: HashMap<String, Actor>,
-    /// Where the program takes MessagePack-RPC.
+    /// Address of the MessagePack-RPC listener.
     pub listen: SocketAddr,
-    /// Where the program takes AJP; the same as `listen` without an edge file.
+    /// Address of the AJP listener; equal to `listen` without an edge file.
     pub ajp: SocketAddr,
     child: Arc<Mutex<Child>>,
-    /// While it is held, nobody reads the program's log.
+    /// While this is locked, the program's log is not read.
     pub log_gate: Arc<Mutex<()>>,
     bindings: Bindings,
-    /// The configurations by the names that scenarios give them.
+    /// Configurations by the names that scenarios use.
     configs: HashMap<&'static str, String>,
-    /// Where the program reads its configuration.
+    /// Path of the configuration file that the program reads.
     config: PathBuf,
     edge: PathBuf,
     folder: TempDir,
 }
 
 impl World {
-    /// Starts the program among its stubs. `engine` and `store` have each line first.
+    /// Starts the program among its stub services. `engine` and `store` answer lines before these reach the
+    /// inboxes.
     pub fn start(engine: Answer, store: Answer) -> World {
         World::start_with(engine, service(store), Options::default())
     }
 
-    /// The same with a store that is made elsewhere, and these options.
+    /// Like [`World::start`], with a store that the caller has started and with these options.
     pub fn start_with(engine: Answer, store: (Actor, SocketAddr), mut options: Options) -> World {
-        let blocked = options.blocked.take();
-        if let Some(other) = &blocked {
-            options.listen = other.local_addr().expect("bound");
+        let occupant = options.blocked.take();
+        if let Some(listener) = &occupant {
+            options.listen = listener.local_addr().expect("bound");
         }
-        let Stubs { mut actors, first, moved } = Stubs::start(engine, store);
+        let StubServices { mut actors, first, moved } = StubServices::start(engine, store);
         let configs = options.configs(&first, &moved);
         let folder = TempDir::new();
         let (config, edge) = (folder.0.join("config.json"), folder.0.join("edge.toml"));
@@ -152,35 +153,35 @@
             edge,
             folder,
         };
-        if let Some(other) = blocked {
+        if let Some(listener) = occupant {
             world.wait("node", "address-in-use *");
-            drop(other);
+            drop(listener);
         }
-        world.learn_addresses(options.bare);
+        world.learn_addresses(options.without_edge_file);
         world
     }
 
-    /// Waits until the program has logged where it listens.
-    fn learn_addresses(&mut self, is_bare: bool) {
+    /// Waits until the program has logged its listen addresses.
+    fn learn_addresses(&mut self, without_edge_file: bool) {
         let address =
             |text: String| text.rsplit_once('=').and_then(|(_, word)| word.parse().ok()).expect(&text);
-        if !is_bare {
+        if !without_edge_file {
             self.ajp = address(self.wait("node", "ajp listen=*"));
         }
         self.listen = address(self.wait("node", "started *"));
     }
 
-    /// The folder of this world, removed at its end.
+    /// Temporary folder of this world, removed when the world is dropped.
     pub fn folder(&self) -> &Path {
         &self.folder.0
     }
 
-    /// The program's process id.
+    /// Process id of the program.
     pub fn pid(&self) -> u32 {
         self.child.lock().expect("not poisoned").id()
     }
 
-    /// The text of a configuration.
+    /// Text of the configuration of this name.
     pub fn config(&self, name: &str) -> &str {
         &self.configs[name]
     }
@@ -202,12 +203,12 @@
     fn receive_until(&mut self, deadline: Instant, actor: &str, wanted: &str) -> String {
         let inbox = &self.actor(actor).inbox;
         let received = inbox.recv_timeout(deadline.saturating_duration_since(Instant::now()));
-        received.unwrap_or_else(|_| panic!("{actor}: nothing came, expected {wanted}"))
+        received.unwrap_or_else(|_| panic!("{actor}: received no line, expected {wanted}"))
     }
 
-    /// Waits for a line that matches, passing over others.
+    /// Waits for a line that matches, and skips others.
     pub fn wait(&mut self, actor: &str, wanted: &str) -> String {
-        // One deadline for all lines: an actor that never falls silent must not be waited for without end.
+        // One deadline for all lines, so that an actor that keeps sending lines cannot prolong the wait.
         let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
             let received = self.receive_until(deadline, actor, wanted);
@@ -218,11 +219,11 @@
     }
 
     fn actor(&self, name: &str) -> &Actor {
-        self.actors.get(name).unwrap_or_else(|| panic!("no actor {name}"))
+        self.actors.get(name).unwrap_or_else(|| panic!("unknown actor {name}"))
     }
 
     fn actor_mut(&mut self, name: &str) -> &mut Actor {
-        self.actors.get_mut(name).unwrap_or_else(|| panic!("no actor {name}"))
+        self.actors.get_mut(name).unwrap_or_else(|| panic!("unknown actor {name}"))
     }
 
     fn send(&mut self, actor: &str, words: &str) {
@@ -256,7 +257,7 @@
         self.stream(actor, name).write_all(&bytes).expect("sent");
     }
 
-    /// The connection on which this was named, or the latest.
+    /// The connection on which `name` was named, or else the latest connection.
     fn stream(&self, actor: &str, name: &str) -> TcpStream {
         let streams = self.actors[actor].streams.lock().expect("not poisoned");
         let stream = streams.get(name).or(streams.get("")).expect("connected");
@@ -279,7 +280,7 @@
         let client = match &actor[..3] {
             "rpc" => connect_client(self.listen, rpc::read_message),
             "ajp" => connect_client(self.ajp, ajp::read_packet),
-            _ => panic!("no actor {actor}"),
+            _ => panic!("unknown actor {actor}"),
         };
         self.actors.insert(actor.to_owned(), client);
     }
@@ -302,7 +303,7 @@
             "shut" => {
                 let _ = self.stream(actor, words).shutdown(Shutdown::Write);
             }
-            // Without words, what was queued is forgotten.
+            // Without words, the queued bytes are dropped.
             "queue" if words.is_empty() => self.actor_mut(actor).unsent.clear(),
             "queue" => self.actor_mut(actor).unsent.extend(bytes_to_send(actor, words)),
             "never" => {
@@ -310,7 +311,7 @@
                 let unexpected = received.iter().any(|text| matches(words, text));
                 assert!(!unexpected, "{}\n     in {received:?}", step.line);
             }
-            verb => panic!("no verb {verb}"),
+            verb => panic!("unknown verb {verb}"),
         }
     }
 }
@@ -321,22 +322,22 @@
     }
 }
 
-/// Makes a named pipe: the program waits for what is written to it.
+/// Creates a named pipe. The program blocks on reading it until something is written.
 fn make_pipe(path: &Path) {
     assert!(Command::new("mkfifo").arg(path).status().is_ok_and(|status| status.success()));
 }
 
-/// Starts the program; returns it with its log.
+/// Starts the program; returns the process and a reader of its log.
 fn spawn_program(
     options: &Options,
     folder: &Path,
     config: &Path,
     edge: &Path,
 ) -> (Child, BufReader<ChildStderr>) {
-    let command_line = [options.under.as_slice(), &[env!("CARGO_BIN_EXE_pinepoint").to_owned()]].concat();
+    let command_line = [options.wrapper.as_slice(), &[env!("CARGO_BIN_EXE_pinepoint").to_owned()]].concat();
     let mut command = Command::new(&command_line[0]);
     command.args(&command_line[1..]);
-    if !options.bare {
+    if !options.without_edge_file {
         command.arg("--edge").arg(edge);
     }
     command.env("RELAY_CONFIG", config).env("PINEPOINT_TEST_CLOCK", folder.join("clock"));
@@ -345,10 +346,10 @@
     (child, log)
 }
 
-/// Sends signals while the program reads its configuration from a pipe for the first time, then writes that one to the
-/// pipe, and the next one to the file that it reads afterwards.
+/// Sends signals while the program reads its configuration for the first time, from a pipe. Then replaces the
+/// pipe by a file with the configuration `next`, and writes the configuration `first` to the open pipe.
 fn signal_while_reading(config: &Path, pid: u32, signals: &[&str], first: &str, next: &str) {
-    // Opened when the program has begun to read.
+    // Blocks until the program has opened the pipe for reading.
     let mut pipe = std::fs::File::options().write(true).open(config).expect("read by the program");
     signals.iter().for_each(|name| send_signal(name, pid));
     std::fs::remove_file(config).expect("removed");
@@ -356,7 +357,8 @@
     pipe.write_all(first.as_bytes()).expect("written");
 }
 
-/// The actor whose inbox takes the lines of the log, and the exit code at its end.
+/// Starts a reader of the log; returns the actor whose inbox receives the log lines and finally the exit
+/// code.
 fn start_log_reader(
     log: impl BufRead + Send + 'static,
     child: Arc<Mutex<Child>>,
@@ -370,7 +372,7 @@
 fn read_log(mut log: impl BufRead, sender: &Sender<String>, child: &Mutex<Child>, gate: &Mutex<()>) {
     while let Some(text) = read_line(&mut log) {
         drop(gate.lock());
-        // Time, level and module do not matter here.
+        // Scenarios do not match time, level and module.
         let text = text.split_once(" message=").map_or(text.as_str(), |(_, message)| message).to_owned();
         let _ = sender.send(text);
     }
