--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -413,7 +413,7 @@
 // ---- the start ----
 
 fn early(signals: &'static [&'static str], then: &'static str) -> World {
-    start(Options { early: Some((signals, then)), ..Options::default() })
+    start(Options { startup_signals: Some((signals, then)), ..Options::default() })
 }
 
 /// A reload that comes while the program reads its configuration is taken when it has: it may have read the old one.
@@ -452,7 +452,7 @@
 #[test]
 fn an_address_that_is_in_use_is_waited_for() {
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut world = up(Options { blocked: Some(other), ..Options::default() });
+    let mut world = up(Options { occupying_listener: Some(other), ..Options::default() });
     world.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
 }
 
--- a/tests/scenario/options.rs
+++ b/tests/scenario/options.rs
@@ -23,9 +23,9 @@
     pub listen: SocketAddr,
     /// Signals sent while the program reads its configuration for the first time, and the name of the
     /// configuration that it finds when it reads it again.
-    pub early: Option<(&'static [&'static str], &'static str)>,
+    pub startup_signals: Option<(&'static [&'static str], &'static str)>,
     /// Listener that occupies the address until the program logs `address-in-use`.
-    pub blocked: Option<TcpListener>,
+    pub occupying_listener: Option<TcpListener>,
 }
 
 impl Default for Options {
@@ -39,8 +39,8 @@
             wrapper: Vec::new(),
             settings: Vec::new(),
             listen: ([127, 0, 0, 1], 0).into(),
-            early: None,
-            blocked: None,
+            startup_signals: None,
+            occupying_listener: None,
         }
     }
 }
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -120,22 +120,22 @@
 
     /// Like [`World::start`], with a store that the caller has started and with these options.
     pub fn start_with(engine: Answer, store: (Actor, SocketAddr), mut options: Options) -> World {
-        let occupant = options.blocked.take();
-        if let Some(listener) = &occupant {
+        let occupying_listener = options.occupying_listener.take();
+        if let Some(listener) = &occupying_listener {
             options.listen = listener.local_addr().expect("bound");
         }
         let StubServices { mut actors, first, moved } = StubServices::start(engine, store);
         let configs = options.configs(&first, &moved);
         let folder = TempDir::new();
         let (config, edge) = (folder.0.join("config.json"), folder.0.join("edge.toml"));
-        if options.early.is_some() {
+        if options.startup_signals.is_some() {
             make_pipe(&config);
         } else {
             std::fs::write(&config, &configs["first"]).expect("written");
         }
         std::fs::write(&edge, options.edge_file()).expect("written");
         let (child, log) = spawn_program(&options, &folder.0, &config, &edge);
-        if let Some((signals, next)) = options.early {
+        if let Some((signals, next)) = options.startup_signals {
             signal_while_reading(&config, child.id(), signals, &configs["first"], &configs[next]);
         }
         let child = Arc::new(Mutex::new(child));
@@ -153,7 +153,7 @@
             edge,
             folder,
         };
-        if let Some(listener) = occupant {
+        if let Some(listener) = occupying_listener {
             world.wait("node", "address-in-use *");
             drop(listener);
         }
