--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,5 +1,5 @@
-//! One program among stub services, over sockets: requests, calls and connections by MessagePack-RPC and AJP. The
-//! scenarios are in the language of `scenario/mod.rs`; load and broken links are in `node_load.rs` and `node_links.rs`.
+//! Scenarios of one program among stub services: requests, calls and connections over MessagePack-RPC and
+//! AJP, in the language of `scenario/mod.rs`. `node_load.rs` covers load, `node_links.rs` broken links.
 
 mod scenario;
 
@@ -7,19 +7,19 @@
 use scenario::{ENGINE_UP, Options, World, idle_gauges};
 
 #[rstest]
-#[case::served(
+#[case::serves_request(
     "
     rpc send 1 look rid=a1 est=10 mem=20|paper
     engine expect RUN 00000000000000a1 look|paper
     engine send DONE 1 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *"
 )]
-#[case::checked(
+#[case::answers_health_check(
     "
     rpc send 1 ping
     rpc expect [1 1 nil [true *"
 )]
-#[case::a_call_is_made_and_its_reply_fed(
+#[case::feeds_store_reply_to_engine(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -30,7 +30,7 @@
     engine send DONE 2 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *"
 )]
-#[case::a_call_that_never_ran_is_made_again(
+#[case::repeats_call_that_did_not_run(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -41,7 +41,7 @@
     store send 00000000000000a1 OK|that
     engine expect FEED 00000000000000a1|that"
 )]
-#[case::a_call_cut_off_may_have_run_and_fails_a_write(
+#[case::fails_write_whose_call_may_have_run(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -51,7 +51,7 @@
     rpc expect [1 1 [Failed *] nil]
     engine expect HALT 00000000000000a1"
 )]
-#[case::a_repeat_waits_and_gets_the_same_bytes(
+#[case::repeat_gets_result_of_running_write(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -64,7 +64,7 @@
     rpc2 send 3 look rid=a4|other
     engine expect RUN 00000000000000a4 look|other"
 )]
-#[case::a_repeat_whose_caller_left_is_still_not_run_twice(
+#[case::repeat_joins_run_of_disconnected_caller(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -73,7 +73,7 @@
     engine send DONE 1 00000000000000a1 complete 12|receipt
     rpc2 expect [1 1 nil [receipt *"
 )]
-#[case::an_abort_stops_a_read(
+#[case::abort_stops_read(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -83,31 +83,31 @@
     rpc send 2 ping
     rpc expect [1 2 nil [true *"
 )]
-#[case::due_while_it_runs(
+#[case::fails_request_at_deadline(
     "
     rpc send 1 brief rid=a1|paper
     engine expect RUN 00000000000000a1 brief|paper
     rpc expect [1 1 [Failed *] nil]
     engine expect HALT 00000000000000a1"
 )]
-#[case::due_counts_from_t0(
+#[case::deadline_counts_from_t0(
     "
     rpc send 1 look rid=a1 t0=-8900|paper
     rpc expect [1 1 [Busy *] nil]"
 )]
-#[case::unknown_class(
+#[case::rejects_unknown_class(
     "
     rpc send 1 sing rid=a1|x
     rpc expect [1 1 [NoMethod *] nil]
     rpc send 2 ping
     rpc expect [1 2 nil [true *"
 )]
-#[case::a_keyed_request_without_its_key(
+#[case::rejects_keyed_request_without_key(
     "
     rpc send 1 write rid=a1|x
     rpc expect [1 1 [BadField *] nil]"
 )]
-#[case::an_id_that_does_not_count_up(
+#[case::closes_on_repeated_message_id(
     "
     rpc send 2 ping
     rpc expect [1 2 nil *
@@ -115,25 +115,25 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=bad-message-id *"
 )]
-#[case::not_messagepack(
+#[case::closes_on_invalid_messagepack(
     "
     rpc send hex=c1
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=bad-type *"
 )]
-#[case::nested_without_end(
+#[case::closes_on_excessive_nesting(
     "
     rpc send hex=919191919191919191
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=message-too-deep *"
 )]
-#[case::a_length_beyond_any_message(
+#[case::closes_on_excessive_length(
     "
     rpc send hex=9400c6ffffffff
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=message-too-long *"
 )]
-#[case::a_broken_engine_link_loses_and_doubles_nothing(
+#[case::engine_link_break_loses_and_duplicates_nothing(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -151,7 +151,7 @@
     engine send DONE 2 00000000000000a2 complete 12|two
     rpc expect [1 2 nil [two *"
 )]
-#[case::a_reply_that_came_without_an_engine_link_is_fed_later(
+#[case::feeds_store_reply_after_engine_reconnects(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -166,7 +166,7 @@
     engine send DONE 2 00000000000000a1 complete 12|receipt
     rpc expect [1 1 nil [receipt *"
 )]
-#[case::one_that_says_nothing_is_not_kept(
+#[case::closes_silent_connections(
     "
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=silent *
@@ -176,7 +176,7 @@
     rpc2 expect closed
     node wait conn-ended conn=3 front=rpc reason=s* read=0 *"
 )]
-#[case::one_that_stops_within_a_message_is_not_kept(
+#[case::closes_connections_stalled_within_message(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -194,7 +194,7 @@
     ajp expect closed
     node wait conn-ended conn=3 front=ajp reason=sender-stalled *"
 )]
-#[case::one_that_was_told_to_go_and_stays_is_closed(
+#[case::closes_connection_that_ignores_goaway(
     "
     rpc send 1 ping
     rpc expect [1 1 nil *
@@ -203,7 +203,7 @@
     rpc expect closed
     node wait conn-ended conn=1 front=rpc reason=told-to-go *"
 )]
-#[case::a_call_that_must_not_be_made_twice_gets_a_new_connection(
+#[case::unrepeatable_call_gets_new_connection(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -218,7 +218,7 @@
     node send USR1
     node wait counters * store_links=2 *"
 )]
-#[case::a_connection_to_the_store_left_idle_is_not_used_again(
+#[case::does_not_reuse_idle_store_connection(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -228,7 +228,7 @@
     engine expect FEED 00000000000000a1|that
     engine send DONE 2 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *
-    # It says nothing, and its end is as much time as the other needs to grow old.
+    # rpc2 sends nothing. When it is closed, the store connection has been idle for too long to be reused.
     rpc2 expect closed
     rpc send 2 look rid=a3|paper
     engine expect RUN 00000000000000a3 look|paper
@@ -237,7 +237,7 @@
     node send USR1
     node wait counters * store_links=2 *"
 )]
-#[case::a_reload_moves_all_three_links(
+#[case::reload_moves_service_links(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -255,13 +255,13 @@
     store2 expect CALL 00000000000000a1 *|what
     store2 send 00000000000000a1 OK|this
     engine2 wait FEED 00000000000000a1|this
-    # A call that was open may still end where it was made.
+    # The first store may still answer a call that was open before the reload.
     store send 00000000000000a2 OK|that
     engine2 wait FEED 00000000000000a2|that
     engine2 send DONE 3 00000000000000a1 complete 12|receipt
     rpc expect [1 1 nil [receipt *"
 )]
-#[case::a_configuration_that_is_cut_off_changes_nothing(
+#[case::keeps_settings_on_truncated_configuration(
     "
     node send config=cut-off
     node send HUP
@@ -271,7 +271,7 @@
     engine send DONE 1 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *"
 )]
-#[case::a_known_key_with_another_body_is_neither_served_nor_run(
+#[case::rejects_known_key_with_other_body(
     "
     rpc send 1 write rid=a1 token=k|paper
     engine expect RUN 00000000000000a1 write|paper
@@ -287,7 +287,7 @@
     rpc2 send 3 write rid=a4 token=k again=1|paper
     rpc2 expect [1 3 nil [receipt *"
 )]
-#[case::times_and_figures_that_cannot_be(
+#[case::rejects_impossible_field_values(
     "
     rpc send 1 look rid=a1 t0=-9999999|x
     rpc expect [1 1 [Failed *] nil]
@@ -307,7 +307,7 @@
     rpc send 7 write rid=a7 token=k|paper
     engine expect RUN 00000000000000a7 write|paper"
 )]
-#[case::a_spoilt_reply_takes_no_other_call_along(
+#[case::malformed_store_reply_affects_only_its_call(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -323,7 +323,7 @@
     engine expect FEED 00000000000000a2|this
     store wait CALL 00000000000000a1 *|which"
 )]
-#[case::a_call_without_a_reply_is_made_again_on_another_connection(
+#[case::repeats_unanswered_call_on_other_connection(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -334,7 +334,7 @@
     store send 00000000000000a1 OK|that
     engine expect FEED 00000000000000a1|that"
 )]
-#[case::replies_that_belong_to_no_call_harm_nobody(
+#[case::ignores_unmatched_store_replies(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -349,7 +349,7 @@
     store send 00000000000000a1 OK|this
     engine expect FEED 00000000000000a1|this"
 )]
-#[case::a_remark_in_any_words_does_not_end_the_link(
+#[case::non_ascii_engine_note_keeps_link(
     "
     engine send NOTE 1 pozn\u{e1}mka
     rpc send 1 look rid=a1|paper
@@ -357,7 +357,7 @@
     engine send DONE 2 00000000000000a1 complete 12|report
     rpc expect [1 1 nil [report *"
 )]
-#[case::ajp_leaving(
+#[case::ajp_drain_completes_request(
     "
     ajp send /look secret=s3|paper
     engine expect RUN $a look|paper
@@ -371,7 +371,7 @@
     node wait ended *
     node wait exit 0"
 )]
-#[case::leaving(
+#[case::rpc_drain_serves_requests_until_goaway(
     "
     rpc send 1 look rid=a1|paper
     engine expect RUN 00000000000000a1 look|paper
@@ -381,7 +381,7 @@
     members wait HB n1 OUT
     rpc2 send 1 ping
     rpc2 expect [1 1 nil [false *
-    # Callers hear of it late, and what they still send is served.
+    # Callers are notified late, and requests that they send until then are served.
     rpc send 2 look rid=a2|paper
     engine expect RUN 00000000000000a2 look|paper
     engine send DONE 1 00000000000000a2 complete 12|two
@@ -395,14 +395,14 @@
     node wait ended *
     node wait exit 0"
 )]
-#[case::counters_on_request(
+#[case::logs_counters_on_sigusr1(
     "
     rpc send 1 ping
     rpc expect [1 1 *
     node send USR1
     node wait counters all=\"connections=1 * pings=1 *"
 )]
-#[case::ajp_served_and_kept_open(
+#[case::ajp_connection_serves_several_requests(
     "
     ajp send ping
     ajp expect cpong
@@ -418,14 +418,14 @@
     ajp expect status 500 Content-Length=0*
     ajp expect end 1"
 )]
-#[case::ajp_a_caller_that_leaves_stops_its_read(
+#[case::ajp_disconnect_stops_read(
     "
     ajp send /look secret=s3|paper
     engine expect RUN $a look|paper
     ajp close
     engine expect HALT $a"
 )]
-#[case::ajp_late(
+#[case::ajp_answers_504_at_deadline(
     "
     ajp send /brief secret=s3|paper
     engine expect RUN $a brief|paper
@@ -433,7 +433,7 @@
     ajp expect end 1
     engine expect HALT $a"
 )]
-#[case::ajp_refused_while_runs_hang(
+#[case::ajp_answers_503_while_run_hangs(
     "
     rpc send 1 brief rid=a1|paper
     engine expect RUN 00000000000000a1 brief|paper
@@ -442,7 +442,7 @@
     ajp expect status 503 Content-Length=0 Retry-After=1*
     ajp expect end 1"
 )]
-#[case::ajp_chunked_body(
+#[case::ajp_reads_chunked_body(
     "
     ajp send /look secret=s3 mem=1999 transfer-encoding=chunked
     ajp expect get 2049
@@ -453,7 +453,7 @@
     ajp send data|
     engine expect RUN * look|paper"
 )]
-#[case::ajp_bad_input(
+#[case::ajp_rejects_invalid_requests(
     "
     ajp send /sing secret=s3
     ajp expect status 404*
@@ -466,20 +466,20 @@
     ajp expect end 0
     ajp expect closed"
 )]
-#[case::ajp_secret(
+#[case::ajp_rejects_missing_secret(
     "
     ajp send /look|paper
     ajp expect status 403*
     ajp expect end 0
     ajp expect closed"
 )]
-#[case::ajp_shutdown_is_ignored(
+#[case::ajp_ignores_shutdown(
     "
     ajp send shutdown
     ajp send ping
     ajp expect cpong"
 )]
-#[case::ajp_framing(
+#[case::ajp_closes_on_malformed_packets(
     "
     ajp send hex=41420000
     ajp expect closed
@@ -491,7 +491,7 @@
     ajp3 expect closed
     node wait conn-ended conn=3 front=ajp reason=bad-length *"
 )]
-#[case::ajp_body_that_breaks_off_is_never_run(
+#[case::ajp_does_not_run_truncated_body(
     "
     ajp send /write token=k secret=s3 body=later content-length=10
     ajp send data|half
@@ -507,14 +507,14 @@
     ajp2 expect data receipt
     ajp2 expect end 1"
 )]
-fn over_sockets(#[case] scenario: &str) {
+fn passes_scenario(#[case] scenario: &str) {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     world.run(scenario);
 }
 
 #[test]
-fn before_the_engine_is_up_nothing_is_reported_or_run() {
+fn reports_and_runs_nothing_before_engine_is_up() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(
         "rpc send 1 ping
@@ -528,10 +528,10 @@
     );
 }
 
-/// With `freshForMs`, reads share an answer while it is computed and for that time after; a failure is not
-/// shared.
+/// With `freshForMs`, reads share a result while it is computed and for that time afterwards. Failures are
+/// not shared.
 #[test]
-fn the_answer_to_a_read_serves_others_only_while_it_is_fresh() {
+fn shares_read_result_only_while_fresh() {
     let settings = vec![("\"keyKb\":5", "\"keyKb\":5,\"freshForMs\":150")];
     let store = scenario::service(Box::new(|_| Vec::new()));
     let options = Options { settings, ..Options::default() };
@@ -545,7 +545,7 @@
          rpc expect [1 3 nil *
          engine send DONE 1 00000000000000a1 complete 12|one
          rpc wait [1 1 nil [one *
-         # It came when that answer was no longer fresh.
+         # t0 lies 900 ms ahead, when the shared result is no longer fresh.
          rpc2 send 1 look rid=a3 obj=s t0=900|paper
          engine expect RUN 00000000000000a3 look|paper
          engine send DONE 2 00000000000000a3 error 12|
--- a/tests/node_load.rs
+++ b/tests/node_load.rs
@@ -1,5 +1,5 @@
-//! One program under load: both fronts past what the engine does, callers that do not read, and limits on connections,
-//! memory and the log. The scenarios are in the language of `scenario/mod.rs`.
+//! One program under load: more requests at both frontends than the engine can run, callers that do not read,
+//! and limits on connections, memory and the log. The scenarios are in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -11,14 +11,14 @@
 
 use scenario::{ENGINE_UP, Options, World, idle_gauges, rpc_request};
 
-/// Keys of the writes at full load; each comes four times, from different clients.
+/// Idempotency keys of the writes in the overload test. Each key is sent four times, by different clients.
 const KEYS: usize = 150;
 
-/// How often each body of a write was run.
+/// Number of runs by body of the write.
 type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// An engine that counts the runs of writes. Eight runs end with each query of the gauges, and every third write waits for
-/// a call first.
+/// An engine that counts the runs of writes. Each query of the gauges ends eight runs, and every third write
+/// makes a call first.
 fn counting_engine(writes: RunCounts) -> scenario::Answer {
     let (mut running, mut notice) = (Vec::<String>::new(), 0);
     Box::new(move |text| {
@@ -61,8 +61,8 @@
     if words[0] == "CALL" { vec![format!("{} OK|reply", words[1])] } else { Vec::new() }
 }
 
-/// The scenario of all requests at full load, and how many each MessagePack-RPC client sends.
-fn full_load_scenario() -> (String, HashMap<String, usize>) {
+/// The scenario of all requests of the overload test, and the number of requests by MessagePack-RPC client.
+fn overload_scenario() -> (String, HashMap<String, usize>) {
     let (mut sent, mut rid) = (HashMap::<String, usize>::new(), 0);
     let mut script = String::new();
     for key in 0..KEYS {
@@ -95,14 +95,14 @@
     (script, sent)
 }
 
-/// Overload by both protocols, with AJP connections that break halfway through the body of a write while the same
-/// idempotency key arrives by MessagePack-RPC, and is repeated by both.
+/// Overload over both protocols: AJP connections break halfway through the body of a write while the same
+/// idempotency key arrives over MessagePack-RPC, and both protocols repeat it.
 #[test]
-fn at_full_load_over_both_fronts_nothing_runs_twice_and_nothing_stays_unanswered() {
+fn overload_answers_each_request_and_runs_each_key_once() {
     let writes = RunCounts::default();
     let mut world = World::start(counting_engine(writes.clone()), Box::new(answering_store));
     world.run("members wait HB n1 UP");
-    let (script, sent) = full_load_scenario();
+    let (script, sent) = overload_scenario();
     world.run(&script);
     for (router, count) in &sent {
         let mut answered: Vec<u64> = (0..*count)
@@ -112,16 +112,16 @@
             })
             .collect();
         answered.sort_unstable();
-        assert_eq!(answered, (1..=*count as u64).collect::<Vec<_>>(), "{router}: each once");
+        assert_eq!(answered, (1..=*count as u64).collect::<Vec<_>>(), "{router}: each answered once");
     }
     let writes = writes.lock().unwrap();
-    assert!(writes.len() > KEYS / 2, "the test is of no worth if hardly anything ran: {}", writes.len());
-    let doubles: Vec<_> = writes.iter().filter(|(_, runs)| **runs > 1).collect();
-    assert!(doubles.is_empty(), "run more than once: {doubles:?}");
+    assert!(writes.len() > KEYS / 2, "too few writes ran for the test to count: {} of {KEYS}", writes.len());
+    let duplicates: Vec<_> = writes.iter().filter(|(_, runs)| **runs > 1).collect();
+    assert!(duplicates.is_empty(), "run more than once: {duplicates:?}");
 }
 
-/// A client that sends health checks and reads no answer, until the program reads no more of it. Its receive buffer is
-/// small and does not grow, so that a write that blocks stays blocked.
+/// Connects a client that sends health checks and reads no answers until the program stops reading from it.
+/// Its receive buffer is small and does not grow, so that a blocked write stays blocked.
 fn connect_non_reading_client(world: &World) -> TcpStream {
     let mut client = TcpStream::connect(world.listen).expect("the program listens");
     rustix::net::sockopt::set_socket_recv_buffer_size(&client, 4096).expect("a small buffer");
@@ -134,13 +134,14 @@
             break !pings.is_empty();
         }
     };
-    assert!(blocked, "the program went on reading for a caller that reads nothing");
+    assert!(blocked, "the program kept reading from a client that does not read");
     client
 }
 
-/// Backpressure: a client that never reads its answers is not read either, and delays nobody else.
+/// Backpressure: the program stops reading from a client that does not read its answers, and other clients
+/// are not delayed.
 #[test]
-fn one_that_never_reads_stalls_nobody() {
+fn non_reading_client_does_not_delay_others() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     let client = connect_non_reading_client(&world);
@@ -154,10 +155,10 @@
     world.run("node wait conn-ended conn=1 front=rpc *");
 }
 
-/// Answers that are not read stay within a share of the memory, however small that is: here less than what stops a
-/// connection from being read, and more than the answers to one read.
+/// Unread answers stay within a share of the memory, however small. Here the share is below the amount at
+/// which the program stops reading from a connection, and above the answers to the requests of one read.
 #[test]
-fn what_is_not_read_does_not_fill_the_memory() {
+fn closes_non_reading_client_at_memory_share() {
     let store = scenario::service(Box::new(|_| Vec::new()));
     let mut world =
         World::start_with(Box::new(idle_gauges), store, Options { memory_mb: 0.48, ..Options::default() });
@@ -166,9 +167,9 @@
     world.run("node wait conn-ended conn=1 front=rpc reason=reader-too-slow *");
 }
 
-/// A request that waited for a core until it can no longer meet its deadline is rejected at once, with a Retry-After.
+/// A queued request that can no longer meet its deadline is rejected at once, with a Retry-After.
 #[test]
-fn given_up_after_a_wait_it_is_told_when_to_come_back() {
+fn rejects_queued_request_with_retry_after() {
     let full = |text: &str| -> Vec<String> {
         text.strip_prefix("STAT ").map(|tag| format!("STATS {tag} 1 4 0.1 3")).into_iter().collect()
     };
@@ -185,14 +186,14 @@
     );
 }
 
-/// Of 256 descriptors 64 are reserved. Beyond 192 connections, those that never sent anything are closed first, and then
-/// the one that was idle longest; the links to services stay.
+/// 64 of 256 descriptors are reserved. Beyond 192 connections the program first closes connections that never
+/// sent anything, and then the connection that has been idle longest. The links to services stay open.
 #[test]
-fn connections_stay_below_the_limit_on_descriptors_and_give_way() {
+fn evicts_connections_at_descriptor_limit() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     let silent: Vec<TcpStream> = (0..300).flat_map(|_| TcpStream::connect(world.listen)).collect();
-    assert_eq!(silent.len(), 300, "none is kept from connecting");
+    assert_eq!(silent.len(), 300, "every client connects");
     world.run(
         "rpc1 send 1 ping
          rpc1 expect [1 1 nil *
@@ -212,28 +213,30 @@
     );
 }
 
-/// Connections that are in use, one below the limit.
-const ALL_BUT_ONE: usize = 191;
-/// Attempts of which one has to be undisturbed.
+/// Connections in use, one below the limit.
+const CONNECTIONS_IN_USE: usize = 191;
+/// Number of attempts, at least one of which has to be undisturbed.
 const MAX_ATTEMPTS: usize = 20;
-/// Longest time from a connection to its first request in an attempt that counts: past it the machine is at fault.
+/// Longest time from connecting to the first request in an undisturbed attempt. A longer time is a delay of
+/// the machine.
 const MAX_CONNECT_TO_REQUEST: Duration = Duration::from_millis(25);
 
-/// What happened: with all connections taken, one that had just been accepted was closed within a millisecond for the next in
-/// the backlog, as it had not sent anything yet. The log said `conn-ended reason=gave-way read=0 after_ms=1`, and the request
-/// that came then got no answer.
+/// Guards against this failure: at the connection limit, a connection that had just been accepted was closed
+/// within 1 ms in favour of the next one in the backlog, as it had not sent anything yet. The log showed
+/// `conn-ended reason=gave-way read=0 after_ms=1`, and the request that arrived then was not answered.
 #[test]
-fn one_that_has_just_connected_may_send_its_request() {
-    let answered = (0..MAX_ATTEMPTS).find_map(|_| answer_to_one_that_just_connected());
-    assert_ne!(answered.expect("an attempt is undisturbed"), 0, "closed without an answer");
+fn new_connection_may_send_its_request() {
+    let answered = (0..MAX_ATTEMPTS).find_map(|_| answer_on_new_connection());
+    assert_ne!(answered.expect("one attempt was undisturbed"), 0, "closed without an answer");
 }
 
-/// The length of the answer, 0 if the connection was closed without one; `None` if the machine disturbed the attempt.
-fn answer_to_one_that_just_connected() -> Option<usize> {
+/// The length of the answer, or 0 if the connection was closed without an answer; `None` if the machine
+/// disturbed the attempt.
+fn answer_on_new_connection() -> Option<usize> {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     let in_use: String =
-        (1..=ALL_BUT_ONE).map(|n| format!("rpc{n} send 1 ping\nrpc{n} expect [1 1 nil *\n")).collect();
+        (1..=CONNECTIONS_IN_USE).map(|n| format!("rpc{n} send 1 ping\nrpc{n} expect [1 1 nil *\n")).collect();
     world.run(&in_use);
     let connected = Instant::now();
     let mut new = TcpStream::connect(world.listen).expect("the program listens");
@@ -246,13 +249,14 @@
     (!is_disturbed).then(|| read.unwrap_or(0))
 }
 
-/// AJP connections that may be open: a quarter of those that 256 descriptors leave to clients.
+/// Limit of AJP connections: a quarter of the connections that 256 descriptors leave for clients.
 const AJP_CONNECTIONS: usize = 48;
 
-/// What happened: web servers keep their connections, and with all those of AJP idle a further one was never let in, as a
-/// connection was only closed for another when the limit of all protocols was reached.
+/// Guards against this failure: web servers keep their connections open, and while all AJP connections were
+/// idle a further one was never accepted, as connections were evicted only at the limit of all protocols
+/// together.
 #[test]
-fn an_idle_ajp_connection_gives_way_to_a_new_one() {
+fn evicts_idle_ajp_connection_for_new_one() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     world.run("rpc send 1 ping\nrpc expect [1 1 nil *");
@@ -269,9 +273,9 @@
     );
 }
 
-/// Routers close idle connections themselves: one that stays open for longer has no living owner.
+/// Routers close idle connections themselves, so a connection that stays open for longer has no live owner.
 #[test]
-fn one_that_asked_once_and_stays_is_closed() {
+fn closes_idle_connection() {
     let store = scenario::service(Box::new(|_| Vec::new()));
     let mut world =
         World::start_with(Box::new(idle_gauges), store, Options { idle_ms: 300, ..Options::default() });
@@ -284,9 +288,9 @@
     );
 }
 
-/// A log that nobody reads fills its pipe after some hundred lines; the program goes on without it.
+/// An unread log fills its pipe after some hundred lines. The program continues without it.
 #[test]
-fn a_log_that_is_not_read_stalls_nobody() {
+fn unread_log_does_not_delay_requests() {
     let mut world = World::start(Box::new(idle_gauges), Box::new(|_| Vec::new()));
     world.run(ENGINE_UP);
     let gate = world.log_gate.clone();
@@ -295,9 +299,9 @@
         let mut stream = TcpStream::connect(world.listen).expect("the program listens");
         stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
         stream.write_all(&[0xc1]).expect("sent");
-        // To the end, as a plain read may be interrupted by a signal to the test process.
+        // `read_to_end` retries when a signal to the test process interrupts it; `read` does not.
         let end = stream.read_to_end(&mut Vec::new());
-        assert!(matches!(end, Ok(0)), "closed for a byte that begins no message: {end:?}");
+        assert!(matches!(end, Ok(0)), "connection must be closed for a byte that begins no message: {end:?}");
     }
     drop(unread);
     world.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
