--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of upgrades and of the management port share: a deployment of the program among stub services, the
-//! usual steps of an upgrade, and checks that every such test makes.
+//! Shared by the tests of upgrades and of the management port: a deployment of the program among stub
+//! services, the usual steps of an upgrade, and common checks.
 
-// Each test file uses a part of it.
+// Each test file uses only some of the items.
 #![allow(dead_code, unused_imports)]
 
 use std::collections::HashMap;
@@ -15,17 +15,17 @@
 pub use pinepoint_lab::operation::load::{Load, Plan};
 pub use pinepoint_lab::operation::management::{Answer, ask_bytes, read_answer};
 
-/// A new process takes over within this time.
+/// Longest time until a new process is ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// An answer of the management port comes within this time.
+/// Longest time until the management port answers.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Reports to the service registry come several times a second.
+/// Longest wait for a report to the service registry, which receives several per second.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Anything else that is waited for.
+/// Longest wait for anything else.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Duration of a run on an engine that ends runs by itself.
 pub const RUN_TIME: Duration = Duration::from_millis(5);
-/// How long a test watches for what must not happen.
+/// Duration for which a test checks that something does not happen.
 pub const SILENCE_PERIOD: Duration = Duration::from_millis(700);
 
 pub fn setup() -> Setup {
@@ -37,25 +37,25 @@
 }
 
 pub fn deployment_of(setup: Setup) -> Deployment {
-    Deployment::new(setup).expect("loopback addresses and a directory")
+    Deployment::new(setup).expect("loopback addresses and a directory are available")
 }
 
-/// An engine that ends runs by itself.
+/// An engine that ends each run by itself, after [`RUN_TIME`].
 pub fn quick_engine() -> Engine {
     Engine::start(Finish::After(RUN_TIME)).expect("a free port")
 }
 
-/// An engine that ends runs when it is told to.
+/// An engine that ends runs on command of the test.
 pub fn commanded_engine() -> Engine {
     Engine::start(Finish::OnCommand).expect("a free port")
 }
 
-/// An engine that is down until the test takes it up.
+/// An engine that stays down until the test sets it up.
 pub fn engine_down() -> Engine {
     Engine::start_down(Finish::After(RUN_TIME)).expect("a free port")
 }
 
-/// Starts a process and returns at once.
+/// Starts a process without waiting until it is ready.
 pub fn start(deployment: &Deployment, engine: Engine) -> Process {
     deployment.start(engine).expect("the program starts")
 }
@@ -68,18 +68,18 @@
 }
 
 pub fn await_ready(process: &Process) {
-    process.await_ready(READY_TIMEOUT).expect("the process serves in time");
+    process.await_ready(READY_TIMEOUT).expect("the process is ready in time");
 }
 
 pub fn connect(deployment: &Deployment) -> Client {
-    deployment.connect().expect("somebody accepts")
+    deployment.connect().expect("a process accepts the connection")
 }
 
 pub fn send_signal(process: &Process, signal: Signal) {
-    process.signal(signal).expect("the process is there");
+    process.signal(signal).expect("the process is running");
 }
 
-/// Queries a management port that has to answer in time.
+/// Sends a command to the management port, which has to answer within [`ANSWER_TIMEOUT`].
 pub fn ask(process: &Process, command: &str) -> Answer {
     let answer = process.ask(command).expect("the management port answers");
     assert!(answer.took <= ANSWER_TIMEOUT, "{command} took {:?}", answer.took);
@@ -111,7 +111,8 @@
     figures.iter().filter(|(name, _)| of_class(name)).map(|(_, figure)| figure.value).sum()
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds, for at most [`DEFAULT_TIMEOUT`]. `what` names the condition in the panic
+/// message.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     eventually_within(DEFAULT_TIMEOUT, what, &mut holds);
 }
@@ -119,7 +120,7 @@
 pub fn eventually_within(limit: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + limit;
     while !holds() {
-        assert!(Instant::now() < until, "not within {limit:?}: {what}");
+        assert!(Instant::now() < until, "timed out after {limit:?} waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -132,7 +133,8 @@
     }
 }
 
-/// Sends a request and waits until it runs on the process's engine, which ends runs on command; returns its number.
+/// Sends a request and waits until it runs on the engine of the process, which ends runs on command. Returns
+/// the message id of the request.
 pub fn start_run(process: &Process, client: &Client, request: &Request) -> u64 {
     let id = client.send(request).expect("sent");
     eventually("the run", || process.engine.runs_of(&request.body) == 1);
@@ -146,20 +148,21 @@
     assert!(matches!(reply, Reply::Served(_)), "{body}: {reply:?}");
 }
 
-/// Sends SIGTERM to a process; it has to end in order before the kill.
+/// Sends SIGTERM to a process, which has to exit with success before the platform would kill it.
 pub fn terminate(deployment: &Deployment, process: &mut Process) {
     send_signal(process, Signal::TERM);
     await_exit(deployment, process);
 }
 
-/// A process that was just sent SIGTERM has to end in order before the kill.
+/// Waits for a process that was just sent SIGTERM. It has to exit with success before the platform would kill
+/// it.
 pub fn await_exit(deployment: &Deployment, process: &mut Process) {
-    let status = process.wait_exit(deployment.stop()).expect("a process of ours");
-    let status = status.expect("the process ends by itself before the kill");
+    let status = process.wait_exit(deployment.stop()).expect("a child process");
+    let status = status.expect("the process exits before it would be killed");
     assert!(status.success(), "{status}");
 }
 
-/// Light load from several connections, half of it with effects.
+/// Light load from several connections. Half of the requests have effects.
 pub fn light_load(deployment: &Deployment) -> Load {
     Load::start(Plan {
         address: deployment.listen,
@@ -170,7 +173,7 @@
     })
 }
 
-/// Ends a load that was light: each request has to be served, and no connection may have ended unannounced.
+/// Ends a light load. Each request has to be served, and no connection may have ended without notice.
 pub fn assert_all_served(load: Load) {
     let counts = load.stop().expect("the clients end");
     assert!(counts.sent > 0, "nothing was sent");
@@ -178,12 +181,12 @@
     assert_eq!(counts.served, counts.sent, "{counts:?}");
 }
 
-/// How often a body was run by all of these engines.
+/// Number of runs of a body, summed over these engines.
 pub fn runs_of(body: &str, engines: &[&Engine]) -> usize {
     engines.iter().map(|engine| engine.runs_of(body)).sum()
 }
 
-/// No body was run twice, whichever engines it reached.
+/// Checks that no body was run more than once, summed over these engines.
 pub fn assert_no_double_runs(engines: &[&Engine]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for engine in engines {
@@ -191,23 +194,26 @@
             *runs.entry(body).or_default() += count;
         }
     }
-    let doubles: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
-    assert!(doubles.is_empty(), "run more than once: {doubles:?}");
+    let duplicates: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(duplicates.is_empty(), "run more than once: {duplicates:?}");
 }
 
-/// The service registry received no report but that the name is up.
+/// Checks that the service registry has received reports since this time, all of them UP.
 pub fn assert_always_registered(deployment: &Deployment, since: Instant) {
     let reports = deployment.list.reports_since(since);
-    assert!(!reports.is_empty(), "no reports at all");
+    assert!(!reports.is_empty(), "no reports received");
     assert!(reports.iter().all(|report| report.up), "reported OUT");
 }
 
-/// Waits until the health checks of a connection have this answer.
-pub fn await_health(client: &Client, good: bool, limit: Duration) {
-    eventually_within(limit, &format!("health {good}"), || client.ping() == Reply::Health(good));
+/// Waits until the health checks of a connection are answered with this value.
+pub fn await_health(client: &Client, healthy: bool, limit: Duration) {
+    eventually_within(limit, &format!("health check answer {healthy}"), || {
+        client.ping() == Reply::Health(healthy)
+    });
 }
 
-/// Waits until the service registry receives a report of this kind; what comes from the returned time on was sent after it.
+/// Waits until the service registry receives a report of this kind. Reports that arrive after the returned
+/// time were sent after this report.
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
     eventually_within(REPORT_TIMEOUT, &format!("a report up={up}"), || {
--- a/tests/upgrade/connections.rs
+++ b/tests/upgrade/connections.rs
@@ -1,60 +1,64 @@
-//! Client connections of the old process during and after a take-over.
+//! Client connections of the predecessor during and after a takeover.
 
 use std::time::Duration;
 
 use crate::operation::*;
 use crate::{SETTLE, take_over};
 
-/// Pause in the middle of a message; a draining process waits longer for the rest of one.
+/// Pause in the middle of a message. A draining process waits longer than this for the rest of a message.
 const REST_OF_MESSAGE: Duration = Duration::from_millis(30);
 
 #[test]
-fn a_resting_connection_is_told_to_go() {
+fn idle_connection_receives_goaway() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
-    let resting = connect(&deployment);
-    assert_served(&resting, &Request::read("before"));
-    let _new = take_over(&deployment);
-    // Until the SIGTERM, the connections of the old process are served as before.
-    assert_served(&resting, &Request::read("between"));
-    send_signal(&old, Signal::TERM);
-    assert!(resting.wait_for_notice(deployment.stop()), "no goaway");
-    await_exit(&deployment, &mut old);
-    assert_eq!(resting.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    let idle = connect(&deployment);
+    assert_served(&idle, &Request::read("before"));
+    let _successor = take_over(&deployment);
+    // Until SIGTERM, the predecessor serves its connections as before.
+    assert_served(&idle, &Request::read("between"));
+    send_signal(&predecessor, Signal::TERM);
+    assert!(idle.wait_for_notice(deployment.stop()), "no goaway received");
+    await_exit(&deployment, &mut predecessor);
+    assert_eq!(idle.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
 }
 
 #[test]
-fn the_rest_of_a_request_may_cross_the_notice_to_leave() {
+fn request_completed_after_sigterm_is_served_or_retried() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
+    let mut predecessor = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
     assert_served(&client, &Request::read("before"));
-    let new = take_over(&deployment);
+    let successor = take_over(&deployment);
     let (id, bytes) = client.encode(&Request::keyed("in two parts")).expect("encoded");
     let (first, rest) = bytes.split_at(bytes.len() / 2);
     client.write(first).expect("written");
     std::thread::sleep(SETTLE);
-    send_signal(&old, Signal::TERM);
+    send_signal(&predecessor, Signal::TERM);
     std::thread::sleep(REST_OF_MESSAGE);
     let written = client.write(rest);
     let reply = written.map_or(Reply::Lost, |()| client.wait(id));
-    // A client that was told to go repeats elsewhere what was not answered.
-    let told = client.is_told_to_go() && reply == Reply::Lost;
-    assert!(matches!(reply, Reply::Served(_)) || told, "{reply:?}, goaway {}", client.is_told_to_go());
-    await_exit(&deployment, &mut old);
+    // A client that received goaway retries unanswered requests on another connection.
+    let has_to_retry = client.is_told_to_go() && reply == Reply::Lost;
+    assert!(
+        matches!(reply, Reply::Served(_)) || has_to_retry,
+        "{reply:?}, goaway {}",
+        client.is_told_to_go()
+    );
+    await_exit(&deployment, &mut predecessor);
     assert_served(&connect(&deployment), &Request::keyed("in two parts"));
-    assert_eq!(runs_of("in two parts", &[&old.engine, &new.engine]), 1);
+    assert_eq!(runs_of("in two parts", &[&predecessor.engine, &successor.engine]), 1);
 }
 
 #[test]
-fn what_is_under_way_at_the_notice_is_answered() {
+fn running_request_is_answered_after_sigterm() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, commanded_engine());
+    let mut predecessor = start_ready(&deployment, commanded_engine());
     let client = connect(&deployment);
-    let id = start_run(&old, &client, &Request::read("paper"));
-    let _new = take_over(&deployment);
-    send_signal(&old, Signal::TERM);
+    let id = start_run(&predecessor, &client, &Request::read("paper"));
+    let _successor = take_over(&deployment);
+    send_signal(&predecessor, Signal::TERM);
     std::thread::sleep(Duration::from_millis(500));
-    finish_run(&old, &client, id, "paper");
-    await_exit(&deployment, &mut old);
+    finish_run(&predecessor, &client, id, "paper");
+    await_exit(&deployment, &mut predecessor);
 }
--- a/tests/upgrade/environment.rs
+++ b/tests/upgrade/environment.rs
@@ -1,4 +1,4 @@
-//! Take-overs with the service registry down, a reload meanwhile, and few descriptors.
+//! Takeovers while the service registry is down, during a reload, and with few descriptors.
 
 use std::time::{Duration, Instant};
 
@@ -8,117 +8,120 @@
 use crate::{SETTLE, take_over};
 
 #[test]
-fn the_list_service_may_be_down() {
+fn takeover_succeeds_without_service_registry() {
     let deployment = deployment_of(Setup { members: free_address().ok(), ..setup() });
-    let mut old = start_ready(&deployment, quick_engine());
+    let mut predecessor = start_ready(&deployment, quick_engine());
     let load = light_load(&deployment);
-    let _new = take_over(&deployment);
-    terminate(&deployment, &mut old);
+    let _successor = take_over(&deployment);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
 }
 
 #[rstest]
-#[case::before_the_new_process_is_ready(true)]
-#[case::after_it(false)]
-fn the_old_process_may_be_reloaded_meanwhile(#[case] before_ready: bool) {
+#[case::before_successor_is_ready(true)]
+#[case::after_successor_is_ready(false)]
+fn predecessor_reloads_during_takeover(#[case] before_ready: bool) {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
+    let mut predecessor = start_ready(&deployment, quick_engine());
     let since = Instant::now();
     let load = light_load(&deployment);
-    let new = start(&deployment, engine_down());
+    let successor = start(&deployment, engine_down());
     std::thread::sleep(SETTLE);
     if before_ready {
-        send_signal(&old, Signal::HUP);
+        send_signal(&predecessor, Signal::HUP);
     }
-    new.engine.set_up(true);
-    await_ready(&new);
+    successor.engine.set_up(true);
+    await_ready(&successor);
     if !before_ready {
-        send_signal(&old, Signal::HUP);
+        send_signal(&predecessor, Signal::HUP);
     }
-    eventually("the reload", || figure(&old, "relay.reconfig_ok") == 1);
-    terminate(&deployment, &mut old);
+    eventually("the reload", || figure(&predecessor, "relay.reconfig_ok") == 1);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
     assert_always_registered(&deployment, since);
-    assert_no_double_runs(&[&old.engine, &new.engine]);
+    assert_no_double_runs(&[&predecessor.engine, &successor.engine]);
 }
 
-/// Descriptors that a process may hold, and all processes of a server together.
+/// Limit of descriptors, for one process and for all processes of a server together.
 const DESCRIPTOR_LIMIT: u32 = 96;
 
-/// Longer than a connection has to be idle before it may be closed for another.
+/// Longer than the time for which a connection has to be idle before it may be evicted.
 const IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(600);
 
-/// Neither process has room for all connections alone.
+/// Neither process has the capacity for all connections.
 ///
-/// What happened: a client that was told to go reconnected, waited about 2 s in the backlog, and its requests were rejected as
-/// too late. Both processes count their connections against one limit, only the new one accepts, and the old one kept 20
-/// connections at rest: 1 s until they counted as idle, 1 s of lingering close. The new process logged `accept-delayed
-/// waited_ms=1999 peer=0 limit=27`, the old one `conn-ended reason=told-to-go` 2 s after `leaving-handed-over`.
+/// Guards against this failure: a client reconnected after goaway, waited about 2 s in the backlog, and its
+/// requests were rejected as too late. Both processes count their connections against one limit, only the
+/// successor accepts, and the predecessor kept 20 idle connections: 1 s until they counted as idle, 1 s of
+/// lingering close. The successor logged `accept-delayed waited_ms=1999 peer=0 limit=27`, the predecessor
+/// `conn-ended reason=told-to-go` 2 s after `leaving-handed-over`.
 #[test]
-fn both_processes_fit_only_together() {
+fn reconnecting_clients_are_served_at_connection_limit() {
     let deployment = deployment_of(Setup { sockets: 48, ..setup() });
-    let mut old = start_ready(&deployment, quick_engine());
-    let resting: Vec<Client> = (0..20).map(|_| connect(&deployment)).collect();
-    for client in &resting {
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    let idle: Vec<Client> = (0..20).map(|_| connect(&deployment)).collect();
+    for client in &idle {
         assert_served(client, &Request::read("resting"));
     }
     let load = light_load(&deployment);
     std::thread::sleep(SETTLE);
-    let _new = take_over(&deployment);
-    terminate(&deployment, &mut old);
+    let _successor = take_over(&deployment);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
-    for client in &resting {
+    for client in &idle {
         assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
     }
 }
 
-/// What happened: a client that was told to go reconnected, waited about 2 s in the backlog, and its requests were rejected as
-/// too late. It is [`both_processes_fit_only_together`] with a pause before the notice to leave: without one the new process
-/// had not always heard how many connections the old one held, and accepted beyond the limit of both.
+/// Guards against this failure: a client reconnected after goaway, waited about 2 s in the backlog, and its
+/// requests were rejected as too late. Unlike [`reconnecting_clients_are_served_at_connection_limit`], this
+/// test pauses before SIGTERM: without a pause the successor had not always received the number of the
+/// predecessor's connections, and accepted beyond the limit of both.
 #[test]
-fn a_client_that_reconnects_is_served_while_old_connections_rest() {
+fn reconnecting_client_is_served_after_delayed_sigterm() {
     let deployment = deployment_of(Setup { sockets: 48, ..setup() });
-    let mut old = start_ready(&deployment, quick_engine());
-    let resting = connect_and_rest(&deployment, 20);
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    let idle = open_idle_connections(&deployment, 20);
     let load = light_load(&deployment);
     std::thread::sleep(SETTLE);
-    let _new = take_over(&deployment);
+    let _successor = take_over(&deployment);
     std::thread::sleep(SETTLE);
-    terminate(&deployment, &mut old);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
-    for client in &resting {
+    for client in &idle {
         assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
     }
 }
 
-/// Callers that come between the take-over and the notice to leave need capacity that the old process holds, too. Some are
-/// served by the new process while others rest at the old one.
+/// Callers that connect between the takeover and SIGTERM need capacity that idle connections of the
+/// predecessor occupy. The predecessor closes some of these, and the successor serves the new caller.
 #[test]
-fn a_new_client_is_served_before_the_notice_to_leave() {
+fn new_client_is_served_before_sigterm() {
     let deployment = deployment_of(Setup { sockets: DESCRIPTOR_LIMIT, ..setup() });
-    let old = start_ready(&deployment, quick_engine());
-    let resting = connect_and_rest(&deployment, 50);
-    let new = take_over(&deployment);
+    let predecessor = start_ready(&deployment, quick_engine());
+    let idle = open_idle_connections(&deployment, 50);
+    let successor = take_over(&deployment);
     std::thread::sleep(IDLE_BEFORE_EVICTION);
     assert_served(&connect(&deployment), &Request::read("new"));
-    assert_eq!(runs_of("new", &[&new.engine]), 1);
-    eventually("some at rest are closed", || resting.iter().any(|client| client.ending().is_some()));
-    assert_eq!(figure(&old, "relay.inflight"), 0);
+    assert_eq!(runs_of("new", &[&successor.engine]), 1);
+    eventually("an idle connection to be closed", || idle.iter().any(|client| client.ending().is_some()));
+    assert_eq!(figure(&predecessor, "relay.inflight"), 0);
 }
 
-/// Once the new process is lost the old one accepts again, and closes nothing for a listener that is its own.
+/// After the successor is lost, the predecessor accepts connections again, and no longer evicts its own in
+/// favour of the backlog.
 #[test]
-fn the_old_process_accepts_again_when_the_new_one_is_lost() {
+fn predecessor_accepts_again_after_successor_is_lost() {
     let deployment = deployment_of(Setup { sockets: 48, ..setup() });
-    let _old = start_ready(&deployment, quick_engine());
-    let in_use = connect_and_rest(&deployment, 20);
-    let mut new = take_over(&deployment);
-    new.kill().expect("a process of ours");
-    eventually("the old process accepts", || {
+    let _predecessor = start_ready(&deployment, quick_engine());
+    let in_use = open_idle_connections(&deployment, 20);
+    let mut successor = take_over(&deployment);
+    successor.kill().expect("a child process");
+    eventually("the predecessor to accept", || {
         let client = connect(&deployment);
         matches!(client.call(&Request::read("after")), Reply::Served(_))
     });
@@ -128,32 +131,36 @@
     }
 }
 
-/// What happened: descriptors of both processes count together, but the new process took the old one's connections for none
-/// until their number was next reported, and accepted a full share itself: 119 descriptors where 96 are allowed.
+/// Guards against this failure: descriptors of both processes count together, but until the next report the
+/// successor assumed that the predecessor had no connections, and accepted a full share itself: 119
+/// descriptors with a limit of 96.
 #[test]
 fn descriptors_of_both_processes_stay_within_the_limit() {
     let deployment = deployment_of(Setup { sockets: DESCRIPTOR_LIMIT, ..setup() });
-    let old = start_ready(&deployment, quick_engine());
-    let _resting = connect_and_rest(&deployment, 40);
+    let predecessor = start_ready(&deployment, quick_engine());
+    let _idle = open_idle_connections(&deployment, 40);
     std::thread::sleep(SETTLE);
-    let new = take_over(&deployment);
+    let successor = take_over(&deployment);
     let _arriving: Vec<Client> = (0..40).map(|_| connect(&deployment)).collect();
     let until = Instant::now() + SILENCE_PERIOD;
     while Instant::now() < until {
-        let (of_old, of_new) = (open_descriptors(&old), open_descriptors(&new));
-        assert!(of_old + of_new <= DESCRIPTOR_LIMIT as usize, "{of_old} and {of_new}");
+        let (of_predecessor, of_successor) = (open_descriptors(&predecessor), open_descriptors(&successor));
+        assert!(
+            of_predecessor + of_successor <= DESCRIPTOR_LIMIT as usize,
+            "{of_predecessor} and {of_successor} descriptors exceed {DESCRIPTOR_LIMIT}"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Descriptors that a process holds.
+/// Number of open descriptors of a process.
 fn open_descriptors(process: &Process) -> usize {
     let id = i32::try_from(process.id()).expect("a process id");
-    procfs::process::Process::new(id).and_then(|process| process.fd_count()).expect("it lives")
+    procfs::process::Process::new(id).and_then(|process| process.fd_count()).expect("the process is running")
 }
 
-/// Connections that were used once and rest.
-fn connect_and_rest(deployment: &Deployment, connections: usize) -> Vec<Client> {
+/// Opens connections, sends one request on each and leaves them idle.
+fn open_idle_connections(deployment: &Deployment, connections: usize) -> Vec<Client> {
     let clients: Vec<Client> = (0..connections).map(|_| connect(deployment)).collect();
     for client in &clients {
         assert_served(client, &Request::read("before a rest"));
--- a/tests/upgrade/lame_duck.rs
+++ b/tests/upgrade/lame_duck.rs
@@ -1,4 +1,4 @@
-//! Lame duck mode passes from one process to the other.
+//! Lame duck mode passes from the predecessor to the successor.
 
 use std::time::Duration;
 
@@ -6,40 +6,40 @@
 use crate::take_over;
 
 #[test]
-fn a_drain_of_the_old_process_goes_on_at_the_new() {
+fn successor_keeps_drain_of_predecessor() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
-    assert_accepted(&old, "LAMEDUCK");
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    assert_accepted(&predecessor, "LAMEDUCK");
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
     let since = await_report(&deployment, false);
-    let new = take_over(&deployment);
-    let at_new = connect(&deployment);
-    assert_eq!(at_new.ping(), Reply::Health(false));
-    assert_served(&at_new, &Request::read("paper"));
-    terminate(&deployment, &mut old);
+    let successor = take_over(&deployment);
+    let at_successor = connect(&deployment);
+    assert_eq!(at_successor.ping(), Reply::Health(false));
+    assert_served(&at_successor, &Request::read("paper"));
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SILENCE_PERIOD);
-    assert_eq!(at_new.ping(), Reply::Health(false));
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
-    assert_accepted(&new, "REJOIN");
-    await_health(&at_new, true, Duration::from_secs(2));
+    assert_eq!(at_successor.ping(), Reply::Health(false));
+    assert!(!deployment.list.heard_since(since, true), "reported UP during a drain");
+    assert_accepted(&successor, "REJOIN");
+    await_health(&at_successor, true, Duration::from_secs(2));
 }
 
 #[test]
-fn a_drain_asked_of_the_new_process_before_it_is_ready_holds_after_it() {
+fn successor_keeps_drain_requested_before_it_is_ready() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
-    let new = start(&deployment, engine_down());
-    eventually("an answer", || new.ask("INFO").is_ok());
-    assert_accepted(&new, "LAMEDUCK");
-    new.engine.set_up(true);
-    await_ready(&new);
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    let successor = start(&deployment, engine_down());
+    eventually("an answer", || successor.ask("INFO").is_ok());
+    assert_accepted(&successor, "LAMEDUCK");
+    successor.engine.set_up(true);
+    await_ready(&successor);
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
-    terminate(&deployment, &mut old);
+    terminate(&deployment, &mut predecessor);
     let since = await_report(&deployment, false);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.list.heard_since(since, true), "reported UP during a drain");
     assert_eq!(client.ping(), Reply::Health(false));
     assert_served(&client, &Request::read("paper"));
 }
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -1,5 +1,6 @@
-//! Upgrades: a new process takes over from the one that serves, under load and under failures of either, and no request
-//! is lost, cut off or run twice. Each test runs the program as processes of one name on one address.
+//! Upgrades: a successor takes over from the serving process, under load and under failures of either
+//! process. No request is lost, cut off or run twice. Each test runs several processes with one name on one
+//! address.
 
 #[path = "../operation/mod.rs"]
 mod operation;
@@ -16,15 +17,15 @@
 
 use operation::*;
 
-/// Pause between two steps, in which load goes on.
+/// Pause between two steps, during which the load continues.
 const SETTLE: Duration = Duration::from_millis(300);
 
-/// Starts a second process beside the one that serves; returns when it has taken over.
+/// Starts a successor of the serving process; returns it when it has taken over.
 fn take_over(deployment: &Deployment) -> Process {
     start_ready(deployment, quick_engine())
 }
 
-/// A retry of the request by its client.
+/// A retry of the request, with the same idempotency key.
 fn retry(request: &Request) -> Request {
     Request::keyed(&request.body)
 }
--- a/tests/upgrade/takeover.rs
+++ b/tests/upgrade/takeover.rs
@@ -1,4 +1,4 @@
-//! Take-overs while everything works: nothing is lost, and both processes report what they should.
+//! Takeovers without failures: no request is lost, and both processes report correct health and counters.
 
 use std::time::{Duration, Instant};
 
@@ -6,28 +6,29 @@
 use crate::{SETTLE, retry, take_over};
 
 #[test]
-fn under_steady_load_every_request_is_served() {
+fn takeover_serves_every_request_under_load() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
+    let mut predecessor = start_ready(&deployment, quick_engine());
     await_health(&connect(&deployment), true, DEFAULT_TIMEOUT);
     let since = Instant::now();
     let load = light_load(&deployment);
     std::thread::sleep(SETTLE);
-    let new = take_over(&deployment);
+    let successor = take_over(&deployment);
     std::thread::sleep(SETTLE);
-    terminate(&deployment, &mut old);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
     assert_always_registered(&deployment, since);
-    assert_no_double_runs(&[&old.engine, &new.engine]);
-    assert!(!new.engine.runs().is_empty(), "the new process served nothing");
+    assert_no_double_runs(&[&predecessor.engine, &successor.engine]);
+    assert!(!successor.engine.runs().is_empty(), "the successor served nothing");
 }
 
-/// Each round comes on a connection of its own, also while the listening socket passes from one process to the other.
+/// Each round of requests opens a new connection, also while the listening socket passes from one process to
+/// the other.
 #[test]
-fn connections_made_all_the_time_are_all_served() {
+fn takeover_serves_every_new_connection() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
+    let mut predecessor = start_ready(&deployment, quick_engine());
     let load = Load::start(Plan {
         address: deployment.listen,
         clients: 8,
@@ -36,21 +37,21 @@
         reconnect: true,
     });
     std::thread::sleep(SETTLE);
-    let new = take_over(&deployment);
-    terminate(&deployment, &mut old);
+    let successor = take_over(&deployment);
+    terminate(&deployment, &mut predecessor);
     std::thread::sleep(SETTLE);
     assert_all_served(load);
-    assert_no_double_runs(&[&old.engine, &new.engine]);
+    assert_no_double_runs(&[&predecessor.engine, &successor.engine]);
 }
 
-/// The old process stands still while the other takes over: what waits in the backlog meanwhile is served.
+/// The predecessor is stopped during the takeover. Connections that wait in the backlog meanwhile are served.
 #[test]
-fn connections_in_the_backlog_are_served() {
+fn takeover_serves_connections_in_backlog() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, quick_engine());
-    let new = start(&deployment, engine_down());
+    let mut predecessor = start_ready(&deployment, quick_engine());
+    let successor = start(&deployment, engine_down());
     std::thread::sleep(SETTLE);
-    send_signal(&old, Signal::STOP);
+    send_signal(&predecessor, Signal::STOP);
     let waiting: Vec<(Client, u64)> = (0..16)
         .map(|n| {
             let client = connect(&deployment);
@@ -58,51 +59,51 @@
             (client, id)
         })
         .collect();
-    new.engine.set_up(true);
+    successor.engine.set_up(true);
     std::thread::sleep(Duration::from_millis(50));
-    send_signal(&old, Signal::CONT);
-    await_ready(&new);
-    terminate(&deployment, &mut old);
+    send_signal(&predecessor, Signal::CONT);
+    await_ready(&successor);
+    terminate(&deployment, &mut predecessor);
     for (client, id) in &waiting {
         assert!(matches!(client.wait(*id), Reply::Served(_)));
     }
 }
 
 #[test]
-fn the_old_process_stays_healthy_until_its_end() {
+fn predecessor_reports_healthy_until_exit() {
     let deployment = deployment();
-    let mut old = start_ready(&deployment, commanded_engine());
+    let mut predecessor = start_ready(&deployment, commanded_engine());
     let (client, since) = (connect(&deployment), Instant::now());
-    let id = start_run(&old, &client, &Request::read("paper"));
-    let _new = take_over(&deployment);
-    assert_eq!(client.ping(), Reply::Health(true), "before the notice");
-    send_signal(&old, Signal::TERM);
+    let id = start_run(&predecessor, &client, &Request::read("paper"));
+    let _successor = take_over(&deployment);
+    assert_eq!(client.ping(), Reply::Health(true), "before SIGTERM");
+    send_signal(&predecessor, Signal::TERM);
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(client.ping(), Reply::Health(true), "after the notice");
-    finish_run(&old, &client, id, "paper");
-    await_exit(&deployment, &mut old);
+    assert_eq!(client.ping(), Reply::Health(true), "after SIGTERM");
+    finish_run(&predecessor, &client, id, "paper");
+    await_exit(&deployment, &mut predecessor);
     std::thread::sleep(SILENCE_PERIOD);
     assert_always_registered(&deployment, since);
 }
 
 #[test]
-fn each_process_counts_from_zero() {
+fn successor_counts_from_zero() {
     let deployment = deployment();
-    let old = start_ready(&deployment, quick_engine());
+    let predecessor = start_ready(&deployment, quick_engine());
     let client = connect(&deployment);
     for n in 0..5 {
         assert_served(&client, &Request::read(&format!("old-{n}")));
     }
-    assert_eq!(sum_of_classes(&old, "success"), 5);
-    let new = take_over(&deployment);
-    assert_eq!(sum_of_classes(&new, "success"), 0);
+    assert_eq!(sum_of_classes(&predecessor, "success"), 5);
+    let successor = take_over(&deployment);
+    assert_eq!(sum_of_classes(&successor, "success"), 0);
     assert_served(&connect(&deployment), &Request::read("new"));
-    assert_eq!(sum_of_classes(&new, "success"), 1);
-    assert_eq!(sum_of_classes(&old, "success"), 5);
+    assert_eq!(sum_of_classes(&successor, "success"), 1);
+    assert_eq!(sum_of_classes(&predecessor, "success"), 5);
 }
 
 #[test]
-fn two_upgrades_in_a_row() {
+fn consecutive_upgrades_serve_every_request() {
     let deployment = deployment();
     let mut first = start_ready(&deployment, quick_engine());
     let since = Instant::now();
