--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -8,7 +8,8 @@
 //!
 //! Beside that way:
 //!
-//! - [`control`] is the life of the process: its phases, the management port, reloads and the handover to a successor.
+//! - [`control`] handles the process lifecycle: phases, the management port, reloads and the handover to a
+//!   successor.
 //! - [`observability`] counts what happens and reports it.
 //! - [`sync`] and [`write_buffer`] are small parts that several of them use.
 
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! The test cluster itself, with processes of the program: its counts add up, and each of its rules can be violated.
+//! The test cluster itself, with processes of the program: its counts add up, and violations of its rules are
+//! detected.
 
 use pinepoint_lab::cluster::{Cluster, Options};
 
@@ -11,9 +12,9 @@
 }
 
 #[test]
-fn a_store_that_is_crowded_too_long_falls_comes_back_and_breaks_the_rules() {
+fn store_crash_under_overload_violates_rules() {
     let mut cluster = cluster("store");
-    let played = cluster.run(
+    let result = cluster.run(
         "store slots 1
          store call 1500
          store away 1000
@@ -22,40 +23,40 @@
          rules hold
          routers send 150",
     );
-    played.expect("it goes as it says");
+    result.expect("the cluster settles under load");
     let until = std::time::Instant::now() + std::time::Duration::from_secs(40);
     while cluster.store.state().crashes == 0 {
-        assert!(std::time::Instant::now() < until, "it never fell: {:?}", cluster.store.state());
+        assert!(std::time::Instant::now() < until, "the store did not crash: {:?}", cluster.store.state());
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
     assert!(cluster.store.state().peak_in_flight > 5);
-    let broken = cluster.run("rules hold").expect_err("a fall is a broken rule").to_string();
-    assert!(broken.contains("the store fell"), "{broken}");
+    let violation = cluster.run("rules hold").expect_err("a crash of the store violates a rule").to_string();
+    assert!(violation.contains("the store fell"), "{violation}");
     cluster
         .run("store slots 64\n store call 5\n routers wait served 100\n routers send 0\n routers wait quiet")
-        .expect("it is back, and so is service");
+        .expect("the store recovers and requests are served again");
 }
 
 #[test]
-fn a_process_that_ends_by_itself_and_a_key_that_runs_twice_break_the_rules() {
+fn unexpected_exit_and_duplicate_run_violate_rules() {
     let mut cluster = cluster("ends");
     cluster
         .run("all start\n all wait settled\n routers send 60\n routers wait served 30\n routers send 0")
-        .expect("so far");
-    cluster.run("routers wait quiet\n rules hold").expect("nothing is wrong yet");
-    // One that is told to leave behind the back of the cluster ends as if by itself.
-    let pid = cluster.pid_of("n2").expect("it runs").to_string();
+        .expect("requests are served");
+    cluster.run("routers wait quiet\n rules hold").expect("no rule is violated yet");
+    // SIGTERM sent without the cluster's knowledge counts as an unexpected exit.
+    let pid = cluster.pid_of("n2").expect("n2 is running").to_string();
     assert!(std::process::Command::new("kill").arg(&pid).status().is_ok_and(|status| status.success()));
     let until = std::time::Instant::now() + std::time::Duration::from_secs(30);
     while cluster.violations().is_empty() {
-        assert!(std::time::Instant::now() < until, "its end is not seen");
+        assert!(std::time::Instant::now() < until, "the exit of n2 is not detected");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
     assert!(cluster.violations()[0].contains("n2 ended by itself"), "{:?}", cluster.violations());
-    // And a key that an engine counted twice.
-    cluster.engine("n1").expect("it is there").state().started.insert("5.0 0 n1 keyed".into(), 2);
+    // Records two runs of one key at an engine.
+    cluster.engine("n1").expect("n1 has an engine").state().started.insert("5.0 0 n1 keyed".into(), 2);
     assert!(
-        cluster.violations().iter().any(|rule| rule.contains("was run 2 times")),
+        cluster.violations().iter().any(|text| text.contains("was run 2 times")),
         "{:?}",
         cluster.violations()
     );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Membership of real processes under faults: what each comes to believe of the others. Each course is a script in the
-//! language of the laboratory's cluster; it waits for events only, each with a deadline.
+//! Membership of real processes under faults: the state that each process assigns to the others. Each
+//! scenario is a script for the test cluster in `pinepoint_lab::cluster`, and waits only for events, each
+//! with a deadline.
 
 use std::net::UdpSocket;
 use std::rc::Rc;
@@ -10,17 +11,18 @@
 use pinepoint_membership::member::{Identity, Liveness, Load, MemberRecord, Phase};
 use pinepoint_membership::wire::{Codec, Message, Packet, PacketBody, SenderState};
 
-/// Courses that run at once: a process that gets no time on a core looks dead, and only scripts are to pause processes.
-const MAX_CONCURRENT_COURSES: usize = 3;
-static FREE_PERMITS: (Mutex<usize>, Condvar) = (Mutex::new(MAX_CONCURRENT_COURSES), Condvar::new());
+/// Maximum number of scenarios that run at once. A process without CPU time looks dead to the others, and
+/// only scripts are to pause processes.
+const MAX_CONCURRENT_SCENARIOS: usize = 3;
+static FREE_PERMITS: (Mutex<usize>, Condvar) = (Mutex::new(MAX_CONCURRENT_SCENARIOS), Condvar::new());
 
-/// A cluster of processes, which holds a permit to run.
-struct Course {
+/// A cluster of processes, with the permit to run it.
+struct Scenario {
     cluster: Cluster,
     _permit: Permit,
 }
 
-/// The permit for one of the concurrent courses; it is returned when dropped.
+/// A permit to run one scenario, returned when dropped.
 struct Permit;
 
 impl Permit {
@@ -41,42 +43,42 @@
     }
 }
 
-/// Processes in zones, with a period short enough for a test.
-fn course(name: &str, members: usize, zones: usize) -> Course {
-    course_with_settings(name, members, zones, "")
+/// Prepares a cluster of processes in zones, with a protocol period short enough for a test.
+fn scenario(name: &str, members: usize, zones: usize) -> Scenario {
+    scenario_with_settings(name, members, zones, "")
 }
 
-/// The same with further lines in the `[fleet]` section.
-fn course_with_settings(name: &str, members: usize, zones: usize, fleet: &str) -> Course {
+/// Like [`scenario`], with further lines in the `[fleet]` section.
+fn scenario_with_settings(name: &str, members: usize, zones: usize, fleet: &str) -> Scenario {
     let permit = Permit::acquire();
     let folder = std::env::temp_dir().join(format!("pinepoint-membership-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_pinepoint").into();
     let fleet = fleet.to_owned();
     let options =
         Options { program, folder, members, zones, period_ms: 150, seed: 5, fleet, ..Options::default() };
-    Course { cluster: Cluster::prepare(options).expect("a cluster"), _permit: permit }
+    Scenario { cluster: Cluster::prepare(options).expect("a cluster"), _permit: permit }
 }
 
-impl Course {
-    fn all_start(&mut self) {
+impl Scenario {
+    fn start_all(&mut self) {
         self.run("all start\n all wait settled");
     }
 
     fn run(&mut self, script: &str) {
-        if let Err(broken) = self.cluster.run(script) {
-            panic!("{broken} (files in {})", self.cluster.folder().display());
+        if let Err(error) = self.cluster.run(script) {
+            panic!("{error} (files in {})", self.cluster.folder().display());
         }
     }
 
-    /// The view of the process of this number, from 1.
+    /// Membership view of process `n`, counted from 1.
     fn view(&self, n: usize) -> serde_json::Value {
-        self.cluster.view(n - 1).expect("it answers")
+        self.cluster.view(n - 1).expect("the process answers")
     }
 }
 
-impl Drop for Course {
+impl Drop for Scenario {
     fn drop(&mut self) {
-        // The files of a failed course are kept for inspection.
+        // The files of a failed scenario are kept for inspection.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(self.cluster.folder());
         }
@@ -84,10 +86,10 @@
 }
 
 #[test]
-fn a_crash_a_restart_and_a_drain_come_to_be_held_by_all() {
-    let mut course = course("crash", 5, 2);
-    course.all_start();
-    course.run(
+fn all_members_learn_of_crash_restart_and_drain() {
+    let mut scenario = scenario("crash", 5, 2);
+    scenario.start_all();
+    scenario.run(
         "n3 kill
          n1 wait n3 lost
          all wait settled
@@ -104,27 +106,27 @@
 }
 
 #[test]
-fn one_that_was_stopped_comes_back_to_all_and_accuses_nobody() {
-    let mut course = course("stop", 5, 2);
-    course.all_start();
-    course.run(
+fn paused_member_returns_without_accusing_others() {
+    let mut scenario = scenario("stop", 5, 2);
+    scenario.start_all();
+    scenario.run(
         "n2 stop
          n1 wait n2 lost
          n2 continue
          all wait settled",
     );
-    let log = std::fs::read_to_string(course.cluster.folder().join("n2.log")).expect("its log");
-    assert!(log.contains("reason=own-trouble"), "it did not see that it was stopped: {log}");
-    assert!(log.contains("reason=refuted"), "it was not told that it was held lost: {log}");
+    let log = std::fs::read_to_string(scenario.cluster.folder().join("n2.log")).expect("the log of n2");
+    assert!(log.contains("reason=own-trouble"), "n2 did not detect its own pause: {log}");
+    assert!(log.contains("reason=refuted"), "n2 did not refute being reported lost: {log}");
     let after = log.split_once("reason=own-trouble").map_or("", |(_, after)| after);
-    assert!(!after.contains("reason=lost"), "it accused others: {after}");
+    assert!(!after.contains("reason=lost"), "n2 accused other members: {after}");
 }
 
 #[test]
-fn halves_that_part_heal_and_a_zone_that_is_cut_off_is_judged() {
-    let mut course = course("part", 6, 3);
-    course.all_start();
-    course.run(
+fn partitioned_halves_and_zone_rejoin_after_healing() {
+    let mut scenario = scenario("part", 6, 3);
+    scenario.start_all();
+    scenario.run(
         "net part zone z2
          n1 wait verdict zone-unreachable z2
          n1 wait n2 lost
@@ -145,10 +147,10 @@
 }
 
 #[test]
-fn loss_delay_doubles_and_a_one_way_cut_make_nobody_lost() {
-    let mut course = course("loss", 5, 1);
-    course.all_start();
-    course.run(
+fn tolerates_loss_delay_duplicates_and_one_way_cut() {
+    let mut scenario = scenario("loss", 5, 1);
+    scenario.start_all();
+    scenario.run(
         "net loss 0.1
          net twice 0.2
          net delay 20
@@ -163,10 +165,10 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_in_another_order_and_hold_the_same() {
-    let mut course = course("all", 5, 2);
-    course.all_start();
-    course.run(
+fn fleet_settles_after_restart_in_other_order() {
+    let mut scenario = scenario("all", 5, 2);
+    scenario.start_all();
+    scenario.run(
         "all kill
          n5 start
          n4 start
@@ -179,10 +181,10 @@
 }
 
 #[test]
-fn a_zone_that_is_killed_is_judged_gone_and_comes_back() {
-    let mut course = course("zone", 6, 3);
-    course.all_start();
-    course.run(
+fn killed_zone_is_reported_unreachable_until_it_returns() {
+    let mut scenario = scenario("zone", 6, 3);
+    scenario.start_all();
+    scenario.run(
         "z2 kill
          z1,z3 wait verdict zone-unreachable z2
          n1 wait n2 lost
@@ -194,26 +196,26 @@
 }
 
 #[test]
-fn garbage_is_not_answered_and_does_no_harm() {
-    let mut course = course("garbage", 3, 1);
-    course.all_start();
-    let to = course.cluster.listen(0);
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+fn ignores_garbage_datagrams() {
+    let mut scenario = scenario("garbage", 3, 1);
+    scenario.start_all();
+    let to = scenario.cluster.listen(0);
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
     for n in 0..400_usize {
         let bytes: Vec<u8> = (0..n * 7 % 2000).map(|at| (at * 31 + n * 17) as u8 ^ (n % 3) as u8).collect();
         let _ = socket.send_to(&bytes, to);
     }
-    assert!(socket.recv(&mut [0; 2000]).is_err(), "what is not understood is not answered");
-    course.run("all wait settled");
-    let view = course.view(1);
+    assert!(socket.recv(&mut [0; 2000]).is_err(), "garbage must not be answered");
+    scenario.run("all wait settled");
+    let view = scenario.view(1);
     assert_eq!(view["members"].as_array().map(Vec::len), Some(3), "{view}");
 }
 
 #[test]
-fn one_alone_settles_and_others_find_it_one_by_one() {
-    let mut course = course("alone", 3, 1);
-    course.run(
+fn members_join_one_by_one() {
+    let mut scenario = scenario("alone", 3, 1);
+    scenario.run(
         "n1 start
          all wait settled
          n2 start
@@ -226,39 +228,43 @@
 }
 
 #[test]
-fn all_seeds_are_down_at_the_start_and_one_appears() {
-    let mut course = course("seeds", 5, 2);
-    // The seeds are the first three.
-    course.run("n4,n5 start\n n4,n5 wait log started *");
-    assert_eq!(course.view(4)["members"].as_array().map(Vec::len), Some(1), "there was nobody to ask");
-    course.run("n2 start\n all wait settled\n n4 wait n5 serving");
+fn members_join_once_a_seed_starts() {
+    let mut scenario = scenario("seeds", 5, 2);
+    // n1, n2 and n3 are the seeds.
+    scenario.run("n4,n5 start\n n4,n5 wait log started *");
+    assert_eq!(
+        scenario.view(4)["members"].as_array().map(Vec::len),
+        Some(1),
+        "n4 must know only itself while all seeds are down"
+    );
+    scenario.run("n2 start\n all wait settled\n n4 wait n5 serving");
 }
 
 #[test]
-fn killed_and_back_within_a_period_with_a_cold_engine_is_another_life() {
-    let mut course = course("cold", 4, 2);
-    course.all_start();
-    let start = |course: &Course| {
-        let view = course.view(1);
+fn quick_restart_with_cold_engine_gets_later_start() {
+    let mut scenario = scenario("cold", 4, 2);
+    scenario.start_all();
+    let start = |scenario: &Scenario| {
+        let view = scenario.view(1);
         let members = view["members"].as_array().expect("members").clone();
         members.iter().find(|member| member["name"] == "n2").expect("n2")["start"].as_u64()
     };
-    let before = start(&course);
-    course.run(
+    let before = start(&scenario);
+    scenario.run(
         "n2 engine chilly 20000
          n2 kill
          n2 start
          n1,n3,n4 wait n2 cold
          all wait settled",
     );
-    assert!(start(&course) > before, "the start grows over lives");
+    assert!(start(&scenario) > before, "the start must be later after a restart");
 }
 
 #[test]
-fn a_third_that_is_slow_and_a_direction_that_loses_come_to_hold_the_same() {
-    let mut course = course("slow", 6, 3);
-    course.all_start();
-    course.run(
+fn fleet_settles_after_slow_members_and_lossy_links() {
+    let mut scenario = scenario("slow", 6, 3);
+    scenario.start_all();
+    scenario.run(
         "n2,n5 slow 0.4
          net deaf n4 0.3
          net loss 0.2
@@ -272,10 +278,10 @@
 }
 
 #[test]
-fn thirds_and_one_alone_heal() {
-    let mut course = course("thirds", 6, 3);
-    course.all_start();
-    course.run(
+fn partitioned_thirds_and_single_member_rejoin_after_healing() {
+    let mut scenario = scenario("thirds", 6, 3);
+    scenario.start_all();
+    scenario.run(
         "net part n1 n2
          net part n3 n4
          n1 wait n3 lost
@@ -296,10 +302,10 @@
 }
 
 #[test]
-fn members_leave_crash_and_join_on_both_sides_of_a_partition() {
-    let mut course = course("sides", 8, 2);
-    course.run("n1,n2,n3,n4,n5,n6,n7 start\n all wait settled");
-    course.run(
+fn both_sides_of_partition_track_leaves_crashes_and_joins() {
+    let mut scenario = scenario("sides", 8, 2);
+    scenario.run("n1,n2,n3,n4,n5,n6,n7 start\n all wait settled");
+    scenario.run(
         "net part n1 n2 n3 n8
          n1 wait n4 lost
          n4 wait n1 lost
@@ -313,7 +319,7 @@
          n1 wait n3 serving
          n8 start
          n1 wait n8 serving
-         # Its seeds are on the other side: it is found by those that lost it.
+         # The seeds of n5 are on the other side. Members that lost n5 find it again.
          n5 start
          n4 wait n5 serving
          net heal
@@ -322,13 +328,13 @@
 }
 
 #[test]
-fn a_zone_that_is_heard_and_does_not_hear_is_judged_cut_off() {
-    let mut course = course("deaf", 6, 3);
-    course.all_start();
+fn zone_that_receives_nothing_is_reported_cut_off() {
+    let mut scenario = scenario("deaf", 6, 3);
+    scenario.start_all();
     for from in ["n1", "n3", "n4", "n6"] {
-        course.run(&format!("net cut {from} n2\n net cut {from} n5"));
+        scenario.run(&format!("net cut {from} n2\n net cut {from} n5"));
     }
-    course.run(
+    scenario.run(
         "z1,z3 wait verdict zone-cut-off z2
          z1,z3 never verdict self-cut-off
          z2 wait verdict self-cut-off
@@ -339,16 +345,16 @@
 }
 
 #[test]
-fn with_the_list_service_down_half_is_replaced_in_steps_under_load() {
-    let mut course = course("steps", 6, 3);
-    course.run("list down");
-    course.all_start();
-    course.run(
+fn rolling_restart_under_load_without_service_registry() {
+    let mut scenario = scenario("steps", 6, 3);
+    scenario.run("list down");
+    scenario.start_all();
+    scenario.run(
         "routers send 60
          routers wait served 60",
     );
     for n in 1..=3 {
-        course.run(&format!(
+        scenario.run(&format!(
             "n{n} term
              n4,n5,n6 wait n{n} left
              n{n} start
@@ -356,21 +362,21 @@
              routers wait served 20"
         ));
     }
-    course.run(
+    scenario.run(
         "routers send 0
          routers wait quiet
          all wait settled
          rules hold",
     );
-    let all = course.cluster.routers.stats().all();
+    let all = scenario.cluster.routers.stats().all();
     assert_eq!(all.requests, all.served + all.rejected + all.failed + all.lost, "{all:?}");
 }
 
 #[test]
-fn a_power_cut_under_load_with_cold_engines_leaves_one_fleet_and_no_rule_broken() {
-    let mut course = course("power", 6, 3);
-    course.all_start();
-    course.run(
+fn power_cut_under_load_with_cold_engines_violates_no_rule() {
+    let mut scenario = scenario("power", 6, 3);
+    scenario.start_all();
+    scenario.run(
         "routers send 60
          routers wait served 60
          all engine chilly 2000
@@ -388,11 +394,11 @@
 }
 
 #[test]
-fn clocks_that_are_off_and_set_back_make_no_second_member_and_no_earlier_life() {
-    let mut course = course("clocks", 5, 2);
-    course.run("n2 clock 10000");
-    course.all_start();
-    course.run(
+fn clock_changes_neither_duplicate_members_nor_lower_starts() {
+    let mut scenario = scenario("clocks", 5, 2);
+    scenario.run("n2 clock 10000");
+    scenario.start_all();
+    scenario.run(
         "n2 kill
          n2 clock -3600000
          n2 start
@@ -405,13 +411,13 @@
          n3 clock -10000
          all wait settled",
     );
-    assert_eq!(course.view(1)["members"].as_array().map(Vec::len), Some(5));
+    assert_eq!(scenario.view(1)["members"].as_array().map(Vec::len), Some(5));
 }
 
 #[test]
-fn two_of_one_name_both_say_so_and_the_fleet_goes_on() {
-    let mut course = course("names", 4, 1);
-    course.run(
+fn name_clash_is_reported_by_both_and_resolved() {
+    let mut scenario = scenario("names", 4, 1);
+    scenario.run(
         "n1,n2,n3 start
          all wait settled
          n4 named n1
@@ -424,23 +430,23 @@
 }
 
 #[test]
-fn more_members_than_may_be_known_are_not_taken_and_that_is_told() {
-    let mut course = course_with_settings("bound", 6, 1, "members = 4");
-    course.run(
+fn rejects_and_logs_members_above_limit() {
+    let mut scenario = scenario_with_settings("bound", 6, 1, "members = 4");
+    scenario.run(
         "all start
          n1 wait log fleet-disbelieved *reason=full*",
     );
     for n in 1..=6 {
-        let known = course.view(n)["members"].as_array().map_or(0, Vec::len);
-        assert!((1..=4).contains(&known), "n{n} holds {known}");
+        let known = scenario.view(n)["members"].as_array().map_or(0, Vec::len);
+        assert!((1..=4).contains(&known), "n{n} knows {known} members instead of 1 to 4");
     }
 }
 
 #[test]
-fn a_fleet_of_twelve_that_starts_in_one_instant_loses_a_zone_parts_and_heals() {
-    let mut course = course("twelve", 12, 3);
-    course.all_start();
-    course.run(
+fn twelve_members_settle_after_zone_loss_and_partition() {
+    let mut scenario = scenario("twelve", 12, 3);
+    scenario.start_all();
+    scenario.run(
         "z3 kill
          z1,z2 wait verdict zone-unreachable z3
          n1 wait n12 lost
@@ -453,7 +459,7 @@
     );
 }
 
-/// A ping from a process of this name and generation.
+/// A ping from a process with this name and generation.
 fn message(
     name: &str,
     generation: u64,
@@ -472,45 +478,50 @@
 }
 
 #[test]
-fn other_versions_other_fleets_cut_and_forged_messages_do_bounded_harm_that_is_told() {
-    let mut course = course("forged", 4, 1);
-    course.all_start();
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+fn rejects_foreign_malformed_and_forged_messages() {
+    let mut scenario = scenario("forged", 4, 1);
+    scenario.start_all();
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
-    let now = course.view(1)["members"][0]["start"].as_u64().expect("a start");
+    let now = scenario.view(1)["members"][0]["start"].as_u64().expect("a start");
     let (own, other) = (Codec::new("pinepoint"), Codec::new("another"));
-    let sound = message("stranger", now, Liveness::Alive, &socket, Vec::new());
-    let bytes = own.encode(&sound).expect("encoded");
+    let valid = message("stranger", now, Liveness::Alive, &socket, Vec::new());
+    let bytes = own.encode(&valid).expect("encoded");
     let mut version = bytes.clone();
     version[0] += 1;
-    let foreign = other.encode(&sound).expect("encoded");
-    let to = course.cluster.listen(0);
-    for wrong in [&version[..], &foreign[..], &bytes[..bytes.len() - 3], &[]] {
-        socket.send_to(wrong, to).expect("sent");
+    let foreign = other.encode(&valid).expect("encoded");
+    let to = scenario.cluster.listen(0);
+    for invalid in [&version[..], &foreign[..], &bytes[..bytes.len() - 3], &[]] {
+        socket.send_to(invalid, to).expect("sent");
     }
-    assert!(socket.recv(&mut [0; 2000]).is_err(), "none of these is answered");
-    assert_eq!(course.view(1)["members"].as_array().map(Vec::len), Some(4), "none of these is a member");
-    // Sound, and false: a start of another century is not believed, a loss is refuted, one that never answers is lost.
+    assert!(socket.recv(&mut [0; 2000]).is_err(), "invalid messages must not be answered");
+    assert_eq!(
+        scenario.view(1)["members"].as_array().map(Vec::len),
+        Some(4),
+        "invalid messages must not add members"
+    );
+    // Well-formed forgeries: a start in another century is rejected, a reported loss is refuted, and a member
+    // that never answers becomes lost.
     let member = |n: usize| {
-        let view = course.view(n);
+        let view = scenario.view(n);
         let own = view["members"].as_array().and_then(|all| all.iter().find(|m| m["name"] == view["self"]));
-        own.cloned().expect("itself")
+        own.cloned().expect("a record of the member itself")
     };
     let n3 = member(3);
     let address = n3["address"].as_str().and_then(|text| text.parse().ok()).expect("an address");
-    let of = |name: &str, generation, liveness, incarnation| {
+    let member_record = |name: &str, generation, liveness, incarnation| {
         let zone = "z1".into();
         let identity = Identity { name: name.to_owned(), zone, address, cores: 2, instance: 9 };
         let phase = Phase::Serving;
         MemberRecord { identity: Rc::new(identity), generation, incarnation, phase, liveness, accuser: 1 }
     };
     let updates = vec![
-        of("n2", u64::MAX, Liveness::Alive, 0),
-        of("n3", n3["start"].as_u64().expect("a start") + 1, Liveness::Lost, 3),
+        member_record("n2", u64::MAX, Liveness::Alive, 0),
+        member_record("n3", n3["start"].as_u64().expect("a start") + 1, Liveness::Lost, 3),
     ];
     let forged = message("stranger", now, Liveness::Alive, &socket, updates);
     socket.send_to(&own.encode(&forged).expect("encoded"), to).expect("sent");
-    course.run(
+    scenario.run(
         "n1 wait log fleet-disbelieved *reason=forged-start*
          n3 wait log fleet-self *reason=start-raised*
          n1 wait log fleet-member name=stranger *reason=lost*
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -207,9 +207,7 @@
 
 /// Waits until the health checks of a connection are answered with this value.
 pub fn await_health(client: &Client, healthy: bool, limit: Duration) {
-    eventually_within(limit, &format!("health check answer {healthy}"), || {
-        client.ping() == Reply::Health(healthy)
-    });
+    eventually_within(limit, &format!("health answer {healthy}"), || client.ping() == Reply::Health(healthy));
 }
 
 /// Waits until the service registry receives a report of this kind. Reports that arrive after the returned
