--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -418,7 +418,7 @@
 // ---- the start ----
 
 fn start_with_early_signals(signals: &'static [&'static str], then: &'static str) -> World {
-    start(Options { early: Some((signals, then)), ..Options::default() })
+    start(Options { startup_signals: Some((signals, then)), ..Options::default() })
 }
 
 /// A reload signal that arrives while the program reads its configuration is handled afterwards, as the
@@ -458,7 +458,7 @@
 #[test]
 fn waits_for_address_in_use() {
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut world = up(Options { blocked: Some(other), ..Options::default() });
+    let mut world = up(Options { occupying_listener: Some(other), ..Options::default() });
     world.run("rpc send 1 ping\nrpc expect [1 1 nil [true *");
 }
 
