--- a/crates/pinepoint-lab/src/cluster.rs
+++ b/crates/pinepoint-lab/src/cluster.rs
@@ -1,38 +1,40 @@
-//! A test cluster: many real processes of the program under failure, each with a stub engine of its own, one store and
-//! one list service, routers in front, a fault injection proxy between them all, and scripts of faults and expectations.
-//! It owns the processes and the lines of a script; it knows the program by its command line, its files and its log only.
+//! A test cluster: many real processes of the program under faults, each with a stub engine of its own, one
+//! shared store and one list service, routers in front, a fault injection proxy between all of them, and
+//! scripts of faults and expectations. This module owns the processes and the steps of a script. It uses only
+//! the command line, the files and the log of the program.
 //!
-//! Scripts are lines of `ACTOR VERB WORDS` in the language of [`crate::script`]. An actor is a process (`n1`), a zone (`z2`), some of these
-//! (`n1,z2`) or `all`; what happens to several happens in the same instant.
+//! Scripts are lines of `ACTOR VERB WORDS` in the language of [`crate::script`]. An actor is a process
+//! (`n1`), a zone (`z2`), a list of these (`n1,z2`) or `all`. A step with several processes acts on all of
+//! them at once.
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `n1 start`, `n1 kill` | start the process, kill it and its engine's runs outright |
+//! | `n1 start`, `n1 kill` | start the process; SIGKILL, which also drops the runs on its engine |
 //! | `n1 stop`, `n1 continue` | SIGSTOP, SIGCONT |
-//! | `n1 throttle_stop 0.3` | throttle it to that share of the time; 1 ends that |
-//! | `n1 term` | SIGTERM, and wait for its end |
-//! | `n1 hup` | SIGHUP: it reads its files again |
-//! | `n1 clock 10000` | set its clock off by so many ms |
-//! | `n1 wipe` | its directory is gone |
-//! | `n1 named n2` | it goes by that name from its next start on |
-//! | `n1 engine down`, `n1 engine up`, `n1 engine chilly 3000` | its engine; warming up for so long from the next attach on, ms |
-//! | `store down`, `store up`, `store slots 4`, `store call 20`, `store away 5000` | the store that all share; ms |
+//! | `n1 slow 0.3` | throttle the process: it runs only in that share of the time; 1 ends the throttling |
+//! | `n1 term` | SIGTERM, and wait for the exit |
+//! | `n1 hup` | SIGHUP: the process reloads its files |
+//! | `n1 clock 10000` | offset of its clock, ms |
+//! | `n1 wipe` | remove its directory |
+//! | `n1 named n2` | its name in its configuration, from its next start on |
+//! | `n1 engine down`, `n1 engine up`, `n1 engine chilly 3000` | its engine; the warm-up time counts from the next attach, ms |
+//! | `store down`, `store up`, `store slots 4`, `store call 20`, `store away 5000` | the shared store; its slots, call time and outage after a crash, ms |
 //! | `list down`, `list up` | the list service |
-//! | `net loss 0.2`, `net twice 0.1`, `net delay 50` | of all that is forwarded; ms |
-//! | `net deaf n1 0.3` | lose that share of what it is sent |
-//! | `net cut n1 n2` | block that direction; `store`, `list`, `routers` are endpoints too |
-//! | `net part n1 n2`, `net part zone z1` | a partition: these reach only each other |
-//! | `net heal` | all of the above is over |
-//! | `routers send 100`, `routers send 0` | requests a second from now on |
-//! | `routers wait served 50`, `routers wait quiet` | so many more are served; all have ended |
+//! | `net loss 0.2`, `net twice 0.1`, `net delay 50` | share lost, share duplicated and longest delay (ms) of all forwarded traffic |
+//! | `net deaf n1 0.3` | share that is lost of the traffic to n1 |
+//! | `net cut n1 n2` | block the direction from n1 to n2; `store`, `list`, `routers` are endpoints too |
+//! | `net part n1 n2`, `net part zone z1` | a partition: its members reach only each other |
+//! | `net heal` | remove all network faults |
+//! | `routers send 100`, `routers send 0` | requests per second from now on |
+//! | `routers wait served 50`, `routers wait quiet` | until that many more requests are served; until no request is in flight |
 //! | `rules hold` | no rule is violated: see [`Cluster::violations`] |
-//! | `all wait settled` | every process that runs has a settled view, the same, and true |
-//! | `n1 wait n2 STATE` | it holds that of it |
-//! | `n1 wait verdict KIND [OF]`, `n1 wait no verdict KIND` | it judges so, or no longer |
-//! | `n1 never verdict KIND` | it does not judge so now |
-//! | `n1 wait log PATTERN`, `n1 never log PATTERN` | a line of its log that begins with what stands behind `message=`, ever |
+//! | `all wait settled` | every running process has a settled view; the views are equal and match the real states |
+//! | `n1 wait n2 STATE` | the view of n1 has n2 in this state |
+//! | `n1 wait verdict KIND [OF]`, `n1 wait no verdict KIND` | the view of n1 has such a verdict, or no longer has one |
+//! | `n1 never verdict KIND` | the view of n1 has no such verdict now |
+//! | `n1 wait log PATTERN`, `n1 never log PATTERN` | a line of its log, from any start, matches the pattern with its text after `message=`; no line does |
 //!
-//! A wait has a deadline; when it passes, the error says what was observed last.
+//! Every wait has a deadline. When it passes, the error reports the last observation.
 
 mod assertions;
 mod error;
@@ -64,12 +66,12 @@
 /// Routers in front of the members.
 const ROUTER_COUNT: usize = 3;
 
-/// How a cluster is set up.
+/// Settings of a cluster.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// A folder for its files.
+    /// Folder for the files of the cluster.
     pub folder: PathBuf,
     /// Number of processes.
     pub members: usize,
@@ -79,26 +81,26 @@
     pub period_ms: u64,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// More lines of the section `[fleet]`.
+    /// Further lines of the section `[fleet]`.
     pub fleet: String,
-    /// More sections of the edge file; `DIR` stands for the directory of the process.
+    /// Further sections of the edge file; `DIR` stands for the directory of the process.
     pub edge: String,
 }
 
-/// The processes and what is around them. They end with this value.
+/// The processes and the services around them. Dropping it kills the processes.
 pub struct Cluster {
     options: Options,
     members: Vec<Member>,
-    /// The network between them.
+    /// The network between the processes and their services.
     pub proxy: FaultProxy,
-    /// The store that all share.
+    /// The store that all processes share.
     pub store: Store,
-    /// The routers in front.
+    /// The routers in front of the processes.
     pub routers: Routers,
 }
 
 impl Cluster {
-    /// Sets a cluster up, and starts all processes at once.
+    /// Sets up a cluster and starts all processes.
     ///
     /// # Errors
     /// If the folder cannot be written, an address cannot be bound, or the program does not start.
@@ -110,18 +112,19 @@
         Ok(cluster)
     }
 
-    /// Sets a cluster up, but starts no process.
+    /// Sets up a cluster without starting a process.
     ///
     /// # Errors
     /// If the folder cannot be written or an address cannot be bound.
     pub fn prepare(options: Options) -> io::Result<Cluster> {
         std::fs::create_dir_all(&options.folder)?;
         let Services { engines, store, list } = Services::start(options.members)?;
-        let listens: io::Result<Vec<SocketAddr>> = (0..options.members).map(|_| unused_address()).collect();
-        let listens = listens?;
-        let proxy = FaultProxy::start(listens.clone(), options.seed)?;
+        let listen_addresses: io::Result<Vec<SocketAddr>> =
+            (0..options.members).map(|_| unused_address()).collect();
+        let listen_addresses = listen_addresses?;
+        let proxy = FaultProxy::start(listen_addresses.clone(), options.seed)?;
         let (mut members, mut router_targets) = (Vec::new(), Vec::new());
-        for (index, (engine, listen)) in engines.into_iter().zip(listens).enumerate() {
+        for (index, (engine, listen)) in engines.into_iter().zip(listen_addresses).enumerate() {
             let services = connect_services(&proxy, index, &engine, &store, list)?;
             let rpc = unused_address()?;
             router_targets.push(proxy.stream(Endpoint::Routers, Endpoint::Member(index), rpc, || true)?);
@@ -145,7 +148,7 @@
         index.ok_or_else(|| ScriptError::UnknownMember(name.to_owned()))
     }
 
-    /// The process id of a member that runs.
+    /// The process id of a running member.
     ///
     /// # Errors
     /// [`ScriptError::UnknownMember`] or [`ScriptError::NotRunning`].
@@ -166,18 +169,19 @@
         &self.options.folder
     }
 
-    /// The view of a member, as the program's own command line prints it; nothing if it does not answer.
+    /// The view of a member, as the program's own command line prints it; `None` if the member does not
+    /// answer.
     pub fn view(&self, index: usize) -> Option<Value> {
         view::query(&self.options.program, self.members[index].listen)
     }
 
-    /// Where a member takes datagrams, behind the proxy.
+    /// The address at which a member receives datagrams, behind the proxy.
     pub fn listen(&self, index: usize) -> SocketAddr {
         self.members[index].listen
     }
 }
 
-/// Opens the network paths of a member to its services; returns the addresses that it is to use.
+/// Opens the network paths from a member to its services. Returns the addresses that the member has to use.
 fn connect_services(
     proxy: &FaultProxy,
     index: usize,
@@ -193,12 +197,12 @@
     })
 }
 
-/// What the routers send: nothing until a script sets a rate.
+/// The workload of the routers, which send nothing until a script sets a rate.
 fn idle_workload(seed: u64) -> Workload {
     Workload { classes: request_classes(), rate: 0.0, routers: ROUTER_COUNT, retry_keyed: false, seed }
 }
 
-/// A port of loopback that nothing listens on now, at an address of its own.
+/// A loopback address of its own, with a port on which nothing listens now.
 fn unused_address() -> io::Result<SocketAddr> {
     bind_unique_address()?.local_addr()
 }
--- a/crates/pinepoint-lab/src/cluster/member.rs
+++ b/crates/pinepoint-lab/src/cluster/member.rs
@@ -1,5 +1,5 @@
-//! One process of the cluster: its files, its start, signals to it, and the share of time in which it may run. It owns the
-//! child process and ends it when dropped.
+//! One process of the cluster: its files, its start, signals to it, and throttling. A [`Member`] owns the
+//! child process and kills it when dropped.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use crate::simulated_engine::EngineControl;
 use crate::stub_services::ServiceAddresses;
 
-/// Length of one period of a throttled process, in which it first stands and then runs.
+/// Length of one period of a throttled process, in which the process is first stopped and then runs.
 const THROTTLE_PERIOD: Duration = Duration::from_millis(40);
-/// Least share of the time in which a throttled process runs.
+/// Minimum share of the time in which a throttled process runs.
 const MIN_THROTTLE_SHARE: f64 = 0.05;
 /// Limit on the memory of a member, MB.
 const MEMORY_MB: u32 = 64;
@@ -42,12 +42,12 @@
         self.folder.join(&self.name)
     }
 
-    /// What the member has logged, over all its starts.
+    /// The log of the member over all its starts.
     fn log(&self) -> PathBuf {
         self.folder.join(format!("{}.log", self.name))
     }
 
-    /// The file that sets the member's clock off, ms.
+    /// The file with the offset of the member's clock, ms.
     pub(super) fn clock(&self) -> PathBuf {
         self.folder.join(format!("{}-clock", self.name))
     }
@@ -59,24 +59,24 @@
     }
 }
 
-/// Stops and continues a process in turns until dropped.
+/// Stops and continues a process alternately until dropped.
 struct Throttle {
     stop: Arc<AtomicBool>,
 }
 
 impl Throttle {
-    /// Lets the process run only in this share of the time.
+    /// Starts to throttle a process, which runs only in this share of the time.
     fn start(pid: Pid, share: f64) -> Throttle {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
+        let stop_requested = stop.clone();
         std::thread::spawn(move || {
-            let running = THROTTLE_PERIOD.mul_f64(share.max(MIN_THROTTLE_SHARE));
-            while !stopped.load(Ordering::Relaxed) && kill_process(pid, Signal::STOP).is_ok() {
-                std::thread::sleep(THROTTLE_PERIOD - running);
+            let running_time = THROTTLE_PERIOD.mul_f64(share.max(MIN_THROTTLE_SHARE));
+            while !stop_requested.load(Ordering::Relaxed) && kill_process(pid, Signal::STOP).is_ok() {
+                std::thread::sleep(THROTTLE_PERIOD - running_time);
                 if kill_process(pid, Signal::CONT).is_err() {
                     return;
                 }
-                std::thread::sleep(running);
+                std::thread::sleep(running_time);
             }
             let _ = kill_process(pid, Signal::CONT);
         });
@@ -90,30 +90,30 @@
     }
 }
 
-/// A process of the cluster and what a script knows of it.
+/// A process of the cluster, with its addresses, files and engine.
 pub(super) struct Member {
-    /// Its name in scripts, which stays.
+    /// Name in scripts; never changes.
     pub(super) name: String,
-    /// Its name in its configuration, from its next start on.
+    /// Name in the configuration, from the next start on.
     pub(super) configured_name: String,
     pub(super) zone: String,
-    /// Where it takes datagrams of other members, behind the proxy.
+    /// Receives datagrams of other members, behind the proxy.
     pub(super) listen: SocketAddr,
-    /// Where other members reach it: a port of the proxy.
+    /// The port of the proxy through which other members reach this one.
     pub(super) advertised: SocketAddr,
-    /// Where it takes requests, behind the proxy.
+    /// Receives requests, behind the proxy.
     pub(super) rpc: SocketAddr,
     pub(super) services: ServiceAddresses,
     pub(super) engine: EngineControl,
     pub(super) files: MemberFiles,
-    /// A script has stopped it.
+    /// A script has stopped the process with SIGSTOP.
     pub(super) is_stopped: bool,
-    // Dropped before the child, so that no signal goes to a process that has ended.
+    // Declared before `child` and so dropped first, so that no signal is sent to a process that has ended.
     throttle: Option<Throttle>,
     child: Option<ChildGuard>,
 }
 
-/// Where a member is reached and what it reaches.
+/// The addresses of a member and of its services; see [`Member`].
 pub(super) struct MemberAddresses {
     pub(super) listen: SocketAddr,
     pub(super) advertised: SocketAddr,
@@ -122,7 +122,7 @@
 }
 
 impl Member {
-    /// A member that does not run yet.
+    /// A member whose process is not started yet.
     pub(super) fn new(
         name: String,
         zone: String,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Starts the process; `seed` is its own, `seeds` the first members to contact, as a list in TOML.
+    /// Starts the process. `seed` is for its random numbers; `seeds` are the members that it contacts first,
+    /// as a list in TOML.
     pub(super) fn start(&mut self, options: &Options, seed: u64, seeds: &str) -> io::Result<()> {
         let directory = self.files.directory();
         std::fs::create_dir_all(&directory)?;
@@ -186,45 +187,45 @@
         )
     }
 
-    /// Its process id, while there is a process.
+    /// The process id, while there is a process.
     pub(super) fn pid(&self) -> Result<Pid, ScriptError> {
         let id = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok());
         id.and_then(Pid::from_raw).ok_or(ScriptError::NotRunning)
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub(super) fn signal(&self, signal: Signal) -> Result<(), ScriptError> {
         kill_process(self.pid()?, signal).map_err(io::Error::from)?;
         Ok(())
     }
 
-    /// Whether it was started and neither ended nor stopped by a script.
+    /// Whether the process was started and no script has ended or stopped it.
     pub(super) fn is_running(&self) -> bool {
         self.child.is_some() && !self.is_stopped
     }
 
-    /// Lets it run only in this share of the time.
+    /// Throttles the process, which runs only in this share of the time.
     pub(super) fn start_throttle(&mut self, share: f64) -> Result<(), ScriptError> {
         self.throttle = Some(Throttle::start(self.pid()?, share));
         Ok(())
     }
 
-    /// Lets it run all the time again.
+    /// Ends the throttling of the process.
     pub(super) fn stop_throttle(&mut self) {
         self.throttle = None;
     }
 
-    /// Waits for the end of the process, if there is one.
+    /// Waits for the exit of the process, if there is one.
     pub(super) fn wait_for_exit(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.take().map(|mut child| child.wait()).transpose()
     }
 
-    /// How the process ended, if it did although no script ended it.
+    /// The exit status of a process that exited although no script ended it.
     pub(super) fn unexpected_exit(&mut self) -> Option<ExitStatus> {
         self.child.as_mut()?.try_wait().ok()?
     }
 
-    /// The first line of its log that matches the pattern, from what stands behind `message=` on.
+    /// The text after `message=` of the first log line in which this text matches the pattern.
     pub(super) fn find_in_log(&self, pattern: &str) -> Option<String> {
         let bytes = std::fs::read(self.files.log()).unwrap_or_default();
         let text = String::from_utf8_lossy(&bytes);
--- a/crates/pinepoint-lab/src/cluster/services.rs
+++ b/crates/pinepoint-lab/src/cluster/services.rs
@@ -1,5 +1,5 @@
-//! The services below the members of a cluster: one engine each, the shared store and the list service. They run on one
-//! thread, which ends with the process.
+//! The services below the members of a cluster: one engine each, the shared store and the list service. They
+//! run on one thread, which ends with the process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use crate::store::{Store, StoreState};
 use crate::stub_services::start_list_service;
 
-/// Calls that the store makes at once, unless a script says otherwise.
+/// Calls that the store makes concurrently, unless a script sets another number.
 const STORE_SLOTS: usize = 64;
-/// Time of a call of the store, unless a script says otherwise.
-const STORE_CALL: Duration = Duration::from_millis(5);
+/// Time of a call to the store, unless a script sets another one.
+const STORE_CALL_TIME: Duration = Duration::from_millis(5);
 
-/// An engine of one member.
+/// The engine of one member.
 pub(super) struct MemberEngine {
     pub(super) address: SocketAddr,
     pub(super) control: EngineControl,
@@ -30,17 +30,17 @@
 pub(super) struct Services {
     pub(super) engines: Vec<MemberEngine>,
     pub(super) store: Store,
-    /// Where the list service takes load reports.
+    /// The address at which the list service receives load reports.
     pub(super) list: SocketAddr,
 }
 
 impl Services {
-    /// Starts the services of so many members on a thread of their own.
+    /// Starts the services of this number of members on a thread of their own.
     pub(super) fn start(members: usize) -> io::Result<Services> {
         let (sender, started) = mpsc::channel();
         std::thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            if sender.send(start_on(members, &executor)).is_ok() {
+            if sender.send(start_services(members, &executor)).is_ok() {
                 async_io::block_on(executor.run(future::pending::<()>()));
             }
         });
@@ -48,9 +48,9 @@
     }
 }
 
-fn start_on(members: usize, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Services> {
+fn start_services(members: usize, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Services> {
     let engines: io::Result<Vec<_>> = (0..members).map(|_| start_member_engine(executor)).collect();
-    let store = Store::start(StoreState::new(STORE_SLOTS, STORE_CALL), executor)?;
+    let store = Store::start(StoreState::new(STORE_SLOTS, STORE_CALL_TIME), executor)?;
     let list = start_list_service(executor)?;
     Ok(Services { engines: engines?, store, list })
 }
--- a/crates/pinepoint-lab/src/cluster/steps.rs
+++ b/crates/pinepoint-lab/src/cluster/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of a script: what each line does to the members, the network, the store, the list service and the routers.
-//! The language is [`crate::script`]'s, the table of lines that of [`super`].
+//! Carries out the steps of a script on the members, the network, the store, the list service and the
+//! routers. [`crate::script`] defines the language; [`super`] has the table of steps.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::script::{Step, steps};
 
 impl Cluster {
-    /// Runs a script; stops at the first line that does not go as written.
+    /// Runs a script; stops at the first step that fails.
     pub fn run(&mut self, script: &str) -> Result<(), ScriptError> {
         for step in steps(script) {
             self.run_step(step).map_err(|source| ScriptError::Line {
@@ -51,7 +51,7 @@
             ("down", []) => state.down = true,
             ("up", []) => state.down = false,
             ("slots", [count]) => state.slots = number(count)? as usize,
-            ("call", [ms]) => state.call = milliseconds(ms)?,
+            ("call", [ms]) => state.call_time = milliseconds(ms)?,
             ("away", [ms]) => state.outage = milliseconds(ms)?,
             _ => return Err(ScriptError::UnknownStep),
         }
@@ -78,8 +78,8 @@
                 Ok(())
             }
             ("wait", ["served", count]) => {
-                let wanted = self.routers.stats().all().served + number(count)? as u64;
-                self.await_routers(|stats| stats.all().served >= wanted)
+                let target = self.routers.stats().all().served + number(count)? as u64;
+                self.await_routers(|stats| stats.all().served >= target)
             }
             ("wait", ["quiet"]) => self.await_routers(|stats| stats.in_flight == 0),
             _ => Err(ScriptError::UnknownStep),
@@ -93,7 +93,7 @@
 
     // ---- members ----
 
-    /// The members that an actor stands for: `all`, or names of members and zones with commas between them.
+    /// The members of an actor: `all`, or comma-separated names of members and zones.
     fn members_of(&self, actor: &str) -> Result<Vec<usize>, ScriptError> {
         if actor == "all" {
             return Ok((0..self.members.len()).collect());
@@ -114,7 +114,7 @@
         (0..self.members.len()).filter(|member| self.members[*member].zone == zone).collect()
     }
 
-    /// Makes the same check for each member that an actor stands for; an error names the member.
+    /// Runs the same check for each member of an actor; an error names the member.
     fn for_each_member(
         &self,
         actor: &str,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Changes all members that an actor stands for at once, and only then waits for what takes time.
+    /// Applies a change to all members of an actor, and only then waits for the changes that take time.
     fn change_members(&mut self, actor: &str, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         let members = self.members_of(actor)?;
         for member in &members {
@@ -163,19 +163,19 @@
         members.into_iter().try_for_each(|member| self.finish_change(member, verb))
     }
 
-    fn change_member(&mut self, at: usize, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
+    fn change_member(&mut self, member_index: usize, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         match (verb, words) {
-            ("start", []) => self.start_member(at)?,
-            ("stop", []) => self.stop_member(at)?,
-            ("slow", [share]) => self.throttle_member(at, number(share)?)?,
-            ("engine", words) => self.change_engine(at, words)?,
-            _ => self.change_process(at, verb, words)?,
+            ("start", []) => self.start_member(member_index)?,
+            ("stop", []) => self.stop_member(member_index)?,
+            ("slow", [share]) => self.throttle_member(member_index, number(share)?)?,
+            ("engine", words) => self.change_engine(member_index, words)?,
+            _ => self.change_process(member_index, verb, words)?,
         }
         Ok(())
     }
 
-    fn change_process(&mut self, at: usize, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
-        let member = &mut self.members[at];
+    fn change_process(&mut self, member_index: usize, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
+        let member = &mut self.members[member_index];
         match (verb, words) {
             ("kill", []) => {
                 member.stop_throttle();
@@ -198,8 +198,8 @@
         Ok(())
     }
 
-    fn change_engine(&mut self, at: usize, words: &[&str]) -> Result<(), ScriptError> {
-        let mut engine = self.members[at].engine.state();
+    fn change_engine(&mut self, member_index: usize, words: &[&str]) -> Result<(), ScriptError> {
+        let mut engine = self.members[member_index].engine.state();
         match words {
             ["down"] => engine.down = true,
             ["up"] => engine.down = false,
@@ -209,29 +209,29 @@
         Ok(())
     }
 
-    fn stop_member(&mut self, at: usize) -> Result<(), ScriptError> {
-        self.routers.stats().excused.insert(at);
-        self.members[at].signal(Signal::STOP)?;
-        self.members[at].is_stopped = true;
+    fn stop_member(&mut self, member_index: usize) -> Result<(), ScriptError> {
+        self.routers.stats().excused.insert(member_index);
+        self.members[member_index].signal(Signal::STOP)?;
+        self.members[member_index].is_stopped = true;
         Ok(())
     }
 
-    /// Lets a member run only in this share of the time; in all of it from 1 on.
-    fn throttle_member(&mut self, at: usize, share: f64) -> Result<(), ScriptError> {
-        self.members[at].stop_throttle();
+    /// Throttles a member, which runs only in this share of the time; 1 or more ends the throttling.
+    fn throttle_member(&mut self, member_index: usize, share: f64) -> Result<(), ScriptError> {
+        self.members[member_index].stop_throttle();
         if share < 1.0 {
-            self.routers.stats().excused.insert(at);
-            self.members[at].start_throttle(share)?;
+            self.routers.stats().excused.insert(member_index);
+            self.members[member_index].start_throttle(share)?;
         }
         Ok(())
     }
 
-    /// Waits for the end of a member that was killed or told to shut down.
-    fn finish_change(&mut self, at: usize, verb: &str) -> Result<(), ScriptError> {
+    /// Waits for the exit of a member that was sent SIGKILL or SIGTERM.
+    fn finish_change(&mut self, member_index: usize, verb: &str) -> Result<(), ScriptError> {
         if !matches!(verb, "kill" | "term") {
             return Ok(());
         }
-        match self.members[at].wait_for_exit()? {
+        match self.members[member_index].wait_for_exit()? {
             Some(status) if verb == "term" && !status.success() => Err(ScriptError::FailedExit(status)),
             _ => Ok(()),
         }
@@ -264,7 +264,7 @@
         Ok(())
     }
 
-    /// The end of a network path that goes by this name.
+    /// The endpoint with this name in scripts.
     fn endpoint(&self, name: &str) -> Result<Endpoint, ScriptError> {
         Ok(match name {
             "store" => Endpoint::Store,
@@ -274,7 +274,7 @@
         })
     }
 
-    /// Puts members into a network partition of their own.
+    /// Moves members into a network partition of their own.
     fn add_partition(&self, members: &[usize]) {
         let mut faults = self.proxy.faults();
         let number = faults.partition.values().max().copied().unwrap_or(0) + 1;
--- a/crates/pinepoint-lab/src/cluster/view.rs
+++ b/crates/pinepoint-lab/src/cluster/view.rs
@@ -1,4 +1,4 @@
-//! What a member answers to a query of its view, read as JSON.
+//! Queries the membership view of a member, and reads its JSON form.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,13 +6,14 @@
 
 use serde_json::Value;
 
-/// States of a member that do not take part.
+/// States in which a member does not take part in the fleet.
 const ABSENT_STATES: [&str; 3] = ["left", "lost", "suspected"];
 
-/// Queries the view of the member that listens there, by the program's own command line; nothing if it does not answer.
+/// Queries the view of the member at this address with the program's own command line. Returns `None` if the
+/// member does not answer.
 pub(super) fn query(program: &Path, listen: SocketAddr) -> Option<Value> {
-    let at = listen.to_string();
-    let output = Command::new(program).args(["fleet", "view", "--json", "--at", &at]).output().ok()?;
+    let address = listen.to_string();
+    let output = Command::new(program).args(["fleet", "view", "--json", "--at", &address]).output().ok()?;
     serde_json::from_slice(&output.stdout).ok()
 }
 
@@ -22,12 +23,12 @@
     members.iter().find(|member| member["name"] == name)?["state"].as_str()
 }
 
-/// Whether a member's state in a view is that of one that takes part.
+/// Whether a member in this state takes part in the fleet; a member that the view lacks does not.
 pub(super) fn is_present(state: Option<&str>) -> bool {
     state.is_some_and(|state| !ABSENT_STATES.contains(&state))
 }
 
-/// Whether a view has a verdict of this kind, about anybody or about this member.
+/// Whether a view has a verdict of this kind; if `about` is given, about this member or zone.
 pub(super) fn has_verdict(view: &Value, kind: &str, about: Option<&str>) -> bool {
     let verdicts = view["verdicts"].as_array().into_iter().flatten();
     verdicts
--- a/crates/pinepoint-lab/src/store.rs
+++ b/crates/pinepoint-lab/src/store.rs
@@ -30,7 +30,7 @@
     /// Calls that it makes at once without delay.
     pub slots: usize,
     /// Time of a call within the slots.
-    pub call: Duration,
+    pub call_time: Duration,
     /// How long it is down after a crash.
     pub outage: Duration,
     /// A script has taken it down.
@@ -49,10 +49,10 @@
 
 impl StoreState {
     /// An idle store of so many slots.
-    pub fn new(slots: usize, call: Duration) -> StoreState {
+    pub fn new(slots: usize, call_time: Duration) -> StoreState {
         StoreState {
             slots,
-            call,
+            call_time,
             outage: DEFAULT_OUTAGE,
             down: false,
             in_flight: 0,
@@ -85,7 +85,7 @@
         self.calls += 1;
         self.in_flight += 1;
         self.peak_in_flight = self.peak_in_flight.max(self.in_flight);
-        self.call.mul_f64((self.in_flight as f64 / self.slots.max(1) as f64).max(1.0))
+        self.call_time.mul_f64((self.in_flight as f64 / self.slots.max(1) as f64).max(1.0))
     }
 }
 
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -30,7 +30,7 @@
     }
     assert!(cluster.store.state().peak_in_flight > 5);
     let broken = cluster.run("rules hold").expect_err("a fall is a broken rule").to_string();
-    assert!(broken.contains("the store fell"), "{broken}");
+    assert!(broken.contains("the store crashed"), "{broken}");
     cluster
         .run("store slots 64\n store call 5\n routers wait served 100\n routers send 0\n routers wait quiet")
         .expect("it is back, and so is service");
@@ -51,7 +51,7 @@
         assert!(std::time::Instant::now() < until, "its end is not seen");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(cluster.violations()[0].contains("n2 ended by itself"), "{:?}", cluster.violations());
+    assert!(cluster.violations()[0].contains("n2 exited unexpectedly"), "{:?}", cluster.violations());
     // And a key that an engine counted twice.
     cluster.engine("n1").expect("it is there").state().started.insert("5.0 0 n1 keyed".into(), 2);
     assert!(
