--- a/crates/pinepoint-lab/src/routers.rs
+++ b/crates/pinepoint-lab/src/routers.rs
@@ -1,7 +1,7 @@
-//! Routers in front of many processes: each keeps a connection to every process, sends to those that accept requests, and
-//! retries elsewhere what was rejected or lost; a request with an idempotency key goes to one process only. They count what
-//! became of each request, its priority weight, and which rules were violated. They share no code with the program, so that
-//! their counts are independent.
+//! Routers in front of many processes: each keeps a connection to every process, sends requests to the
+//! processes that accept them, and retries rejected or lost requests elsewhere; a request with an idempotency
+//! key goes to one process only. The routers count the outcome and the priority weight of each request and
+//! the violations of rules. They share no code with the program, so that their counts are independent.
 
 mod connection;
 mod pool;
@@ -23,93 +23,94 @@
 use crate::simulated_engine::EngineControl;
 use crate::sync::lock;
 
-/// Violations that are kept in words; more are counted only.
+/// Violations whose description is kept; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
 
-/// What the routers send.
+/// The workload of the routers.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Classes; their deadlines and weights are those of [`crate::process::SETTINGS`].
+    /// Request classes; their deadlines and weights are those of [`crate::process::SETTINGS`].
     pub classes: Vec<RequestClass>,
-    /// Requests a second, all routers together.
+    /// Requests per second of all routers together.
     pub rate: f64,
     /// Number of routers.
     pub routers: usize,
-    /// Whether a request with an idempotency key is retried at the same process after its connection was lost.
+    /// Whether a request with an idempotency key is retried at the same process after a lost connection.
     pub retry_keyed: bool,
-    /// Seed of times and work.
+    /// Seed of the random times, work and backoffs.
     pub seed: u64,
 }
 
-/// What became of the requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassStats {
-    /// Requests, each counted once however often it was attempted.
+    /// Requests, each counted once regardless of its attempts.
     pub requests: u64,
     /// Attempts.
     pub attempts: u64,
-    /// Ended with a result.
+    /// Requests that ended with a result.
     pub served: u64,
-    /// Ended with a rejection.
+    /// Requests that ended with a rejection.
     pub rejected: u64,
-    /// Ended with a failure.
+    /// Requests that ended with a failure.
     pub failed: u64,
-    /// Their connection was lost, or no process was there to ask.
+    /// Requests that ended without an answer: the connection was lost, no process accepted requests, or no
+    /// answer came in time.
     pub lost: u64,
     /// Priority weight of all requests.
     pub weight_requested: f64,
-    /// Priority weight of what was served by its time.
+    /// Priority weight of the requests served by their deadline; after the latency objective, a share of it.
     pub weight_served: f64,
 }
 
 impl Sum for ClassStats {
     fn sum<I: Iterator<Item = ClassStats>>(stats: I) -> ClassStats {
-        stats.fold(ClassStats::default(), |sum, one| ClassStats {
-            requests: sum.requests + one.requests,
-            attempts: sum.attempts + one.attempts,
-            served: sum.served + one.served,
-            rejected: sum.rejected + one.rejected,
-            failed: sum.failed + one.failed,
-            lost: sum.lost + one.lost,
-            weight_requested: sum.weight_requested + one.weight_requested,
-            weight_served: sum.weight_served + one.weight_served,
+        stats.fold(ClassStats::default(), |sum, class| ClassStats {
+            requests: sum.requests + class.requests,
+            attempts: sum.attempts + class.attempts,
+            served: sum.served + class.served,
+            rejected: sum.rejected + class.rejected,
+            failed: sum.failed + class.failed,
+            lost: sum.lost + class.lost,
+            weight_requested: sum.weight_requested + class.weight_requested,
+            weight_served: sum.weight_served + class.weight_served,
         })
     }
 }
 
-/// What the routers observed.
+/// Counts and violations that the routers observed.
 #[derive(Clone, Debug, Default)]
 pub struct RouterStats {
-    /// By class.
+    /// Outcomes by class.
     pub classes: BTreeMap<&'static str, ClassStats>,
-    /// Rules that were violated, the first few in words.
+    /// Descriptions of the first violations.
     pub violations: Vec<String>,
     /// Number of all violations.
     pub violation_count: u64,
-    /// Requests that have not ended.
+    /// Requests that have not ended yet.
     pub in_flight: u64,
-    /// Processes that a script stopped or throttled, whose violations do not count.
+    /// Processes that a script stopped or throttled; their violations do not count.
     pub excused: BTreeSet<usize>,
 }
 
 impl RouterStats {
-    /// All classes together.
+    /// The sums over all classes.
     pub fn all(&self) -> ClassStats {
         self.classes.values().copied().sum()
     }
 
-    fn record_violation(&mut self, member: usize, rule: String) {
+    fn record_violation(&mut self, member: usize, violation: String) {
         if self.excused.contains(&member) {
             return;
         }
         self.violation_count += 1;
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
-            self.violations.push(rule);
+            self.violations.push(violation);
         }
     }
 }
 
-/// The routers; they run on a thread of their own, which ends with the process.
+/// The routers. They run on a thread of their own, which ends with the process.
 #[derive(Debug)]
 pub struct Routers {
     stats: Arc<Mutex<RouterStats>>,
@@ -117,7 +118,8 @@
 }
 
 impl Routers {
-    /// Starts them in front of these addresses. The engines are those behind the addresses, in the same order.
+    /// Starts the routers in front of these addresses. `engines` are the engines behind the addresses, in the
+    /// same order.
     ///
     /// # Errors
     /// If the settings of the classes cannot be read.
@@ -137,12 +139,12 @@
         Ok(routers)
     }
 
-    /// What they observed so far.
+    /// The counts and violations so far.
     pub fn stats(&self) -> MutexGuard<'_, RouterStats> {
         lock(&self.stats)
     }
 
-    /// Sets the requests a second from now on; 0 for none.
+    /// Sets the requests per second from now on; 0 stops sending.
     pub fn set_rate(&self, rate: f64) {
         *lock(&self.rate) = rate;
     }
--- a/crates/pinepoint-lab/src/routers/connection.rs
+++ b/crates/pinepoint-lab/src/routers/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one router to one member: kept open, and matched to the requests in flight on it.
+//! The connection of one router to one member. It matches answers to the requests in flight.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,21 +12,21 @@
 
 use crate::load::{Incoming, Outcome, Request, take_incoming};
 
-/// Requests that may be in flight on one connection.
+/// Maximum number of requests in flight on one connection.
 const MAX_IN_FLIGHT: usize = 32;
-/// Pause before a connection is made again.
+/// Pause before a reconnect.
 pub(super) const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes that are read at a time.
 const READ_BYTES: usize = 16 * 1024;
 
-/// The connection was lost before the answer came.
+/// Error of a request whose connection was lost before its answer was received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionLost;
 
-/// How a request on a connection ended.
+/// Result of a request on a connection.
 pub(super) type Answer = Result<Outcome, ConnectionLost>;
 
-/// An open connection.
+/// An open connection and the requests in flight on it.
 pub(super) struct Connection {
     stream: Async<TcpStream>,
     pending: RefCell<HashMap<u64, Sender<Answer>>>,
@@ -47,12 +47,12 @@
         })
     }
 
-    /// Whether a request may be sent on it now.
+    /// Whether a request may be sent on this connection now.
     pub(super) fn accepts_requests(&self) -> bool {
         !self.is_draining.get() && self.pending.borrow().len() < MAX_IN_FLIGHT
     }
 
-    /// Sends one attempt of a request; its answer comes on the channel.
+    /// Sends one attempt of a request. Returns the channel on which its answer arrives.
     pub(super) async fn send(
         &self,
         request: &Request,
@@ -68,7 +68,7 @@
         Ok(answer)
     }
 
-    /// Reads what comes until the connection ends, or nothing is in flight on one that is draining.
+    /// Reads messages until the connection ends, or until it is draining and no request is in flight.
     pub(super) async fn read_messages(&self, on_unexpected_answer: impl Fn()) {
         let (mut input, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
@@ -80,8 +80,8 @@
                 match incoming {
                     Incoming::GoAway => self.is_draining.set(true),
                     Incoming::Answer(id, outcome) => match self.pending.borrow_mut().remove(&id) {
-                        Some(waiting) => {
-                            let _ = waiting.try_send(Ok(outcome));
+                        Some(answer_sender) => {
+                            let _ = answer_sender.try_send(Ok(outcome));
                         }
                         None => on_unexpected_answer(),
                     },
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Tells all that wait for an answer that the connection is lost.
+    /// Fails all requests in flight with [`ConnectionLost`].
     pub(super) fn fail_pending(&self) {
-        for (_, waiting) in self.pending.take() {
-            let _ = waiting.try_send(Err(ConnectionLost));
+        for (_, answer_sender) in self.pending.take() {
+            let _ = answer_sender.try_send(Err(ConnectionLost));
         }
     }
 }
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -1,4 +1,5 @@
-//! All routers of one load: which members each may ask, and the attempts and retries of a request.
+//! All routers of one workload: their connections to the members, and the attempts and retries of each
+//! request.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,55 +22,57 @@
 use crate::standard_load::WORK_SIGMA;
 use crate::sync::lock;
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Backoff after the first rejection; it doubles with each further one, and has a jitter of half of it.
+/// Backoff after the first rejection. It doubles with each further rejection and has a jitter of ±50 percent.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// An answer later than this after its deadline violates a rule: the rule's own slack, and what a loaded machine may add.
+/// An answer later than this after the deadline of its class is a violation. The first term is the slack of
+/// the rule, the second an allowance for a loaded machine.
 const ANSWER_GRACE: Duration = Duration::from_millis(150 + 3000);
-/// Pause between two looks at the rate while it is 0.
+/// Interval between two checks of the rate while it is 0.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Where the number of the attempt stands in a request id.
+/// Position of the attempt number in a request id, in bits.
 const ATTEMPT_SHIFT: u32 = 48;
-/// The bits of the number of the attempt, before they are shifted.
+/// Mask of the attempt number, before the shift.
 const ATTEMPT_MASK: u64 = 7;
 
-/// From one router to one member, both by number.
+/// The path from one router to one member, both by index.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Path {
     pub(super) router: usize,
     pub(super) member: usize,
 }
 
-/// How an attempt ended.
+/// Outcome of one attempt.
 enum AttemptOutcome {
     Answered(Outcome),
     ConnectionLost,
-    /// No answer by its time, on a connection that lives.
+    /// No answer in time on an open connection.
     TimedOut,
 }
 
-/// What to do after an attempt.
+/// Next step of a request after an attempt.
 enum NextStep {
     Finish(Option<Outcome>),
-    /// Retry at any member after this backoff.
+    /// Retry at any member after this backoff, with jitter.
     RetryAnywhere(Duration),
-    /// Retry at once; a request with an idempotency key at the same member.
+    /// Retry at once; a request with an idempotency key stays at the same member.
     Retry,
 }
 
-/// The routers, on one thread.
+/// All routers of one workload, on one thread.
 pub(super) struct RouterPool {
     workload: Workload,
     stats: Arc<Mutex<RouterStats>>,
     service_levels: ServiceLevels,
     engines: Vec<EngineControl>,
-    /// By router and member.
+    /// Open connections by router and member.
     connections: RefCell<Vec<Vec<Option<Rc<Connection>>>>>,
 }
 
 impl RouterPool {
-    /// Routers without any connection. The engines are those of the members, in their order.
+    /// Routers without any connection yet. `engines` are the engines of the members, in the order of the
+    /// members.
     pub(super) fn new(
         workload: Workload,
         stats: Arc<Mutex<RouterStats>>,
@@ -81,7 +84,7 @@
         RouterPool { workload, stats, service_levels, engines, connections: RefCell::new(connections) }
     }
 
-    /// Keeps a connection of one router to one member open, and reads what comes.
+    /// Keeps a connection of one router to one member open, and reads its messages.
     pub(super) async fn maintain_connection(self: Rc<Self>, path: Path, address: SocketAddr) {
         loop {
             if let Ok(connection) = Connection::connect(address).await {
@@ -107,12 +110,12 @@
         self.connections.borrow()[path.router][path.member].clone()
     }
 
-    /// An answer came to an attempt that has none to come.
+    /// Records that a member answered an attempt that has no pending answer.
     fn record_second_answer(&self, member: usize) {
-        self.stats().record_violation(member, format!("n{}: a second answer to one try", member + 1));
+        self.stats().record_violation(member, format!("n{}: a second answer to one attempt", member + 1));
     }
 
-    /// The members that accept requests of this router now.
+    /// The members that now accept requests from this router.
     fn available_members(&self, router: usize) -> Vec<usize> {
         let accepts = |connection: &Rc<Connection>| connection.accepts_requests();
         let connections = self.connections.borrow();
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Sends requests at random times, whatever becomes of those before them.
+    /// Sends requests at random times, independent of the outcome of earlier requests.
     pub(super) async fn generate_requests(
         self: Rc<Self>,
         rate: &Mutex<f64>,
@@ -153,25 +156,25 @@
                 Timer::after(IDLE_POLL_INTERVAL).await;
                 continue;
             }
-            let Ok(gaps) = Exp::new(rate) else { return };
-            Timer::after(Duration::from_secs_f64(gaps.sample(&mut rng))).await;
+            let Ok(interarrival_times) = Exp::new(rate) else { return };
+            Timer::after(Duration::from_secs_f64(interarrival_times.sample(&mut rng))).await;
             number += 1;
             let Workload { classes, routers, seed, .. } = &self.workload;
             let Ok(request) = draw_request(classes, WORK_SIGMA, *seed, number, &mut rng) else { return };
             let router = rng.random_range(0..(*routers).max(1));
-            let rng_of_request = Pcg64Mcg::seed_from_u64(seed ^ number << 20);
+            let request_rng = Pcg64Mcg::seed_from_u64(seed ^ number << 20);
             self.stats().in_flight += 1;
-            executor.spawn(self.clone().execute(router, request, rng_of_request)).detach();
+            executor.spawn(self.clone().execute(router, request, request_rng)).detach();
         }
     }
 
-    /// Sends a request by one router, with its retries, and counts what became of it.
+    /// Sends a request through one router, with retries, and records its outcome.
     async fn execute(self: Rc<Self>, router: usize, mut request: Request, mut rng: Pcg64Mcg) {
         let (start, first_sent_ms) = (Instant::now(), unix_ms());
-        let level = self.service_levels.of(request.class);
+        let service_level = self.service_levels.of(request.class);
         let (mut attempts, mut sticky_member) = (0, None);
         let outcome = loop {
-            if start.elapsed() >= level.deadline {
+            if start.elapsed() >= service_level.deadline {
                 break None;
             }
             let Some(member) = self.choose_member(router, sticky_member, &mut rng) else {
@@ -194,10 +197,11 @@
                 NextStep::Retry => {}
             }
         };
-        self.record(request.class, &level, attempts, outcome, start.elapsed());
+        self.record(request.class, &service_level, attempts, outcome, start.elapsed());
     }
 
-    /// A member that accepts requests now. A request with an idempotency key stays at the member that may have run it.
+    /// Chooses a member that accepts requests now. A request with an idempotency key stays at the member that
+    /// may have run it.
     fn choose_member(
         &self,
         router: usize,
@@ -221,7 +225,7 @@
                 if !may_retry {
                     return NextStep::Finish(Some(Outcome::Rejected));
                 }
-                // It was not run, so that another member may run it.
+                // The request was not run, so another member may run it.
                 NextStep::RetryAnywhere(INITIAL_BACKOFF * 2_u32.pow(attempts - 1))
             }
             AttemptOutcome::Answered(outcome) => NextStep::Finish(Some(outcome)),
@@ -230,26 +234,26 @@
             }
             AttemptOutcome::ConnectionLost => NextStep::Finish(None),
             AttemptOutcome::TimedOut => {
-                let rule = format!("n{}: no answer to {} by its time", member + 1, request.body);
-                self.stats().record_violation(member, rule);
+                let violation = format!("n{}: no answer to {} by its deadline", member + 1, request.body);
+                self.stats().record_violation(member, violation);
                 NextStep::Finish(None)
             }
         }
     }
 
-    /// A rejection says that the request was not run: records it if the engine has run it.
+    /// A rejection states that the request was not run. Records a violation if the engine has run it.
     fn check_rejection(&self, member: usize, request: &Request) {
         let was_run = self.engines[member].state().started.contains_key(&request.body);
         if request.idempotency_key.is_some() && was_run {
-            let rule = format!("n{}: Busy told of {}, which has run", member + 1, request.body);
-            self.stats().record_violation(member, rule);
+            let violation = format!("n{}: Busy sent for {}, which has run", member + 1, request.body);
+            self.stats().record_violation(member, violation);
         }
     }
 
     fn record(
         &self,
         class: &'static str,
-        level: &ServiceLevel,
+        service_level: &ServiceLevel,
         attempts: u32,
         outcome: Option<Outcome>,
         latency: Duration,
@@ -259,11 +263,11 @@
         let stats = stats.classes.entry(class).or_default();
         stats.requests += 1;
         stats.attempts += u64::from(attempts);
-        stats.weight_requested += level.weight;
+        stats.weight_requested += service_level.weight;
         match outcome {
             Some(Outcome::Served) => {
                 stats.served += 1;
-                stats.weight_served += level.weight_after(latency);
+                stats.weight_served += service_level.weight_after(latency);
             }
             Some(Outcome::Rejected) => stats.rejected += 1,
             Some(Outcome::Failed) => stats.failed += 1,
@@ -273,7 +277,7 @@
 }
 
 impl Request {
-    /// Gives the next attempt a request id of its own.
+    /// Writes the attempt number into the request id, so that each attempt has its own id.
     fn set_attempt(&mut self, attempt: u32) {
         self.request_id =
             self.request_id & !(ATTEMPT_MASK << ATTEMPT_SHIFT) | u64::from(attempt) << ATTEMPT_SHIFT;
--- a/crates/pinepoint-lab/src/routers/service_level.rs
+++ b/crates/pinepoint-lab/src/routers/service_level.rs
@@ -1,5 +1,5 @@
-//! The latency objective, deadline and priority weight of each class, read from the settings that the program is started
-//! with.
+//! The latency objective, deadline and priority weight of each class, read from the settings with which the
+//! program is started.
 
 use std::collections::HashMap;
 use std::io;
@@ -9,21 +9,21 @@
 
 use crate::process::SETTINGS;
 
-/// The deadline of a class that the settings do not name.
+/// Deadline of a class that is not in the settings.
 const UNKNOWN_DEADLINE: Duration = Duration::from_secs(10);
 
-/// What an answer to a request of a class counts, and until when.
+/// The weight of an answer to a request of a class, depending on its latency.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServiceLevel {
     latency_objective: Duration,
     pub(super) deadline: Duration,
     pub(super) weight: f64,
-    /// Share of the weight that an answer has after the latency objective and by the deadline.
+    /// Share of the weight that counts for an answer after the latency objective but before the deadline.
     late_share: f64,
 }
 
 impl ServiceLevel {
-    /// The weight of a result that took so long.
+    /// The weight of a result with this latency.
     pub(super) fn weight_after(&self, latency: Duration) -> f64 {
         let share = match latency {
             latency if latency <= self.latency_objective => 1.0,
@@ -38,7 +38,7 @@
 pub(super) struct ServiceLevels(HashMap<String, ServiceLevel>);
 
 impl ServiceLevels {
-    /// Those of the settings that all processes of the test tool are started with.
+    /// Reads the service levels from the settings with which all processes of the test tool are started.
     pub(super) fn load() -> io::Result<ServiceLevels> {
         let settings: Value =
             serde_json::from_str(&SETTINGS.replace("CORES", "1")).map_err(io::Error::other)?;
@@ -50,12 +50,12 @@
         Ok(ServiceLevels(levels.collect()))
     }
 
-    /// The service level of a class; without any weight or time if the settings do not name it.
+    /// The service level of a class; all zero if the class is not in the settings.
     pub(super) fn of(&self, class: &str) -> ServiceLevel {
         self.0.get(class).copied().unwrap_or_default()
     }
 
-    /// How long an answer may take.
+    /// Maximum time until an answer: the deadline of the class.
     pub(super) fn answer_limit(&self, class: &str) -> Duration {
         self.0.get(class).map_or(UNKNOWN_DEADLINE, |level| level.deadline)
     }
--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -104,7 +104,7 @@
         vec![busy()]
     });
     let routers = Routers::start(workload(true), vec![address], vec![control]).expect("started");
-    wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy told")));
+    wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy sent")));
 }
 
 #[test]
