--- a/crates/pinepoint-lab/src/rpc.rs
+++ b/crates/pinepoint-lab/src/rpc.rs
@@ -1,5 +1,5 @@
-//! MessagePack-RPC messages as callers of the program write and read them. It owns their encoding; connections are their
-//! users'.
+//! MessagePack-RPC messages as callers of the program write and read them. This module owns their encoding;
+//! its users own the connections.
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,22 +13,22 @@
 /// First element of a notification.
 pub(crate) const NOTIFICATION: u64 = 2;
 
-/// Memory that every request asks for, kB.
+/// Memory that every request declares, kB.
 const MEMORY_KB: &str = "40";
 
-/// Now, Unix ms.
+/// The current time, Unix ms.
 pub(crate) fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
 }
 
-/// The fields of a request beside its class and body.
+/// The fields of a request besides its class and body.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestFields {
-    /// Identifies one attempt.
+    /// Identifier of one attempt.
     pub(crate) request_id: u64,
-    /// When the request was first sent, Unix ms.
+    /// Time at which the request was first sent, Unix ms.
     pub(crate) first_sent_ms: u128,
-    /// Estimate of its work, ms, as it is written.
+    /// Estimate of the work of the request in ms, as written in the message.
     pub(crate) estimate_ms: String,
     pub(crate) idempotency_key: Option<String>,
     pub(crate) is_retry: bool,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The bytes of a request under this message id.
+/// Encodes a request with this message id.
 pub(crate) fn encode_request(
     message_id: u64,
     class: &str,
@@ -59,12 +59,12 @@
     encode_call(message_id, class, params)
 }
 
-/// The bytes of a request of this method and parameters.
+/// Encodes a request with this method and these parameters.
 pub(crate) fn encode_call(message_id: u64, method: &str, params: Vec<Value>) -> io::Result<Vec<u8>> {
     encode(vec![REQUEST.into(), message_id.into(), method.into(), Value::Array(params)])
 }
 
-/// The bytes of a notification.
+/// Encodes a notification.
 pub(crate) fn encode_notification(method: &str, params: Vec<Value>) -> io::Result<Vec<u8>> {
     encode(vec![NOTIFICATION.into(), method.into(), Value::Array(params)])
 }
@@ -75,7 +75,7 @@
     Ok(bytes)
 }
 
-/// Takes a complete message off the front, if there is one.
+/// Takes a complete message off the front of the input, if there is one.
 pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Value> {
     let mut rest = input.as_slice();
     let message = rmpv::decode::read_value(&mut rest).ok()?;
--- a/crates/pinepoint-lab/src/simulated_engine.rs
+++ b/crates/pinepoint-lab/src/simulated_engine.rs
@@ -1,5 +1,6 @@
-//! A stub engine whose cores are shared by all runs, over the platform's line protocol. Work is simulated by time alone: it
-//! takes none of this machine's cores. A body tells its own work: `WORK_MS CALLS` in words, and anything behind them.
+//! A stub engine whose cores are shared by all runs, over the platform's line protocol. Work is simulated by
+//! time alone and uses none of this machine's cores. The body of a run states its work: it begins with the
+//! words `WORK_MS CALLS`, and any text may follow.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,27 +18,28 @@
 use crate::listen::{bind_unique_address, serve_while_up};
 use crate::sync::lock;
 
-/// Speed of an engine that is cold, as a share of its full speed.
+/// Speed of an engine at the start of its warm-up, as a share of its full speed.
 const COLD_SPEED: f64 = 0.29;
 /// Time constant of the busy share, ms.
 const BUSY_SHARE_WINDOW_MS: f64 = 100.0;
-/// A run with less work left than this has ended, ms.
+/// A run with no more remaining work than this is complete, ms.
 const WORK_EPSILON_MS: f64 = 1e-6;
-/// Least pause before the engine looks at its runs again, ms.
+/// Minimum pause before the engine advances its runs again, ms.
 const MIN_PAUSE_MS: f64 = 0.02;
-/// Work and calls of a run whose body does not tell them.
+/// Work of a run whose body does not state it, ms; also stands in for a number of calls that cannot be
+/// parsed.
 const DEFAULT_WORK_MS: f64 = 1.0;
 /// Bytes that are read at a time.
 const READ_BYTES: usize = 16 * 1024;
 
-/// The state of an engine that a script changes while it runs, and what it ran.
+/// The state of an engine that a script may change while the engine runs, and the record of its runs.
 #[derive(Debug, Default)]
 pub struct EngineState {
-    /// Nobody listens there.
+    /// The engine does not listen.
     pub down: bool,
-    /// Whoever attaches next finds it cold; it warms up in this time.
+    /// Warm-up time after the next attach; later attaches find a warm engine.
     pub warm_up: Duration,
-    /// How often a run of each body was started.
+    /// Number of started runs by body.
     pub started: HashMap<String, u32>,
 }
 
@@ -56,10 +58,10 @@
 struct Run {
     request_id: String,
     body: Vec<u8>,
-    left_ms: f64,
-    /// Work left at which it stops for a call to the store.
-    call_at_left_ms: Option<f64>,
-    waits_for_call: bool,
+    remaining_ms: f64,
+    /// Remaining work at which the run stops for a call to the store.
+    call_at_remaining_ms: Option<f64>,
+    is_waiting_for_call: bool,
 }
 
 impl Run {
@@ -68,23 +70,23 @@
         let mut numbers = text.split(' ').map(|word| word.parse().unwrap_or(DEFAULT_WORK_MS));
         let work_ms: f64 = numbers.next().unwrap_or(DEFAULT_WORK_MS);
         let calls = numbers.next().unwrap_or(0.0);
-        let call_at_left_ms = (calls > 0.0).then_some(work_ms / 2.0);
+        let call_at_remaining_ms = (calls > 0.0).then_some(work_ms / 2.0);
         Run {
             request_id: request_id.to_owned(),
             body,
-            left_ms: work_ms,
-            call_at_left_ms,
-            waits_for_call: false,
+            remaining_ms: work_ms,
+            call_at_remaining_ms,
+            is_waiting_for_call: false,
         }
     }
 
-    /// Work left until it stops for a call or ends, ms.
-    fn left_to_event_ms(&self) -> f64 {
-        self.left_ms - self.call_at_left_ms.unwrap_or(0.0)
+    /// Work until the run stops for a call or ends, ms.
+    fn remaining_to_event_ms(&self) -> f64 {
+        self.remaining_ms - self.call_at_remaining_ms.unwrap_or(0.0)
     }
 }
 
-/// How a run ended, as the protocol names it.
+/// End of a run, as named in the protocol.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Complete,
@@ -113,12 +115,12 @@
     warm_up: Duration,
     attached: Instant,
     runs: Vec<Run>,
-    /// When the runs were advanced last.
-    advanced: Instant,
-    last_notice: u64,
-    /// Exponentially weighted moving average of the share of the cores that is used.
+    /// Time of the last advance of the runs.
+    last_advance: Instant,
+    last_notice_number: u64,
+    /// Exponentially weighted moving average of the share of the cores in use.
     busy_share: f64,
-    /// Lines that are not sent yet.
+    /// Lines that have not been sent yet.
     output: Vec<u8>,
 }
 
@@ -130,74 +132,75 @@
             warm_up: Duration::ZERO,
             attached: Instant::now(),
             runs: Vec::new(),
-            advanced: Instant::now(),
-            last_notice: 0,
+            last_advance: Instant::now(),
+            last_notice_number: 0,
             busy_share: 0.0,
             output: Vec::new(),
         }
     }
 
     fn running(&self) -> usize {
-        self.runs.iter().filter(|run| !run.waits_for_call).count()
+        self.runs.iter().filter(|run| !run.is_waiting_for_call).count()
     }
 
     /// The speed of each run, as a share of one core.
     fn speed(&self) -> f64 {
-        let share_of_core = (self.cores / (self.running() as f64).max(1.0)).min(1.0);
+        let core_share = (self.cores / (self.running() as f64).max(1.0)).min(1.0);
         let warm = self.attached.elapsed().as_secs_f64() / self.warm_up.as_secs_f64().max(1e-9);
-        share_of_core * (COLD_SPEED + (1.0 - COLD_SPEED) * warm.min(1.0))
+        core_share * (COLD_SPEED + (1.0 - COLD_SPEED) * warm.min(1.0))
     }
 
-    /// A process attaches: it counts its requests anew, and the engine drops its runs.
+    /// Attaches a process. The process numbers its requests anew, so the engine drops all runs and restarts
+    /// its notice numbers.
     fn attach(&mut self) {
         self.runs.clear();
-        self.last_notice = 0;
+        self.last_notice_number = 0;
         self.attached = Instant::now();
-        self.advanced = Instant::now();
+        self.last_advance = Instant::now();
         self.warm_up = std::mem::take(&mut self.control.state().warm_up);
         self.output.clear();
     }
 
-    /// Advances all runs to now, and notifies of those that stop for a call or end.
+    /// Advances all runs to the current time, and reports the runs that stop for a call or end.
     fn advance(&mut self) {
         let speed = self.speed();
-        let elapsed_ms = self.advanced.elapsed().as_secs_f64() * 1000.0;
-        self.advanced = Instant::now();
+        let elapsed_ms = self.last_advance.elapsed().as_secs_f64() * 1000.0;
+        self.last_advance = Instant::now();
         let busy_share = (self.running() as f64 / self.cores).min(1.0);
         self.busy_share += (busy_share - self.busy_share) * (elapsed_ms / BUSY_SHARE_WINDOW_MS).min(1.0);
-        let mut ended = Vec::new();
-        for run in self.runs.iter_mut().filter(|run| !run.waits_for_call) {
-            run.left_ms -= elapsed_ms * speed;
-            if run.call_at_left_ms.is_some_and(|left_ms| run.left_ms <= left_ms) {
-                run.call_at_left_ms = None;
-                run.waits_for_call = true;
-                self.last_notice += 1;
-                let head = format!("NEED {} {}", self.last_notice, run.request_id);
+        let mut completed = Vec::new();
+        for run in self.runs.iter_mut().filter(|run| !run.is_waiting_for_call) {
+            run.remaining_ms -= elapsed_ms * speed;
+            if run.call_at_remaining_ms.is_some_and(|remaining_ms| run.remaining_ms <= remaining_ms) {
+                run.call_at_remaining_ms = None;
+                run.is_waiting_for_call = true;
+                self.last_notice_number += 1;
+                let head = format!("NEED {} {}", self.last_notice_number, run.request_id);
                 write_with_body(&mut self.output, &head, &run.body);
-            } else if run.left_ms <= WORK_EPSILON_MS {
-                ended.push(run.request_id.clone());
+            } else if run.remaining_ms <= WORK_EPSILON_MS {
+                completed.push(run.request_id.clone());
             }
         }
-        ended.iter().for_each(|request_id| self.end_run(request_id, RunEnd::Complete));
+        completed.iter().for_each(|request_id| self.end_run(request_id, RunEnd::Complete));
     }
 
     fn end_run(&mut self, request_id: &str, end: RunEnd) {
         let Some(at) = self.runs.iter().position(|run| run.request_id == request_id) else { return };
         self.runs.swap_remove(at);
-        self.last_notice += 1;
-        let head = format!("DONE {} {request_id} {} 1", self.last_notice, end.name());
+        self.last_notice_number += 1;
+        let head = format!("DONE {} {request_id} {} 1", self.last_notice_number, end.name());
         write_with_body(&mut self.output, &head, end.result().as_bytes());
     }
 
     /// Time until the next run stops for a call or ends.
     fn next_event(&self) -> Option<Duration> {
         let speed = self.speed();
-        let runs = self.runs.iter().filter(|run| !run.waits_for_call);
-        let ms = runs.map(|run| run.left_to_event_ms() / speed).min_by(f64::total_cmp)?;
+        let runs = self.runs.iter().filter(|run| !run.is_waiting_for_call);
+        let ms = runs.map(|run| run.remaining_to_event_ms() / speed).min_by(f64::total_cmp)?;
         Some(Duration::from_secs_f64(ms.max(MIN_PAUSE_MS) / 1000.0))
     }
 
-    /// Carries out a command of the process.
+    /// Carries out a command from the process.
     fn execute(&mut self, words: &[&str], body: Vec<u8>) {
         match words {
             ["ATTACH", _] if self.warm_up.is_zero() => self.write_line("HELLO hot 60000"),
@@ -210,7 +213,7 @@
             ["HALT", request_id] => self.end_run(request_id, RunEnd::Cancelled),
             ["FEED", request_id, ..] | ["SKIP", request_id, ..] => {
                 let resumed = self.runs.iter_mut().filter(|run| run.request_id == *request_id);
-                resumed.for_each(|run| run.waits_for_call = false);
+                resumed.for_each(|run| run.is_waiting_for_call = false);
             }
             ["STAT", tag] => {
                 let gauges = format!("STATS {tag} {:.3} {} 0.1 3", self.busy_share, self.running());
@@ -226,7 +229,7 @@
     }
 }
 
-/// Writes a line whose last word is the length of its body, and the body.
+/// Writes a line with the length of the body as its last word, and then the body.
 fn write_with_body(output: &mut Vec<u8>, head: &str, body: &[u8]) {
     output.extend_from_slice(format!("{head} {}\r\n", body.len()).as_bytes());
     output.extend_from_slice(body);
@@ -262,7 +265,7 @@
     }
 }
 
-/// Starts an engine of so many cores on this executor; scripts change it by its control.
+/// Starts an engine with this number of cores on this executor; scripts change the engine through `control`.
 ///
 /// # Errors
 /// If no address can be bound.
--- a/crates/pinepoint-lab/src/store.rs
+++ b/crates/pinepoint-lab/src/store.rs
@@ -1,6 +1,7 @@
-//! A stub store that many processes share, over the platform's line protocol. It makes so many calls at once; beyond these
-//! all calls take longer in proportion. If calls in flight exceed [`OVERLOAD_FACTOR`] times its slots for [`OVERLOAD_LIMIT`]
-//! it crashes: nobody listens there until its outage is over. Scripts change it while it runs.
+//! A stub store that many processes share, over the platform's line protocol. The store makes as many
+//! concurrent calls as it has slots; with more calls in flight, calls take proportionally longer. If the
+//! calls in flight exceed [`OVERLOAD_FACTOR`] times the slots for [`OVERLOAD_LIMIT`], the store crashes and
+//! does not listen until its outage is over. Scripts may change the store while it runs.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -21,23 +22,23 @@
 /// How long the store is overloaded before it crashes.
 pub const OVERLOAD_LIMIT: Duration = Duration::from_secs(5);
 
-/// How long the store is down after a crash, unless a script says otherwise.
+/// Outage of the store after a crash, unless a script sets another one.
 const DEFAULT_OUTAGE: Duration = Duration::from_secs(5);
 
-/// The state of the store: what a script may change, and what it counts.
+/// The state of the store: the settings that a script may change, and counts.
 #[derive(Clone, Debug)]
 pub struct StoreState {
-    /// Calls that it makes at once without delay.
+    /// Calls that the store makes concurrently without delay.
     pub slots: usize,
     /// Time of a call within the slots.
     pub call_time: Duration,
-    /// How long it is down after a crash.
+    /// Outage after a crash.
     pub outage: Duration,
-    /// A script has taken it down.
+    /// A script has stopped the store.
     pub down: bool,
     /// Calls in flight now.
     pub in_flight: usize,
-    /// The most calls that were in flight.
+    /// Maximum number of calls that were in flight.
     pub peak_in_flight: usize,
     /// Calls so far.
     pub calls: u64,
@@ -48,7 +49,7 @@
 }
 
 impl StoreState {
-    /// An idle store of so many slots.
+    /// An idle store with this number of slots.
     pub fn new(slots: usize, call_time: Duration) -> StoreState {
         StoreState {
             slots,
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Whether it listens; crashes and recovers as time passes.
+    /// Whether the store listens. Crashes an overloaded store and recovers a crashed one when the time has
+    /// come.
     fn is_up(&mut self) -> bool {
         let now = Instant::now();
         if self.in_flight as f64 <= OVERLOAD_FACTOR * self.slots as f64 {
@@ -80,7 +82,7 @@
         !self.down && self.recovers_at.is_none()
     }
 
-    /// Starts a call; returns how long it takes.
+    /// Starts a call and returns its duration.
     fn start_call(&mut self) -> Duration {
         self.calls += 1;
         self.in_flight += 1;
@@ -93,24 +95,24 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     state: Arc<Mutex<StoreState>>,
-    /// Where it listens.
+    /// The address of the store.
     pub address: SocketAddr,
 }
 
 impl Store {
-    /// Starts it on this executor.
+    /// Starts the store on this executor.
     ///
     /// # Errors
     /// If no address can be bound.
     pub fn start(state: StoreState, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Store> {
         let listener = bind_unique_address()?;
         let store = Store { state: Arc::new(Mutex::new(state)), address: listener.local_addr()? };
-        let (own, up) = (store.clone(), store.clone());
+        let (serving_store, listening_store) = (store.clone(), store.clone());
         let serve = move |stream: Async<TcpStream>| {
-            let store = own.clone();
+            let store = serving_store.clone();
             async move { store.serve(&stream).await }
         };
-        let accepting = serve_while_up(listener, move || up.listens(), serve, executor.clone())?;
+        let accepting = serve_while_up(listener, move || listening_store.listens(), serve, executor.clone())?;
         executor.spawn(accepting).detach();
         Ok(store)
     }
@@ -120,7 +122,7 @@
         lock(&self.state)
     }
 
-    /// Whether it listens now.
+    /// Whether the store listens now.
     pub fn listens(&self) -> bool {
         self.state().is_up()
     }
@@ -134,19 +136,19 @@
             }
             input.extend_from_slice(&chunk[..n]);
             while let Some((text, _)) = take_line(&mut input) {
-                if let ["CALL", rid, ..] = text.split(' ').collect::<Vec<_>>().as_slice() {
+                if let ["CALL", attempt_id, ..] = text.split(' ').collect::<Vec<_>>().as_slice() {
                     let call = CallGuard(self.clone());
-                    let pause = self.state().start_call();
-                    Timer::after(pause).await;
+                    let duration = self.state().start_call();
+                    Timer::after(duration).await;
                     drop(call);
-                    stream.write_all(format!("{rid} OK 2\r\nok\r\n").as_bytes()).await?;
+                    stream.write_all(format!("{attempt_id} OK 2\r\nok\r\n").as_bytes()).await?;
                 }
             }
         }
     }
 }
 
-/// A call in flight, until this is dropped.
+/// A call in flight; the call ends when this value is dropped.
 struct CallGuard(Store);
 
 impl Drop for CallGuard {
--- a/crates/pinepoint-lab/src/stub_services.rs
+++ b/crates/pinepoint-lab/src/stub_services.rs
@@ -1,5 +1,5 @@
-//! The services below one process: a simulated engine, a store that is never overloaded, and a list service that discards
-//! load reports.
+//! The services below one process: a simulated engine, a store that is never overloaded, and a list service
+//! that discards load reports.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -15,7 +15,7 @@
 /// Longest load report, bytes.
 const MAX_REPORT_BYTES: usize = 256;
 
-/// Where the services of a process are.
+/// Addresses of the services of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceAddresses {
     /// The engine.
@@ -26,7 +26,7 @@
     pub members: SocketAddr,
 }
 
-/// How the services of a process are set up.
+/// Settings of the services of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct StubServices {
     /// Cores of the engine.
@@ -43,7 +43,7 @@
     pub fn start(self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<ServiceAddresses> {
         let members = start_list_service(executor)?;
         let engine = start_engine(self.cores, &EngineControl::default(), executor)?;
-        // More slots than there are calls: it is never overloaded.
+        // The store is never overloaded: it has more slots than there are calls.
         let store = Store::start(StoreState::new(usize::MAX, self.call), executor)?.address;
         Ok(ServiceAddresses { engine, store, members })
     }
