--- a/crates/pinepoint-lab/src/listen.rs
+++ b/crates/pinepoint-lab/src/listen.rs
@@ -1,5 +1,5 @@
-//! How stub services listen: at addresses of their own, and with connections that are served while a script lets the
-//! service be up. It does not know what is said on the connections.
+//! Listening sockets of stub services: unique addresses, and connections that are served while a service is
+//! up. This module does not interpret the data on the connections.
 
 use std::io;
 use std::net::{Ipv4Addr, TcpListener, TcpStream, UdpSocket};
@@ -11,39 +11,41 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-/// Pause between two looks whether a service is up.
+/// Interval between two checks whether a service is up.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Addresses that are tried before none is found.
+/// Maximum number of addresses that are tried before binding fails.
 const MAX_BIND_ATTEMPTS: usize = 1000;
 
-/// Addresses that were handed out by this process.
-static ADDRESSES: AtomicUsize = AtomicUsize::new(0);
-/// The port at each of them. Systems hand out ports from 32,768 on to those that ask for any, also at all addresses at once: one
-/// from there may be somebody else's whenever nobody listens at it.
+/// Number of addresses that this process has tried so far.
+static TRIED_ADDRESSES: AtomicUsize = AtomicUsize::new(0);
+/// The port at each of these addresses. It is below 32,768: from there on systems assign ephemeral ports,
+/// also for all addresses at once, so that such a port may be taken by another process whenever nothing
+/// listens on it.
 const PORT: u16 = 17_400;
 
-/// Binds a port of loopback at an address of its own, free for streams and datagrams: nobody else is given the same, also
-/// while nobody listens there.
+/// Binds a TCP listener at a loopback address of its own, whose port is free for streams and datagrams. No
+/// other caller gets the same address, even while nothing listens there.
 pub(crate) fn bind_unique_address() -> io::Result<TcpListener> {
-    let mut last = io::ErrorKind::AddrInUse.into();
+    let mut last_error = io::ErrorKind::AddrInUse.into();
     for _ in 0..MAX_BIND_ATTEMPTS {
-        let host = unique_host(ADDRESSES.fetch_add(1, Ordering::Relaxed));
-        // Another process of this tool may have it.
+        let host = unique_host(TRIED_ADDRESSES.fetch_add(1, Ordering::Relaxed));
+        // Another process of this tool may use the address.
         match UdpSocket::bind((host, PORT)).and_then(|_| TcpListener::bind((host, PORT))) {
             Ok(listener) => return Ok(listener),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-/// The loopback address of this number, which is most likely of this process alone.
+/// The loopback address with this number; most likely no other process of this tool uses it.
 fn unique_host(number: usize) -> Ipv4Addr {
     let (high, low) = ((number / 250 % 100) as u8, 1 + (number % 250) as u8);
     Ipv4Addr::from([127, 77 + high, (std::process::id() % 250) as u8, low])
 }
 
-/// Serves connections while the service is up. While it is down nobody listens there, and open connections are closed.
+/// Serves connections while the service is up. While it is down, nothing listens at its address; connections
+/// that were open are closed.
 pub(crate) fn serve_while_up<S, F>(
     listener: TcpListener,
     is_up: impl Fn() -> bool + Clone + 'static,
@@ -61,31 +63,32 @@
             if listener.is_none() && is_up() {
                 listener = Async::<TcpListener>::bind(address).ok();
             }
-            let Some(open) = listener.as_ref().filter(|_| is_up()) else {
+            let Some(open_listener) = listener.as_ref().filter(|_| is_up()) else {
                 listener = None;
                 Timer::after(POLL_INTERVAL).await;
                 continue;
             };
-            if let Some(stream) = accept_soon(open).await {
+            if let Some(stream) = accept_before_next_poll(open_listener).await {
                 let _ = stream.get_ref().set_nodelay(true);
-                let serving = future::or(serve(stream), until_down(is_up.clone()));
+                let serving = future::or(serve(stream), wait_until_down(is_up.clone()));
                 executor.spawn(serving).detach();
             }
         }
     })
 }
 
-/// A connection that comes before the next look whether the service is up.
-async fn accept_soon(listener: &Async<TcpListener>) -> Option<Async<TcpStream>> {
+/// Accepts a connection, if one arrives before the next check whether the service is up.
+async fn accept_before_next_poll(listener: &Async<TcpListener>) -> Option<Async<TcpStream>> {
     let accepted = async { listener.accept().await.ok().map(|(stream, _)| stream) };
-    let time_to_look = async {
+    let poll_timeout = async {
         Timer::after(POLL_INTERVAL).await;
         None
     };
-    future::or(accepted, time_to_look).await
+    future::or(accepted, poll_timeout).await
 }
 
-async fn until_down(is_up: impl Fn() -> bool) -> io::Result<()> {
+/// Completes when the service is down.
+async fn wait_until_down(is_up: impl Fn() -> bool) -> io::Result<()> {
     while is_up() {
         Timer::after(POLL_INTERVAL).await;
     }
--- a/crates/pinepoint-lab/src/script.rs
+++ b/crates/pinepoint-lab/src/script.rs
@@ -1,8 +1,9 @@
-//! The language of scenarios, for the tests of one process and for the test cluster alike: lines of `ACTOR VERB WORDS`,
-//! variables that are captured from what was received, and patterns. It owns how a line is parsed; what an actor does with
-//! a verb is its user's.
+//! The language of scenarios, for the tests of one process and for the test cluster: lines of `ACTOR VERB
+//! WORDS`, variables that are captured from received text, and patterns. This module owns the parsing of a
+//! line; its users define the actors and verbs.
 //!
-//! Empty lines and comments, which begin with `#`, are skipped. `$name` stands for what was captured under that name.
+//! Empty lines and comments, which begin with `#`, are skipped. `$name` stands for the text captured under
+//! that name.
 //!
 //! ```
 //! use pinepoint_lab::script::{Bindings, matches, steps};
@@ -22,11 +23,11 @@
 pub struct Step<'a> {
     /// The line as written.
     pub line: &'a str,
-    /// Who acts.
+    /// The actor: the first word.
     pub actor: &'a str,
-    /// What it does; empty if the line has but one word.
+    /// What the actor does: the second word; empty if the line has only one word.
     pub verb: &'a str,
-    /// The rest.
+    /// The rest of the line.
     pub words: &'a str,
 }
 
@@ -40,7 +41,7 @@
     })
 }
 
-/// Values of variables, whose names begin with `$`.
+/// Values of variables by name; names begin with `$`.
 #[derive(Clone, Debug, Default)]
 pub struct Bindings(HashMap<String, String>);
 
@@ -50,13 +51,13 @@
         self.0.iter().fold(text.to_owned(), |text, (name, value)| text.replace(name, value))
     }
 
-    /// Captures each variable of the pattern from the word of the text in its place; returns the pattern with `*` in the
-    /// place of variables.
+    /// Captures each variable of the pattern from the word at the same position of the text. Returns the
+    /// pattern with `*` in place of the variables.
     pub fn capture(&mut self, pattern: &str, text: &str) -> String {
         let mut words = Vec::new();
-        for (at, word) in pattern.split(' ').enumerate() {
+        for (position, word) in pattern.split(' ').enumerate() {
             if word.starts_with('$') {
-                let value = text.split(' ').nth(at).unwrap_or_default();
+                let value = text.split(' ').nth(position).unwrap_or_default();
                 self.0.insert(word.to_owned(), value.to_owned());
             }
             words.push(if word.starts_with('$') { "*" } else { word });
@@ -70,7 +71,8 @@
     match pattern.split_once('*') {
         None => pattern == text,
         Some((head, rest)) => text.strip_prefix(head).is_some_and(|after| {
-            (0..=after.len()).any(|at| after.is_char_boundary(at) && matches(rest, &after[at..]))
+            (0..=after.len())
+                .any(|position| after.is_char_boundary(position) && matches(rest, &after[position..]))
         }),
     }
 }
