--- a/crates/pinepoint-lab/src/fault_proxy/faults.rs
+++ b/crates/pinepoint-lab/src/fault_proxy/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that are injected, and what they mean for a datagram or a piece of a stream.
+//! The injected faults, and their effect on a datagram or a piece of a stream.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Who is at an end of a network path.
+/// An end of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
-    /// The process of this number.
+    /// The process with this index.
     Member(usize),
-    /// The store that all share.
+    /// The store that all processes share.
     Store,
     /// The list service.
     List,
-    /// The routers. They are outside: partitions do not affect them.
+    /// The routers. They are outside the fleet, and partitions do not affect them.
     Routers,
 }
 
 /// One direction of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
-    /// Who sends.
+    /// The sending endpoint.
     pub from: Endpoint,
-    /// Who receives.
+    /// The receiving endpoint.
     pub to: Endpoint,
 }
 
 impl Direction {
-    /// From the first endpoint to the second.
+    /// The direction from the first endpoint to the second.
     pub fn new(from: Endpoint, to: Endpoint) -> Direction {
         Direction { from, to }
     }
@@ -40,25 +40,27 @@
     }
 }
 
-/// The faults that are injected now. Shares are from 0 to 1.
+/// The faults to inject. Shares are from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Share of all datagrams that is lost.
+    /// Share of all traffic that is lost.
     pub loss: f64,
-    /// Share that is lost of what these endpoints are sent, if it is larger.
+    /// Share of the traffic to these endpoints that is lost, if larger than `loss`.
     pub receive_loss: BTreeMap<Endpoint, f64>,
     /// Share of the datagrams that is duplicated.
     pub duplication: f64,
-    /// Most delay, ms: drawn uniformly for each datagram, so that they are reordered.
+    /// Maximum delay, ms. Each datagram or piece of a stream has a delay drawn uniformly up to it, which
+    /// reorders datagrams.
     pub delay_ms: u64,
-    /// Directions in which nothing goes.
+    /// Directions in which nothing is forwarded.
     pub blocked: BTreeSet<Direction>,
-    /// Partition of each endpoint; those of different partitions do not reach each other. Who is not listed is in 0.
+    /// Partition of each endpoint. Endpoints in different partitions do not reach each other; endpoints that
+    /// are not listed are in partition 0.
     pub partition: BTreeMap<Endpoint, usize>,
 }
 
 impl Faults {
-    /// Whether anything goes in this direction.
+    /// Whether traffic is forwarded in this direction.
     pub(super) fn allows(&self, direction: Direction) -> bool {
         let Direction { from, to } = direction;
         let is_outside = from == Endpoint::Routers || to == Endpoint::Routers;
@@ -70,13 +72,13 @@
         self.partition.get(&endpoint).copied().unwrap_or(0)
     }
 
-    /// Draws whether something to this endpoint is lost.
+    /// Draws whether a datagram or a piece of a stream to this endpoint is lost.
     pub(super) fn draw_loss(&self, to: Endpoint, rng: &mut Pcg64Mcg) -> bool {
         let receive_loss = self.receive_loss.get(&to).copied().unwrap_or(0.0);
         rng.random::<f64>() < self.loss.max(receive_loss)
     }
 
-    /// Draws how often a datagram is sent: once, or twice if it is duplicated.
+    /// Draws the number of copies of a datagram: 1, or 2 if it is duplicated.
     pub(super) fn draw_copies(&self, rng: &mut Pcg64Mcg) -> usize {
         if rng.random::<f64>() < self.duplication { 2 } else { 1 }
     }
--- a/crates/pinepoint-lab/src/fault_proxy/forward.rs
+++ b/crates/pinepoint-lab/src/fault_proxy/forward.rs
@@ -1,5 +1,5 @@
-//! The tasks of the proxy: each forwards the datagrams of one socket, or the streams of one listener, under the faults of
-//! the moment.
+//! The tasks of the proxy: each forwards the datagrams of one socket, or the streams of one listener, and
+//! applies the current faults.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,16 +17,16 @@
 use super::{Direction, Endpoint, Route, SharedFaults, StreamRoute};
 use crate::listen::serve_while_up;
 
-/// How late what is lost of a stream comes: TCP sends it again.
+/// Additional delay of a lost piece of a stream, which stands for a retransmission by TCP.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
-/// Pause between two looks whether a path is open again.
+/// Interval between two checks whether a blocked path is open again.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest datagram, bytes.
+/// Maximum length of a datagram, bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Bytes of a stream that are forwarded at a time.
+/// Maximum length of a forwarded piece of a stream, bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Where a datagram is forwarded to.
+/// Destination of a forwarded datagram.
 #[derive(Clone, Copy)]
 struct Forwarding {
     direction: Direction,
@@ -45,7 +45,7 @@
         Forwarder { executor: Rc::default(), faults, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// Forwards between members, and on each route that is opened, as long as this process lives.
+    /// Forwards datagrams between members, and traffic on each route that is opened, until this process ends.
     pub(super) fn run(mut self, sockets: Vec<UdpSocket>, members: &[SocketAddr], routes: &Receiver<Route>) {
         for (to, socket) in sockets.into_iter().enumerate() {
             if self.forward_to_member(socket, members, to).is_err() {
@@ -55,7 +55,7 @@
         let executor = self.executor.clone();
         async_io::block_on(executor.run(async {
             while let Ok(route) = routes.recv().await {
-                // A route that the system refuses is not served.
+                // A route whose socket the system refuses is not served.
                 let _ = self.open(route);
             }
             future::pending::<()>().await;
@@ -66,7 +66,7 @@
         Pcg64Mcg::seed_from_u64(self.rng.next_u64())
     }
 
-    /// Forwards what members send to the member of this number.
+    /// Forwards the datagrams that members send to the member with this index.
     fn forward_to_member(&mut self, socket: UdpSocket, members: &[SocketAddr], to: usize) -> io::Result<()> {
         let socket = Async::new(socket)?;
         let members = members.to_vec();
@@ -121,7 +121,8 @@
     }
 }
 
-/// Forwards what arrives at a socket, to where `target` says of its sender.
+/// Forwards the datagrams that arrive at a socket. `target` returns the destination by sender; datagrams
+/// without one are dropped.
 async fn forward_datagrams(
     socket: Async<UdpSocket>,
     target: impl Fn(SocketAddr) -> Option<Forwarding>,
@@ -132,7 +133,7 @@
     let socket = Rc::new(socket);
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // That a target refused an earlier datagram is reported here, and does not end the socket.
+        // An error reports that a target refused an earlier datagram. The socket stays usable.
         let Ok((n, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let faults = faults.snapshot();
         let Some(Forwarding { direction, address }) = target(sender) else { continue };
@@ -153,25 +154,27 @@
     let _ = socket.send_to(&bytes, address).await;
 }
 
-/// Forwards a stream to its target and back, as long as both are there.
+/// Forwards a stream to its target and back, until both directions have ended.
 async fn forward_stream(
-    near: Async<TcpStream>,
+    client: Async<TcpStream>,
     address: SocketAddr,
     direction: Direction,
     faults: SharedFaults,
     mut rng: Pcg64Mcg,
 ) -> io::Result<()> {
-    // The request for a connection goes there, and its answer back.
+    // A TCP handshake needs both directions: the SYN goes to the target, and its answer comes back.
     wait_until_open(&faults, direction).await;
     wait_until_open(&faults, direction.reversed()).await;
-    let far = Async::<TcpStream>::connect(address).await?;
-    far.get_ref().set_nodelay(true)?;
-    let there = copy(&near, &far, direction, &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
-    let back = copy(&far, &near, direction.reversed(), &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
-    let (there, back) = future::zip(there, back).await;
-    there.and(back)
+    let target = Async::<TcpStream>::connect(address).await?;
+    target.get_ref().set_nodelay(true)?;
+    let outbound = copy(&client, &target, direction, &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
+    let inbound =
+        copy(&target, &client, direction.reversed(), &faults, Pcg64Mcg::seed_from_u64(rng.next_u64()));
+    let (outbound, inbound) = future::zip(outbound, inbound).await;
+    outbound.and(inbound)
 }
 
+/// Waits until traffic in this direction is not blocked.
 async fn wait_until_open(faults: &SharedFaults, direction: Direction) {
     while !faults.lock().allows(direction) {
         Timer::after(POLL_INTERVAL).await;
@@ -192,10 +195,10 @@
         wait_until_open(faults, direction).await;
         let n = match read {
             Ok(n) if n > 0 => n,
-            ended => {
-                // A half-close: the receiver sees the end, and may still send.
+            end_or_error => {
+                // A half-close: the receiver reads the end of the stream and may still send.
                 let _ = to.get_ref().shutdown(Shutdown::Write);
-                return ended.map(|_| ());
+                return end_or_error.map(|_| ());
             }
         };
         let faults = faults.snapshot();
--- a/crates/pinepoint-lab/src/script.rs
+++ b/crates/pinepoint-lab/src/script.rs
@@ -1,6 +1,6 @@
-//! The language of scenarios, for the tests of one process and for the test cluster: lines of `ACTOR VERB
-//! WORDS`, variables that are captured from received text, and patterns. This module owns the parsing of a
-//! line; its users define the actors and verbs.
+//! The language of scenarios, for the tests of one process and for the test cluster: lines of
+//! `ACTOR VERB WORDS`, variables that are captured from received text, and patterns. This module owns the
+//! parsing of a line; its users define the actors and verbs.
 //!
 //! Empty lines and comments, which begin with `#`, are skipped. `$name` stands for the text captured under
 //! that name.
