--- a/crates/pinepoint-lab/src/fleet.rs
+++ b/crates/pinepoint-lab/src/fleet.rs
@@ -1,6 +1,7 @@
-//! The experiment on the membership view: what it costs a process that serves requests. Two processes of the program run
-//! side by side, one with the view off, one with it on among peers that are real processes. They are loaded in short rounds
-//! with the same requests, so that what the machine does meanwhile, and what a queue does by chance, affects both alike.
+//! The experiment on the membership view: its cost for a process that serves requests. Two processes of the
+//! program run side by side, one with the view off, one with the view on and with real processes as peers.
+//! Both get the same requests in short rounds, so that other load on the machine and random queueing affect
+//! both alike.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -21,46 +22,48 @@
 use crate::statistics::{interval_95, median};
 use crate::stub_services::StubServices;
 
-/// Bootstrap resamples of the rounds, from which an interval is computed.
+/// Number of bootstrap resamples of the rounds from which a confidence interval is computed.
 const RESAMPLES: usize = 400;
 /// Time of a call to the store.
 const STORE_CALL: Duration = Duration::from_millis(3);
-/// Pause before the first round, in which the members find each other.
+/// Pause before the first round, in which the members discover each other.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Pause after a trial, in which the engine works off what is left, so that no trial pays for the one before it.
+/// Pause after a trial, in which the engine finishes its remaining work, so that no trial is slowed by the
+/// previous one.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Zones that the peers are in.
+/// Number of zones of the peers.
 const ZONES: usize = 3;
 /// Period of the membership protocol, ms.
 const PERIOD_MS: u64 = 1000;
 
-/// How it is measured.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
     /// Duration of the load of each trial.
     pub duration: Duration,
-    /// Rounds, each with one trial of each side; a further one before them is not counted.
+    /// Number of rounds, each with one trial of each process. One more round, which is not counted, runs
+    /// first.
     pub rounds: u64,
-    /// Peers in the fleet.
+    /// Number of peers in the fleet.
     pub peers: usize,
-    /// Requests a second as a share of what the engine can do.
+    /// Request rate as a share of the capacity of the engine.
     pub load_factor: f64,
-    /// The core that the program has for itself.
+    /// The core to which the program is pinned, if any.
     pub cpu: Option<usize>,
 }
 
-/// One trial of one side, or several merged.
+/// The measurements of one trial of one process, or of several trials merged.
 #[derive(Clone, Debug)]
 struct Trial {
-    /// Latency of what was served, us.
+    /// Latency of the served requests, us.
     latency: Histogram<u64>,
-    /// CPU time of the process, s.
+    /// CPU time of the process under test, s.
     cpu_s: f64,
-    /// Requests.
+    /// Number of sent requests.
     sent: u64,
-    /// Time that the hypervisor took from this machine's cores, s.
+    /// Time that the hypervisor withheld from this machine's cores, s.
     steal_s: f64,
 }
 
@@ -72,9 +75,9 @@
         self.steal_s += other.steal_s;
     }
 
-    /// Several trials as one; there must be at least one.
+    /// Merges trials, of which there has to be at least one.
     fn merged<'a>(mut trials: impl Iterator<Item = &'a Trial>) -> Trial {
-        let mut merged = trials.next().expect("at least one round").clone();
+        let mut merged = trials.next().expect("at least one trial").clone();
         trials.for_each(|trial| merged.merge(trial));
         merged
     }
@@ -103,12 +106,12 @@
         }
     }
 
-    fn ratio(&self, figure: &dyn Fn(&Trial) -> f64) -> f64 {
-        figure(&self.on) / figure(&self.off)
+    fn ratio(&self, metric: &dyn Fn(&Trial) -> f64) -> f64 {
+        metric(&self.on) / metric(&self.off)
     }
 }
 
-/// Time that this machine's cores were not given, s since it runs ("steal" in proc(5)).
+/// Time that the hypervisor withheld from this machine's cores since boot, s ("steal" in proc(5)).
 fn steal_s() -> f64 {
     let stat = std::fs::read_to_string("/proc/stat").unwrap_or_default();
     let ticks = stat.lines().next().and_then(|line| line.split_whitespace().nth(8)?.parse::<f64>().ok());
@@ -159,14 +162,14 @@
     })
 }
 
-/// The two processes that are compared.
-struct Sides {
+/// The two processes that are compared: with the view off, and on.
+struct ComparedProcesses {
     off: Process,
     on: Process,
 }
 
-impl Sides {
-    /// Runs a round; which side comes first alternates, so that what grows with time favours neither.
+impl ComparedProcesses {
+    /// Runs a round. The process that comes first alternates, so that a drift over time favours neither.
     async fn run_round(
         &self,
         options: &Options,
@@ -186,8 +189,8 @@
     }
 }
 
-/// Runs all rounds; writes progress to standard error, and returns the report. Ratios are on to off; the interval holds 95
-/// of 100 resamples of the rounds.
+/// Runs all rounds, writes progress to standard error, and returns the report. Ratios are those of the view
+/// on to the view off; the interval contains 95 percent of the resamples of the rounds.
 ///
 /// # Errors
 /// If the program does not start, or a stub cannot bind its address.
@@ -214,7 +217,7 @@
 ) -> io::Result<Vec<Round>> {
     let (off_folder, on_folder) = (TempDir::new("off")?, TempDir::new("on")?);
     let edge = format!("[fleet]\nlisten = \"127.0.0.1:0\"\nseeds = {seeds}\n");
-    let sides = Sides {
+    let processes = ComparedProcesses {
         off: start_process(options, &off_folder, None, executor)?,
         on: start_process(options, &on_folder, Some(edge), executor)?,
     };
@@ -222,8 +225,8 @@
     let mut rounds = Vec::new();
     for number in 0..=options.rounds {
         let _ = writeln!(io::stderr(), "turn {number} of {}", options.rounds);
-        let round = sides.run_round(options, number, executor).await?;
-        // The program warms up in the first round, which does not count.
+        let round = processes.run_round(options, number, executor).await?;
+        // The first round warms up the program and is not counted.
         if number > 0 {
             rounds.push(round);
         }
@@ -241,16 +244,16 @@
         .iter()
         .map(|resample| Round::merged(resample.iter().map(|index| &rounds[*index])))
         .collect();
-    let compare = |figure: &dyn Fn(&Trial) -> f64| {
-        let ratios: Vec<f64> = rounds.iter().map(|round| round.ratio(figure)).collect();
-        let merged_ratios = merged_resamples.iter().map(|round| round.ratio(figure)).collect();
-        // A round in which the machine was busy elsewhere spoils a sum and hardly moves a median.
+    let compare = |metric: &dyn Fn(&Trial) -> f64| {
+        let ratios: Vec<f64> = rounds.iter().map(|round| round.ratio(metric)).collect();
+        let merged_ratios = merged_resamples.iter().map(|round| round.ratio(metric)).collect();
+        // Other load on the machine in one round distorts a sum, but hardly changes a median.
         let median_of = |resample: &Vec<usize>| median(resample.iter().map(|index| ratios[*index]).collect());
         let medians = resamples.iter().map(median_of).collect();
         json!({
-            "off": figure(&all.off),
-            "on": figure(&all.on),
-            "ratio": all.ratio(figure),
+            "off": metric(&all.off),
+            "on": metric(&all.on),
+            "ratio": all.ratio(metric),
             "interval": interval_95(merged_ratios),
             "median_of_turns": median(ratios.clone()),
             "its_interval": interval_95(medians),
--- a/crates/pinepoint-lab/src/process.rs
+++ b/crates/pinepoint-lab/src/process.rs
@@ -1,5 +1,5 @@
-//! The program under test as a process: its configuration files, its start, the cores it may use, the resources it takes,
-//! its end.
+//! The program under test as a process: its configuration files, start, CPU affinity, resource usage and
+//! shutdown.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -16,14 +16,16 @@
 
 /// Kernel ticks of `/proc/PID/stat` and `/proc/stat` in a second.
 pub(crate) const TICKS_PER_S: f64 = 100.0;
-/// How long the program may take until it listens.
+/// Maximum time between two log lines of the program until it reports that it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Where user and system time stand in `/proc/PID/stat` behind the name: fields 14 and 15 of all.
+/// Position of the user time in `/proc/PID/stat` among the fields after the process name: field 14 of the
+/// whole line.
 const USER_TIME_FIELD: usize = 11;
-/// See above.
+/// Position of the system time, counted in the same way: field 15 of the whole line.
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// The settings of the request classes that experiments send; `CORES` stands for the cores of the engine.
+/// The settings of the program, with the request classes that experiments send; `CORES` stands for the cores
+/// of the engine.
 pub const SETTINGS: &str = r#"{"services":[
  {"name":"quick-match","effect":"read_like","promiseMs":1500,"deadlineMs":3800,"worth":1,"lateWorth":0.2},
  {"name":"report-view","effect":"read_like","promiseMs":2800,"deadlineMs":9400,"worth":1,"lateWorth":0.2},
@@ -35,12 +37,12 @@
  "registryFollows":true,"classCalls":[false,true,true],"worthWithout":[0,0.3,0],"callsOut":64,
  "callsOverMs":5000,"lingerMs":200,"gauges":["cpu_busy","runnable","mem_used","sockets"]}}"#;
 
-/// A folder for files of the processes under test; removed when dropped.
+/// A folder for files of the processes under test, which is removed when dropped.
 #[derive(Debug)]
 pub(crate) struct TempDir(pub(crate) PathBuf);
 
 impl TempDir {
-    /// A new folder of this name.
+    /// Creates a folder whose path ends with this name.
     pub(crate) fn new(name: &str) -> io::Result<TempDir> {
         let path = std::env::temp_dir().join(format!("pinepoint-lab-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path)?;
@@ -54,7 +56,7 @@
     }
 }
 
-/// What the platform tells a process: the file that `RELAY_CONFIG` names.
+/// The configuration that the platform passes to a process: the file named by `RELAY_CONFIG`.
 pub(crate) struct PlatformConfig<'a> {
     pub(crate) name: &'a str,
     pub(crate) listen: SocketAddr,
@@ -66,7 +68,7 @@
 }
 
 impl PlatformConfig<'_> {
-    /// The text of the file.
+    /// The content of the file.
     pub(crate) fn render(&self) -> String {
         let PlatformConfig { name, listen, addresses, seed, memory_mb, sockets, cores } = self;
         let ServiceAddresses { engine, store, members } = addresses;
@@ -79,7 +81,7 @@
     }
 }
 
-/// A child process; killed when dropped.
+/// A child process, which is killed when dropped.
 #[derive(Debug)]
 pub(crate) struct ChildGuard(Child);
 
@@ -110,20 +112,20 @@
     }
 }
 
-/// How the program is started.
+/// Options for starting the program.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions<'a> {
-    /// The program.
+    /// Path of the program.
     pub program: &'a Path,
-    /// A folder for its files.
+    /// Folder for the files of the program.
     pub folder: &'a Path,
-    /// The services below it.
+    /// Addresses of the services that the program uses.
     pub addresses: ServiceAddresses,
     /// Cores of the engine, as the program is configured.
     pub cores: f64,
-    /// The edge file, if any.
+    /// Content of the edge file, if any.
     pub edge: Option<String>,
-    /// The one core that it may use, if it is to have one.
+    /// The core to which the program is pinned, if any.
     pub cpu: Option<usize>,
 }
 
@@ -158,13 +160,13 @@
     }
 }
 
-/// The running program. It is killed when this is dropped.
+/// The running program, which is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: ChildGuard,
-    /// Where it takes MessagePack-RPC.
+    /// Address of the MessagePack-RPC listener.
     pub rpc: SocketAddr,
-    /// Where it takes AJP, if it does.
+    /// Address of the AJP listener, if there is one.
     pub ajp: Option<SocketAddr>,
     log: Receiver<String>,
 }
@@ -179,32 +181,37 @@
 }
 
 impl Process {
-    /// Starts it and waits until it listens.
+    /// Starts the program and waits until it listens.
     ///
     /// # Errors
-    /// If its files cannot be written, or it does not start and listen in time.
+    /// If its files cannot be written, or the program does not start and listen in time.
     pub fn start(options: &LaunchOptions<'_>) -> io::Result<Process> {
         let mut child = options.spawn()?;
-        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("the standard error of the program is not piped"))?;
         let log = read_log(stderr);
         let (rpc, ajp) = await_listening(&log)?;
         Ok(Process { child, rpc, ajp, log })
     }
 
-    /// The resources that it has used so far.
+    /// The resources that the program has used so far.
     pub fn usage(&self) -> ResourceUsage {
         let id = self.child.id();
         let cpu_s = cpu_time_s(id).unwrap_or(0.0);
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let memory_kb = peak.and_then(|text| text.trim().strip_suffix(" kB")?.parse().ok()).unwrap_or(0);
+        let peak_memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let memory_kb =
+            peak_memory.and_then(|text| text.trim().strip_suffix(" kB")?.parse().ok()).unwrap_or(0);
         ResourceUsage { cpu_s, memory_kb }
     }
 
-    /// Sends it SIGTERM and waits for its end; returns how long that took and the lines that it logged since its start.
+    /// Sends SIGTERM to the program and waits for its exit. Returns how long the exit took, and the lines
+    /// logged since the start that were not read while waiting for the program to listen.
     ///
     /// # Errors
-    /// If it has ended already.
+    /// If the signal cannot be sent, or the wait for the exit fails.
     pub fn shut_down(mut self) -> io::Result<(Duration, Vec<String>)> {
         let start = Instant::now();
         if let Some(id) = pid(&self.child)? {
@@ -215,7 +222,7 @@
     }
 }
 
-/// Reads a log on a thread of its own until it ends or nobody listens.
+/// Reads a log on a thread of its own until the log ends or the receiver of its lines is dropped.
 fn read_log(stderr: ChildStderr) -> Receiver<String> {
     let log = BufReader::new(stderr);
     let (sender, lines) = channel();
@@ -223,7 +230,8 @@
     lines
 }
 
-/// Waits until the log says where the program takes MessagePack-RPC and, before that, AJP if it does.
+/// Waits until the log reports the address of the MessagePack-RPC listener. An AJP listener is reported
+/// before that.
 fn await_listening(log: &Receiver<String>) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
     let mut ajp = None;
     loop {
@@ -239,15 +247,16 @@
     }
 }
 
-/// CPU time of a process, user and system, in steps of a kernel tick, s.
+/// CPU time of a process, user and system, with the resolution of a kernel tick, s.
 ///
 /// # Errors
 /// If there is no such process.
 pub(crate) fn cpu_time_s(id: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    // The name, which may hold anything, ends with the last bracket.
+    // The process name is in parentheses and may contain any characters; it ends at the last `)`.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks =
+        |position: usize| fields.get(position).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
     Ok((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) / TICKS_PER_S)
 }
 
@@ -256,17 +265,17 @@
     Ok(Pid::from_raw(id))
 }
 
-/// Keeps a process on one core.
+/// Pins a process to one core.
 fn pin_to_cpu(child: &Child, cpu: usize) -> io::Result<()> {
     let mut cpus = CpuSet::new();
     cpus.set(cpu);
     Ok(sched_setaffinity(pid(child)?, &cpus)?)
 }
 
-/// Keeps the calling thread, and those that it starts, off one core, unless there is no other.
+/// Keeps the calling thread, and the threads that it starts, off one core, unless that is the only core.
 ///
 /// # Errors
-/// If the system refuses it.
+/// If the system refuses to set the CPU affinity.
 pub fn avoid_cpu(cpu: usize) -> io::Result<()> {
     let mut cpus = CpuSet::new();
     let count = std::thread::available_parallelism()?.get();
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -24,7 +24,8 @@
 
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Backoff after the first rejection. It doubles with each further rejection and has a jitter of ±50 percent.
+/// Backoff after the first rejection. It doubles with each further rejection and has a jitter of 50 percent
+/// up or down.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// An answer later than this after the deadline of its class is a violation. The first term is the slack of
 /// the rule, the second an allowance for a loaded machine.
