--- a/crates/pinepoint-lab/src/cluster.rs
+++ b/crates/pinepoint-lab/src/cluster.rs
@@ -20,7 +20,7 @@
 //! | `n1 engine down`, `n1 engine up`, `n1 engine chilly 3000` | its engine; the warm-up time counts from the next attach, ms |
 //! | `store down`, `store up`, `store slots 4`, `store call 20`, `store away 5000` | the shared store; its slots, call time and outage after a crash, ms |
 //! | `list down`, `list up` | the list service |
-//! | `net loss 0.2`, `net twice 0.1`, `net delay 50` | share lost, share duplicated and longest delay (ms) of all forwarded traffic |
+//! | `net loss 0.2`, `net twice 0.1`, `net delay 50` | share of the traffic lost, share of the datagrams duplicated, longest delay (ms) |
 //! | `net deaf n1 0.3` | share that is lost of the traffic to n1 |
 //! | `net cut n1 n2` | block the direction from n1 to n2; `store`, `list`, `routers` are endpoints too |
 //! | `net part n1 n2`, `net part zone z1` | a partition: its members reach only each other |
@@ -32,7 +32,7 @@
 //! | `n1 wait n2 STATE` | the view of n1 has n2 in this state |
 //! | `n1 wait verdict KIND [OF]`, `n1 wait no verdict KIND` | the view of n1 has such a verdict, or no longer has one |
 //! | `n1 never verdict KIND` | the view of n1 has no such verdict now |
-//! | `n1 wait log PATTERN`, `n1 never log PATTERN` | a line of its log, from any start, matches the pattern with its text after `message=`; no line does |
+//! | `n1 wait log PATTERN`, `n1 never log PATTERN` | the text after `message=` of some line, or of no line, of its log matches the pattern, over all its starts |
 //!
 //! Every wait has a deadline. When it passes, the error reports the last observation.
 
--- a/crates/pinepoint-lab/src/cluster/assertions.rs
+++ b/crates/pinepoint-lab/src/cluster/assertions.rs
@@ -121,9 +121,7 @@
         let mut digest: Option<Value> = None;
         for (index, member) in self.members.iter().enumerate().filter(|(_, member)| member.is_running()) {
             let name = &member.name;
-            let Some(view) = self.view(index) else {
-                return Some(format!("{name} does not answer a query of its view"));
-            };
+            let Some(view) = self.view(index) else { return Some(format!("{name} returns no view")) };
             if view["settled"] != true {
                 return Some(format!("the view of {name} is not settled: {view}"));
             }
