--- a/crates/pinepoint-lab/src/cluster/steps.rs
+++ b/crates/pinepoint-lab/src/cluster/steps.rs
@@ -50,9 +50,9 @@
         match (verb, words) {
             ("down", []) => state.down = true,
             ("up", []) => state.down = false,
-            ("slots", [count]) => state.slots = number(count)? as usize,
-            ("call", [ms]) => state.call_time = milliseconds(ms)?,
-            ("away", [ms]) => state.outage = milliseconds(ms)?,
+            ("slots", [count]) => state.slots = parse_number(count)? as usize,
+            ("call", [ms]) => state.call_time = parse_milliseconds(ms)?,
+            ("away", [ms]) => state.outage = parse_milliseconds(ms)?,
             _ => return Err(ScriptError::UnknownStep),
         }
         Ok(())
@@ -74,11 +74,11 @@
     fn run_routers_step(&mut self, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         match (verb, words) {
             ("send", [rate]) => {
-                self.routers.set_rate(number(rate)?);
+                self.routers.set_rate(parse_number(rate)?);
                 Ok(())
             }
             ("wait", ["served", count]) => {
-                let target = self.routers.stats().all().served + number(count)? as u64;
+                let target = self.routers.stats().all().served + parse_number(count)? as u64;
                 self.await_routers(|stats| stats.all().served >= target)
             }
             ("wait", ["quiet"]) => self.await_routers(|stats| stats.in_flight == 0),
@@ -167,7 +167,7 @@
         match (verb, words) {
             ("start", []) => self.start_member(member_index)?,
             ("stop", []) => self.stop_member(member_index)?,
-            ("slow", [share]) => self.throttle_member(member_index, number(share)?)?,
+            ("slow", [share]) => self.throttle_member(member_index, parse_number(share)?)?,
             ("engine", words) => self.change_engine(member_index, words)?,
             _ => self.change_process(member_index, verb, words)?,
         }
@@ -188,7 +188,7 @@
             ("term", []) => member.signal(Signal::TERM)?,
             ("hup", []) => member.signal(Signal::HUP)?,
             ("clock", [ms]) => {
-                number(ms)?;
+                parse_number(ms)?;
                 std::fs::write(member.files.clock(), ms)?;
             }
             ("wipe", []) => std::fs::remove_dir_all(member.files.directory())?,
@@ -203,7 +203,7 @@
         match words {
             ["down"] => engine.down = true,
             ["up"] => engine.down = false,
-            ["chilly", ms] => engine.warm_up = milliseconds(ms)?,
+            ["chilly", ms] => engine.warm_up = parse_milliseconds(ms)?,
             _ => return Err(ScriptError::UnknownStep),
         }
         Ok(())
@@ -242,11 +242,11 @@
     fn change_network(&mut self, verb: &str, words: &[&str]) -> Result<(), ScriptError> {
         match (verb, words) {
             ("heal", []) => *self.proxy.faults() = Faults::default(),
-            ("loss", [share]) => self.proxy.faults().loss = number(share)?,
-            ("twice", [share]) => self.proxy.faults().duplication = number(share)?,
-            ("delay", [ms]) => self.proxy.faults().delay_ms = number(ms)? as u64,
+            ("loss", [share]) => self.proxy.faults().loss = parse_number(share)?,
+            ("twice", [share]) => self.proxy.faults().duplication = parse_number(share)?,
+            ("delay", [ms]) => self.proxy.faults().delay_ms = parse_number(ms)? as u64,
             ("deaf", [name, share]) => {
-                let (endpoint, share) = (self.endpoint(name)?, number(share)?);
+                let (endpoint, share) = (self.endpoint(name)?, parse_number(share)?);
                 self.proxy.faults().receive_loss.insert(endpoint, share);
             }
             ("cut", [from, to]) => {
@@ -277,15 +277,15 @@
     /// Moves members into a network partition of their own.
     fn add_partition(&self, members: &[usize]) {
         let mut faults = self.proxy.faults();
-        let number = faults.partition.values().max().copied().unwrap_or(0) + 1;
-        faults.partition.extend(members.iter().map(|member| (Endpoint::Member(*member), number)));
+        let partition_number = faults.partition.values().max().copied().unwrap_or(0) + 1;
+        faults.partition.extend(members.iter().map(|member| (Endpoint::Member(*member), partition_number)));
     }
 }
 
-fn number(word: &str) -> Result<f64, ScriptError> {
+fn parse_number(word: &str) -> Result<f64, ScriptError> {
     word.parse().map_err(|source| ScriptError::InvalidNumber { word: word.to_owned(), source })
 }
 
-fn milliseconds(word: &str) -> Result<Duration, ScriptError> {
-    Ok(Duration::from_secs_f64(number(word)? / 1000.0))
+fn parse_milliseconds(word: &str) -> Result<Duration, ScriptError> {
+    Ok(Duration::from_secs_f64(parse_number(word)? / 1000.0))
 }
--- a/crates/pinepoint-lab/src/rpc.rs
+++ b/crates/pinepoint-lab/src/rpc.rs
@@ -79,7 +79,7 @@
 pub(crate) fn take_message(input: &mut Vec<u8>) -> Option<Value> {
     let mut rest = input.as_slice();
     let message = rmpv::decode::read_value(&mut rest).ok()?;
-    let used = input.len() - rest.len();
-    input.drain(..used);
+    let consumed = input.len() - rest.len();
+    input.drain(..consumed);
     Some(message)
 }
