--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -31,7 +31,7 @@
     }
     assert!(cluster.store.state().peak_in_flight > 5);
     let violation = cluster.run("rules hold").expect_err("a crash of the store violates a rule").to_string();
-    assert!(violation.contains("the store fell"), "{violation}");
+    assert!(violation.contains("the store crashed"), "{violation}");
     cluster
         .run("store slots 64\n store call 5\n routers wait served 100\n routers send 0\n routers wait quiet")
         .expect("the store recovers and requests are served again");
@@ -52,7 +52,7 @@
         assert!(std::time::Instant::now() < until, "the exit of n2 is not detected");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(cluster.violations()[0].contains("n2 ended by itself"), "{:?}", cluster.violations());
+    assert!(cluster.violations()[0].contains("n2 exited unexpectedly"), "{:?}", cluster.violations());
     // Records two runs of one key at an engine.
     cluster.engine("n1").expect("n1 has an engine").state().started.insert("5.0 0 n1 keyed".into(), 2);
     assert!(
