--- a/crates/pinepoint-lab/src/lib.rs
+++ b/crates/pinepoint-lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The test tool of pinepoint: stub services for everything around it, written from public specifications, which fail on
-//! command; a load generator; experiments; and a test cluster of many processes. It knows nothing of the program and shares
-//! no code with it, so that its results are independent. Loopback addresses only.
+//! Test tool of pinepoint: stubs of the services that the program uses, written from public specifications,
+//! which fail on command; load generators; experiments; and a test cluster of many processes. It shares no
+//! code with the program, so that its results are independent. It uses loopback addresses only.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/pinepoint-lab/src/main.rs
+++ b/crates/pinepoint-lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The command line of the test tool: its arguments, and where results go. It measures nothing by itself.
+//! The command line of the test tool: parses arguments, runs an experiment of the library and prints its
+//! results.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -13,10 +14,10 @@
 use pinepoint_lab::{fleet, operation, process, telemetry};
 use serde_json::Value;
 
-/// Exit code for arguments that are not understood, as clap's own.
+/// Exit status for invalid arguments, the same as clap's.
 const USAGE_ERROR: u8 = 2;
 
-/// Experiments on pinepoint with stand-ins that fail on command; loopback addresses only
+/// Experiments on pinepoint with stub services that fail on command; uses loopback addresses only
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -26,16 +27,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Latency, cost and sums with telemetry off and with receivers that fail, in turns
+    /// Measure latency, CPU time and the sums at the receivers, with telemetry off and with failing
+    /// receivers, in turns
     Telemetry(TelemetryArgs),
-    /// Latency and cost with the view of the fleet off, and on among peers, in turns; prints JSON
+    /// Measure latency and CPU time with fleet membership off, and on among peers, in turns; prints JSON
     Fleet(FleetArgs),
-    /// Upgrades under load, and the answer times of the management port; prints JSON, one line each
+    /// Upgrade the program under load, and measure the answer times of the management port; prints JSON lines
     Operation(OperationArgs),
-    /// CPU time for each request against an earlier build, in turns under the same load; prints JSON, one line each
+    /// Compare the CPU time per request with an earlier build, in turns under the same load; prints JSON
+    /// lines
     OperationCpu(OperationCpuArgs),
-    /// Stand-ins for the engine, the store and the list service at the addresses of a configuration file; with
-    /// --request, one request to the program once it accepts, and its answer
+    /// Serve as the engine, the store and the service registry at the addresses in a configuration file; with
+    /// --request, send one request to the program as soon as it is healthy, and print the answer
     StandIns(StandInsArgs),
 }
 
@@ -44,28 +47,28 @@
     /// The program
     #[arg(long, default_value = "target/release/pinepoint")]
     program: PathBuf,
-    /// It is the program of commit 23ce34e or before, whose edge file was another
+    /// The program is of commit 23ce34e or earlier and reads the edge file format of that time
     #[arg(long)]
     earlier: bool,
-    /// Length of the load of one run, s
+    /// Duration of the load in each trial, s
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Turns
+    /// Number of rounds; each runs every condition once
     #[arg(long, default_value_t = 3)]
     turns: u64,
-    /// Requests a second as a part of what the engine can do
+    /// Request rate as a fraction of the engine's capacity
     #[arg(long, default_value_t = 0.9)]
     part: f64,
-    /// The core that the program has for itself
+    /// CPU core reserved for the program
     #[arg(long)]
     cpu: Option<usize>,
-    /// Only these, with commas: off, good, stalled, dripping, down, restarting
+    /// Conditions to run, separated by commas: off, good, stalled, dripping, down, restarting; default: all
     #[arg(long, value_delimiter = ',')]
     ways: Vec<String>,
-    /// Length of an interval of telemetry, s
+    /// Length of a telemetry interval, s
     #[arg(long, default_value_t = 1)]
     every: u64,
-    /// Print JSON
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
@@ -75,19 +78,19 @@
     /// The program
     #[arg(long, default_value = "target/release/pinepoint")]
     program: PathBuf,
-    /// Length of the load of one run, s
+    /// Duration of the load in each trial, s
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Turns
+    /// Number of rounds; each runs every condition once
     #[arg(long, default_value_t = 4)]
     turns: u64,
-    /// Peers: processes beside the one that is loaded
+    /// Number of peer processes beside the loaded one
     #[arg(long, default_value_t = 12)]
     peers: usize,
-    /// Requests a second as a part of what the engine can do
+    /// Request rate as a fraction of the engine's capacity
     #[arg(long, default_value_t = 0.9)]
     part: f64,
-    /// The core that the program has for itself
+    /// CPU core reserved for the program
     #[arg(long)]
     cpu: Option<usize>,
 }
@@ -97,29 +100,29 @@
     /// The program
     #[arg(long, default_value = "target/release/pinepoint")]
     program: PathBuf,
-    /// Upgrades, one after the other
+    /// Number of consecutive upgrades
     #[arg(long, default_value_t = 20)]
     upgrades: usize,
-    /// Clients that send all the time
+    /// Number of clients that send requests continuously
     #[arg(long, default_value_t = 8)]
     clients: usize,
 }
 
 #[derive(Args)]
 struct OperationCpuArgs {
-    /// The earlier program
+    /// The earlier build, the baseline
     #[arg(long)]
     before: PathBuf,
     /// The program
     #[arg(long, default_value = "target/release/pinepoint")]
     program: PathBuf,
-    /// Length of the load of one turn, s
+    /// Duration of the load in each trial, s
     #[arg(long, default_value_t = 4)]
     seconds: u64,
-    /// Turns
+    /// Number of rounds; each runs every variant once
     #[arg(long, default_value_t = 7)]
     turns: u64,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 1200.0)]
     rate: f64,
 }
@@ -129,7 +132,7 @@
     /// The program's configuration file
     #[arg(long, default_value = "deploy/example/config.json")]
     config: PathBuf,
-    /// Send one request that only reads, with this body, print the answer and end
+    /// Send one read-only request with this body, print the answer and exit
     #[arg(long)]
     request: Option<String>,
 }
@@ -180,13 +183,13 @@
         conditions: parse_conditions(&args.ways)?,
         interval_s: args.every,
     };
-    leave_cpu(args.cpu)?;
+    avoid_program_cpu(args.cpu)?;
     let trials = telemetry::measure(&options)?;
     print_telemetry(&telemetry::report(&trials), args.json);
     Ok(())
 }
 
-/// The conditions of these names; all of them if none is named.
+/// The conditions with these names; all conditions if the list is empty.
 fn parse_conditions(names: &[String]) -> Result<Vec<Condition>, UnknownCondition> {
     if names.is_empty() {
         return Ok(CONDITIONS.to_vec());
@@ -194,7 +197,8 @@
     names.iter().map(|name| name.parse()).collect()
 }
 
-/// Prints a report of telemetry, and on standard error the sums that did not match.
+/// Prints the report of the telemetry experiment to standard output, and its mismatched sums to standard
+/// error.
 fn print_telemetry(report: &Value, json: bool) {
     let text = if json { format!("{report:#}\n") } else { telemetry::table(report) };
     let _ = io::stdout().write_all(text.as_bytes());
@@ -214,7 +218,7 @@
         load_factor: args.part,
         cpu: args.cpu,
     };
-    leave_cpu(args.cpu)?;
+    avoid_program_cpu(args.cpu)?;
     let report = fleet::measure(&options)?;
     println!("{report:#}");
     Ok(())
@@ -245,12 +249,13 @@
     println!("{value}");
 }
 
-/// Serves as the engine, the store and the list service of the program; until interrupted, or for one request.
+/// Serves as the engine, the store and the service registry of the program: until interrupted, or for one
+/// request.
 fn run_stubs(config: &Path, request: Option<&str>) -> Result<(), CommandError> {
     let addresses = Addresses::read(config)?;
     let _stubs = Stubs::start(&addresses)?;
     eprintln!(
-        "pinepoint-lab: engine at {}, store at {}, list service at {}",
+        "pinepoint-lab: engine at {}, store at {}, service registry at {}",
         addresses.engine, addresses.store, addresses.members
     );
     match request {
@@ -264,7 +269,7 @@
     }
 }
 
-/// Keeps this process off the core that the program has for itself, if it has one.
-fn leave_cpu(cpu: Option<usize>) -> io::Result<()> {
+/// Keeps this process off the core that is reserved for the program, if there is one.
+fn avoid_program_cpu(cpu: Option<usize>) -> io::Result<()> {
     cpu.map_or(Ok(()), process::avoid_cpu)
 }
