--- a/crates/pinepoint-lab/src/operation.rs
+++ b/crates/pinepoint-lab/src/operation.rs
@@ -95,7 +95,7 @@
         emit(&upgrade.report(number));
         upgrades.push(upgrade);
     }
-    let out_reports = deployment.list.reports_since(since).iter().filter(|report| !report.up).count();
+    let out_reports = deployment.registry.reports_since(since).iter().filter(|report| !report.up).count();
     let mut summary = summary(&upgrades, out_reports, &idle, &loaded);
     summary["full_load"] =
         json!({"sent": full_load.sent, "served": full_load.served, "busy": full_load.busy});
@@ -121,7 +121,7 @@
     std::thread::sleep(SETTLE);
     let signalled = Instant::now();
     old.signal(Signal::TERM)?;
-    let exit = old.wait_exit(deployment.stop())?.map(|_| signalled.elapsed());
+    let exit = old.wait_exit(deployment.stop_timeout())?.map(|_| signalled.elapsed());
     drop(old);
     std::thread::sleep(SETTLE);
     Ok((Upgrade { ready, exit, replies: load.stop()? }, new))
--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -219,12 +219,12 @@
     }
 
     /// Whether a GOAWAY has come.
-    pub fn is_told_to_go(&self) -> bool {
+    pub fn has_goaway(&self) -> bool {
         self.shared.inbox().has_goaway
     }
 
     /// Waits for a GOAWAY; tells whether it came.
-    pub fn wait_for_notice(&self, limit: Duration) -> bool {
+    pub fn wait_for_goaway(&self, limit: Duration) -> bool {
         self.shared.wait_for(limit, |inbox| inbox.has_goaway.then_some(())).is_some()
     }
 
--- a/crates/pinepoint-lab/src/operation/deployment.rs
+++ b/crates/pinepoint-lab/src/operation/deployment.rs
@@ -14,7 +14,7 @@
 use super::client::Client;
 use super::engine::{CORES, Engine};
 use super::management::{self, Answer};
-use super::services::{ListService, Store};
+use super::services::{ServiceRegistry, Store};
 use crate::listen::bind_unique_address;
 use crate::process::TempDir;
 
@@ -88,7 +88,7 @@
     /// Where all processes listen for clients.
     pub listen: SocketAddr,
     /// The list service.
-    pub list: ListService,
+    pub registry: ServiceRegistry,
     /// The store.
     pub store: Store,
 }
@@ -107,8 +107,8 @@
         let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
         let folder = TempDir::new(&format!("operation-{number}"))?;
         std::fs::create_dir_all(folder.0.join("tmp"))?;
-        let (listen, list, store) = (free_address()?, ListService::start()?, Store::start()?);
-        Ok(Deployment { setup, folder, started: AtomicUsize::new(0), listen, list, store })
+        let (listen, registry, store) = (free_address()?, ServiceRegistry::start()?, Store::start()?);
+        Ok(Deployment { setup, folder, started: AtomicUsize::new(0), listen, registry, store })
     }
 
     /// `$TMPDIR` of the processes.
@@ -122,7 +122,7 @@
     }
 
     /// Time from SIGTERM to SIGKILL.
-    pub fn stop(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         self.setup.stop
     }
 
@@ -168,7 +168,7 @@
             .replace("CORES", &CORES.to_string())
             .replace("WINDOW", &key_window.as_millis().to_string());
         let (listen, engine, store) = (self.listen, engine.address, self.store.address);
-        let members = members.unwrap_or(self.list.address);
+        let members = members.unwrap_or(self.registry.address);
         let management =
             management.map(|address| format!(r#""management":"{address}","#)).unwrap_or_default();
         format!(
--- a/crates/pinepoint-lab/src/operation/load.rs
+++ b/crates/pinepoint-lab/src/operation/load.rs
@@ -134,7 +134,7 @@
 
 /// Whether a client sends again on a connection that it has used before, by the rules of routers.
 fn is_reusable(client: &Client, plan: Plan, counts: &mut ReplyCounts) -> bool {
-    let (goaway, ended) = (client.is_told_to_go(), client.ending().is_some());
+    let (goaway, ended) = (client.has_goaway(), client.ending().is_some());
     if ended && !goaway {
         counts.ended_unannounced += 1;
     }
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -24,27 +24,27 @@
 
 /// The list service.
 #[derive(Clone, Debug)]
-pub struct ListService {
+pub struct ServiceRegistry {
     reports: Arc<Mutex<Vec<Report>>>,
     /// Where it takes datagrams.
     pub address: SocketAddr,
 }
 
-impl ListService {
+impl ServiceRegistry {
     /// Starts it on a thread of its own, at a free loopback port.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub fn start() -> io::Result<ListService> {
-        ListService::start_on(UdpSocket::bind("127.0.0.1:0")?)
+    pub fn start() -> io::Result<ServiceRegistry> {
+        ServiceRegistry::start_on(UdpSocket::bind("127.0.0.1:0")?)
     }
 
     /// Starts it on a thread of its own, reading reports from this socket.
     ///
     /// # Errors
     /// If the socket has no address.
-    pub fn start_on(socket: UdpSocket) -> io::Result<ListService> {
-        let service = ListService { reports: Arc::default(), address: socket.local_addr()? };
+    pub fn start_on(socket: UdpSocket) -> io::Result<ServiceRegistry> {
+        let service = ServiceRegistry { reports: Arc::default(), address: socket.local_addr()? };
         let reports = service.reports.clone();
         std::thread::spawn(move || record(&socket, &reports));
         Ok(service)
@@ -57,7 +57,7 @@
     }
 
     /// Whether a report that says `UP`, or one that says `OUT`, arrived at this time or later.
-    pub fn heard_since(&self, since: Instant, up: bool) -> bool {
+    pub fn has_report_since(&self, since: Instant, up: bool) -> bool {
         self.reports_since(since).iter().any(|report| report.up == up)
     }
 }
--- a/crates/pinepoint-lab/src/operation/stubs.rs
+++ b/crates/pinepoint-lab/src/operation/stubs.rs
@@ -10,7 +10,7 @@
 
 use super::client::{Client, Reply, Request};
 use super::engine::{Engine, Finish};
-use super::services::{ListService, Store};
+use super::services::{ServiceRegistry, Store};
 
 /// Duration of a run on the stub engine.
 const RUN_TIME: Duration = Duration::from_millis(5);
@@ -61,7 +61,7 @@
     /// The store.
     pub store: Store,
     /// The list service.
-    pub list: ListService,
+    pub registry: ServiceRegistry,
 }
 
 impl Stubs {
@@ -69,8 +69,8 @@
     pub fn start(addresses: &Addresses) -> io::Result<Stubs> {
         let engine = Engine::start_on(TcpListener::bind(addresses.engine)?, Finish::After(RUN_TIME))?;
         let store = Store::start_on(TcpListener::bind(addresses.store)?)?;
-        let list = ListService::start_on(UdpSocket::bind(addresses.members)?)?;
-        Ok(Stubs { engine, store, list })
+        let registry = ServiceRegistry::start_on(UdpSocket::bind(addresses.members)?)?;
+        Ok(Stubs { engine, store, registry })
     }
 }
 
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -24,7 +24,7 @@
     let began = Instant::now();
     let mut process =
         deployment.start_with(quick_engine(), ManagementSource::default()).expect("the program starts");
-    eventually("listed", || deployment.list.heard_since(began, true));
+    eventually("listed", || deployment.registry.has_report_since(began, true));
     let client = connect(&deployment);
     await_health(&client, true, DEFAULT_TIMEOUT);
     let result = assert_served(&client, &Request::read("paper"));
@@ -42,9 +42,9 @@
     assert_no_double_runs(&[&process.engine]);
     assert_always_registered(&deployment, began);
     terminate(&deployment, &mut process);
-    assert!(client.wait_for_notice(DEFAULT_TIMEOUT), "a resting connection is told to go");
+    assert!(client.wait_for_goaway(DEFAULT_TIMEOUT), "a resting connection is told to go");
     assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
-    assert!(deployment.list.heard_since(began, false));
+    assert!(deployment.registry.has_report_since(began, false));
 }
 
 /// Nothing listens at an address that nobody named.
@@ -248,8 +248,8 @@
     assert_served(&connect(&deployment), &Request::keyed("on a new connection"));
     assert_accepted(&process, "PING");
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
-    assert!(!client.is_told_to_go(), "a drain closes no connection");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
+    assert!(!client.has_goaway(), "a drain closes no connection");
 }
 
 #[test]
@@ -265,7 +265,7 @@
     await_health(&client, true, REJOIN_TIMEOUT);
     let since = await_report(&deployment, true);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, false), "reported OUT after the drain");
+    assert!(!deployment.registry.has_report_since(since, false), "reported OUT after the drain");
     assert_served(&client, &Request::read("paper"));
 }
 
@@ -292,7 +292,7 @@
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
     assert_served(&client, &Request::read("paper"));
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
@@ -354,7 +354,7 @@
     assert_eq!(figure(&process, "relay.reconfig_ok"), 1);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
 }
 
 #[test]
@@ -371,7 +371,7 @@
     eventually("served", || matches!(client.call(&Request::read("paper")), Reply::Served(_)));
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
 }
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -154,7 +154,7 @@
 
 /// A process that was just sent SIGTERM has to end in order before the kill.
 pub fn await_exit(deployment: &Deployment, process: &mut Process) {
-    let status = process.wait_exit(deployment.stop()).expect("a process of ours");
+    let status = process.wait_exit(deployment.stop_timeout()).expect("a process of ours");
     let status = status.expect("the process ends by itself before the kill");
     assert!(status.success(), "{status}");
 }
@@ -197,7 +197,7 @@
 
 /// The service registry received no report but that the name is up.
 pub fn assert_always_registered(deployment: &Deployment, since: Instant) {
-    let reports = deployment.list.reports_since(since);
+    let reports = deployment.registry.reports_since(since);
     assert!(!reports.is_empty(), "no reports at all");
     assert!(reports.iter().all(|report| report.up), "reported OUT");
 }
@@ -211,7 +211,7 @@
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
     eventually_within(REPORT_TIMEOUT, &format!("a report up={up}"), || {
-        deployment.list.heard_since(since, up)
+        deployment.registry.has_report_since(since, up)
     });
     Instant::now()
 }
--- a/tests/upgrade/connections.rs
+++ b/tests/upgrade/connections.rs
@@ -18,7 +18,7 @@
     // Until the SIGTERM, the connections of the old process are served as before.
     assert_served(&resting, &Request::read("between"));
     send_signal(&old, Signal::TERM);
-    assert!(resting.wait_for_notice(deployment.stop()), "no goaway");
+    assert!(resting.wait_for_goaway(deployment.stop_timeout()), "no goaway");
     await_exit(&deployment, &mut old);
     assert_eq!(resting.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
 }
@@ -39,8 +39,8 @@
     let written = client.write(rest);
     let reply = written.map_or(Reply::Lost, |()| client.wait(id));
     // A client that was told to go repeats elsewhere what was not answered.
-    let told = client.is_told_to_go() && reply == Reply::Lost;
-    assert!(matches!(reply, Reply::Served(_)) || told, "{reply:?}, goaway {}", client.is_told_to_go());
+    let told = client.has_goaway() && reply == Reply::Lost;
+    assert!(matches!(reply, Reply::Served(_)) || told, "{reply:?}, goaway {}", client.has_goaway());
     await_exit(&deployment, &mut old);
     assert_served(&connect(&deployment), &Request::keyed("in two parts"));
     assert_eq!(runs_of("in two parts", &[&old.engine, &new.engine]), 1);
--- a/tests/upgrade/lame_duck.rs
+++ b/tests/upgrade/lame_duck.rs
@@ -20,7 +20,7 @@
     terminate(&deployment, &mut old);
     std::thread::sleep(SILENCE_PERIOD);
     assert_eq!(at_new.ping(), Reply::Health(false));
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
     assert_accepted(&new, "REJOIN");
     await_health(&at_new, true, Duration::from_secs(2));
 }
@@ -39,7 +39,7 @@
     terminate(&deployment, &mut old);
     let since = await_report(&deployment, false);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in a drain");
     assert_eq!(client.ping(), Reply::Health(false));
     assert_served(&client, &Request::read("paper"));
 }
--- a/tests/upgrade/process_failures.rs
+++ b/tests/upgrade/process_failures.rs
@@ -125,7 +125,8 @@
         connecting.join().expect("every connection was accepted");
         ready.expect("the new process serves in time");
     });
-    let status = old.wait_exit(deployment.stop().saturating_sub(told.elapsed())).expect("a process of ours");
+    let status =
+        old.wait_exit(deployment.stop_timeout().saturating_sub(told.elapsed())).expect("a process of ours");
     assert!(status.is_some_and(|status| status.success()), "{status:?}");
     let client = connect(&deployment);
     assert_served(&client, &Request::read("paper"));
