--- a/crates/pinepoint-lab/src/operation.rs
+++ b/crates/pinepoint-lab/src/operation.rs
@@ -1,5 +1,5 @@
-//! The program in operation: real processes that are upgraded and managed among stub services, and the experiment on
-//! upgrades under load. Loopback only.
+//! Upgrades and management of the program: runs real processes among stub services, and contains the
+//! experiment that measures upgrades under load. Uses loopback addresses only.
 
 pub mod client;
 pub mod cost;
@@ -23,34 +23,34 @@
 
 /// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(5);
-/// A new process that does not take over in this time does not.
+/// How long a new process may take to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(15);
-/// Load before, between and after the steps of an upgrade.
+/// How long the load runs before, between and after the steps of an upgrade.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Queries of the management port with each command, idle and at full load.
+/// Number of management port queries per command, once without load and once at full load.
 const QUERIES: usize = 300;
-/// Pause before each of these, so that they meet the load at many moments.
+/// Pause before each query, so that the queries are spread over the load.
 const QUERY_PAUSE: Duration = Duration::from_millis(5);
-/// Commands whose answer time is measured.
+/// Management commands whose answer time is measured.
 const COMMANDS: [&str; 2] = ["PING", "INFO"];
 
-/// What is measured.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program.
     pub program: PathBuf,
-    /// Upgrades, one after the other.
+    /// Number of consecutive upgrades.
     pub upgrades: usize,
-    /// Clients that send all the time.
+    /// Number of clients that send requests continuously.
     pub clients: usize,
 }
 
-/// What was measured of one upgrade.
+/// Measurements of one upgrade.
 #[derive(Clone, Copy, Debug)]
 struct Upgrade {
-    /// From the start of the new process until it answered that it is ready.
+    /// Time from the start of the new process until its management port reported it ready.
     ready: Duration,
-    /// From SIGTERM to the end of the old process; none if it had to be killed.
+    /// Time from SIGTERM to the exit of the old process; `None` if it had to be killed.
     exit: Option<Duration>,
     replies: ReplyCounts,
 }
@@ -73,16 +73,16 @@
     }
 }
 
-/// Runs the experiment; calls `emit` with the report of each upgrade as it ends, and returns the summary.
+/// Runs the experiment: calls `emit` with the report of each upgrade as it ends, and returns the summary.
 ///
 /// # Errors
-/// If the program does not start, is not ready in time, or does not answer its management port.
+/// If the program does not start, is not ready in time, or does not answer on its management port.
 pub fn measure(options: &Options, emit: &mut dyn FnMut(&Value)) -> io::Result<Value> {
     let deployment = Deployment::new(Setup::new(&options.program))?;
     let mut current = start(&deployment)?;
     current.await_ready(READY_LIMIT)?;
     let idle = answer_times(&current)?;
-    let full_load = Load::start(plan(&deployment, options.clients, Duration::ZERO));
+    let full_load = Load::start(load_plan(&deployment, options.clients, Duration::ZERO));
     std::thread::sleep(SETTLE);
     let loaded = answer_times(&current)?;
     let full_load = full_load.stop()?;
@@ -106,13 +106,13 @@
     deployment.start(Engine::start(Finish::After(RUN_TIME))?)
 }
 
-fn plan(deployment: &Deployment, clients: usize, pause: Duration) -> Plan {
+fn load_plan(deployment: &Deployment, clients: usize, pause: Duration) -> Plan {
     Plan { address: deployment.listen, clients, depth: 4, pause, reconnect: false }
 }
 
-/// Upgrades under load; returns what was measured, and the process that serves now.
+/// Runs one upgrade under load; returns its measurements and the new process, which serves from now on.
 fn upgrade(deployment: &Deployment, mut old: Process, clients: usize) -> io::Result<(Upgrade, Process)> {
-    let load = Load::start(plan(deployment, clients, Duration::from_millis(5)));
+    let load = Load::start(load_plan(deployment, clients, Duration::from_millis(5)));
     std::thread::sleep(SETTLE);
     let began = Instant::now();
     let new = start(deployment)?;
@@ -127,7 +127,7 @@
     Ok((Upgrade { ready, exit, replies: load.stop()? }, new))
 }
 
-/// Times of the answers to each command, us, in the order of [`COMMANDS`].
+/// Answer times in us for each command, in the order of [`COMMANDS`].
 fn answer_times(process: &Process) -> io::Result<Vec<Histogram<u64>>> {
     let times = |command: &&str| {
         let mut times = Histogram::new(3).map_err(io::Error::other)?;
@@ -135,7 +135,10 @@
             std::thread::sleep(QUERY_PAUSE);
             let answer = process.ask(command)?;
             if !answer.is_ok() {
-                return Err(io::Error::other(format!("{command}: {}", answer.head())));
+                return Err(io::Error::other(format!(
+                    "{command} was answered {:?} instead of +OK",
+                    answer.head()
+                )));
             }
             times.saturating_record(answer.took.as_micros() as u64);
         }
--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -1,5 +1,5 @@
-//! One MessagePack-RPC connection of a client: requests, replies by message id, GOAWAY, and how the connection ended. It
-//! owns the connection and the thread that reads it.
+//! A blocking MessagePack-RPC client with one connection: sends requests, collects replies by message id, and
+//! records GOAWAY and how the connection ended. It owns the connection and the thread that reads it.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -20,41 +20,42 @@
 /// Class of requests with an effect, which carry an idempotency key.
 pub const KEYED_CLASS: &str = "write";
 
-/// How long a reply is waited for: longer than any deadline.
+/// Timeout of a reply: longer than the deadline of any class.
 pub const REPLY_LIMIT: Duration = Duration::from_secs(8);
-/// How long an attempt to connect may take.
+/// Timeout of an attempt to connect.
 const CONNECT_LIMIT: Duration = Duration::from_secs(5);
 
-/// Numbers of attempts, unique in this process.
+/// Number of the next attempt, unique in this process.
 static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
-/// A request; each time it is sent is an attempt with a request id of its own.
+/// A request. It may be sent several times; each attempt has its own request id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its class.
+    /// Request class.
     pub class: &'static str,
-    /// The idempotency key, in the keyed class.
+    /// Idempotency key; set in the keyed class only.
     pub token: Option<String>,
-    /// The body.
+    /// Request body.
     pub body: String,
-    /// When it was first sent, Unix ms.
+    /// Time of the first attempt, Unix ms.
     pub t0: u128,
-    /// Estimate of its work, ms.
+    /// Estimated work, ms.
     pub work_ms: u32,
 }
 
 impl Request {
-    /// A request that only reads, sent now.
+    /// A read-only request, first sent now.
     pub fn read(body: &str) -> Request {
         Request { class: READ_CLASS, token: None, body: body.to_owned(), t0: unix_ms(), work_ms: 5 }
     }
 
-    /// A request that calls the store, sent now.
+    /// A request that calls the store, first sent now.
     pub fn calling(body: &str) -> Request {
         Request { class: CALLING_CLASS, ..Request::read(&format!("{}{body}", super::engine::CALL_PREFIX)) }
     }
 
-    /// A request with an effect, whose body is its idempotency key, sent now. A repeat is the same with a later `t0`.
+    /// A request with an effect, first sent now; its body equals its idempotency key. A duplicate request
+    /// differs only in a later `t0`.
     pub fn keyed(token: &str) -> Request {
         Request { class: KEYED_CLASS, token: Some(token.to_owned()), ..Request::read(token) }
     }
@@ -71,25 +72,25 @@
     }
 }
 
-/// What became of a request or a health check.
+/// The outcome of a request or a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Served, with this result.
+    /// The request was served, with this result.
     Served(String),
     /// The answer to a health check.
     Health(bool),
-    /// Rejected.
+    /// The request was rejected with the error `Busy`.
     Busy,
-    /// Any other error, by its name.
+    /// The answer was another error, with this name.
     Failed(String),
-    /// The connection ended without an answer.
+    /// The connection ended before an answer arrived.
     Lost,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Late,
 }
 
 impl Reply {
-    /// The result, if it was served.
+    /// The result, if the request was served.
     pub fn result(&self) -> Option<&str> {
         if let Reply::Served(result) = self { Some(result) } else { None }
     }
@@ -98,9 +99,9 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Closed in order.
+    /// The server closed the connection in an orderly way.
     Closed,
-    /// Broken by a reset or another error, which may have lost replies.
+    /// A reset or another error ended the connection; replies may be lost.
     Broken,
 }
 
@@ -122,7 +123,7 @@
         lock(&self.inbox)
     }
 
-    /// Waits until `take` returns something, or the time is over.
+    /// Waits until `take` returns a value; `None` if it returns none within `limit`.
     fn wait_for<T>(&self, limit: Duration, mut take: impl FnMut(&mut Inbox) -> Option<T>) -> Option<T> {
         let deadline = Instant::now() + limit;
         let mut inbox = self.inbox();
@@ -139,7 +140,7 @@
     }
 }
 
-/// A connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Client {
     stream: TcpStream,
@@ -148,10 +149,10 @@
 }
 
 impl Client {
-    /// Connects; a thread reads replies until the connection ends.
+    /// Connects and starts a thread that reads replies until the connection ends.
     ///
     /// # Errors
-    /// If nobody accepts the connection in time.
+    /// If the connection is not accepted in time.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_LIMIT)?;
         stream.set_nodelay(true)?;
@@ -165,7 +166,7 @@
         self.last_id.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// The message id of a request and its bytes, to be sent in parts by [`Client::write`].
+    /// Encodes a request; returns its message id and its bytes, which [`Client::write`] can send in parts.
     ///
     /// # Errors
     /// If the request cannot be encoded.
@@ -174,7 +175,7 @@
         Ok((id, request.message(id)?))
     }
 
-    /// Writes any bytes.
+    /// Writes arbitrary bytes.
     ///
     /// # Errors
     /// If the connection has ended.
@@ -192,7 +193,7 @@
         Ok(id)
     }
 
-    /// Waits for the reply to the request of this message id.
+    /// Waits for the reply to the request with this message id.
     pub fn wait(&self, id: u64) -> Reply {
         let take = |inbox: &mut Inbox| inbox.replies.remove(&id).or(inbox.ending.map(|_| Reply::Lost));
         self.shared.wait_for(REPLY_LIMIT, take).unwrap_or(Reply::Late)
@@ -210,7 +211,7 @@
         message.and_then(|bytes| self.write(&bytes)).map_or(Reply::Lost, |()| self.wait(id))
     }
 
-    /// Aborts a request.
+    /// Aborts the request with this message id.
     ///
     /// # Errors
     /// If the connection has ended.
@@ -218,22 +219,22 @@
         self.write(&rpc::encode_notification("abort", vec![id.into()])?)
     }
 
-    /// Whether a GOAWAY has come.
+    /// Whether a GOAWAY was received.
     pub fn has_goaway(&self) -> bool {
         self.shared.inbox().has_goaway
     }
 
-    /// Waits for a GOAWAY; tells whether it came.
+    /// Waits for a GOAWAY; returns whether it was received within `limit`.
     pub fn wait_for_goaway(&self, limit: Duration) -> bool {
         self.shared.wait_for(limit, |inbox| inbox.has_goaway.then_some(())).is_some()
     }
 
-    /// How the connection ended, if it has.
+    /// How the connection ended; `None` while it is open.
     pub fn ending(&self) -> Option<Ending> {
         self.shared.inbox().ending
     }
 
-    /// Waits for the end of the connection.
+    /// Waits for the end of the connection; `None` if it is still open after `limit`.
     pub fn wait_for_ending(&self, limit: Duration) -> Option<Ending> {
         self.shared.wait_for(limit, |inbox| inbox.ending)
     }
@@ -278,7 +279,7 @@
 }
 
 fn reply(error: &Value, result: &Value) -> Reply {
-    let first = |value: &Value| value.as_array().and_then(|row| row.first().cloned());
+    let first = |value: &Value| value.as_array().and_then(|items| items.first().cloned());
     if let Some(name) = first(error) {
         return match name.as_str() {
             Some("Busy") => Reply::Busy,
@@ -286,8 +287,8 @@
         };
     }
     match first(result) {
-        Some(Value::Boolean(good)) => Reply::Health(good),
+        Some(Value::Boolean(healthy)) => Reply::Health(healthy),
         Some(Value::Binary(bytes)) => Reply::Served(String::from_utf8_lossy(&bytes).into_owned()),
-        other => Reply::Failed(format!("unexpected result {other:?}")),
+        other => Reply::Failed(format!("unexpected result {other:?}; expected a boolean or bytes")),
     }
 }
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -1,5 +1,6 @@
-//! The experiment on CPU time for each answered request, against an earlier build of the program. All processes run side by
-//! side and are loaded in short rounds with the same requests, so that what the machine does meanwhile affects all alike.
+//! The experiment that compares the CPU time per answered request with an earlier build of the program. All
+//! processes run side by side and are loaded in short rounds with the same requests, so that other activity
+//! on the machine affects all of them alike.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -22,40 +23,42 @@
 
 /// Duration of a run on the engine.
 const RUN_TIME: Duration = Duration::from_millis(1);
-/// Deduplication window of the keyed class: short, so that the number of retained keys settles within a trial.
+/// Deduplication window of the keyed class; short, so that the number of retained keys settles within a
+/// trial.
 const KEY_WINDOW: Duration = Duration::from_secs(3);
-/// Connections that carry the load.
+/// Number of connections that carry the load.
 const CONNECTIONS: usize = 12;
-/// Pause between the last answer of a trial and the reading of its cost, so that no trial pays for the one before it.
+/// Pause between the last answer of a trial and the reading of its CPU time, so that work left by a trial
+/// does not count for the next one.
 const SETTLE: Duration = Duration::from_millis(300);
-/// Pause between two queries of `INFO`.
+/// Pause between two `INFO` queries.
 const INFO_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a process may take until it is ready.
+/// How long a process may take to become healthy.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 /// Pause between two health checks of a process that starts.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is measured.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The earlier program.
+    /// The earlier build, the baseline.
     pub before: PathBuf,
     /// The program.
     pub program: PathBuf,
     /// Duration of the load of each trial.
     pub duration: Duration,
-    /// Rounds, each with one trial of each variant, beside the first one, which is not counted.
+    /// Number of rounds, each with one trial of each variant. A warm-up round before them is not counted.
     pub rounds: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// CPU time of a process, user and system, s, measured in two ways.
+/// User and system CPU time of a process, read from two sources.
 #[derive(Clone, Copy, Debug, Default)]
 struct CpuTime {
-    /// From `/proc/PID/stat`, in kernel ticks.
+    /// From `/proc/PID/stat`, in s with the resolution of a kernel tick.
     ticks_s: f64,
-    /// The same from `/proc/PID/task/*/schedstat`, in ns.
+    /// From `/proc/PID/task/*/schedstat`, in s with a resolution of 1 ns.
     exact_s: f64,
 }
 
@@ -66,7 +69,7 @@
         for task in std::fs::read_dir(format!("{directory}/task"))? {
             let schedstat = std::fs::read_to_string(task?.path().join("schedstat"))?;
             let on_cpu = schedstat.split_whitespace().next().and_then(|field| field.parse::<f64>().ok());
-            exact_ns += on_cpu.ok_or_else(|| io::Error::other("schedstat without a time"))?;
+            exact_ns += on_cpu.ok_or_else(|| io::Error::other("a schedstat file contains no CPU time"))?;
         }
         Ok(CpuTime { ticks_s: cpu_time_s(process.id())?, exact_s: exact_ns / 1e9 })
     }
@@ -94,19 +97,19 @@
     }
 }
 
-/// Whether a variant has a management port.
+/// Whether a variant of the program has a management port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Management {
-    /// It has none.
+    /// The variant has no management port.
     Off,
-    /// It has one, which is polled under load.
+    /// The management port is polled under load.
     Polled,
 }
 
-/// A variant of the program that is compared: its process and its deployment.
+/// A variant of the program in the comparison, with its process and its deployment.
 struct Variant {
     name: &'static str,
-    /// Its management port is polled while it is loaded.
+    /// Whether the management port is polled under load.
     is_polled: bool,
     deployment: Deployment,
     process: Process,
@@ -153,7 +156,7 @@
     RequestClass { name, share: 0.5, work_ms: 1.0, keyed, calls: false }
 }
 
-/// Waits until a health check is answered with yes.
+/// Waits until a health check succeeds.
 fn await_healthy(deployment: &Deployment) -> io::Result<()> {
     let until = Instant::now() + READY_LIMIT;
     while Instant::now() < until {
@@ -162,10 +165,10 @@
         }
         std::thread::sleep(READY_POLL_INTERVAL);
     }
-    Err(io::Error::new(io::ErrorKind::TimedOut, "a process does not serve"))
+    Err(io::Error::new(io::ErrorKind::TimedOut, "a process did not become healthy in time"))
 }
 
-/// Queries `INFO` once an interval on a thread of its own.
+/// Queries `INFO` periodically on its own thread.
 struct InfoPoller {
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
@@ -181,8 +184,8 @@
             while !stop.load(Ordering::Relaxed) {
                 match management::ask(address, "INFO").and_then(|answer| answer.figures()) {
                     Ok(_) => calls.fetch_add(1, Ordering::Relaxed),
-                    Err(wrong) => {
-                        *lock(&error) = Some(wrong);
+                    Err(cause) => {
+                        *lock(&error) = Some(cause);
                         return;
                     }
                 };
@@ -192,7 +195,7 @@
         poller
     }
 
-    /// Stops polling; returns the number of answers, or an error if a query failed.
+    /// Stops polling; returns the number of answers, or the error of the query that failed.
     fn stop(self) -> io::Result<u64> {
         self.stop.store(true, Ordering::Relaxed);
         match lock(&self.error).take() {
@@ -202,8 +205,8 @@
     }
 }
 
-/// Runs all rounds, every other one in the reverse order, so that what grows with time favours no variant; calls `emit`
-/// with the report of each trial, and returns the summary.
+/// Runs all rounds. Every other round runs the variants in reverse order, so that drift over time favours no
+/// variant. Calls `emit` with the report of each trial, and returns the summary.
 ///
 /// # Errors
 /// If a program does not start or is not ready in time, or a query of its management port fails.
@@ -218,12 +221,12 @@
         if number % 2 == 1 {
             order.reverse();
         }
-        for at in order {
-            let trial = variants[at].run_trial(options, number + 1)?;
-            // The program warms up in the first round, which does not count.
+        for index in order {
+            let trial = variants[index].run_trial(options, number + 1)?;
+            // Round 0 warms the program up and is not counted.
             if number > 0 {
-                emit(&trial_report(variants[at].name, number, &trial));
-                variants[at].trials.push(trial);
+                emit(&trial_report(variants[index].name, number, &trial));
+                variants[index].trials.push(trial);
             }
         }
     }
@@ -240,7 +243,7 @@
         "failed": trial.outcomes.failed,
         "unanswered": trial.outcomes.unanswered,
         "info_calls": trial.info_calls,
-        "cpu_us_per_request": rounded(trial.cpu_us_per_request(), 2),
+        "cpu_us_per_request": round_to(trial.cpu_us_per_request(), 2),
         "cpu_ticks_s": trial.cpu.ticks_s,
     })
 }
@@ -258,17 +261,17 @@
             "arm": variant.name,
             "turns": variant.trials.len(),
             "answered": answered,
-            "cpu_us_per_request": spread(costs, 2),
-            "by_ticks_us_per_request": rounded(ticks_s * 1e6 / answered.max(1) as f64, 2),
-            "ratio_to_before": spread(ratios, 3),
+            "cpu_us_per_request": median_and_range(costs, 2),
+            "by_ticks_us_per_request": round_to(ticks_s * 1e6 / answered.max(1) as f64, 2),
+            "ratio_to_before": median_and_range(ratios, 3),
         })
     };
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     json!({ "cores": cores, "arms": variants.iter().map(report).collect::<Vec<_>>() })
 }
 
-/// Median, least and largest.
-fn spread(mut values: Vec<f64>, digits: i32) -> Value {
+/// Median, minimum and maximum.
+fn median_and_range(mut values: Vec<f64>, digits: i32) -> Value {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
     let median = match values.len() {
@@ -276,11 +279,11 @@
         count if count % 2 == 0 => f64::midpoint(values[middle - 1], values[middle]),
         _ => values[middle],
     };
-    let at = |value: Option<&f64>| value.map(|value| rounded(*value, digits));
-    json!({ "median": rounded(median, digits), "least": at(values.first()), "largest": at(values.last()) })
+    let to_json = |value: Option<&f64>| value.map(|value| round_to(*value, digits));
+    json!({ "median": round_to(median, digits), "least": to_json(values.first()), "largest": to_json(values.last()) })
 }
 
-fn rounded(value: f64, digits: i32) -> f64 {
+fn round_to(value: f64, digits: i32) -> f64 {
     let scale = 10_f64.powi(digits);
     (value * scale).round() / scale
 }
--- a/crates/pinepoint-lab/src/operation/deployment.rs
+++ b/crates/pinepoint-lab/src/operation/deployment.rs
@@ -1,5 +1,6 @@
-//! What stays while processes of one name are replaced: the listen address, the list service, the store, the directory for
-//! temporary files. It starts processes and ends them; it does not check what they answer.
+//! A deployment: the listen address, the service registry, the store and the directory for temporary files,
+//! which stay the same while processes of one name replace each other. It starts and stops processes and does
+//! not check their answers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,14 +19,15 @@
 use crate::listen::bind_unique_address;
 use crate::process::TempDir;
 
-/// The name of the socket by which processes hand over, in the directory for temporary files.
+/// File name of the handover socket, in the directory for temporary files.
 const HANDOVER_SOCKET: &str = "pinepoint-handover.sock";
-/// Pause between two looks whether a process has ended.
+/// Pause between two checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The environment variable that names the management address.
+/// Environment variable with the management address.
 const MANAGEMENT_VARIABLE: &str = "RELAY_MANAGEMENT";
 
-/// The settings of the request classes of [`super::client`]; `WINDOW` stands for the window of the keyed class, ms.
+/// Settings with the request classes of [`super::client`]. `WINDOW` is replaced by the deduplication window
+/// of the keyed class in ms, `CORES` by the cores of the engine.
 const SETTINGS: &str = r#"{"services":[
  {"name":"look","effect":"read_like","promiseMs":1000,"deadlineMs":2500,"worth":1},
  {"name":"lookup","effect":"read_like","promiseMs":1000,"deadlineMs":2500,"worth":1},
@@ -36,32 +38,32 @@
  "registryFollows":true,"classCalls":[false,true,false],"worthWithout":[0,0,0],"callsOut":8,"callsOverMs":5000,
  "lingerMs":200,"gauges":["cpu_busy","runnable","mem_used","sockets"]}}"#;
 
-/// Number of deployments of this process, so that each has a folder of its own.
+/// Number of deployments of this process so far; gives each its own folder.
 static DEPLOYMENTS: AtomicUsize = AtomicUsize::new(0);
 
-/// How a deployment is set up.
+/// Options of a deployment.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The program.
     pub program: PathBuf,
-    /// From SIGTERM to SIGKILL: the longest deadline, at most 3 s, and 0.7 s.
-    pub stop: Duration,
-    /// Limit on the sockets of a process.
+    /// Time from SIGTERM to SIGKILL: the longest deadline, capped at 3 s, plus 0.7 s.
+    pub stop_timeout: Duration,
+    /// Limit on the number of sockets of a process.
     pub sockets: u32,
     /// Deduplication window of the keyed class.
     pub key_window: Duration,
-    /// `$TMPDIR` of the processes, if it is not a directory of the deployment.
+    /// `$TMPDIR` of the processes; `None` for a directory of the deployment.
     pub temporary: Option<PathBuf>,
-    /// Where the processes send load reports, if not to the list service of the deployment.
+    /// Where the processes send load reports; `None` for the service registry of the deployment.
     pub members: Option<SocketAddr>,
 }
 
 impl Setup {
-    /// The default setup for this program.
+    /// The default options, for this program.
     pub fn new(program: impl Into<PathBuf>) -> Setup {
         Setup {
             program: program.into(),
-            stop: Duration::from_millis(3200),
+            stop_timeout: Duration::from_millis(3200),
             sockets: 256,
             key_window: Duration::from_secs(20),
             temporary: None,
@@ -70,39 +72,39 @@
     }
 }
 
-/// Where the address of the management port of a process is configured.
+/// Where the management address of a process is set.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ManagementSource {
-    /// In the environment.
+    /// The address in the environment.
     pub environment: Option<SocketAddr>,
-    /// In the configuration.
+    /// The address in the configuration file.
     pub configuration: Option<SocketAddr>,
 }
 
-/// What all processes share.
+/// The addresses, services and directories that all processes share.
 #[derive(Debug)]
 pub struct Deployment {
     setup: Setup,
     folder: TempDir,
     started: AtomicUsize,
-    /// Where all processes listen for clients.
+    /// Address at which all processes listen for clients.
     pub listen: SocketAddr,
-    /// The list service.
+    /// The service registry.
     pub registry: ServiceRegistry,
     /// The store.
     pub store: Store,
 }
 
-/// An address of loopback that nothing listens on now.
+/// A loopback address that nothing listens on at present.
 pub fn free_address() -> io::Result<SocketAddr> {
     bind_unique_address()?.local_addr()
 }
 
 impl Deployment {
-    /// A deployment without processes.
+    /// Creates a deployment without processes.
     ///
     /// # Errors
-    /// If a folder cannot be made or an address cannot be bound.
+    /// If a folder cannot be created or an address cannot be bound.
     pub fn new(setup: Setup) -> io::Result<Deployment> {
         let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
         let folder = TempDir::new(&format!("operation-{number}"))?;
@@ -116,25 +118,25 @@
         self.setup.temporary.clone().unwrap_or_else(|| self.folder.0.join("tmp"))
     }
 
-    /// The socket by which processes hand over.
+    /// Path of the handover socket.
     pub fn handover_socket(&self) -> PathBuf {
         self.temporary().join(HANDOVER_SOCKET)
     }
 
     /// Time from SIGTERM to SIGKILL.
     pub fn stop_timeout(&self) -> Duration {
-        self.setup.stop
+        self.setup.stop_timeout
     }
 
-    /// A connection to whichever process accepts it.
+    /// Connects to whichever process accepts the connection.
     ///
     /// # Errors
-    /// If none does in time.
+    /// If no process accepts the connection in time.
     pub fn connect(&self) -> io::Result<Client> {
         Client::connect(self.listen)
     }
 
-    /// Starts a process on this engine, with a management port that the environment configures.
+    /// Starts a process with this engine, and with the management address set in the environment.
     ///
     /// # Errors
     /// If the program does not start.
@@ -143,10 +145,10 @@
         self.start_with(engine, source)
     }
 
-    /// Starts a process whose management port is configured so.
+    /// Starts a process with this engine and with its management address set as `source` says.
     ///
     /// # Errors
-    /// If its files cannot be written or the program does not start.
+    /// If the configuration or log file cannot be written, or the program does not start.
     pub fn start_with(&self, engine: Engine, source: ManagementSource) -> io::Result<Process> {
         let number = self.started.fetch_add(1, Ordering::Relaxed);
         let config = self.folder.0.join(format!("config-{number}.json"));
@@ -163,7 +165,7 @@
     }
 
     fn configuration(&self, engine: &Engine, management: Option<SocketAddr>) -> String {
-        let Setup { stop, sockets, key_window, members, .. } = &self.setup;
+        let Setup { stop_timeout, sockets, key_window, members, .. } = &self.setup;
         let settings = SETTINGS
             .replace("CORES", &CORES.to_string())
             .replace("WINDOW", &key_window.as_millis().to_string());
@@ -175,31 +177,32 @@
             r#"{{"name":"n1","listen":"{listen}","engine":"{engine}","members":"{members}","store":"{store}",{management}
             "seed":"8c1f30d27a5be964","stop_ms":{},"limits":{{"cores":1,"memory_mb":64,"sockets":{sockets}}},
             "settings":{settings}}}"#,
-            stop.as_millis()
+            stop_timeout.as_millis()
         )
     }
 }
 
-/// A process of the program. It is killed when this is dropped; its log is printed if a test has failed.
+/// A process of the program. Dropping it kills the process, and prints its log if the thread is panicking, as
+/// in a failed test.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Its engine.
+    /// The engine of the process.
     pub engine: Engine,
-    /// Its management port.
+    /// Address of the management port.
     pub management: SocketAddr,
-    /// Its configuration file.
+    /// Path of the configuration file.
     pub config: PathBuf,
     log: PathBuf,
 }
 
 impl Process {
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a command to its management port.
+    /// Sends a command to the management port and returns the answer.
     ///
     /// # Errors
     /// If there is no answer in time.
@@ -207,36 +210,36 @@
         management::ask(self.management, command)
     }
 
-    /// Waits until its management port answers that it is ready; returns how long that took.
+    /// Waits until the management port reports the process ready; returns the time that took.
     ///
     /// # Errors
-    /// If that takes longer than the limit.
+    /// If the process is not ready within `limit`.
     pub fn await_ready(&self, limit: Duration) -> io::Result<Duration> {
         management::await_ready(self.management, limit)
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// If it has ended.
+    /// If the process has exited.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         Ok(kill_process(id.ok_or(io::ErrorKind::InvalidInput)?, signal)?)
     }
 
-    /// Kills it by SIGKILL and waits for its end.
+    /// Kills the process with SIGKILL and waits for its exit.
     ///
     /// # Errors
-    /// If the system refuses it.
+    /// If the kill or the wait fails.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Waits for its end; `None` if it does not end in time.
+    /// Waits for the process to exit; `None` if it is still running after `limit`.
     ///
     /// # Errors
-    /// If the system refuses it.
+    /// If the wait fails.
     pub fn wait_exit(&mut self, limit: Duration) -> io::Result<Option<ExitStatus>> {
         let deadline = Instant::now() + limit;
         loop {
@@ -248,7 +251,7 @@
         }
     }
 
-    /// What it has logged so far.
+    /// The log so far.
     ///
     /// # Errors
     /// If the log cannot be read.
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -1,5 +1,5 @@
-//! A stub engine that records every run and ends it on command or after a time. Unlike [`crate::simulated_engine`] it does
-//! not share cores between runs.
+//! A stub engine that records every run and ends it on command or after a fixed time. Unlike
+//! [`crate::simulated_engine`] it does not share cores between runs.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -12,21 +12,21 @@
 use crate::listen::bind_unique_address;
 use crate::sync::lock;
 
-/// Cores that the engine reports as busy when as many runs are open: more than the requests that a light load has open at once,
-/// so that the admission controller has no reason to reject one.
+/// Number of running runs at which the engine reports itself fully busy. It exceeds the number of requests
+/// that a light load has open at once, so that the admission controller has no reason to reject one.
 pub(crate) const CORES: usize = 16;
-/// A run whose body begins so stops once for a call to the store.
+/// Runs whose body has this prefix pause once for a call to the store.
 pub const CALL_PREFIX: &str = "call ";
 
-/// Number of results, so that no two runs have the same.
+/// Sequence number of the next result, so that no two runs have the same result.
 static RESULTS: AtomicU64 = AtomicU64::new(0);
 
 /// When runs end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// When [`Engine::finish`] says so.
+    /// When [`Engine::finish`] or [`Engine::finish_all`] is called.
     OnCommand,
-    /// This long after they were started, or after the reply to their call.
+    /// This long after the start of the run, or after the reply to its call.
     After(Duration),
 }
 
@@ -50,14 +50,14 @@
     up: bool,
     link: Option<TcpStream>,
     runs: Vec<Run>,
-    /// Every notice ever sent; the first one has the number 1.
+    /// All notices sent so far; the first has the number 1.
     notices: Vec<Vec<u8>>,
 }
 
 impl State {
     fn write(&mut self, bytes: &[u8]) {
         if let Some(link) = &mut self.link {
-            // The program reconnects after a broken link, and asks for the notices that it missed.
+            // After a broken link the program reconnects and asks for the notices it missed.
             let _ = link.write_all(bytes);
         }
     }
@@ -68,7 +68,7 @@
         self.notices.push(bytes);
     }
 
-    fn due(&self) -> Option<Instant> {
+    fn new_due(&self) -> Option<Instant> {
         match self.finish {
             Finish::OnCommand => None,
             Finish::After(pause) => Some(Instant::now() + pause),
@@ -79,24 +79,24 @@
         run.state != RunState::Ended
     }
 
-    fn end(&mut self, at: usize, how: &str) {
-        let run = &mut self.runs[at];
+    fn end(&mut self, index: usize, outcome: &str) {
+        let run = &mut self.runs[index];
         run.state = RunState::Ended;
-        let result = match how {
+        let result = match outcome {
             "complete" => format!("{}/{}", run.body, RESULTS.fetch_add(1, Ordering::Relaxed)),
             _ => String::new(),
         };
         let rid = run.rid.clone();
         self.notify(|number| {
-            format!("DONE {number} {rid} {how} 1 {}\r\n{result}\r\n", result.len()).into_bytes()
+            format!("DONE {number} {rid} {outcome} 1 {}\r\n{result}\r\n", result.len()).into_bytes()
         });
     }
 
     fn end_due(&mut self) {
         let now = Instant::now();
-        for at in 0..self.runs.len() {
-            if matches!(self.runs[at].state, RunState::Running { due: Some(due) } if due <= now) {
-                self.end(at, "complete");
+        for index in 0..self.runs.len() {
+            if matches!(self.runs[index].state, RunState::Running { due: Some(due) } if due <= now) {
+                self.end(index, "complete");
             }
         }
     }
@@ -106,39 +106,39 @@
         self.runs.iter().filter_map(due).min()
     }
 
-    fn attach(&mut self, last: usize) {
+    fn attach(&mut self, last_notice: usize) {
         self.write(b"HELLO hot 60000\r\n");
-        let missed: Vec<u8> = self.notices.iter().skip(last).flatten().copied().collect();
+        let missed: Vec<u8> = self.notices.iter().skip(last_notice).flatten().copied().collect();
         self.write(&missed);
     }
 
-    fn begin(&mut self, rid: &str, body: Vec<u8>) {
-        // A command that is sent again after a broken link changes nothing.
+    fn start_run(&mut self, rid: &str, body: Vec<u8>) {
+        // The program resends commands after a broken link; a known run is not started again.
         if self.runs.iter().any(|run| run.rid == rid) {
             return;
         }
         let body = String::from_utf8_lossy(&body).into_owned();
-        let calls = body.starts_with(CALL_PREFIX);
-        let state = if calls { RunState::AtCall } else { RunState::Running { due: self.due() } };
+        let makes_call = body.starts_with(CALL_PREFIX);
+        let state = if makes_call { RunState::AtCall } else { RunState::Running { due: self.new_due() } };
         self.runs.push(Run { rid: rid.to_owned(), body, state });
-        if calls {
+        if makes_call {
             self.notify(|number| format!("NEED {number} {rid} 3\r\nask\r\n").into_bytes());
         }
     }
 
-    fn command(&mut self, words: &[&str], body: Vec<u8>) {
+    fn execute(&mut self, words: &[&str], body: Vec<u8>) {
         match words {
             ["ATTACH", last] => self.attach(last.parse().unwrap_or(0)),
-            ["RUN", rid, ..] => self.begin(rid, body),
+            ["RUN", rid, ..] => self.start_run(rid, body),
             ["HALT", rid] => {
-                if let Some(at) = self.runs.iter().position(|run| run.rid == *rid && self.is_open(run)) {
-                    self.end(at, "cancelled");
+                if let Some(index) = self.runs.iter().position(|run| run.rid == *rid && self.is_open(run)) {
+                    self.end(index, "cancelled");
                 }
             }
             ["FEED" | "SKIP", rid, ..] => {
-                let due = self.due();
-                let waits = |run: &&mut Run| run.rid == *rid && run.state == RunState::AtCall;
-                if let Some(run) = self.runs.iter_mut().find(waits) {
+                let due = self.new_due();
+                let is_waiting = |run: &&mut Run| run.rid == *rid && run.state == RunState::AtCall;
+                if let Some(run) = self.runs.iter_mut().find(is_waiting) {
                     run.state = RunState::Running { due };
                 }
             }
@@ -165,16 +165,16 @@
     }
 }
 
-/// A handle on the engine; clones share it. Its threads end with the process of the caller.
+/// A handle to a stub engine; clones share the engine. Its threads run until this process exits.
 #[derive(Clone, Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
-    /// Where it listens.
+    /// TCP address that the engine listens on.
     pub address: SocketAddr,
 }
 
 impl Engine {
-    /// Starts an engine that is up, at a loopback address of its own.
+    /// Starts an engine that is up, at a loopback address that nothing else uses.
     ///
     /// # Errors
     /// If no address can be bound.
@@ -182,7 +182,7 @@
         Engine::start_on(bind_unique_address()?, finish)
     }
 
-    /// Starts an engine that is up and accepts its link on this listener.
+    /// Starts an engine that is up and accepts its link on `listener`.
     ///
     /// # Errors
     /// If the listener has no address.
@@ -206,7 +206,7 @@
         Ok(engine)
     }
 
-    /// Accepts links from now on, or ends the link there is and accepts none.
+    /// If `up`, accepts links from now on; otherwise ends the current link and accepts no new one.
     pub fn set_up(&self, up: bool) {
         let mut state = self.shared.state();
         state.up = up;
@@ -215,17 +215,17 @@
         }
     }
 
-    /// Changes when the runs that begin from now on end.
+    /// Sets when runs end; applies to runs that start, or resume after a call, from now on.
     pub fn set_finish(&self, finish: Finish) {
         self.shared.state().finish = finish;
     }
 
-    /// Completes all runs with this body that wait for no call; returns their number.
+    /// Completes all runs with this body that are not waiting for a call; returns their number.
     pub fn finish(&self, body: &str) -> usize {
         self.finish_where(|run| run.body == body)
     }
 
-    /// Completes all runs that wait for no call; returns their number.
+    /// Completes all runs that are not waiting for a call; returns their number.
     pub fn finish_all(&self) -> usize {
         self.finish_where(|_| true)
     }
@@ -234,18 +234,18 @@
         let mut state = self.shared.state();
         let runs = state.runs.iter().enumerate();
         let running = |run: &Run| matches!(run.state, RunState::Running { .. });
-        let ending = runs.filter(|(_, run)| running(run) && wanted(run)).map(|(at, _)| at);
+        let ending = runs.filter(|(_, run)| running(run) && wanted(run)).map(|(index, _)| index);
         let ending: Vec<usize> = ending.collect();
-        ending.iter().for_each(|at| state.end(*at, "complete"));
+        ending.iter().for_each(|index| state.end(*index, "complete"));
         ending.len()
     }
 
-    /// How often a run of this body was started.
+    /// Number of runs started with this body.
     pub fn runs_of(&self, body: &str) -> usize {
         self.shared.state().runs.iter().filter(|run| run.body == body).count()
     }
 
-    /// How often a run of each body was started.
+    /// Number of runs started, by body.
     pub fn runs(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for run in &self.shared.state().runs {
@@ -254,7 +254,7 @@
         counts
     }
 
-    /// Runs that have not ended.
+    /// Number of runs that have not ended.
     pub fn open_runs(&self) -> usize {
         let state = self.shared.state();
         state.runs.iter().filter(|run| state.is_open(run)).count()
@@ -266,7 +266,7 @@
         let _ = stream.set_nodelay(true);
         let mut state = shared.state();
         let Ok(link) = stream.try_clone() else { continue };
-        // While the engine is down the stream is dropped here, which closes it.
+        // While the engine is down, the stream is dropped here, which closes it.
         if state.up {
             state.link = Some(link);
             let shared = shared.clone();
@@ -281,7 +281,7 @@
         input.extend_from_slice(&chunk[..n]);
         let mut state = shared.state();
         while let Some((text, body)) = take_line(&mut input) {
-            state.command(&text.split(' ').collect::<Vec<_>>(), body);
+            state.execute(&text.split(' ').collect::<Vec<_>>(), body);
         }
         shared.changed.notify_all();
     }
--- a/crates/pinepoint-lab/src/operation/load.rs
+++ b/crates/pinepoint-lab/src/operation/load.rs
@@ -1,4 +1,5 @@
-//! A load with a closed loop: clients that send requests all the time, wait for the replies, and count what became of each.
+//! A closed-loop load generator: each client sends requests, waits for all replies, counts the outcomes and
+//! repeats.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,50 +11,51 @@
 
 use super::client::{Client, Reply, Request};
 
-/// Pause before a connection is attempted again after one was refused.
+/// Pause before the next attempt to connect after a failed one.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Numbers of requests, so that no two have the same key.
+/// Number of the next request, so that no two requests have the same idempotency key.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
-/// What is sent.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Where to.
+    /// Address that the requests are sent to.
     pub address: SocketAddr,
-    /// Clients, each with one connection.
+    /// Number of clients, each with one connection.
     pub clients: usize,
-    /// Requests that each client sends together, before it waits for all their replies.
+    /// Number of requests that a client sends at once in a round, before it waits for all their replies.
     pub depth: usize,
     /// Pause of a client between two rounds.
     pub pause: Duration,
-    /// Whether each connection carries one round only.
+    /// Whether each connection carries only one round.
     pub reconnect: bool,
 }
 
-/// What became of all requests.
+/// Outcomes of all requests and connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// Sent, or attempted to.
+    /// Requests sent, including those whose sending failed.
     pub sent: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Rejected.
+    /// Requests rejected with `Busy`.
     pub busy: u64,
-    /// Answered with another error.
+    /// Requests answered with another error.
     pub failed: u64,
-    /// The connection ended without an answer.
+    /// Requests whose connection ended before an answer arrived.
     pub lost: u64,
-    /// Not answered in time.
+    /// Requests not answered in time.
     pub late: u64,
-    /// Connections that could not be made.
+    /// Connections that could not be established.
     pub refused_connections: u64,
     /// Connections that ended between two rounds without a GOAWAY.
     pub ended_unannounced: u64,
 }
 
 impl ReplyCounts {
-    /// Requests and connections that ended although the program owed them an answer: there must be none in an upgrade.
+    /// Requests without an answer, and connections that failed or ended without a GOAWAY. An upgrade must
+    /// cause none.
     pub fn ended_without_answer(&self) -> u64 {
         self.lost + self.late + self.refused_connections + self.ended_unannounced
     }
@@ -82,7 +84,7 @@
     }
 }
 
-/// A running load: the clients, each on a thread of its own.
+/// A running load. Each client has its own thread.
 #[derive(Debug)]
 pub struct Load {
     stop: Arc<AtomicBool>,
@@ -90,7 +92,7 @@
 }
 
 impl Load {
-    /// Starts them.
+    /// Starts the clients.
     pub fn start(plan: Plan) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |_| {
@@ -101,7 +103,7 @@
         Load { stop, clients }
     }
 
-    /// Stops sending, waits for the last replies, and returns the counts of all clients.
+    /// Stops sending, waits for the last replies, and returns the sum of all clients' counts.
     ///
     /// # Errors
     /// If a client panicked.
@@ -109,7 +111,7 @@
         self.stop.store(true, Ordering::Relaxed);
         let mut sum = ReplyCounts::default();
         for client in self.clients {
-            sum += client.join().map_err(|_| io::Error::other("a client panicked"))?;
+            sum += client.join().map_err(|_| io::Error::other("a client thread of the load panicked"))?;
         }
         Ok(sum)
     }
@@ -132,7 +134,8 @@
     counts
 }
 
-/// Whether a client sends again on a connection that it has used before, by the rules of routers.
+/// Whether a client may reuse a connection, by the rules of routers. Counts a connection that ended without a
+/// GOAWAY.
 fn is_reusable(client: &Client, plan: Plan, counts: &mut ReplyCounts) -> bool {
     let (goaway, ended) = (client.has_goaway(), client.ending().is_some());
     if ended && !goaway {
@@ -149,7 +152,7 @@
     }
 }
 
-/// Half of the requests only read, half have an effect.
+/// Alternates between read-only requests and requests with an effect.
 fn next_request() -> Request {
     let number = REQUESTS.fetch_add(1, Ordering::Relaxed);
     if number.is_multiple_of(2) {
--- a/crates/pinepoint-lab/src/operation/management.rs
+++ b/crates/pinepoint-lab/src/operation/management.rs
@@ -1,58 +1,59 @@
-//! A client of the management port: one command line, one answer, then the server closes the connection.
+//! A client of the management port. Each connection carries one command line and one answer; then the server
+//! closes it.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a connection and an answer may take.
+/// Timeout for connecting, for each write and for each read of the answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(5);
-/// Pause between two queries whether a process is ready.
+/// Pause between two readiness checks of a process.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The line that ends an answer of several lines.
+/// The last line of an answer with several lines.
 const LAST_LINE: &str = ".";
 
-/// What the server sent until it closed the connection.
+/// Everything the server sent until it closed the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// All lines, without their ends.
+    /// All lines, without line terminators.
     pub lines: Vec<String>,
-    /// Time from the start of the connection to the server's close.
+    /// Time from connecting until the server closed the connection.
     pub took: Duration,
 }
 
-/// One metric of `INFO`.
+/// One figure in an answer to `INFO`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Figure {
-    /// Its value.
+    /// The value.
     pub value: u64,
     /// `c` for a counter, `g` for a gauge.
     pub kind: char,
 }
 
 impl Answer {
-    /// The first line; empty if there was none.
+    /// The first line; empty if the answer has no lines.
     pub fn head(&self) -> &str {
         self.lines.first().map_or("", String::as_str)
     }
 
-    /// Whether the first line says that the command was carried out.
+    /// Whether the first line is `+OK`: the command was executed.
     pub fn is_ok(&self) -> bool {
         is_head(self.head(), "+OK")
     }
 
-    /// Whether the first line says that the command failed.
+    /// Whether the first line is `-ERR`: the command failed.
     pub fn is_error(&self) -> bool {
         is_head(self.head(), "-ERR")
     }
 
-    /// The metrics of an answer to `INFO`, by name.
+    /// The figures of an answer to `INFO`, by name.
     ///
     /// # Errors
-    /// If it is not such an answer.
+    /// If the answer does not have the form of an answer to `INFO`.
     pub fn figures(&self) -> io::Result<BTreeMap<String, Figure>> {
         let invalid =
-            |line: &str| io::Error::new(io::ErrorKind::InvalidData, format!("no INFO line: {line}"));
+            |line: &str| io::Error::new(io::ErrorKind::InvalidData, format!("malformed INFO line: {line:?}"));
         let [head, figures @ .., last] = self.lines.as_slice() else { return Err(invalid(self.head())) };
         if !self.is_ok() || last != LAST_LINE {
             return Err(invalid(if self.is_ok() { last } else { head }));
@@ -61,12 +62,12 @@
     }
 }
 
-/// Whether the line is this word, alone or with a text behind it.
+/// Whether the line is `word`, alone or followed by a space and text.
 fn is_head(line: &str, word: &str) -> bool {
     line.strip_prefix(word).is_some_and(|rest| rest.is_empty() || rest.starts_with(' '))
 }
 
-/// Reads `name:value|kind`.
+/// Parses `name:value|kind`.
 fn figure(line: &str) -> Option<(String, Figure)> {
     let (name, rest) = line.split_once(':')?;
     let (value, kind) = rest.split_once('|')?;
@@ -78,7 +79,7 @@
     Some((name.to_owned(), Figure { value: value.parse().ok()?, kind }))
 }
 
-/// Sends one command on a connection of its own and reads the answer to its end.
+/// Sends one command on a new connection and reads the whole answer.
 ///
 /// # Errors
 /// If there is no answer in time.
@@ -86,7 +87,7 @@
     ask_bytes(address, format!("{command}\r\n").as_bytes())
 }
 
-/// The same with any bytes in place of a line.
+/// Sends arbitrary bytes instead of a command line on a new connection and reads the whole answer.
 ///
 /// # Errors
 /// If there is no answer in time.
@@ -95,20 +96,21 @@
     let mut stream = TcpStream::connect_timeout(&address, ANSWER_LIMIT)?;
     stream.set_read_timeout(Some(ANSWER_LIMIT))?;
     stream.set_write_timeout(Some(ANSWER_LIMIT))?;
-    // The server may close the connection before all is written; its answer is read all the same.
+    // The server may close the connection before all bytes are written; its answer is read nevertheless.
     let _ = stream.write_all(bytes);
     read_answer(&mut stream, began)
 }
 
-/// Reads the answer on a connection that was made at this time.
+/// Reads the answer on a connection that was opened at `began`.
 ///
 /// # Errors
-/// If the connection breaks or the time is over before the answer is complete.
+/// If the connection breaks or a read times out before the answer is complete.
 pub fn read_answer(stream: &mut TcpStream, began: Instant) -> io::Result<Answer> {
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
         Ok(_) => {}
-        // A server that closes without reading all input resets the connection; what came before counts.
+        // A server that closes without reading all input resets the connection; the lines received before
+        // count.
         Err(error) if error.kind() == io::ErrorKind::ConnectionReset && bytes.ends_with(b"\n") => {}
         Err(error) => return Err(error),
     }
@@ -116,10 +118,10 @@
     Ok(Answer { lines: text.lines().map(str::to_owned).collect(), took: began.elapsed() })
 }
 
-/// Sends `PING` until the answer is good; returns how long that took.
+/// Sends `PING` until it is answered `+OK`; returns the time that took.
 ///
 /// # Errors
-/// If that takes longer than the limit.
+/// If no `PING` is answered `+OK` within `limit`.
 pub fn await_ready(address: SocketAddr, limit: Duration) -> io::Result<Duration> {
     let began = Instant::now();
     loop {
@@ -129,7 +131,10 @@
         }
         if began.elapsed() > limit {
             let last = answer.map_or_else(|error| error.to_string(), |answer| answer.head().to_owned());
-            return Err(io::Error::new(io::ErrorKind::TimedOut, format!("not ready in {limit:?}: {last}")));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                format!("no +OK to PING at {address} within {limit:?}; last answer: {last}"),
+            ));
         }
         std::thread::sleep(READY_POLL_INTERVAL);
     }
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -1,5 +1,5 @@
-//! The stub services that all processes of a deployment share: the list service, which records each load report, and a
-//! store that answers each call at once.
+//! The stub services that all processes of a deployment share: the service registry, which records each load
+//! report, and a store that answers each call at once.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -11,27 +11,27 @@
 use crate::listen::bind_unique_address;
 use crate::sync::lock;
 
-/// One load report to the list service.
+/// One load report to the service registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// When it arrived.
     pub at: Instant,
-    /// The name it is about.
+    /// Name of the reported process.
     pub name: String,
-    /// Whether it says `UP`; if not, it says `OUT`.
+    /// Whether the reported state is `UP`; otherwise it is `OUT`.
     pub up: bool,
 }
 
-/// The list service.
+/// The stub service registry.
 #[derive(Clone, Debug)]
 pub struct ServiceRegistry {
     reports: Arc<Mutex<Vec<Report>>>,
-    /// Where it takes datagrams.
+    /// UDP address that receives the load reports.
     pub address: SocketAddr,
 }
 
 impl ServiceRegistry {
-    /// Starts it on a thread of its own, at a free loopback port.
+    /// Starts the registry on its own thread, at a free loopback port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -39,33 +39,33 @@
         ServiceRegistry::start_on(UdpSocket::bind("127.0.0.1:0")?)
     }
 
-    /// Starts it on a thread of its own, reading reports from this socket.
+    /// Starts the registry on its own thread, reading reports from `socket`.
     ///
     /// # Errors
     /// If the socket has no address.
     pub fn start_on(socket: UdpSocket) -> io::Result<ServiceRegistry> {
         let service = ServiceRegistry { reports: Arc::default(), address: socket.local_addr()? };
         let reports = service.reports.clone();
-        std::thread::spawn(move || record(&socket, &reports));
+        std::thread::spawn(move || record_reports(&socket, &reports));
         Ok(service)
     }
 
-    /// All reports that arrived at this time or later.
+    /// All reports that arrived at `since` or later.
     pub fn reports_since(&self, since: Instant) -> Vec<Report> {
         let reports = lock(&self.reports);
         reports.iter().filter(|report| report.at >= since).cloned().collect()
     }
 
-    /// Whether a report that says `UP`, or one that says `OUT`, arrived at this time or later.
+    /// Whether a report of this state (`UP` if `up`, else `OUT`) arrived at `since` or later.
     pub fn has_report_since(&self, since: Instant, up: bool) -> bool {
         self.reports_since(since).iter().any(|report| report.up == up)
     }
 }
 
-fn record(socket: &UdpSocket, reports: &Mutex<Vec<Report>>) {
+fn record_reports(socket: &UdpSocket, reports: &Mutex<Vec<Report>>) {
     let mut packet = [0; 512];
     loop {
-        // A signal to this process may interrupt it.
+        // A signal to this process may interrupt the call.
         let Ok(n) = socket.recv(&mut packet) else { continue };
         let text = String::from_utf8_lossy(&packet[..n]);
         if let ["HB", name, state @ ("UP" | "OUT")] = text.split_whitespace().collect::<Vec<_>>().as_slice() {
@@ -75,16 +75,16 @@
     }
 }
 
-/// The store.
+/// The stub store.
 #[derive(Clone, Debug)]
 pub struct Store {
     calls: Arc<AtomicU64>,
-    /// Where it listens.
+    /// TCP address that the store listens on.
     pub address: SocketAddr,
 }
 
 impl Store {
-    /// Starts it on threads of its own, at a loopback address of its own.
+    /// Starts the store on its own threads, at a loopback address that nothing else uses.
     ///
     /// # Errors
     /// If no address can be bound.
@@ -92,7 +92,7 @@
         Store::start_on(bind_unique_address()?)
     }
 
-    /// Starts it on threads of its own, accepting connections on this listener.
+    /// Starts the store on its own threads, accepting connections on `listener`.
     ///
     /// # Errors
     /// If the listener has no address.
@@ -103,7 +103,7 @@
         Ok(store)
     }
 
-    /// Number of calls that it has answered.
+    /// Number of calls answered so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -112,7 +112,7 @@
 fn accept_callers(listener: &TcpListener, calls: &Arc<AtomicU64>) {
     for stream in listener.incoming().flatten() {
         let calls = calls.clone();
-        // An error ends its connection, and nothing else.
+        // An error ends only this connection.
         std::thread::spawn(move || answer_calls(stream, &calls));
     }
 }
