--- a/crates/pinepoint-lab/src/load.rs
+++ b/crates/pinepoint-lab/src/load.rs
@@ -1,5 +1,6 @@
-//! A load generator with an open loop: requests at random times, whatever becomes of those before them, over MessagePack-RPC
-//! and AJP at once. It counts for itself what became of each, by class and outcome, and records latencies.
+//! An open-loop load generator: sends requests at random times, independent of the answers to earlier
+//! requests, over MessagePack-RPC and AJP at once. It counts outcomes by class on its own, independent of the
+//! program, and records latencies.
 
 mod ajp;
 mod recorder;
@@ -26,98 +27,99 @@
 pub(crate) use request::{Incoming, Outcome, Request, draw_request, take_incoming};
 use rpc_connection::RpcConnection;
 
-/// How long answers are waited for after the last request.
+/// How long the generator waits for answers after the last request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
-/// Pause between two checks whether all requests are answered.
+/// Pause between two checks whether all requests have been answered.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name.
+    /// Class name.
     pub name: &'static str,
-    /// Its share of all requests, as a weight.
+    /// Relative share of all requests; the shares need not add up to 1.
     pub share: f64,
     /// Mean work, ms on one core.
     pub work_ms: f64,
-    /// Its requests carry an idempotency key.
+    /// Whether requests carry an idempotency key.
     pub keyed: bool,
-    /// Its requests call the store.
+    /// Whether requests call the store.
     pub calls: bool,
 }
 
-/// What is sent.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<RequestClass>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Share of the requests that is sent over AJP, from 0 to 1.
+    /// Share of the requests sent over AJP, from 0 to 1.
     pub ajp_share: f64,
-    /// For how long requests are sent.
+    /// How long requests are sent.
     pub duration: Duration,
-    /// Connections of MessagePack-RPC.
+    /// Number of MessagePack-RPC connections.
     pub rpc_connections: usize,
-    /// Connections of AJP at most.
+    /// Maximum number of AJP connections.
     pub max_ajp_connections: usize,
     /// Standard deviation of the logarithm of the work.
     pub work_sigma: f64,
-    /// Seed of times and work.
+    /// Seed of the random times, classes and work of the requests.
     pub seed: u64,
 }
 
-/// What became of the requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Answered with a result.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Rejected.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Answered with another error.
+    /// Requests answered with another error.
     pub failed: u64,
-    /// Not answered.
+    /// Requests not answered.
     pub unanswered: u64,
 }
 
 impl Sum for OutcomeCounts {
     fn sum<I: Iterator<Item = OutcomeCounts>>(counts: I) -> OutcomeCounts {
-        counts.fold(OutcomeCounts::default(), |sum, one| OutcomeCounts {
-            sent: sum.sent + one.sent,
-            served: sum.served + one.served,
-            rejected: sum.rejected + one.rejected,
-            failed: sum.failed + one.failed,
-            unanswered: sum.unanswered + one.unanswered,
+        counts.fold(OutcomeCounts::default(), |sum, next| OutcomeCounts {
+            sent: sum.sent + next.sent,
+            served: sum.served + next.served,
+            rejected: sum.rejected + next.rejected,
+            failed: sum.failed + next.failed,
+            unanswered: sum.unanswered + next.unanswered,
         })
     }
 }
 
-/// What the load generator observed.
+/// Results of a load, as the load generator observed them.
 #[derive(Clone, Debug)]
 pub struct LoadSummary {
-    /// By class.
+    /// Outcomes by class.
     pub outcomes: BTreeMap<&'static str, OutcomeCounts>,
-    /// Time from the sending to the answer of served requests, us.
+    /// Time from sending to answer of the served requests, us.
     pub latency: Histogram<u64>,
-    /// Requests that found no connection free, and were not sent.
+    /// Requests that were not sent because no connection had capacity.
     pub no_capacity: u64,
-    /// Answers beyond the first to one request.
+    /// Answers to requests that were already answered.
     pub duplicate_answers: u64,
 }
 
 impl LoadSummary {
-    /// All classes together.
+    /// Sum of all classes.
     pub fn all(&self) -> OutcomeCounts {
         self.outcomes.values().copied().sum()
     }
 }
 
-/// Sends a workload to a process that listens at these addresses, and waits for the answers.
+/// Sends a workload to a process that listens at the addresses `rpc` and `ajp`, and waits for the answers.
 ///
 /// # Errors
-/// If a connection of MessagePack-RPC cannot be made or breaks, or the workload has no classes or no valid rate.
+/// If a MessagePack-RPC connection cannot be established or breaks, or the workload has no classes or an
+/// invalid rate.
 pub async fn run(
     workload: &Workload,
     rpc: SocketAddr,
@@ -143,7 +145,7 @@
     Ok(recorder.finish())
 }
 
-/// Sends all requests of a workload, each at its time.
+/// Sends all requests of a workload, each at its scheduled time.
 async fn send_all(workload: &Workload, has_ajp: bool, clients: &mut Clients) -> io::Result<()> {
     let mut rng = Pcg64Mcg::seed_from_u64(workload.seed);
     let gaps = Exp::new(workload.rate).map_err(io::Error::other)?;
@@ -157,9 +159,9 @@
         }
         number += 1;
         let request = draw_request(&workload.classes, workload.work_sigma, workload.seed, number, &mut rng)?;
-        let by_ajp = has_ajp && rng.random::<f64>() < workload.ajp_share;
+        let is_ajp = has_ajp && rng.random::<f64>() < workload.ajp_share;
         Timer::at(start + offset).await;
-        if by_ajp {
+        if is_ajp {
             clients.ajp.send(request, &clients.recorder, &clients.executor).await;
         } else {
             clients.send_by_rpc(&request).await?;
@@ -167,10 +169,10 @@
     }
 }
 
-/// The connections of a load.
+/// The connections that carry a load.
 struct Clients {
     connections: Vec<RpcConnection>,
-    /// Where the search for a connection with capacity starts.
+    /// Index at which the search for a connection with capacity starts.
     next: usize,
     ajp: AjpPool,
     recorder: Rc<Recorder>,
@@ -178,8 +180,8 @@
 }
 
 impl Clients {
-    /// Sends a request on the next connection with capacity, round-robin. Where none has, it would wait at the router, not
-    /// here, and is counted only.
+    /// Sends a request on the next connection with capacity, round-robin. If no connection has capacity, the
+    /// request is only counted: a real router would queue it, and the generator does not simulate that queue.
     async fn send_by_rpc(&mut self, request: &Request) -> io::Result<()> {
         let count = self.connections.len();
         let mut candidates = (0..count).map(|n| (self.next + n) % count);
@@ -193,11 +195,11 @@
     }
 }
 
-/// Waits for a future, or gives up.
-pub async fn timeout<T>(limit: Duration, what: impl Future<Output = T>) -> Option<T> {
+/// Waits for a future; `None` if it does not complete within `limit`.
+pub async fn timeout<T>(limit: Duration, operation: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         Timer::after(limit).await;
         None
     };
-    future::or(async { Some(what.await) }, expired).await
+    future::or(async { Some(operation.await) }, expired).await
 }
--- a/crates/pinepoint-lab/src/load/ajp.rs
+++ b/crates/pinepoint-lab/src/load/ajp.rs
@@ -1,5 +1,5 @@
-//! AJP13 connections, each of which carries one request at a time ("The Apache Tomcat Connectors - AJP Protocol
-//! Reference").
+//! AJP13 connections ("The Apache Tomcat Connectors - AJP Protocol Reference"). Each carries one request at a
+//! time.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,7 +14,7 @@
 use super::recorder::Recorder;
 use super::request::{Outcome, Request};
 
-/// First bytes of a packet to the program.
+/// First bytes of a packet from the web server to the program.
 const MAGIC: [u8; 2] = [0x12, 0x34];
 /// Prefix code of a Forward Request.
 const FORWARD_REQUEST: u8 = 2;
@@ -22,14 +22,14 @@
 const POST: u8 = 4;
 /// Code of the header `content-length`.
 const CONTENT_LENGTH: [u8; 2] = [0xa0, 8];
-/// End of a Forward Request.
+/// Terminator of a Forward Request.
 const REQUEST_TERMINATOR: u8 = 0xff;
-/// Prefix code of the packet with status and headers.
+/// Prefix code of Send Headers: the packet with status and headers.
 const SEND_HEADERS: u8 = 4;
-/// Prefix code of the packet that ends an answer.
+/// Prefix code of End Response: the packet that ends an answer.
 const END_RESPONSE: u8 = 5;
 
-/// Connections that are reused, up to a limit.
+/// A pool of reusable connections with an upper limit on their number.
 pub(super) struct AjpPool {
     address: Option<SocketAddr>,
     idle: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>>,
@@ -42,7 +42,7 @@
         AjpPool { address, idle: Rc::default(), opened: Cell::new(0), max_connections }
     }
 
-    /// Sends a request on an idle or a new connection; a task of its own waits for the answer.
+    /// Sends a request on an idle or a new connection. A separate task waits for the answer.
     pub(super) async fn send(
         &self,
         request: Request,
@@ -84,7 +84,7 @@
     [&MAGIC, &(payload.len() as u16).to_be_bytes()[..], payload].concat()
 }
 
-/// The packets of a request: its head and its body.
+/// Encodes a request as two packets: the Forward Request and the body.
 fn encode(request: &Request) -> Vec<u8> {
     let mut headers = vec![("est", format!("{:.3}", request.work_ms)), ("mem", "40".to_owned())];
     headers.extend(request.idempotency_key.clone().map(|key| ("token", key)));
@@ -106,7 +106,7 @@
     [packet(&head), packet(&body)].concat()
 }
 
-/// Sends one request and reads its answer to the end; an error if the connection cannot be reused.
+/// Sends one request and reads the whole answer; returns an error if the connection cannot be reused.
 async fn exchange(mut stream: &Async<TcpStream>, request: &Request) -> io::Result<Outcome> {
     stream.write_all(&encode(request)).await?;
     let mut outcome = Outcome::Failed;
--- a/crates/pinepoint-lab/src/load/request.rs
+++ b/crates/pinepoint-lab/src/load/request.rs
@@ -1,4 +1,4 @@
-//! The requests of a workload: drawn at random from its classes, and the answers to them.
+//! Draws the requests of a workload at random from its classes, and parses the answers.
 
 use std::io;
 
@@ -9,10 +9,10 @@
 use super::RequestClass;
 use crate::rpc::{self, NOTIFICATION, RESPONSE, RequestFields};
 
-/// Least work of a request, ms.
+/// Minimum work of a request, ms.
 const MIN_WORK_MS: f64 = 0.05;
 
-/// What an answer says.
+/// Outcome of an answered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Served,
@@ -20,7 +20,7 @@
     Failed,
 }
 
-/// One request.
+/// A request of a workload.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) class: &'static str,
@@ -30,7 +30,8 @@
     pub(crate) request_id: u64,
 }
 
-/// The request of this number: a class by its share, and work with a log-normal distribution around the mean of the class.
+/// Draws the request with this number: a class by its share, and work from a log-normal distribution with the
+/// mean of the class.
 pub(crate) fn draw_request(
     classes: &[RequestClass],
     work_sigma: f64,
@@ -43,7 +44,7 @@
     let work = LogNormal::new(mu, work_sigma).map_err(io::Error::other)?;
     let work_ms = work.sample(rng).max(MIN_WORK_MS);
     let idempotency_key = class.keyed.then(|| format!("k{seed}-{number}"));
-    // The engine reads the two numbers; what stands behind them tells bodies apart.
+    // The engine reads the first two numbers; the rest makes bodies distinguishable.
     let suffix = if class.keyed { " keyed" } else { "" };
     let body = format!("{work_ms:.3} {} n{number}{suffix}", u8::from(class.calls));
     Ok(Request { class: class.name, work_ms, idempotency_key, body, request_id: seed << 32 | number })
@@ -55,11 +56,12 @@
         share -= class.share;
         share <= 0.0
     });
-    class.or(classes.last()).ok_or_else(|| io::Error::other("a plan without classes"))
+    class.or(classes.last()).ok_or_else(|| io::Error::other("the workload has no request classes"))
 }
 
 impl Request {
-    /// The message of one attempt, under an id of its connection; `first_sent_ms` is Unix time.
+    /// Encodes the message of one attempt. `message_id` is unique on the connection; `first_sent_ms` is Unix
+    /// time.
     pub(crate) fn message(
         &self,
         message_id: u64,
@@ -77,15 +79,16 @@
     }
 }
 
-/// What arrived on a connection of MessagePack-RPC.
+/// A message received on a MessagePack-RPC connection.
 pub(crate) enum Incoming {
-    /// An answer to the request of this message id.
+    /// The answer to the request with this message id.
     Answer(u64, Outcome),
-    /// The server is shutting down gracefully, and takes no more requests on this connection.
+    /// The server is draining and accepts no more requests on this connection.
     GoAway,
 }
 
-/// Takes a complete message off the front, if there is one; skips messages that are none of these.
+/// Removes the first complete message from `input` and returns it, if there is one; skips messages of other
+/// kinds.
 pub(crate) fn take_incoming(input: &mut Vec<u8>) -> Option<Incoming> {
     loop {
         let message = rpc::take_message(input)?;
--- a/crates/pinepoint-lab/src/load/rpc_connection.rs
+++ b/crates/pinepoint-lab/src/load/rpc_connection.rs
@@ -1,4 +1,4 @@
-//! A connection of MessagePack-RPC that carries several requests at once, as routers use it.
+//! A MessagePack-RPC connection that carries several requests at once, like the connections of routers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,9 +15,9 @@
 use super::request::{Incoming, Request, take_incoming};
 use crate::rpc::unix_ms;
 
-/// Requests that may be in flight on one connection.
+/// Maximum number of requests in flight on one connection.
 const MAX_IN_FLIGHT: usize = 32;
-/// Bytes that are read at a time.
+/// Size of the read buffer, bytes.
 const READ_BYTES: usize = 16 * 1024;
 
 /// A request that waits for its answer.
@@ -29,7 +29,7 @@
 /// Requests in flight by message id.
 type PendingRequests = Rc<RefCell<HashMap<u64, Pending>>>;
 
-/// A connection; a task of its own reads the answers.
+/// A connection. A separate task reads the answers.
 pub(super) struct RpcConnection {
     stream: Rc<Async<TcpStream>>,
     pending: PendingRequests,
