--- a/crates/pinepoint-lab/src/telemetry.rs
+++ b/crates/pinepoint-lab/src/telemetry.rs
@@ -1,5 +1,6 @@
-//! The experiment on telemetry: the same load in rounds with telemetry off and with receivers that fail in one way each, and
-//! whether what the receivers have in the end is what the load generator counted.
+//! The experiment on telemetry. It runs the same load in rounds, with telemetry off and with receivers in
+//! different failure conditions, and checks that the sums at the receivers finally match the counts of the
+//! load generator.
 
 mod condition;
 mod mismatches;
@@ -25,47 +26,48 @@
 use crate::standard_load::{ENGINE_CORES, RPC_CONNECTIONS, WORK_SIGMA, rate_at, request_classes};
 use crate::stub_services::{ServiceAddresses, StubServices};
 
-/// Time of a call to the store.
+/// Duration of a call to the store.
 const STORE_CALL: Duration = Duration::from_millis(3);
-/// Pause after the start of the program, before its cost is read and the load begins.
+/// Pause after the start of the program, before its resource usage is read and the load begins.
 const WARM_UP: Duration = Duration::from_millis(300);
-/// How a dripping receiver reads: so many bytes, with this pause before them.
+/// A dripping receiver reads 512 bytes at a time, with a pause of 100 ms before each read.
 const DRIP: Mode = Mode::Drip(512, Duration::from_millis(100));
-/// How long a restarting receiver is up, and then down.
+/// How long a restarting receiver is up before it goes down.
 const RESTART_UP: Duration = Duration::from_millis(3300);
-/// See above.
+/// How long a restarting receiver is down before it comes up again.
 const RESTART_DOWN: Duration = Duration::from_millis(1200);
-/// How long the receiver is waited for to have read what the program received.
+/// How long the Graphite receiver may take to report all requests that the program received.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(120);
-/// Pause between two looks at that.
+/// Pause between two checks whether the Graphite receiver has caught up.
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause between two looks whether the program has ended.
+/// Pause between two checks whether the program has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// What was sent last is read by a thread that looks now and then.
+/// Pause after the exit of the program, in which the polling threads of the receivers read what was sent
+/// last.
 const READ_PAUSE: Duration = Duration::from_millis(100);
-/// Share of the requests that is sent over AJP.
+/// Share of the requests sent over AJP.
 const AJP_SHARE: f64 = 0.25;
-/// Connections of AJP at most.
+/// Maximum number of AJP connections.
 const MAX_AJP_CONNECTIONS: usize = 60;
 
-/// How it is measured.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program.
     pub program: PathBuf,
-    /// It is an earlier program, whose edge file had `every_s` in each section, and no receipts.
+    /// Whether the program is an earlier one, whose edge file has `every_s` in each section and no receipts.
     pub legacy_config: bool,
     /// Duration of the load of each trial.
     pub duration: Duration,
-    /// Rounds, each with one trial of each condition.
+    /// Number of rounds, each with one trial of each condition.
     pub rounds: u64,
-    /// Requests a second as a share of what the engine can do.
+    /// Request rate as a fraction of the engine's capacity.
     pub load_factor: f64,
-    /// The core that the program has for itself; the stubs keep off it.
+    /// CPU core reserved for the program; the stubs do not run on it.
     pub cpu: Option<usize>,
-    /// Conditions.
+    /// Conditions to run, in this order in each round.
     pub conditions: Vec<Condition>,
-    /// Length of an interval of telemetry, s.
+    /// Length of a telemetry interval, s.
     pub interval_s: u64,
 }
 
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Whether the receivers of this condition get what can be compared with the load.
+    /// Whether sums at the receivers can be compared with the load in this condition.
     fn reports(&self, condition: Condition) -> bool {
         condition != Condition::Off && !self.legacy_config
     }
@@ -124,27 +126,28 @@
 /// One trial of one condition.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// What the load generator counted.
+    /// Results of the load generator.
     pub summary: LoadSummary,
-    /// CPU time for each request, ms.
+    /// CPU time per request, ms.
     pub cpu_ms: f64,
     /// Peak memory, kB.
     pub memory_kb: u64,
-    /// From SIGTERM to the end of the process.
+    /// Time from SIGTERM to the exit of the process.
     pub shutdown: Duration,
-    /// Series whose sum at the receivers is not what the load generator counted, with both.
+    /// Series whose sum at the receivers differs from the count of the load generator, each with both
+    /// numbers.
     pub mismatches: Vec<String>,
-    /// Intervals that the receiver has points of.
-    pub slots: usize,
-    /// The largest value of the series `law_off`.
-    pub law_off: f64,
+    /// Number of intervals for which the Graphite receiver has points.
+    pub interval_count: usize,
+    /// Maximum of the series `law_off`, by which the program reports that its counts do not add up.
+    pub max_law_off: f64,
 }
 
 /// The receivers of one trial.
 struct Receivers {
     graphite: Graphite,
     collectd: Option<Collectd>,
-    /// Where the collectd receiver is, or would be.
+    /// Address of the collectd receiver; nothing listens there in the condition `Down`.
     collectd_address: String,
 }
 
@@ -163,7 +166,8 @@
         Ok(Receivers { graphite, collectd, collectd_address })
     }
 
-    /// What happens to them while the load runs; never ends.
+    /// Restarts the Graphite receiver periodically if the condition asks for it. Never completes, so the load
+    /// ends first.
     async fn disturb(&self, condition: Condition) -> io::Result<LoadSummary> {
         if condition != Condition::Restarting {
             return future::pending().await;
@@ -176,10 +180,11 @@
         }
     }
 
-    /// Lets the Graphite receiver read again, whatever its condition was.
+    /// Makes the Graphite receiver read normally again, in any condition.
     fn recover(&self, condition: Condition) -> io::Result<()> {
         if matches!(condition, Condition::Down | Condition::Restarting) {
-            // The load may have ended in the middle of a restart.
+            // If the load ended while the receiver was up, its listener is stopped before it is started
+            // again.
             self.graphite.stop();
             self.graphite.restart()?;
         }
@@ -187,7 +192,8 @@
         Ok(())
     }
 
-    /// Waits until the Graphite receiver has read of all requests that were sent.
+    /// Waits until the points at the Graphite receiver cover all requests sent, or [`CATCH_UP_TIMEOUT`] is
+    /// over.
     async fn await_caught_up(&self, summary: &LoadSummary) {
         let sent = summary.all().sent as f64;
         let deadline = Instant::now() + CATCH_UP_TIMEOUT;
@@ -199,14 +205,15 @@
     }
 }
 
-/// Shuts the program down while the tasks of this thread go on; tells how long it took.
+/// Shuts the program down while the tasks of this thread continue; returns how long that took.
 async fn shut_down(process: Process) -> io::Result<Duration> {
     let ending = std::thread::spawn(move || process.shut_down());
     while !ending.is_finished() {
         Timer::after(EXIT_POLL_INTERVAL).await;
     }
-    let (took, _) = ending.join().map_err(|_| io::Error::other("the wait for its end failed"))??;
-    Ok(took)
+    let (elapsed, _) =
+        ending.join().map_err(|_| io::Error::other("the thread that shuts the program down panicked"))??;
+    Ok(elapsed)
 }
 
 async fn run_trial(
@@ -244,27 +251,27 @@
         memory_kb: after.memory_kb,
         shutdown,
         mismatches,
-        slots: interval_count(&points),
-        law_off: largest_law_off(&points),
+        interval_count: count_intervals(&points),
+        max_law_off: max_law_off(&points),
         summary,
     })
 }
 
-/// Intervals of which there is a point of any series.
-fn interval_count(points: &Points) -> usize {
+/// Number of intervals with a point in any series.
+fn count_intervals(points: &Points) -> usize {
     let times: BTreeSet<u64> = points.values.values().flat_map(|times| times.keys().copied()).collect();
     times.len()
 }
 
-fn largest_law_off(points: &Points) -> f64 {
+fn max_law_off(points: &Points) -> f64 {
     let series = points.values.get("pinepoint.n1.telemetry.law_off");
     series.and_then(|times| times.values().copied().max_by(f64::total_cmp)).unwrap_or(0.0)
 }
 
-/// Runs all rounds; writes progress to standard error.
+/// Runs all rounds and writes progress to standard error.
 ///
 /// # Errors
-/// If the program does not start or end, or a stub cannot bind its address.
+/// If the program does not start or exit, or a stub cannot bind its address.
 pub fn measure(options: &Options) -> io::Result<BTreeMap<Condition, Vec<Trial>>> {
     let executor = Rc::new(LocalExecutor::new());
     let mut trials: BTreeMap<Condition, Vec<Trial>> = BTreeMap::new();
@@ -274,7 +281,8 @@
         for round in 1..=options.rounds {
             for (index, condition) in options.conditions.iter().enumerate() {
                 write_progress(options, round, index + 1, *condition);
-                // Every condition of a round has the same times and work.
+                // All conditions of a round use the same seed, so that their requests have the same times and
+                // work.
                 let trial = run_trial(options, *condition, round, addresses, &executor).await?;
                 trials.entry(*condition).or_default().push(trial);
             }
--- a/crates/pinepoint-lab/src/telemetry/condition.rs
+++ b/crates/pinepoint-lab/src/telemetry/condition.rs
@@ -1,19 +1,19 @@
-//! The conditions of the experiment: what the receivers of telemetry do during one trial.
+//! The conditions of the experiment: how the telemetry receivers behave during a trial.
 
 use std::str::FromStr;
 
-/// What the receivers do in one trial.
+/// Behaviour of the receivers during a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// Telemetry is off.
     Off,
-    /// They read what comes.
+    /// The receivers read everything that arrives.
     Good,
-    /// Graphite accepts and reads nothing until the load is over.
+    /// Graphite accepts connections, but reads nothing until the load is over.
     Stalled,
     /// Graphite reads a little at a time.
     Dripping,
-    /// Graphite is down until the load is over, and collectd for good.
+    /// Graphite is down until the load is over, collectd for the whole trial.
     Down,
     /// Graphite restarts every few seconds.
     Restarting,
@@ -30,7 +30,7 @@
 ];
 
 impl Condition {
-    /// Its name on the command line and in reports.
+    /// The name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Condition::Off => "off",
@@ -43,16 +43,16 @@
     }
 }
 
-/// A name that is none of a [`Condition`].
+/// The error for a name that is no [`Condition`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} is none of off, good, stalled, dripping, down, restarting")]
+#[error("unknown condition {0:?}; expected off, good, stalled, dripping, down or restarting")]
 pub struct UnknownCondition(String);
 
 impl FromStr for Condition {
     type Err = UnknownCondition;
 
     fn from_str(name: &str) -> Result<Condition, UnknownCondition> {
-        let named = |condition: &Condition| condition.name().eq_ignore_ascii_case(name);
-        CONDITIONS.into_iter().find(named).ok_or_else(|| UnknownCondition(name.to_owned()))
+        let has_name = |condition: &Condition| condition.name().eq_ignore_ascii_case(name);
+        CONDITIONS.into_iter().find(has_name).ok_or_else(|| UnknownCondition(name.to_owned()))
     }
 }
--- a/crates/pinepoint-lab/src/telemetry/report.rs
+++ b/crates/pinepoint-lab/src/telemetry/report.rs
@@ -9,8 +9,8 @@
 use crate::load::OutcomeCounts;
 use crate::statistics::median;
 
-/// What the trials show for each condition. Quantiles are those of all trials together; ratios are to the same with
-/// telemetry off, with the least, the median and the largest ratio of any one round beside them.
+/// The results of each condition. Quantiles are computed over all trials of the condition together. Ratios
+/// compare with telemetry off; the ratios of the single rounds are given as minimum, median and maximum.
 pub fn report(trials: &BTreeMap<Condition, Vec<Trial>>) -> Value {
     let baseline = trials.get(&Condition::Off).filter(|trials| !trials.is_empty());
     let measured = trials.iter().filter(|(_, trials)| !trials.is_empty());
@@ -22,8 +22,8 @@
     let latency = merged_latency(trials);
     let baseline_latency = baseline.map(merged_latency);
     let ratio = |quantile: f64| {
-        let of_baseline = baseline_latency.as_ref()?;
-        Some(quantile_ms(&latency, quantile) / quantile_ms(of_baseline, quantile))
+        let baseline_latency = baseline_latency.as_ref()?;
+        Some(quantile_ms(&latency, quantile) / quantile_ms(baseline_latency, quantile))
     };
     let ratios =
         |figure: &dyn Fn(&Trial) -> f64| ratios_of_rounds(trials, baseline.unwrap_or_default(), figure);
@@ -48,8 +48,8 @@
         "sent": sent, "served": served, "refused": rejected, "failed": failed, "unanswered": unanswered,
         "no_room": sum_of(&|trial| trial.summary.no_capacity),
         "doubles": sum_of(&|trial| trial.summary.duplicate_answers),
-        "law_off": trials.iter().map(|trial| trial.law_off).fold(0.0, f64::max),
-        "slots": median_of(&|trial| trial.slots as f64),
+        "law_off": trials.iter().map(|trial| trial.max_law_off).fold(0.0, f64::max),
+        "slots": median_of(&|trial| trial.interval_count as f64),
         "off": trials.iter().flat_map(|trial| trial.mismatches.clone()).collect::<Vec<_>>(),
     })
 }
@@ -58,17 +58,17 @@
     latency.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// The latencies of several trials together; there must be at least one.
+/// The merged latencies of several trials. There must be at least one trial.
 fn merged_latency(trials: &[Trial]) -> Histogram<u64> {
     let mut merged = trials[0].summary.latency.clone();
     for trial in &trials[1..] {
-        // They have the same bounds, so this cannot fail.
+        // All histograms have the same bounds, so adding cannot fail.
         let _ = merged.add(&trial.summary.latency);
     }
     merged
 }
 
-/// The least, the median and the largest ratio of a figure to that of the baseline in the same round.
+/// Minimum, median and maximum of the ratios of a figure to the baseline's figure in the same round.
 fn ratios_of_rounds(trials: &[Trial], baseline: &[Trial], figure: &dyn Fn(&Trial) -> f64) -> Value {
     let ratios: Vec<f64> =
         trials.iter().zip(baseline).map(|(trial, baseline)| figure(trial) / figure(baseline)).collect();
@@ -86,8 +86,8 @@
     for row in report.as_array().into_iter().flatten() {
         let number = |value: &Value| value.as_f64().unwrap_or(f64::NAN);
         let range = |name: &str| {
-            let load_factor = |at: usize| number(&row[name][at]);
-            format!("{:.2} {:.2} {:.2}", load_factor(0), load_factor(1), load_factor(2))
+            let ratio = |index: usize| number(&row[name][index]);
+            format!("{:.2} {:.2} {:.2}", ratio(0), ratio(1), ratio(2))
         };
         text += &format!(
             "{:<11} {:<6.3} {:<6.3} {:<6.3} ({:<16}) ({:<16}) {:<8.0} {:<7} {:<7} {:<6} {:<10} {:<5} {}\n",
