--- a/crates/pinepoint-lab/src/collectd.rs
+++ b/crates/pinepoint-lab/src/collectd.rs
@@ -1,6 +1,7 @@
-//! A collectd receiver, written from the wiki's pages on the binary and the plain-text protocol: values, notifications,
-//! signed and encrypted packets; datagrams are dropped and streams are stalled on command. As collectd does, it rejects a
-//! value that is not newer than the one before it, and a packet that is not protected as required.
+//! A collectd receiver, written from the collectd wiki's pages on the binary and the plain-text protocol. It
+//! receives values and notifications, in signed, encrypted and plain packets, and drops datagrams and stalls
+//! streams on command. Like collectd, it rejects a value that is not newer than the previous value of its
+//! series, and a packet that is not protected as required.
 
 mod packet;
 mod received;
@@ -21,42 +22,42 @@
 
 use crate::sync::lock;
 
-/// How long the receiver waits for a datagram before it looks whether it is to stop.
+/// How long the receiver waits for a datagram before it checks whether it has to stop.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Pause between two looks whether a stalled stream is to go on.
+/// Pause between two checks whether a stalled stream may continue.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest datagram, bytes.
+/// Maximum size of a datagram, bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// How packets have to be protected, as collectd's `SecurityLevel`.
+/// The required protection of packets, like collectd's `SecurityLevel`.
 #[derive(Clone, Debug, Default)]
 pub enum SecurityLevel {
-    /// Not at all.
+    /// Packets are plain.
     #[default]
     None,
-    /// By a signature of this user and password.
+    /// Packets are signed with this user and password.
     Sign(String, String),
-    /// By encryption with this user and password.
+    /// Packets are encrypted with this user and password.
     Encrypt(String, String),
 }
 
-/// A user and a password.
+/// User and password.
 struct Credentials<'a> {
     user: &'a str,
     password: &'a str,
 }
 
-/// What the threads of a receiver share.
+/// State shared by the threads of a receiver.
 #[derive(Debug, Default)]
 struct Shared {
     received: Mutex<Received>,
     is_stalled: AtomicBool,
-    /// Of a thousand datagrams, those that are dropped.
+    /// How many of a thousand datagrams are dropped.
     dropped_thousandths: AtomicU64,
     is_stopped: AtomicBool,
 }
 
-/// The receiver. It takes no more datagrams once it is dropped.
+/// A collectd receiver. Dropping it stops the reception of datagrams.
 #[derive(Debug)]
 pub struct Collectd {
     shared: Arc<Shared>,
@@ -65,8 +66,8 @@
 }
 
 impl Collectd {
-    /// Receives datagrams at a free port of the loopback; which of them are dropped, once some are to be, follows from the
-    /// seed.
+    /// Receives datagrams at a free loopback port. The seed determines which datagrams are dropped after a
+    /// call of [`Collectd::drop_datagrams`].
     ///
     /// # Errors
     /// If the port cannot be bound.
@@ -74,7 +75,7 @@
         Collectd::network_at(([127, 0, 0, 1], 0).into(), security, seed)
     }
 
-    /// The same at this address.
+    /// Receives datagrams like [`Collectd::network`], but at this address.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -88,7 +89,7 @@
         Ok(Collectd { shared, address, socket_path: None })
     }
 
-    /// Receives text over TCP at a free port of the loopback.
+    /// Receives the plain-text protocol over TCP at a free loopback port.
     ///
     /// # Errors
     /// If the port cannot be bound.
@@ -101,7 +102,8 @@
         Ok(Collectd { shared, address, socket_path: None })
     }
 
-    /// Receives text over a Unix socket at this path, which is removed at the end.
+    /// Receives the plain-text protocol over a Unix socket at this path. Dropping the receiver removes the
+    /// path.
     ///
     /// # Errors
     /// If the path cannot be bound.
@@ -114,22 +116,22 @@
         Ok(Collectd { shared, address, socket_path: Some(path.to_owned()) })
     }
 
-    /// Where it is, as the edge file has it.
+    /// The receiver's address, in the form that the edge file uses.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// What was received so far.
+    /// Everything received so far.
     pub fn received(&self) -> Received {
         lock(&self.shared.received).clone()
     }
 
-    /// Reads nothing from streams while this is set.
+    /// Stops reading from streams if `is_stalled`, or continues.
     pub fn stall(&self, is_stalled: bool) {
         self.shared.is_stalled.store(is_stalled, Ordering::Relaxed);
     }
 
-    /// Drops so many of a thousand datagrams from now on.
+    /// Drops this many of a thousand datagrams from now on, at random.
     pub fn drop_datagrams(&self, thousandths: u64) {
         self.shared.dropped_thousandths.store(thousandths, Ordering::Relaxed);
     }
@@ -148,7 +150,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut bytes = [0; MAX_DATAGRAM_BYTES];
     while !shared.is_stopped.load(Ordering::Relaxed) {
-        // The time-out, or a signal to the process.
+        // An error is the timeout, or a signal to the process.
         let Ok(n) = socket.recv(&mut bytes) else { continue };
         if rng.random_range(0..1000) < shared.dropped_thousandths.load(Ordering::Relaxed) {
             continue;
@@ -161,7 +163,7 @@
     }
 }
 
-/// A stream that is read and written by different values.
+/// A stream that can be duplicated, so that reading and writing use separate values.
 trait Duplex: Read + Write + Send + Sized + 'static {
     fn duplicate(&self) -> io::Result<Self>;
 }
@@ -178,7 +180,7 @@
     }
 }
 
-/// Serves each stream on a thread of its own.
+/// Serves each stream on its own thread.
 fn serve_streams(streams: impl Iterator<Item = impl Duplex>, shared: &Arc<Shared>) {
     for stream in streams {
         let shared = shared.clone();
@@ -189,7 +191,7 @@
     }
 }
 
-/// Answers each line until the stream ends or a line is not complete.
+/// Answers each line, until the stream ends or its last line is incomplete.
 fn serve_text(mut input: impl BufRead, mut output: impl Write, shared: &Shared) {
     let mut line = String::new();
     loop {
--- a/crates/pinepoint-lab/src/collectd/packet.rs
+++ b/crates/pinepoint-lab/src/collectd/packet.rs
@@ -1,4 +1,4 @@
-//! collectd's binary protocol: signed, encrypted and plain packets, and the parts in them.
+//! Parses packets of collectd's binary protocol: signed, encrypted and plain packets, and their parts.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 use super::received::{Notification, Received, Value};
 use super::{Credentials, SecurityLevel};
 
-/// Types of parts, as the protocol numbers them.
+/// Numbers of the part types.
 mod part_type {
     pub(super) const HOST: u16 = 0x0000;
     pub(super) const PLUGIN: u16 = 0x0002;
@@ -27,20 +27,20 @@
     pub(super) const ENCRYPTION: u16 = 0x0210;
 }
 
-/// Type of a gauge in a values part.
+/// Type code of a gauge in a values part.
 const GAUGE: u8 = 1;
-/// Type of a derive in a values part.
+/// Type code of a derive in a values part.
 const DERIVE: u8 = 2;
-/// Bytes of a HMAC-SHA256.
+/// Length of an HMAC-SHA256, bytes.
 const MAC_BYTES: usize = 32;
-/// Bytes of a SHA-1 digest.
+/// Length of a SHA-1 digest, bytes.
 const DIGEST_BYTES: usize = 20;
-/// Bytes of an initialization vector.
+/// Length of an initialization vector, bytes.
 const VECTOR_BYTES: usize = 16;
-/// High-resolution times count in parts of a second of this size.
+/// High-resolution times count in units of 2^-30 s.
 const TICKS_PER_S: f64 = (1 << 30) as f64;
 
-/// What a packet holds; nothing if it is truncated, not of a known form, or not protected as required.
+/// Parses a packet; `None` if it is truncated, has an unknown form, or is not protected as required.
 pub(super) fn parse(security: &SecurityLevel, bytes: &[u8]) -> Option<Received> {
     let (part_type, head, rest) = split_part(bytes)?;
     match (security, part_type) {
@@ -55,24 +55,24 @@
     }
 }
 
-/// Splits the first part off: its type, its payload, and what follows.
+/// Splits off the first part; returns its type, its payload and the remaining bytes.
 fn split_part(bytes: &[u8]) -> Option<(u16, &[u8], &[u8])> {
     let part_type = read_u16(bytes.get(..2)?)?;
     let length = usize::from(read_u16(bytes.get(2..4)?)?);
     Some((part_type, bytes.get(4..length)?, bytes.get(length..)?))
 }
 
-/// The signed rest of a packet, if the signature is right.
+/// Returns the signed rest of a packet if the user and the signature are valid.
 fn verify<'a>(credentials: &Credentials<'_>, head: &[u8], rest: &'a [u8]) -> Option<&'a [u8]> {
     let (mac, user) = head.split_at_checked(MAC_BYTES)?;
     let mut expected = <Hmac<Sha256> as KeyInit>::new_from_slice(credentials.password.as_bytes()).ok()?;
     expected.update(user);
     expected.update(rest);
-    let is_right = user == credentials.user.as_bytes() && expected.verify_slice(mac).is_ok();
-    is_right.then_some(rest)
+    let is_valid = user == credentials.user.as_bytes() && expected.verify_slice(mac).is_ok();
+    is_valid.then_some(rest)
 }
 
-/// The parts in an encrypted packet, if the user and the password are right.
+/// Decrypts a packet; returns its parts if the user and the digest are valid.
 fn decrypt(credentials: &Credentials<'_>, head: &[u8]) -> Option<Vec<u8>> {
     let user_length = usize::from(read_u16(head.get(..2)?)?);
     let (user, rest) = head.get(2..)?.split_at_checked(user_length)?;
@@ -82,14 +82,14 @@
     let key = Sha256::digest(credentials.password.as_bytes());
     ofb::Ofb::<Aes256>::new(&key, &vector.into()).apply_keystream(&mut plaintext);
     let (digest, parts) = plaintext.split_at_checked(DIGEST_BYTES)?;
-    let is_right = user == credentials.user.as_bytes() && Sha1::digest(parts).as_slice() == digest;
-    is_right.then(|| parts.to_vec())
+    let is_valid = user == credentials.user.as_bytes() && Sha1::digest(parts).as_slice() == digest;
+    is_valid.then(|| parts.to_vec())
 }
 
-/// What the parts of a packet say so far of the values that come next.
+/// State while parsing a packet: the parts read so far, which apply to the values that follow.
 #[derive(Default)]
 struct Context {
-    /// Names by type of part.
+    /// Names by part type.
     names: HashMap<u16, String>,
     time_s: f64,
     severity: u64,
@@ -101,7 +101,7 @@
         self.names.get(&part_type).map_or("", String::as_str)
     }
 
-    /// The series of the next values: `host/plugin-instance/type-instance`.
+    /// Series of the next values: `host/plugin-instance/type-instance`.
     fn series(&self) -> String {
         let [host, plugin, plugin_instance, value_type, type_instance] = [
             part_type::HOST,
@@ -158,7 +158,7 @@
     values.map(|(value_type, bytes)| read_value(*value_type, bytes)).collect()
 }
 
-/// A value: gauges are little-endian, all else is big-endian.
+/// Reads a value. Gauges are little-endian, all other values big-endian.
 fn read_value(value_type: u8, bytes: &[u8]) -> Option<Value> {
     match value_type {
         GAUGE => Some(Value::Gauge(f64::from_le_bytes(to_array(bytes)?))),
--- a/crates/pinepoint-lab/src/collectd/received.rs
+++ b/crates/pinepoint-lab/src/collectd/received.rs
@@ -1,13 +1,13 @@
-//! What a collectd receiver has accepted, and what it has rejected.
+//! The values and notifications that a collectd receiver has accepted, and counts of those it rejected.
 
 use std::collections::BTreeMap;
 
 /// A value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Value {
-    /// A running total.
+    /// The total of a counter.
     Derive(i64),
-    /// A state.
+    /// The current value of a gauge.
     Gauge(f64),
 }
 
@@ -16,37 +16,37 @@
 pub struct Notification {
     /// 1 failure, 2 warning, 4 okay.
     pub severity: u64,
-    /// What it is about.
+    /// The type instance, which names the subject of the notification.
     pub type_instance: String,
-    /// In words.
+    /// The message text.
     pub message: String,
 }
 
-/// What was received.
+/// Everything that a receiver has received.
 #[derive(Clone, Debug, Default)]
 pub struct Received {
-    /// Values by `host/plugin-instance/type-instance`, each with its time in s.
+    /// Values by series `host/plugin-instance/type-instance`, each with its time in s.
     pub values: BTreeMap<String, Vec<(f64, Vec<Value>)>>,
     /// Notifications.
     pub notifications: Vec<Notification>,
-    /// Packets and lines that were rejected: malformed, wrong signature, wrong key, or not protected.
+    /// Number of rejected packets and lines: malformed, wrong signature, wrong key, or not protected.
     pub rejected: u64,
-    /// Values that were not newer than the last of their series.
+    /// Number of values that were not newer than the last value of their series.
     pub stale: u64,
-    /// Largest interval that senders have reported, s.
+    /// Longest interval that senders have reported, s.
     pub interval_s: f64,
 }
 
 impl Received {
-    /// The last total or state of a series.
+    /// The last value of a series.
     pub fn last(&self, name: &str) -> Option<f64> {
         match self.values.get(name)?.last()?.1.first()? {
             Value::Derive(total) => Some(*total as f64),
-            Value::Gauge(state) => Some(*state),
+            Value::Gauge(value) => Some(*value),
         }
     }
 
-    /// Adds what one packet held.
+    /// Adds the contents of one packet.
     pub(super) fn merge(&mut self, packet: Received) {
         for (name, rows) in packet.values {
             for (time_s, values) in rows {
@@ -58,7 +58,7 @@
         self.interval_s = packet.interval_s.max(self.interval_s);
     }
 
-    /// Adds a value; tells whether it was newer than the last of its series.
+    /// Adds a value if it is newer than the last value of its series; returns whether it is.
     pub(super) fn insert(&mut self, name: String, time_s: f64, values: Vec<Value>) -> bool {
         let row = self.values.entry(name).or_default();
         if row.last().is_some_and(|(last, _)| *last >= time_s) {
--- a/crates/pinepoint-lab/src/collectd/text.rs
+++ b/crates/pinepoint-lab/src/collectd/text.rs
@@ -1,15 +1,15 @@
-//! collectd's plain-text protocol: commands, one a line, and the answers to them.
+//! collectd's plain-text protocol: one command per line, and an answer to each.
 
 use super::received::{Notification, Received, Value};
 
-/// Severity of a failure, as the binary protocol numbers it.
+/// Severity `failure`, as numbered in the binary protocol.
 const FAILURE: u64 = 1;
-/// Severity of a warning.
+/// Severity `warning`.
 const WARNING: u64 = 2;
-/// Severity of what is in order.
+/// Severity `okay`.
 const OKAY: u64 = 4;
 
-/// Carries out a command; returns the answer.
+/// Executes a command and returns the answer.
 pub(super) fn execute(received: &mut Received, line: &str) -> String {
     let words = split_words(line.trim_end());
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Parses `time:value:...` of a series; its time is in s.
+/// Parses `time:value:...` of a series; the time is in s.
 fn parse_values(name: &str, text: &str) -> Option<(f64, Vec<Value>)> {
     let is_derive = name.contains("/derive");
     let mut numbers = text.split(':');
@@ -67,7 +67,7 @@
     "0 Success"
 }
 
-/// The words of a line, some of them in quotes or of the form `name="value"`.
+/// Splits a line into words. A word may be quoted or have the form `name="value"`.
 fn split_words(line: &str) -> Vec<String> {
     let mut words = Vec::new();
     let mut rest = line;
@@ -79,7 +79,7 @@
     words
 }
 
-/// The first word of a text without its quotes, and its length in the text.
+/// Returns the first word of a text without quotes, and its length in the text.
 fn first_word(text: &str) -> (String, usize) {
     let (mut word, mut is_quoted, mut is_escaped) = (String::new(), false, false);
     for (at, char) in text.char_indices() {
--- a/crates/pinepoint-lab/src/graphite.rs
+++ b/crates/pinepoint-lab/src/graphite.rs
@@ -1,6 +1,6 @@
-//! A Graphite receiver, written from "Feeding In Your Data" of Graphite's documentation: plaintext and pickle over TCP,
-//! plaintext over UDP. It stalls, reads slowly, resets connections and restarts on command. It keeps what it has read:
-//! complete lines and batches only.
+//! A Graphite receiver, written from "Feeding In Your Data" in Graphite's documentation: plaintext and pickle
+//! over TCP, and plaintext over UDP. On command it stalls, reads slowly, resets connections and restarts. It
+//! keeps the points of complete lines and batches only.
 
 mod points;
 #[cfg(test)]
@@ -15,30 +15,30 @@
 
 use crate::sync::lock;
 
-/// Pause between two looks at the mode.
+/// Pause between two checks of the mode, and read timeout of a connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Attempts to bind the address again, one a [`POLL_INTERVAL`].
+/// Maximum number of further attempts to bind the address, one every [`POLL_INTERVAL`].
 const MAX_BIND_ATTEMPTS: u32 = 400;
-/// Receive buffer of a connection, bytes: what it does not read is not far from the sender.
+/// Receive buffer of a connection, bytes; small, so that unread data soon blocks the sender.
 const RECEIVE_BUFFER_BYTES: usize = 4096;
-/// Longest datagram, bytes.
+/// Maximum size of a datagram, bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// How the receiver behaves.
+/// Behaviour of the receiver.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// Reads all that arrives.
+    /// Reads everything that arrives.
     Normal,
     /// Accepts connections and reads nothing.
     Stalled,
-    /// Reads so many bytes at a time, with this pause before them.
+    /// Reads this many bytes at a time, with this pause before each read.
     Drip(usize, Duration),
-    /// Reads so many bytes of each connection and then resets it.
+    /// Reads this many bytes of each connection and then resets it.
     ResetAfter(usize),
 }
 
-/// The protocol of a TCP receiver.
+/// Protocol of a TCP receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// Lines of text.
@@ -51,7 +51,7 @@
 struct Shared {
     protocol: Protocol,
     mode: Mutex<Mode>,
-    /// Counts stops; connections and listeners of an earlier generation end.
+    /// Number of stops; connections and listeners of an earlier generation close.
     generation: Mutex<u64>,
     points: Mutex<Points>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The receiver. Its threads end when it is dropped.
+/// A Graphite receiver over TCP. Its threads end when it is dropped.
 #[derive(Debug)]
 pub struct Graphite {
     address: SocketAddr,
@@ -70,7 +70,7 @@
 }
 
 impl Graphite {
-    /// Listens at a free port of the loopback.
+    /// Listens at a free loopback port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -90,17 +90,17 @@
         Ok(graphite)
     }
 
-    /// Where it listens, or listened until it was stopped.
+    /// The receiver's address; it stays the same after a stop.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the behaviour from now on.
     pub fn set_mode(&self, mode: Mode) {
         *lock(&self.shared.mode) = mode;
     }
 
-    /// Stops it: its connections break, and what it has not read is lost. What it has read stays.
+    /// Stops the receiver: its connections close and unread data is lost. Points already read are kept.
     pub fn stop(&self) {
         *lock(&self.shared.generation) += 1;
     }
@@ -110,7 +110,7 @@
     /// # Errors
     /// If the address cannot be bound.
     pub fn restart(&self) -> io::Result<()> {
-        // The old listener takes a moment to close.
+        // The previous listener may still be open for a moment.
         let mut attempts = 0;
         loop {
             match self.listen() {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// What was read so far.
+    /// All points read so far.
     pub fn points(&self) -> Points {
         lock(&self.shared.points).clone()
     }
@@ -191,7 +191,7 @@
     }
 }
 
-/// A receiver of plaintext datagrams.
+/// A Graphite receiver of plaintext datagrams.
 #[derive(Debug)]
 pub struct GraphiteUdp {
     address: SocketAddr,
@@ -199,30 +199,30 @@
 }
 
 impl GraphiteUdp {
-    /// Listens at a free port of the loopback.
+    /// Listens at a free loopback port.
     ///
     /// # Errors
     /// If no port can be bound.
     pub fn start() -> io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let (address, points) = (socket.local_addr()?, Arc::<Mutex<Points>>::default());
-        let read = points.clone();
+        let received = points.clone();
         std::thread::spawn(move || {
             let mut packet = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let Ok(n) = socket.recv(&mut packet) else { continue };
-                lock(&read).read(Protocol::Plaintext, &mut packet[..n].to_vec());
+                lock(&received).read(Protocol::Plaintext, &mut packet[..n].to_vec());
             }
         });
         Ok(GraphiteUdp { address, points })
     }
 
-    /// Where it listens.
+    /// The receiver's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What was read so far.
+    /// All points read so far.
     pub fn points(&self) -> Points {
         lock(&self.points).clone()
     }
--- a/crates/pinepoint-lab/src/graphite/points.rs
+++ b/crates/pinepoint-lab/src/graphite/points.rs
@@ -1,4 +1,4 @@
-//! What Graphite receivers have read: points by path and time, from plaintext lines and pickled batches.
+//! The points that a Graphite receiver has read from plaintext lines and pickled batches, by path and time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,21 +6,21 @@
 
 use super::Protocol;
 
-/// Longest batch that is read, bytes.
+/// Maximum size of a batch, bytes.
 const MAX_BATCH_BYTES: usize = 1 << 20;
-/// Bytes of the length before a pickled batch.
+/// Size of the length prefix of a pickled batch, bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Points that were read.
+/// The points read by a receiver.
 #[derive(Clone, Debug, Default)]
 pub struct Points {
-    /// Value by path and time, Unix s.
+    /// Values by path and time; the time is in Unix s.
     pub values: HashMap<String, BTreeMap<u64, f64>>,
-    /// Points that came with another value than before.
+    /// Number of points received again with a different value.
     pub conflicting: u64,
-    /// Lines and batches that could not be parsed.
+    /// Number of lines, batches and points that could not be parsed.
     pub malformed: u64,
-    /// Connections that were accepted.
+    /// Number of accepted connections.
     pub connections: u64,
 }
 
@@ -30,7 +30,7 @@
         self.values.get(path).map_or(0.0, |times| times.values().sum())
     }
 
-    /// Adds what another receiver has read: a time of a path that both have counts once.
+    /// Adds the points of another receiver. A point with the same path and time counts once.
     pub fn merge(&mut self, other: &Points) {
         for (path, times) in &other.values {
             for (time, value) in times {
@@ -42,11 +42,11 @@
     }
 
     fn insert(&mut self, path: &str, time: u64, value: f64) {
-        let known = self.values.entry(path.to_owned()).or_default().insert(time, value);
-        self.conflicting += u64::from(known.is_some_and(|known| known != value));
+        let previous = self.values.entry(path.to_owned()).or_default().insert(time, value);
+        self.conflicting += u64::from(previous.is_some_and(|previous| previous != value));
     }
 
-    /// Reads all complete lines or batches off the front of the input.
+    /// Removes all complete lines or batches from the front of `input` and adds their points.
     pub(super) fn read(&mut self, protocol: Protocol, input: &mut Vec<u8>) {
         match protocol {
             Protocol::Plaintext => self.read_lines(input),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Parses `path value time`.
+/// Parses a line `path value time`.
 fn parse_line(line: &[u8]) -> Option<(&str, u64, f64)> {
     let text = std::str::from_utf8(line).ok()?;
     let mut words = text.trim_end().split(' ');
