--- a/crates/pinepoint-lab/tests/checkers.rs
+++ b/crates/pinepoint-lab/tests/checkers.rs
@@ -1,4 +1,5 @@
-//! The checks of the test tool can fail: servers that are wrong on purpose break its rules, and a blocked stream stands.
+//! Tests of the test tool's own checks: the routers detect the violations of deliberately faulty servers, and
+//! the fault proxy blocks and resumes a stream.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,33 +11,35 @@
 use pinepoint_lab::simulated_engine::EngineControl;
 use rmpv::Value;
 
-/// How long anything is waited for.
+/// Timeout of each wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn wait_until(what: &str, condition: impl Fn() -> bool) {
+fn wait_until(event: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "{what}: not in time");
+        assert!(Instant::now() < deadline, "timed out waiting for: {event}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A server that answers each request with the errors that `answer` returns for its body, each in an answer of its own.
-fn wrong_server(answer: impl Fn(&str) -> Vec<Value> + Send + Sync + Clone + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+/// Starts a server that sends one answer for each error that `answer` returns for the body of a request.
+fn faulty_server(answer: impl Fn(&str) -> Vec<Value> + Send + Sync + Clone + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let address = listener.local_addr().expect("listener has an address");
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let answer = answer.clone();
             std::thread::spawn(move || {
                 while let Ok(message) = rmpv::decode::read_value(&mut stream) {
-                    let parts = message.as_array().expect("a request");
-                    let body = parts[3].as_array().expect("its parameters")[1].as_slice().expect("a body");
+                    let parts = message.as_array().expect("the message is a request");
+                    let body = parts[3].as_array().expect("the request has parameters")[1]
+                        .as_slice()
+                        .expect("the request has a body");
                     for error in answer(&String::from_utf8_lossy(body)) {
                         let result = Value::from("result");
                         let reply = Value::Array(vec![1.into(), parts[1].clone(), error, result]);
                         let mut bytes = Vec::new();
-                        rmpv::encode::write_value(&mut bytes, &reply).expect("encoded");
+                        rmpv::encode::write_value(&mut bytes, &reply).expect("the reply can be encoded");
                         let _ = stream.write_all(&bytes);
                     }
                 }
@@ -57,81 +60,86 @@
 }
 
 #[test]
-fn right_answers_break_no_rule_and_the_sums_come_out() {
-    let address = wrong_server(|body| vec![if body.contains("n7") { busy() } else { Value::Nil }]);
-    let routers =
-        Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
-    wait_until("a hundred are served", || routers.stats().all().served >= 100);
+fn correct_answers_cause_no_violations() {
+    let address = faulty_server(|body| vec![if body.contains("n7") { busy() } else { Value::Nil }]);
+    let routers = Routers::start(workload(false), vec![address], vec![EngineControl::default()])
+        .expect("routers start");
+    wait_until("a hundred requests are served", || routers.stats().all().served >= 100);
     routers.set_rate(0.0);
-    wait_until("all have ended", || routers.stats().in_flight == 0);
+    wait_until("no request is in flight", || routers.stats().in_flight == 0);
     let all = routers.stats().all();
-    let broken = routers.stats().violations.clone();
-    assert!(broken.is_empty(), "{broken:?}");
+    let violations = routers.stats().violations.clone();
+    assert!(violations.is_empty(), "{violations:?}");
     assert_eq!(all.requests, all.served + all.rejected + all.failed + all.lost, "{all:?}");
     assert!(all.rejected >= 1 && all.attempts > all.requests, "{all:?}");
     assert!(all.weight_served > 0.0 && all.weight_served <= all.weight_requested, "{all:?}");
 }
 
 #[test]
-fn a_second_answer_is_seen() {
-    let address = wrong_server(|_| vec![Value::Nil, Value::Nil]);
-    let routers =
-        Routers::start(workload(false), vec![address], vec![EngineControl::default()]).expect("started");
+fn detects_second_answer() {
+    let address = faulty_server(|_| vec![Value::Nil, Value::Nil]);
+    let routers = Routers::start(workload(false), vec![address], vec![EngineControl::default()])
+        .expect("routers start");
     wait_until("a broken rule", || {
         routers.stats().violations.iter().any(|rule| rule.contains("second answer"))
     });
 }
 
 #[test]
-fn no_answer_is_seen_unless_a_script_stopped_who_owes_it() {
-    let silent = || wrong_server(|_| Vec::new());
-    let routers =
-        Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
-    let excused =
-        Routers::start(workload(false), vec![silent()], vec![EngineControl::default()]).expect("started");
+fn detects_missing_answer_unless_server_is_excused() {
+    let silent = || faulty_server(|_| Vec::new());
+    let routers = Routers::start(workload(false), vec![silent()], vec![EngineControl::default()])
+        .expect("routers start");
+    let excused = Routers::start(workload(false), vec![silent()], vec![EngineControl::default()])
+        .expect("routers start");
     excused.stats().excused.insert(0);
     wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("no answer")));
-    wait_until("some are lost", || excused.stats().all().lost > 0);
+    wait_until("requests are lost", || excused.stats().all().lost > 0);
     assert!(excused.stats().violations.is_empty());
 }
 
 #[test]
-fn busy_told_of_a_key_that_has_run_is_seen() {
+fn detects_busy_for_executed_key() {
     let control = EngineControl::default();
     let engine = control.clone();
-    let address = wrong_server(move |body| {
+    let address = faulty_server(move |body| {
         *engine.state().started.entry(body.to_owned()).or_default() += 1;
         vec![busy()]
     });
-    let routers = Routers::start(workload(true), vec![address], vec![control]).expect("started");
+    let routers = Routers::start(workload(true), vec![address], vec![control]).expect("routers start");
     wait_until("a broken rule", || routers.stats().violations.iter().any(|rule| rule.contains("Busy told")));
 }
 
 #[test]
-fn a_stream_that_is_cut_stands_and_comes_whole_once_it_is_healed() {
-    let store = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let proxy = FaultProxy::start(Vec::new(), 1).expect("a switch");
-    let (one, other) = (Endpoint::Member(0), Endpoint::Store);
-    let far = store.local_addr().expect("bound");
-    let at = proxy.stream(one, other, far, || true).expect("a way");
-    let mut near = TcpStream::connect(at).expect("connected");
-    near.write_all(b"a").expect("sent");
-    let (mut served, _) = store.accept().expect("accepted");
-    served.set_read_timeout(Some(Duration::from_millis(500))).expect("set");
+fn blocked_stream_resumes_without_loss() {
+    let store = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let proxy = FaultProxy::start(Vec::new(), 1).expect("proxy starts");
+    let (member_end, store_end) = (Endpoint::Member(0), Endpoint::Store);
+    let store_address = store.local_addr().expect("listener has an address");
+    let proxy_address =
+        proxy.stream(member_end, store_end, store_address, || true).expect("open a stream route");
+    let mut client = TcpStream::connect(proxy_address).expect("connect to the proxy");
+    client.write_all(b"a").expect("send the first byte");
+    let (mut server, _) = store.accept().expect("accept the forwarded stream");
+    server.set_read_timeout(Some(Duration::from_millis(500))).expect("set the read timeout");
     let mut first = [0];
-    served.read_exact(&mut first).expect("it comes");
-    proxy.faults().blocked.insert(Direction::new(one, other));
-    near.write_all(b"bcd").expect("sent");
-    let mut got = [0; 3];
-    assert!(served.read(&mut got).is_err(), "nothing goes over a way that is cut");
-    served.write_all(b"back").expect("sent");
+    server.read_exact(&mut first).expect("the first byte arrives");
+    proxy.faults().blocked.insert(Direction::new(member_end, store_end));
+    client.write_all(b"bcd").expect("send while the direction is blocked");
+    let mut forward = [0; 3];
+    assert!(server.read(&mut forward).is_err(), "data passed a blocked direction");
+    server.write_all(b"back").expect("send in the other direction");
     let mut back = [0; 4];
-    near.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
-    near.read_exact(&mut back).expect("the other direction goes");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
+    client.read_exact(&mut back).expect("the other direction is open");
     proxy.faults().blocked.clear();
-    served.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
-    served.read_exact(&mut got).expect("it comes");
-    assert_eq!((&got, &back), (b"bcd", b"back"));
-    drop(near);
-    assert_eq!(served.read(&mut got).expect("its end"), 0, "and its end is told");
+    server.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
+    server.read_exact(&mut forward).expect("the delayed bytes arrive");
+    assert_eq!((&forward, &back), (b"bcd", b"back"));
+    drop(client);
+    assert_eq!(
+        server.read(&mut forward).expect("read the end of the stream"),
+        0,
+        "end of the stream not forwarded"
+    );
 }
