--- a/crates/pinepoint-lab/src/graphite.rs
+++ b/crates/pinepoint-lab/src/graphite.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of further attempts to bind the address, one every [`POLL_INTERVAL`].
 const MAX_BIND_ATTEMPTS: u32 = 400;
-/// Receive buffer of a connection, bytes; small, so that unread data soon blocks the sender.
+/// Receive buffer of a connection, bytes; small, so that most unread data stays at the sender.
 const RECEIVE_BUFFER_BYTES: usize = 4096;
 /// Maximum size of a datagram, bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
--- a/crates/pinepoint-lab/src/operation/cost.rs
+++ b/crates/pinepoint-lab/src/operation/cost.rs
@@ -280,7 +280,11 @@
         _ => values[middle],
     };
     let to_json = |value: Option<&f64>| value.map(|value| round_to(*value, digits));
-    json!({ "median": round_to(median, digits), "least": to_json(values.first()), "largest": to_json(values.last()) })
+    json!({
+        "median": round_to(median, digits),
+        "least": to_json(values.first()),
+        "largest": to_json(values.last()),
+    })
 }
 
 fn round_to(value: f64, digits: i32) -> f64 {
--- a/crates/pinepoint-lab/src/telemetry/condition.rs
+++ b/crates/pinepoint-lab/src/telemetry/condition.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// The error for a name that is no [`Condition`].
+/// The error for a name that is not a [`Condition`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown condition {0:?}; expected off, good, stalled, dripping, down or restarting")]
 pub struct UnknownCondition(String);
