--- a/crates/pinepoint-lab/src/operation/deployment.rs
+++ b/crates/pinepoint-lab/src/operation/deployment.rs
@@ -53,7 +53,7 @@
     /// Deduplication window of the keyed class.
     pub key_window: Duration,
     /// `$TMPDIR` of the processes; `None` for a directory of the deployment.
-    pub temporary: Option<PathBuf>,
+    pub temp_dir: Option<PathBuf>,
     /// Where the processes send load reports; `None` for the service registry of the deployment.
     pub members: Option<SocketAddr>,
 }
@@ -66,7 +66,7 @@
             stop_timeout: Duration::from_millis(3200),
             sockets: 256,
             key_window: Duration::from_secs(20),
-            temporary: None,
+            temp_dir: None,
             members: None,
         }
     }
@@ -114,13 +114,13 @@
     }
 
     /// `$TMPDIR` of the processes.
-    pub fn temporary(&self) -> PathBuf {
-        self.setup.temporary.clone().unwrap_or_else(|| self.folder.0.join("tmp"))
+    pub fn temp_dir(&self) -> PathBuf {
+        self.setup.temp_dir.clone().unwrap_or_else(|| self.folder.0.join("tmp"))
     }
 
     /// Path of the handover socket.
     pub fn handover_socket(&self) -> PathBuf {
-        self.temporary().join(HANDOVER_SOCKET)
+        self.temp_dir().join(HANDOVER_SOCKET)
     }
 
     /// Time from SIGTERM to SIGKILL.
@@ -155,7 +155,7 @@
         std::fs::write(&config, self.configuration(&engine, source.configuration))?;
         let log = self.folder.0.join(format!("log-{number}"));
         let mut command = Command::new(&self.setup.program);
-        command.env("RELAY_CONFIG", &config).env("TMPDIR", self.temporary()).env_remove(MANAGEMENT_VARIABLE);
+        command.env("RELAY_CONFIG", &config).env("TMPDIR", self.temp_dir()).env_remove(MANAGEMENT_VARIABLE);
         if let Some(address) = source.environment {
             command.env(MANAGEMENT_VARIABLE, address.to_string());
         }
--- a/tests/upgrade/handover_socket.rs
+++ b/tests/upgrade/handover_socket.rs
@@ -56,19 +56,19 @@
 fn without_a_usable_directory_the_program_serves_as_before(#[case] temporary: Temporary) {
     let own = deployment();
     let path = match temporary {
-        Temporary::Missing => own.temporary().join("missing"),
+        Temporary::Missing => own.temp_dir().join("missing"),
         Temporary::File => {
-            let file = own.temporary().join("file");
+            let file = own.temp_dir().join("file");
             std::fs::write(&file, "").expect("written");
             file
         }
         Temporary::Long => {
-            let long = own.temporary().join("x".repeat(200));
+            let long = own.temp_dir().join("x".repeat(200));
             std::fs::create_dir(&long).expect("made");
             long
         }
     };
-    let deployment = deployment_of(Setup { temporary: Some(path), ..setup() });
+    let deployment = deployment_of(Setup { temp_dir: Some(path), ..setup() });
     let mut old = start_ready(&deployment, quick_engine());
     assert_served(&connect(&deployment), &Request::keyed("key"));
     // A new process cannot take over, but has to come up once the old one has gone.
