--- a/tests/management.rs
+++ b/tests/management.rs
@@ -25,7 +25,7 @@
     let began = Instant::now();
     let mut process =
         deployment.start_with(quick_engine(), ManagementSource::default()).expect("the program starts");
-    eventually("registered", || deployment.list.heard_since(began, true));
+    eventually("registered", || deployment.registry.has_report_since(began, true));
     let client = connect(&deployment);
     await_health(&client, true, DEFAULT_TIMEOUT);
     let result = assert_served(&client, &Request::read("paper"));
@@ -47,9 +47,9 @@
     assert_no_double_runs(&[&process.engine]);
     assert_always_registered(&deployment, began);
     terminate(&deployment, &mut process);
-    assert!(client.wait_for_notice(DEFAULT_TIMEOUT), "an idle connection gets a go-away notification");
+    assert!(client.wait_for_goaway(DEFAULT_TIMEOUT), "an idle connection gets a go-away notification");
     assert_eq!(client.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
-    assert!(deployment.list.heard_since(began, false));
+    assert!(deployment.registry.has_report_since(began, false));
 }
 
 /// Checks that no process listens at `address`.
@@ -254,8 +254,8 @@
     assert_served(&connect(&deployment), &Request::keyed("on a new connection"));
     assert_accepted(&process, "PING");
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
-    assert!(!client.is_told_to_go(), "lame duck mode must not close connections");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in lame duck mode");
+    assert!(!client.has_goaway(), "lame duck mode must not close connections");
 }
 
 #[test]
@@ -271,7 +271,7 @@
     await_health(&client, true, REJOIN_TIMEOUT);
     let since = await_report(&deployment, true);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, false), "reported OUT after lame duck mode");
+    assert!(!deployment.registry.has_report_since(since, false), "reported OUT after lame duck mode");
     assert_served(&client, &Request::read("paper"));
 }
 
@@ -298,7 +298,7 @@
     let client = connect(&deployment);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in lame duck mode");
     assert_served(&client, &Request::read("paper"));
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
@@ -360,7 +360,7 @@
     assert_eq!(figure(&process, "relay.reconfig_ok"), 1);
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in lame duck mode");
 }
 
 #[test]
@@ -377,7 +377,7 @@
     eventually("a served request", || matches!(client.call(&Request::read("paper")), Reply::Served(_)));
     assert_eq!(client.ping(), Reply::Health(false));
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP in lame duck mode");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP in lame duck mode");
     assert_accepted(&process, "REJOIN");
     await_health(&client, true, REJOIN_TIMEOUT);
 }
--- a/tests/operation/mod.rs
+++ b/tests/operation/mod.rs
@@ -157,7 +157,7 @@
 /// Waits for a process that was just sent SIGTERM. It has to exit with success before the platform would kill
 /// it.
 pub fn await_exit(deployment: &Deployment, process: &mut Process) {
-    let status = process.wait_exit(deployment.stop()).expect("a child process");
+    let status = process.wait_exit(deployment.stop_timeout()).expect("a child process");
     let status = status.expect("the process exits before it would be killed");
     assert!(status.success(), "{status}");
 }
@@ -200,7 +200,7 @@
 
 /// Checks that the service registry has received reports since this time, all of them UP.
 pub fn assert_always_registered(deployment: &Deployment, since: Instant) {
-    let reports = deployment.list.reports_since(since);
+    let reports = deployment.registry.reports_since(since);
     assert!(!reports.is_empty(), "no reports received");
     assert!(reports.iter().all(|report| report.up), "reported OUT");
 }
@@ -215,7 +215,7 @@
 pub fn await_report(deployment: &Deployment, up: bool) -> Instant {
     let since = Instant::now();
     eventually_within(REPORT_TIMEOUT, &format!("a report up={up}"), || {
-        deployment.list.heard_since(since, up)
+        deployment.registry.has_report_since(since, up)
     });
     Instant::now()
 }
--- a/tests/upgrade/connections.rs
+++ b/tests/upgrade/connections.rs
@@ -18,7 +18,7 @@
     // Until SIGTERM, the predecessor serves its connections as before.
     assert_served(&idle, &Request::read("between"));
     send_signal(&predecessor, Signal::TERM);
-    assert!(idle.wait_for_notice(deployment.stop()), "no goaway received");
+    assert!(idle.wait_for_goaway(deployment.stop_timeout()), "no goaway received");
     await_exit(&deployment, &mut predecessor);
     assert_eq!(idle.wait_for_ending(DEFAULT_TIMEOUT), Some(Ending::Closed));
 }
@@ -39,12 +39,8 @@
     let written = client.write(rest);
     let reply = written.map_or(Reply::Lost, |()| client.wait(id));
     // A client that received goaway retries unanswered requests on another connection.
-    let has_to_retry = client.is_told_to_go() && reply == Reply::Lost;
-    assert!(
-        matches!(reply, Reply::Served(_)) || has_to_retry,
-        "{reply:?}, goaway {}",
-        client.is_told_to_go()
-    );
+    let has_to_retry = client.has_goaway() && reply == Reply::Lost;
+    assert!(matches!(reply, Reply::Served(_)) || has_to_retry, "{reply:?}, goaway {}", client.has_goaway());
     await_exit(&deployment, &mut predecessor);
     assert_served(&connect(&deployment), &Request::keyed("in two parts"));
     assert_eq!(runs_of("in two parts", &[&predecessor.engine, &successor.engine]), 1);
--- a/tests/upgrade/handover_socket.rs
+++ b/tests/upgrade/handover_socket.rs
@@ -57,19 +57,19 @@
 fn serves_without_usable_temporary_directory(#[case] temporary: TemporaryPath) {
     let own = deployment();
     let path = match temporary {
-        TemporaryPath::Missing => own.temporary().join("missing"),
+        TemporaryPath::Missing => own.temp_dir().join("missing"),
         TemporaryPath::File => {
-            let file = own.temporary().join("file");
+            let file = own.temp_dir().join("file");
             std::fs::write(&file, "").expect("written");
             file
         }
         TemporaryPath::Long => {
-            let long = own.temporary().join("x".repeat(200));
+            let long = own.temp_dir().join("x".repeat(200));
             std::fs::create_dir(&long).expect("made");
             long
         }
     };
-    let deployment = deployment_of(Setup { temporary: Some(path), ..setup() });
+    let deployment = deployment_of(Setup { temp_dir: Some(path), ..setup() });
     let mut predecessor = start_ready(&deployment, quick_engine());
     assert_served(&connect(&deployment), &Request::keyed("key"));
     // The successor cannot take over, but has to become ready once the predecessor has ended.
--- a/tests/upgrade/lame_duck.rs
+++ b/tests/upgrade/lame_duck.rs
@@ -20,7 +20,7 @@
     terminate(&deployment, &mut predecessor);
     std::thread::sleep(SILENCE_PERIOD);
     assert_eq!(at_successor.ping(), Reply::Health(false));
-    assert!(!deployment.list.heard_since(since, true), "reported UP during a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP during a drain");
     assert_accepted(&successor, "REJOIN");
     await_health(&at_successor, true, Duration::from_secs(2));
 }
@@ -39,7 +39,7 @@
     terminate(&deployment, &mut predecessor);
     let since = await_report(&deployment, false);
     std::thread::sleep(SILENCE_PERIOD);
-    assert!(!deployment.list.heard_since(since, true), "reported UP during a drain");
+    assert!(!deployment.registry.has_report_since(since, true), "reported UP during a drain");
     assert_eq!(client.ping(), Reply::Health(false));
     assert_served(&client, &Request::read("paper"));
 }
--- a/tests/upgrade/process_failures.rs
+++ b/tests/upgrade/process_failures.rs
@@ -127,7 +127,7 @@
         ready.expect("the successor is ready in time");
     });
     let status = predecessor
-        .wait_exit(deployment.stop().saturating_sub(terminated_at.elapsed()))
+        .wait_exit(deployment.stop_timeout().saturating_sub(terminated_at.elapsed()))
         .expect("a child process");
     assert!(status.is_some_and(|status| status.success()), "{status:?}");
     let client = connect(&deployment);
