--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -37,7 +37,7 @@
         }
         self.release_key(id, actions);
         let retry_after_ms = self.retry_after_ms(reason);
-        let no_retry = self.is_last_attempt(reason);
+        let no_retry = self.advises_no_retry(reason);
         actions.push(Action::Reject { id, retry_after_ms, no_retry, reason });
     }
 
@@ -47,7 +47,7 @@
         if std::mem::replace(&mut open.answer_pending, false) {
             actions.push(Action::Fail { id, reason });
         }
-        if open.is_waiting() {
+        if open.is_unstarted() {
             self.requests.open.remove(&id);
         }
     }
@@ -95,7 +95,7 @@
     pub(super) fn caller_gone(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.open.get_mut(&id) else { return };
         open.answer_pending = false;
-        if open.is_waiting() {
+        if open.is_unstarted() {
             self.requests.open.remove(&id);
             self.release_key(id, actions);
         } else {
--- a/src/admission/arrivals.rs
+++ b/src/admission/arrivals.rs
@@ -4,7 +4,7 @@
 use super::request_table::OpenRequest;
 use super::{AdmissionController, Class, Request};
 
-/// Arrivals over which the share of retries is averaged: a few seconds of a small server.
+/// Arrivals over which the share of retries is averaged: a small server receives them in a few seconds.
 const RETRIES_OVER_ARRIVALS: f64 = 30.0;
 
 /// Measurements of how callers behave, learned from arrivals.
--- a/src/admission/call_budget.rs
+++ b/src/admission/call_budget.rs
@@ -33,7 +33,7 @@
 const MIN_TIMEOUT_MS: f64 = 250.0;
 /// Shortest call timeout where the call may be repeated, ms.
 const MIN_REPEATABLE_TIMEOUT_MS: f64 = 100.0;
-/// Multiple of the expected duration that hardly any call takes.
+/// Multiple of the expected duration that hardly any call exceeds.
 const MAX_USUAL_DURATIONS: f64 = 4.0;
 /// Multiple of the expected duration after which a call in flight is no longer charged.
 const OVERDUE_DURATIONS: f64 = 10.0;
@@ -170,7 +170,7 @@
     pub(super) fn record_end(&mut self, now_ms: f64, outcome: Outcome, took_ms: f64, linger_ms: f64) {
         self.count_failure(now_ms, outcome);
         if outcome == Outcome::TimedOut {
-            // A call that was awaited beyond the usual duration has mostly ended at the dependency, and its
+            // A call that was awaited beyond the usual duration has usually ended at the dependency, and its
             // reply was lost.
             let unusual_ms = (took_ms - MAX_USUAL_DURATIONS * self.duration_ms).max(0.0);
             let ended_ms = if self.is_failing() { 0.0 } else { unusual_ms };
--- a/src/admission/feedback.rs
+++ b/src/admission/feedback.rs
@@ -58,9 +58,9 @@
     }
 
     /// Whether the caller of a rejected request is asked not to try another server.
-    pub(super) fn is_last_attempt(&self, reason: RejectReason) -> bool {
-        // All servers share the dependency: if no call can be made here, none can be made elsewhere.
+    pub(super) fn advises_no_retry(&self, reason: RejectReason) -> bool {
         let congested = self.read_delay.is_congested() && !self.wants_no_traffic();
+        // All servers share the dependency: if no call can be made here, none can be made elsewhere.
         reason == RejectReason::CallUnavailable || congested
     }
 
--- a/src/admission/idle_policy.rs
+++ b/src/admission/idle_policy.rs
@@ -15,7 +15,7 @@
 const KEEP_LONGER_FROM: f64 = 0.3;
 /// Share of rejected arrivals from which connections stay open until their callers close them, 0 to 1.
 const KEEP_ALL_FROM: f64 = 0.63;
-/// Arrivals over which the share of rejected ones is averaged: a few seconds of a small server.
+/// Arrivals over which the share of rejections is averaged: a small server receives them in a few seconds.
 const REJECTED_OVER_ARRIVALS: f64 = 30.0;
 /// Smallest change of the timeout that is sent to the host, as a difference of logarithms.
 const MIN_LOG_CHANGE: f64 = 0.1;
--- a/src/admission/messages.rs
+++ b/src/admission/messages.rs
@@ -46,7 +46,7 @@
     Reset,
     /// The run was cancelled, or ended after its final answer had been given.
     Cancelled,
-    /// Nothing was started: the request was already over.
+    /// The run was never started, for example because the request was already over.
     NotStarted,
 }
 
--- a/src/admission/priority.rs
+++ b/src/admission/priority.rs
@@ -100,7 +100,7 @@
         ExpectedWork { total_ms, left_ms: total_ms * (1.0 - part_at_call) }
     }
 
-    /// Expected part of the weight that an answer earns if it is expected at `end_ms`, 0 to 1.
+    /// Expected part of the weight that an answer earns if the estimated end of its run is `end_ms`, 0 to 1.
     fn timely_part(&self, open: &OpenRequest, work_ms: f64, run_ms: f64, end_ms: f64) -> f64 {
         let class = self.class_of(open);
         let earliest_end_ms = end_ms - (1.0 - MIN_FEASIBLE_WORK_PART) * run_ms;
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether no run of the request was started.
-    pub(super) fn is_waiting(&self) -> bool {
+    pub(super) fn is_unstarted(&self) -> bool {
         matches!(self.state, RequestState::Queued | RequestState::AwaitingResult)
     }
 }
--- a/src/admission/run_limits.rs
+++ b/src/admission/run_limits.rs
@@ -6,8 +6,8 @@
 /// Requests that run on the cores, per core. Reading uses the time between the end of a run and the next
 /// start; more runs would only slow down all runs.
 const RUNS_PER_CORE: f64 = 1.0;
-/// Part of the concurrent runs that the server survives that may be open at once, runs waiting for the disk
-/// included. The rest is a reserve.
+/// Of the concurrent runs that the server survives, the part that may be open at once, runs waiting for the
+/// disk included. The rest is a reserve.
 const CONCURRENT_RUNS_PART: f64 = 0.7;
 /// Part of the memory that queued requests, runs and keys may take together.
 const RUN_MEMORY_PART: f64 = 0.92;
@@ -50,7 +50,7 @@
     pub(super) fn reserved_memory_kb(&self) -> f64 {
         let running_factor = self.settings.running_memory_factor.max(1.0);
         let reserved_kb = |open: &OpenRequest| {
-            if open.is_waiting() { open.request.mem_kb } else { open.request.mem_kb * running_factor }
+            if open.is_unstarted() { open.request.mem_kb } else { open.request.mem_kb * running_factor }
         };
         let requests_kb = self.requests.open.values().map(reserved_kb).sum::<f64>();
         requests_kb + self.requests.retained_keys() as f64 * self.settings.key_kb
--- a/src/admission/tenant_usage.rs
+++ b/src/admission/tenant_usage.rs
@@ -58,7 +58,7 @@
         let local_quota_per_s =
             settings.tenants[tenant].quota_per_s * served_part.min(1.0 / settings.servers);
         let starts_per_s = self.tenants[tenant].starts_per_s;
-        let within_quota = (local_quota_per_s / starts_per_s.max(MIN_RATE_PER_S)).min(1.0).powi(2);
-        within_quota + (1.0 - within_quota) * settings.over_quota_weight
+        let full_weight_part = (local_quota_per_s / starts_per_s.max(MIN_RATE_PER_S)).min(1.0).powi(2);
+        full_weight_part + (1.0 - full_weight_part) * settings.over_quota_weight
     }
 }
