--- a/src/server/core/actions.rs
+++ b/src/server/core/actions.rs
@@ -32,7 +32,7 @@
         self.dispatch_at(self.now_ms, event);
     }
 
-    /// Passes an event to the controller that happened at this time, Unix ms.
+    /// Passes an event that happened at this time, Unix ms, to the controller.
     pub(super) fn dispatch_at(&mut self, at_ms: f64, event: Event) {
         if let Some(controller) = &mut self.controller {
             controller.handle(at_ms, event, &mut self.batch.actions);
--- a/src/server/core/answers.rs
+++ b/src/server/core/answers.rs
@@ -53,7 +53,8 @@
     }
 
     /// Ends a request that needs no answer any more. A request that was not started is removed at once, a run
-    /// that waits for a call is cancelled there, and any other run continues to its end.
+    /// that waits for a call is cancelled there if running work can be cancelled, and any other run continues
+    /// to its end unless the controller cancels it.
     pub(super) fn abandon_request(&mut self, id: u32) {
         let state = self.requests.get(id).map(|open| open.state);
         self.dispatch(Event::CallerGone { id });
--- a/src/server/core/drain.rs
+++ b/src/server/core/drain.rs
@@ -10,8 +10,8 @@
 use crate::server::core::api::Reply;
 use crate::server::observability::counters::count;
 
-/// Time from the notice to the kill of a process with a successor, ms: the longest timeout of a class, capped
-/// at [`MAX_HANDOVER_TIMEOUT_MS`], plus [`HANDOVER_MARGIN_MS`].
+/// Time from the termination notice to the kill of a process with a successor, ms: the longest timeout of a
+/// class, capped at [`MAX_HANDOVER_TIMEOUT_MS`], plus [`HANDOVER_MARGIN_MS`].
 const MAX_HANDOVER_TIMEOUT_MS: f64 = 3000.0;
 const HANDOVER_MARGIN_MS: f64 = 700.0;
 
--- a/src/server/core/handover/actions.rs
+++ b/src/server/core/handover/actions.rs
@@ -83,7 +83,7 @@
         let (rules, listener_names) =
             (handover.dependencies.rules.clone(), handover.dependencies.listener_names.clone());
         handover.predecessor = Some(Predecessor::new(rules, listener_names, digest_key));
-        let (engine_start, unknown_until_ms) = (handover.engine, handover.keys_unknown_until_ms);
+        let (engine_start, unknown_until_ms) = (handover.engine_start, handover.keys_unknown_until_ms);
         let transport = handover.dependencies.transport.clone();
         self.predecessor_event(predecessor::Event::KeysUnknownUntil(unknown_until_ms));
         self.predecessor_event(predecessor::Event::DrainChanged(drained));
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Fails requests of keys that this process does not know until this time, Unix ms.
+    /// Until this time, Unix ms, fails the requests whose key this process does not know.
     fn fail_unknown_keys_until(&mut self, until_ms: f64) {
         self.log_unknown_keys(until_ms);
         let Some(handover) = &mut self.handover else { return };
--- a/src/server/core/handover/mod.rs
+++ b/src/server/core/handover/mod.rs
@@ -56,15 +56,16 @@
 /// The state of the handover.
 pub(super) struct Handover {
     dependencies: HandoverDependencies,
+    /// The state machine of this process as a successor.
     successor: Successor,
-    /// Present once this process serves.
+    /// The state machine of this process as a predecessor; present once this process serves.
     predecessor: Option<Predecessor>,
     /// Requests of keys that this process does not know fail until this time, Unix ms.
     keys_unknown_until_ms: f64,
-    engine: Option<EngineStart>,
-    /// When the notice to terminate came, Unix ms.
+    engine_start: Option<EngineStart>,
+    /// When the termination notice came, Unix ms.
     notice_ms: f64,
-    /// By number, in the order in which they were made.
+    /// Unanswered claims by number, in the order in which they were made.
     claims: BTreeMap<u64, WaitingClaim>,
     last_claim: u64,
     /// Keys that have changed in the current batch.
@@ -78,7 +79,7 @@
             dependencies,
             predecessor: None,
             keys_unknown_until_ms: 0.0,
-            engine: None,
+            engine_start: None,
             notice_ms: 0.0,
             claims: BTreeMap::new(),
             last_claim: 0,
@@ -144,7 +145,7 @@
     /// Handles the start of the engine in a process that may have to take over first.
     pub(super) fn engine_started_in_handover(&mut self, start: EngineStart) {
         let Some(handover) = &mut self.handover else { return };
-        handover.engine = Some(start);
+        handover.engine_start = Some(start);
         self.successor_event(successor::Event::EngineUp);
     }
 
--- a/src/server/core/handover/replication.rs
+++ b/src/server/core/handover/replication.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends the successor all keys that have changed in the current batch.
+    /// Sends the successor the keys that protect an effect and have changed in the current batch.
     pub(in crate::server::core) fn send_changed_keys(&mut self) {
         let Some(handover) = &mut self.handover else { return };
         let mut changed = std::mem::take(&mut handover.changed_keys);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The records of all keys of this process.
+    /// The records of all keys of this process that protect an effect.
     pub(super) fn key_records(&self) -> Vec<KeyRecord> {
         let keys = self.keys.keys().filter(|key| key.protects_effect());
         keys.map(|key| self.key_record(key)).collect()
--- a/src/server/core/keys/mod.rs
+++ b/src/server/core/keys/mod.rs
@@ -76,13 +76,12 @@
         hasher.finish()
     }
 
-    /// The key of the digests.
+    /// The key with which digests are computed.
     pub fn digest_key(&self) -> [u8; 16] {
         self.digest_key
     }
 
-    /// Takes over the key of the digests of another process of this server. Earlier digests no longer match
-    /// any body.
+    /// Takes over the digest key of another process of this server. Earlier digests no longer match any body.
     pub fn set_digest_key(&mut self, digest_key: [u8; 16]) {
         self.digest_key = digest_key;
     }
--- a/src/server/core/keys/types.rs
+++ b/src/server/core/keys/types.rs
@@ -12,7 +12,7 @@
     KeyedClasses,
 }
 
-/// What identifies a request over all its attempts.
+/// The key that identifies a request over all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey {
     /// The classes within which the value identifies a request.
--- a/src/server/core/mod.rs
+++ b/src/server/core/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Frontends and upstream links reach it through its queue only, as [`api::CoreInput`]. It answers through
 //! the writer queue of each caller, and acts through the traits of [`api`]. It knows no wire format, waits
-//! for no socket, and leaves every decision to the admission controller: it makes sure that each request that
-//! was read gets exactly one answer and that no idempotency key runs twice.
+//! for no socket, and leaves every decision to the admission controller. The core itself makes sure that each
+//! request that was read gets exactly one answer and that no idempotency key runs twice.
 //!
 //! Inputs are processed in batches: all inputs of one instant are handled one by one ([`Core::handle`]), then
 //! the controller decides on all of them at once and its actions are executed ([`Core::process_batch`]).
--- a/src/server/core/requests.rs
+++ b/src/server/core/requests.rs
@@ -85,8 +85,8 @@
     pub state: RequestState,
     /// The last call that its run asked for.
     pub call_request: CallRequest,
-    /// The result with which the run is resumed after its last call; kept until a later notice proves that
-    /// the engine has received it.
+    /// The result with which the run is resumed after its last call; kept until a later notice of the engine
+    /// proves that the engine has received it.
     pub resume_with: Option<CallResult>,
     /// Tag of the last gauge request when `resume_with` was written to the engine; `None` if it was not
     /// written.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether it was never started on the engine.
+    /// Whether no run of the request was started.
     pub fn is_unstarted(&self) -> bool {
         matches!(self.state, RequestState::Queued | RequestState::AwaitingResult)
     }
--- a/src/server/core/runs.rs
+++ b/src/server/core/runs.rs
@@ -43,7 +43,7 @@
         self.emit_for(id, |_| RequestEventKind::RunStarted { queue_wait_ms });
     }
 
-    /// Enters the key of a request that is about to be started, if it has an effect.
+    /// Enters the key of a request that is about to be started, if the request has an effect.
     fn enter_started_key(&mut self, id: u32) -> Result<(), AlreadyRan> {
         let Some(open) = self.requests.get(id) else { return Ok(()) };
         let class = &self.dependencies.site.settings.classes[open.class];
@@ -53,8 +53,8 @@
         self.keys.start(key, attempt, open.arrived_ms)
     }
 
-    /// Fails a request whose key the controller would run twice, and reports to the controller that it did
-    /// not run.
+    /// Fails a request whose key the controller would run twice, and reports to the controller that the
+    /// request did not run.
     fn fail_as_already_run(&mut self, id: u32) {
         count(&self.dependencies.counters.doubles_prevented);
         let reply = Reply::Failed { late: false, reason: FailureReason::AlreadyRan };
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Cancels a run that waits for a call and whose request is answered. The request stays in the table
-    /// until the engine reports the end of the run.
+    /// Cancels the call in flight of an answered request and, if running work can be cancelled, the run that
+    /// waits for a call. The request stays in the table until the engine reports the end of the run.
     pub(super) fn cancel_run_at_call(&mut self, id: u32) {
         let cancelled_call = self.cancel_call(id);
         let may_cancel = self.dependencies.site.settings.preemption != Preemption::Never;
