--- a/src/admission/arrivals.rs
+++ b/src/admission/arrivals.rs
@@ -45,7 +45,7 @@
         request.class = request.class.min(self.settings.classes.len() - 1);
         request.tenant = request.tenant.filter(|tenant| *tenant < self.settings.tenants.len());
         let class = &self.settings.classes[request.class];
-        let read_delay_ms = request.queued_ms.max(0.0);
+        let read_delay_ms = request.read_delay_ms.max(0.0);
         let arrived_ms = now_ms - read_delay_ms;
         let deadline_ms = request.deadline_ms.unwrap_or(arrived_ms + class.timeout_ms);
         let prior_age_ms = self.callers.record_arrival(&request, deadline_ms - arrived_ms);
--- a/src/admission/dispatch.rs
+++ b/src/admission/dispatch.rs
@@ -133,7 +133,7 @@
         let class = &self.settings.classes[run.request.class];
         let work_ms = (self.core_time.at(now_ms) - run.core_time_at_start_ms).max(MIN_RUN_MS);
         self.call_profile.record_calls(run.request.class, run.calls);
-        self.read_delay.record_completed(run.request.queued_ms.max(0.0));
+        self.read_delay.record_completed(run.request.read_delay_ms.max(0.0));
         self.work.record_run(&run.request, class, work_ms);
         if run.work_at_call_ms > 0.0 {
             self.call_profile.record_part_at_call(run.work_at_call_ms, work_ms);
--- a/src/admission/messages.rs
+++ b/src/admission/messages.rs
@@ -22,7 +22,7 @@
     /// Whether the caller marked the request as a retry or a hedged request.
     pub retry: bool,
     /// Time from its arrival at the machine until the host read it, ms.
-    pub queued_ms: f64,
+    pub read_delay_ms: f64,
     /// The retained request that this one duplicates.
     pub duplicate_of: Option<u32>,
     /// Whether the request names a subject. Reads of the same subject may share a result.
--- a/src/bin/pinepoint-adapter/input.rs
+++ b/src/bin/pinepoint-adapter/input.rs
@@ -64,7 +64,7 @@
             work_hint_ms: message.positive_number("estimateMs")?,
             mem_kb: message.optional_number("memKb")?.unwrap_or(0.0),
             retry: message.flag("repeat"),
-            queued_ms: message.optional_number("queuedForMs")?.unwrap_or(0.0),
+            read_delay_ms: message.optional_number("queuedForMs")?.unwrap_or(0.0),
             duplicate_of: message.positive_number("original")?.map(|id| id as u32),
             has_subject: message.value("pathKey").is_some(),
         })
--- a/src/server/core/arrivals.rs
+++ b/src/server/core/arrivals.rs
@@ -171,7 +171,7 @@
             work_hint_ms: arrival.work_hint_ms,
             mem_kb: arrival.mem_kb,
             retry: arrival.retry,
-            queued_ms: (self.now_ms - arrival.arrived_ms).max(0.0),
+            read_delay_ms: (self.now_ms - arrival.arrived_ms).max(0.0),
             duplicate_of: identity.duplicate_of,
             has_subject: arrival.subject.is_some(),
         };
--- a/tests/failures/deadlines.rs
+++ b/tests/failures/deadlines.rs
@@ -10,7 +10,7 @@
     server.handle(Event::DrainStarted { kill_ms: 5000.0 });
     server.advance(1000.0, 0.1, 0.0);
     assert!(rejected(&server.arrive(request(1, 0)), 1));
-    assert!(started(&server.arrive(Request { queued_ms: 700.0, ..request(2, 0) }), 2));
+    assert!(started(&server.arrive(Request { read_delay_ms: 700.0, ..request(2, 0) }), 2));
 }
 
 #[test]
--- a/tests/failures/duplicates.rs
+++ b/tests/failures/duplicates.rs
@@ -118,7 +118,7 @@
 fn timer_does_not_reject_undecided_duplicate() {
     let mut server = server_after_keyed_run();
     server.advance(3500.0, 0.1, 0.0);
-    let late = Request { duplicate_of: Some(1), queued_ms: 3400.0, ..request(2, 1) };
+    let late = Request { duplicate_of: Some(1), read_delay_ms: 3400.0, ..request(2, 1) };
     let actions = server.batch(vec![Event::RequestArrived(late), timer([0.1, 0.0])]);
     assert!(!rejected(&actions, 2), "{actions:?}");
     assert!(actions.contains(&Action::ReuseResult { id: 2 }), "{actions:?}");
@@ -155,7 +155,7 @@
         // The duplicate is too late to earn anything and is decided after a request with the highest score.
         let high_score =
             Request { work_hint_ms: Some(1.0), deadline_ms: Some(server.now + 60_000.0), ..request(id, 1) };
-        let duplicate = Request { duplicate_of: Some(1), queued_ms: 2990.0, ..request(id + 1, 1) };
+        let duplicate = Request { duplicate_of: Some(1), read_delay_ms: 2990.0, ..request(id + 1, 1) };
         let actions = server.batch(vec![Event::RequestArrived(high_score), Event::RequestArrived(duplicate)]);
         assert!(!rejected(&actions, id + 1), "{actions:?}");
         displaced |=
--- a/tests/failures/feedback.rs
+++ b/tests/failures/feedback.rs
@@ -21,7 +21,7 @@
 fn abandoned_requests_cause_no_read_congestion() {
     let mut server = TestServer::new(settings());
     for id in 0..400 {
-        server.arrive(Request { queued_ms: 80.0, ..request(10 * id + 1, 0) });
+        server.arrive(Request { read_delay_ms: 80.0, ..request(10 * id + 1, 0) });
         let id = 10 * id + 2;
         server.batch(vec![Event::RequestArrived(request(id, 0)), Event::CallerGone { id }]);
         server.advance(10.0, 1.0, 2.0);
@@ -46,13 +46,13 @@
 fn read_congestion_tells_callers_not_to_retry() {
     let mut server = TestServer::new(settings());
     for id in 1..=3 {
-        server.arrive(Request { queued_ms: 20.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 20.0, ..request(id, 0) });
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
     server.advance(3000.0, 1.0, 6.0);
     let mut told_not_to_retry = false;
     for id in 10..40 {
-        let actions = server.arrive(Request { queued_ms: 900.0, ..request(id, 0) });
+        let actions = server.arrive(Request { read_delay_ms: 900.0, ..request(id, 0) });
         told_not_to_retry |= actions.iter().any(
             |a| matches!(a, Action::Reject { no_retry: true, retry_after_ms, .. } if *retry_after_ms > 0.0),
         );
@@ -74,7 +74,7 @@
     server.arrive(request(99, 0));
     server.handle(Event::RunEnded { id: 99, outcome: Outcome::Done });
     for id in 1..30 {
-        server.arrive(Request { queued_ms: 900.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 900.0, ..request(id, 0) });
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
     server.advance(100.0, 1.0, 6.0);
@@ -94,18 +94,18 @@
     for slow in [false, true] {
         let mut server = TestServer::new(settings());
         for id in 1..=40 {
-            server.arrive(Request { queued_ms: 10.0, ..request(id, 0) });
+            server.arrive(Request { read_delay_ms: 10.0, ..request(id, 0) });
             server.advance(40.0, 0.5, 2.0);
             server.handle(Event::RunEnded { id, outcome: Outcome::Done });
         }
         let mut actions = Vec::new();
         for id in 41..60 {
-            server.arrive(Request { queued_ms: 10.0, ..request(id, 0) });
+            server.arrive(Request { read_delay_ms: 10.0, ..request(id, 0) });
             actions.extend(server.advance(if slow { 400.0 } else { 40.0 }, 0.5, 2.0));
             server.handle(Event::RunEnded { id, outcome: Outcome::Done });
         }
         for id in 60..90 {
-            server.arrive(Request { queued_ms: 2990.0, ..request(id, 0) });
+            server.arrive(Request { read_delay_ms: 2990.0, ..request(id, 0) });
             actions.extend(server.advance(40.0, 1.0, 2.0));
         }
         let expected = if slow { Some(false) } else { None };
@@ -175,12 +175,12 @@
 fn short_first_runs_do_not_fail_health() {
     let mut server = TestServer::new(settings());
     for id in 1..=8 {
-        server.arrive(Request { queued_ms: 10.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 10.0, ..request(id, 0) });
         server.advance(if id <= 1 { 5.0 } else { 100.0 }, 0.5, 1.0);
         server.handle(Event::RunEnded { id, outcome: Outcome::Done });
     }
     for id in 30..60 {
-        server.arrive(Request { queued_ms: 2990.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 2990.0, ..request(id, 0) });
         server.advance(40.0, 1.0, 2.0);
     }
     let unhealthy = Action::SetHealth { healthy: false, from_store: true };
@@ -194,7 +194,7 @@
 fn logs_rejection_reasons_once_in_fifty() {
     let mut server = TestServer::new(settings());
     for id in 1..=120 {
-        server.arrive(Request { queued_ms: 2995.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 2995.0, ..request(id, 0) });
     }
     let rejections = server.log.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     let is_reason = |a: &&Action| matches!(a, Action::Log { text } if text.contains("too-late"));
@@ -217,7 +217,7 @@
         "new callers get connections while they can be served"
     );
     for id in 1..=60 {
-        server.arrive(Request { queued_ms: 2995.0, ..request(id, 0) });
+        server.arrive(Request { read_delay_ms: 2995.0, ..request(id, 0) });
         server.advance(20.0, 1.0, 4.0);
     }
     assert!(
--- a/tests/failures/priority.rs
+++ b/tests/failures/priority.rs
@@ -11,7 +11,7 @@
     let (mut running, mut seen) = (Vec::new(), Vec::new());
     for id in 1..=600 {
         let (class, retry) = make(id);
-        let mut actions = server.arrive(Request { retry, queued_ms: 10.0, ..request(id, class) });
+        let mut actions = server.arrive(Request { retry, read_delay_ms: 10.0, ..request(id, class) });
         actions.extend(server.advance(25.0, 1.0, 4.0));
         if id % 10 == 0 && !running.is_empty() {
             actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
@@ -54,7 +54,8 @@
     for id in 1..=1200u32 {
         let tenant = usize::from(id % 10 == 0);
         arrived[tenant] += 1;
-        let mut actions = server.arrive(Request { tenant: Some(tenant), queued_ms: 10.0, ..request(id, 0) });
+        let mut actions =
+            server.arrive(Request { tenant: Some(tenant), read_delay_ms: 10.0, ..request(id, 0) });
         actions.extend(server.advance(25.0, 1.0, 4.0));
         if id % 20 == 0 && !running.is_empty() {
             actions.extend(server.handle(Event::RunEnded { id: running.remove(0), outcome: Outcome::Done }));
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -17,7 +17,7 @@
 struct Arrival {
     class: usize,
     wait_ms: f64,
-    queued_ms: f64,
+    read_delay_ms: f64,
     is_duplicate: bool,
 }
 
@@ -49,9 +49,14 @@
 
 fn arrival() -> impl Strategy<Value = Arrival> {
     let wait_ms = prop_oneof![4 => 50.0..4000.0, 1 => -500.0..50.0];
-    (0..3usize, wait_ms, 0.0..900.0, any::<bool>()).prop_map(|(class, wait_ms, queued_ms, is_duplicate)| {
-        Arrival { class, wait_ms, queued_ms, is_duplicate }
-    })
+    (0..3usize, wait_ms, 0.0..900.0, any::<bool>()).prop_map(
+        |(class, wait_ms, read_delay_ms, is_duplicate)| Arrival {
+            class,
+            wait_ms,
+            read_delay_ms,
+            is_duplicate,
+        },
+    )
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -193,9 +198,9 @@
     }
 
     fn arrive(&mut self, id: u32, now: f64, arrival: Arrival) -> Request {
-        let Arrival { class, wait_ms, queued_ms, is_duplicate } = arrival;
+        let Arrival { class, wait_ms, read_delay_ms, is_duplicate } = arrival;
         let duplicate_of = self.pick(id as usize, |e| is_duplicate && class == 1 && e.keyed);
-        let (deadline_ms, arrived_ms) = (now + wait_ms, now - queued_ms);
+        let (deadline_ms, arrived_ms) = (now + wait_ms, now - read_delay_ms);
         let (keyed, may_skip_call) = (class == 1, class == 2);
         self.requests.insert(
             id,
@@ -209,7 +214,7 @@
                 ..ModelRequest::default()
             },
         );
-        Request { deadline_ms: Some(deadline_ms), queued_ms, duplicate_of, ..request(id, class) }
+        Request { deadline_ms: Some(deadline_ms), read_delay_ms, duplicate_of, ..request(id, class) }
     }
 
     fn pick(&self, index: usize, wanted: impl Fn(&ModelRequest) -> bool) -> Option<u32> {
@@ -310,7 +315,10 @@
     let run = || {
         let mut server = TestServer::new(settings());
         for id in 1..200 {
-            server.arrive(Request { queued_ms: f64::from(id % 7) * 60.0, ..request(id, (id % 2) as usize) });
+            server.arrive(Request {
+                read_delay_ms: f64::from(id % 7) * 60.0,
+                ..request(id, (id % 2) as usize)
+            });
             server.advance(15.0, 1.0, 5.0);
         }
         server.log
--- a/tests/loops.rs
+++ b/tests/loops.rs
@@ -24,10 +24,10 @@
     }
 
     /// Sends the next arrival; returns whether it is rejected.
-    fn arrive(&mut self, queued_ms: f64) -> bool {
+    fn arrive(&mut self, read_delay_ms: f64) -> bool {
         self.next += 1;
         let deadline_ms = Some(self.server.now + 1_000_000.0);
-        let actions = self.server.arrive(Request { queued_ms, deadline_ms, ..request(self.next, 0) });
+        let actions = self.server.arrive(Request { read_delay_ms, deadline_ms, ..request(self.next, 0) });
         self.record_starts(&actions);
         rejected(&actions, self.next)
     }
@@ -38,13 +38,13 @@
 
     /// Sends an arrival every 20 ms and ends a run every 100 ms, for `ms`. Returns the share of rejected
     /// arrivals.
-    fn serve_demand(&mut self, ms: f64, queued_ms: f64) -> f64 {
+    fn serve_demand(&mut self, ms: f64, read_delay_ms: f64) -> f64 {
         let until = self.server.now + ms;
         let (mut rejections, mut count) = (0.0, 0.0);
         while self.server.now < until {
             for _ in 0..5 {
                 count += 1.0;
-                rejections += f64::from(u8::from(self.arrive(queued_ms)));
+                rejections += f64::from(u8::from(self.arrive(read_delay_ms)));
                 let actions = self.server.advance(20.0, 1.0, 4.0);
                 self.record_starts(&actions);
             }
@@ -82,10 +82,10 @@
 
 #[test]
 fn read_delay_raises_rejections_at_saturation() {
-    let rejected_share = |queued_ms: f64| {
+    let rejected_share = |read_delay_ms: f64| {
         let mut busy_server = BusyServer::new();
         busy_server.serve_demand(200.0, 5.0);
-        busy_server.serve_demand(2_000.0, queued_ms)
+        busy_server.serve_demand(2_000.0, read_delay_ms)
     };
     assert!(
         rejected_share(2000.0) > rejected_share(5.0) + 0.3,
