--- a/src/server/core/api.rs
+++ b/src/server/core/api.rs
@@ -226,7 +226,7 @@
         /// Whether the engine started cold.
         cold: bool,
         /// Time since the engine's start, ms.
-        ms: f64,
+        since_start_ms: f64,
     },
     /// The connection to the engine is lost.
     EngineDetached,
--- a/src/server/core/inputs.rs
+++ b/src/server/core/inputs.rs
@@ -17,7 +17,9 @@
                 self.handle_caller_gone(caller, correlation_id);
             }
             CoreInput::ProtocolError { caller } => self.handle_protocol_error(caller),
-            CoreInput::EngineAttached { cold, ms } => self.handle_engine_attached(cold, ms),
+            CoreInput::EngineAttached { cold, since_start_ms } => {
+                self.handle_engine_attached(cold, since_start_ms);
+            }
             CoreInput::EngineDetached => self.handle_engine_detached(),
             CoreInput::RunEnded { attempt_id, result } => self.handle_run_ended(&attempt_id, result),
             CoreInput::CallNeeded { attempt_id, notice, body } => {
--- a/src/server/upstream/engine.rs
+++ b/src/server/upstream/engine.rs
@@ -239,9 +239,12 @@
     fn parse(line: Line) -> Result<Message, LineError> {
         let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
         match words.as_slice() {
-            ["HELLO", state @ ("chilly" | "hot"), ms] => {
+            ["HELLO", state @ ("chilly" | "hot"), since_start_ms] => {
                 let cold = *state == "chilly";
-                Ok(Message::response(CoreInput::EngineAttached { cold, ms: parse_finite(ms)? }))
+                Ok(Message::response(CoreInput::EngineAttached {
+                    cold,
+                    since_start_ms: parse_finite(since_start_ms)?,
+                }))
             }
             ["DONE", notice, id, result, _ms, _length] => {
                 let (attempt_id, result) = ((*id).to_owned(), parse_result(result, &line.body)?);
--- a/tests/core_harness/mod.rs
+++ b/tests/core_harness/mod.rs
@@ -245,7 +245,9 @@
 
     pub fn apply(&mut self, step: &Step) {
         match *step {
-            Step::AttachEngine => self.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 }),
+            Step::AttachEngine => {
+                self.handle(CoreInput::EngineAttached { cold: false, since_start_ms: 9000.0 })
+            }
             Step::DetachEngine => self.handle(CoreInput::EngineDetached),
             Step::Arrive { class, key, body, age } => self.arrive(class, key, body, f64::from(age)),
             Step::Advance { ms, busy } => self.advance(f64::from(ms), f64::from(busy) / 100.0),
--- a/tests/handover_simulation/mod.rs
+++ b/tests/handover_simulation/mod.rs
@@ -134,7 +134,7 @@
 
     pub fn engine_up(&mut self, index: usize) {
         self.run_batch(index, |core, now| {
-            core.handle(now, CoreInput::EngineAttached { cold: false, ms: 9000.0 })
+            core.handle(now, CoreInput::EngineAttached { cold: false, since_start_ms: 9000.0 })
         });
     }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -118,7 +118,7 @@
 fn serving(site: &Site) -> CoreHarness {
     let mut harness = CoreHarness::with_site(site.clone(), 1.0, 2000.0);
     harness.recorded.records_classes.set(true);
-    harness.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
+    harness.handle(CoreInput::EngineAttached { cold: false, since_start_ms: 9000.0 });
     harness
 }
 
@@ -242,7 +242,7 @@
     harness.recorded.records_classes.set(true);
     let more = first.merged_with(site(&[("look", READ), ("more", READ)]), harness.now).expect("accepted");
     harness.reload(Rc::new(more), 1.0, 2000.0);
-    harness.handle(CoreInput::EngineAttached { cold: false, ms: 9000.0 });
+    harness.handle(CoreInput::EngineAttached { cold: false, since_start_ms: 9000.0 });
     harness.arrive_as(1, 1, None, 7, 0.0);
     assert_eq!(harness.recorded.run_classes.borrow()["r1"], "more");
 }
