--- a/src/server/frontend/ajp/connection.rs
+++ b/src/server/frontend/ajp/connection.rs
@@ -336,8 +336,8 @@
 
     fn go_away(&self) {
         // AJP13 has no go-away message: an idle connection is closed now, and the web server connects to
-        // another server. A request whose body is still arriving does not count as read and does not delay
-        // the drain, but is given the time to be completed.
+        // another server. A request whose body is still arriving has not reached the core, so the drain does
+        // not have to answer it, but the connection stays open until the request is complete or times out.
         self.state.mark_going_away_unannounced(self.context.clock.now());
     }
 
@@ -360,9 +360,9 @@
 /// Generates an attempt id that is unique in this process: the ids of connection and request, scrambled by a
 /// bijection.
 fn attempt_id(seed: u64, connection: u64, correlation_id: u64) -> String {
-    let mut x = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
+    let mut id = seed ^ (connection << 32 | correlation_id & 0xffff_ffff);
     for _ in 0..2 {
-        x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        id = (id ^ (id >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
-    format!("{:016x}", x ^ (x >> 29))
+    format!("{:016x}", id ^ (id >> 29))
 }
--- a/src/server/frontend/connection/mod.rs
+++ b/src/server/frontend/connection/mod.rs
@@ -23,8 +23,8 @@
 /// yet.
 pub const LINGER_MS: f64 = 1000.0;
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Bound in ms while the process is about to end: within the time that the core leaves between the last
-/// answers and the end.
+/// The bound in ms once the process is about to end. It is shorter than the time that the core leaves between
+/// the last answers and the end.
 const FINAL_LINGER_MS: f64 = 60.0;
 /// Number of bytes that are discarded at a time.
 const DISCARD_CHUNK_BYTES: usize = 4096;
@@ -55,9 +55,8 @@
     Aborted(&'static str),
 }
 
-/// Runs a connection from its first byte to its end. `reading` reads messages and completes with the reason
-/// why it stops;
-/// `is_idle` returns whether no answer is pending. Returns the reason code of the end.
+/// Runs a connection from its first byte to its end, and returns the reason code of the end. `reading` reads
+/// messages and completes with the reason why it stops. `is_idle` returns whether no answer is pending.
 pub async fn run(
     stream: &Async<TcpStream>,
     state: &ConnectionState,
@@ -67,7 +66,7 @@
     is_idle: impl Fn() -> bool,
 ) -> &'static str {
     let reading = async {
-        let end = match reading.await {
+        let end_reason = match reading.await {
             CloseReason::WriteClosed(reason) => return WriterEnd::Flushed(reason),
             CloseReason::PeerGone(reason) => return WriterEnd::Aborted(reason),
             CloseReason::ProtocolError(reason) => {
@@ -78,7 +77,7 @@
             CloseReason::Finishing => "stopping",
             CloseReason::PeerClosed => peer_closed_code(state),
         };
-        writer.end(end);
+        writer.end(end_reason);
         future::pending().await
     };
     match future::or(reading, writer.run(stream, is_idle)).await {
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -100,8 +100,8 @@
         self.go_away.get().is_some()
     }
 
-    /// Records that the caller is notified to send no new request; returns whether it was not notified
-    /// before. The caller has [`GO_AWAY_TIMEOUT_MS`] to close the connection.
+    /// Records that the caller is notified to send no new request; returns whether this is the first
+    /// notification. The caller has [`GO_AWAY_TIMEOUT_MS`] to close the connection.
     pub fn mark_go_away_sent(&self, now: f64) -> bool {
         self.mark_going_away(now, GO_AWAY_TIMEOUT_MS)
     }
--- a/src/server/frontend/limiter.rs
+++ b/src/server/frontend/limiter.rs
@@ -23,7 +23,8 @@
 /// one before its request can arrive.
 const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
 /// Maximum number of new connections without a message that are protected from eviction at a time. A burst of
-/// silent connections evicts at most this many connections that callers use, and beyond that only its own.
+/// silent connections evicts at most this many connections that callers use, and beyond that only connections
+/// of the burst itself.
 const MAX_PROTECTED_CONNECTIONS: usize = 8;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
@@ -61,8 +62,8 @@
 pub enum Eviction {
     /// A connection was asked to close.
     Requested,
-    /// No connection was asked to close, but one may be soon: it is so new that its first message may be in
-    /// transit.
+    /// No connection was asked to close. A new connection without a message may be evicted soon, but its
+    /// first message may still be in transit.
     Deferred,
     /// No connection may be evicted.
     NoCandidate,
@@ -72,7 +73,8 @@
 #[derive(Debug)]
 pub struct ConnectionLimiter {
     max_connections: usize,
-    /// Connections of the other process of this server, which count against the same limit.
+    /// Connections of the other process of this server, and its other descriptors. They count against the
+    /// same limit.
     peer_connections: Cell<usize>,
     /// The open connections by their id.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
@@ -106,7 +108,7 @@
         self.max_queued_bytes.set(max_queued_bytes(memory_mb));
     }
 
-    /// Sets the number of connections of the other process of this server.
+    /// Sets the number of connections and other descriptors of the other process of this server.
     pub fn set_peer_connections(&self, connections: usize) {
         self.peer_connections.set(connections);
         self.capacity_change.wake();
@@ -173,7 +175,8 @@
         self.queued_bytes.get() > max_bytes && backlog * self.connections.borrow().len() > max_bytes
     }
 
-    /// Asks a connection within `scope` to close that was not asked yet, chosen in this order:
+    /// Asks one connection within `scope` to close. Connections that were asked before are skipped. The first
+    /// of these that exists is chosen:
     ///
     /// 1. a connection that only waits for its other side to close,
     /// 2. the oldest connection without a message, if it is no longer new or there are too many new ones,
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -216,7 +216,7 @@
     }
 
     async fn capacity_event(&self) -> CapacityEvent {
-        let connecting = async {
+        let waiting = async {
             match self.listener.socket.readable().await {
                 Ok(()) => CapacityEvent::Needed,
                 Err(_) => CapacityEvent::Changed,
@@ -230,7 +230,7 @@
             self.context.status.stop_accepting.wait().await;
             CapacityEvent::Needed
         };
-        future::or(connecting, future::or(changed, stopped)).await
+        future::or(waiting, future::or(changed, stopped)).await
     }
 
     /// Completes when a connection waits in the backlog or accepting is paused; breaks when the core has
--- a/src/server/frontend/rpc/message.rs
+++ b/src/server/frontend/rpc/message.rs
@@ -186,7 +186,7 @@
     if settings.idempotency == Idempotency::Keyed && idempotency_key.is_none() {
         return Err(InvalidRequest::InvalidField);
     }
-    let max_work_hint_ms = settings.timeout_ms * MAX_WORK_HINT_MULTIPLE;
+    let work_hint_limit_ms = settings.timeout_ms * MAX_WORK_HINT_MULTIPLE;
     fields.number_in(field::PRIORITY, 0.0, 1.0)?;
     fields.number_in(field::PEER, 0.0, f64::INFINITY)?;
     Ok(Request {
@@ -194,7 +194,7 @@
         class,
         arrived_ms: fields.number(field::ARRIVED_MS)?.ok_or(InvalidRequest::InvalidField)?,
         retry: fields.retry()?,
-        work_hint_ms: fields.number_in(field::WORK_HINT_MS, f64::MIN_POSITIVE, max_work_hint_ms)?,
+        work_hint_ms: fields.number_in(field::WORK_HINT_MS, f64::MIN_POSITIVE, work_hint_limit_ms)?,
         memory_kb: fields
             .number_in(field::MEMORY_KB, f64::MIN_POSITIVE, REQUEST_MEMORY_LIMIT_KB)?
             .unwrap_or(0.0),
--- a/src/server/frontend/shared_backlog.rs
+++ b/src/server/frontend/shared_backlog.rs
@@ -16,8 +16,8 @@
 
 /// Time in which a successor with capacity accepts the connections in the backlog, ms.
 const ACCEPT_TIME_MS: f64 = 20.0;
-/// Time between two rounds of evictions, ms. In this time connections close and the successor is notified and
-/// accepts.
+/// Time between two rounds of evictions, ms. In this time the evicted connections close, and the successor is
+/// notified of the free capacity and accepts.
 const ROUND_MS: f64 = 20.0;
 
 /// How long a terminating process watches the backlog, ms. By then its idle connections are closed, lingering
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The server around the admission controller, which takes the same decisions here, on sockets, as in the
-//! simulator.
+//! The server around the admission controller. The controller makes the same decisions on sockets here as in
+//! the simulator.
 //!
-//! A request passes through the folders in this order:
+//! A request passes through these modules in this order:
 //!
 //! - [`frontend`] accepts connections, bounds them and speaks their protocols.
 //! - [`core`] owns the admission controller and the tables of requests and idempotency keys.
