--- a/src/server/control/handover.rs
+++ b/src/server/control/handover.rs
@@ -31,7 +31,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// The clock.
     pub clock: Clock,
-    /// The state that wakes the core.
+    /// The published state, through which the core is woken.
     pub status: Rc<Status>,
     /// The limit of connections, which both processes share.
     pub limiter: Rc<ConnectionLimiter>,
@@ -65,7 +65,7 @@
 /// The links to the other process, at most one to a predecessor and one to a successor.
 pub struct HandoverLinks {
     context: HandoverContext,
-    /// Upgraded for the tasks of the links, which keep this value alive.
+    /// This value. The tasks of the links hold upgraded references, which keep the value alive.
     this: Weak<HandoverLinks>,
     predecessor: RefCell<Option<Link>>,
     successor: RefCell<Option<Link>>,
@@ -228,7 +228,7 @@
                     this.attach(Peer::Predecessor, link, task);
                     this.notify_core(PeerEvent::PredecessorFound(hello));
                 }
-                Err(why) => this.notify_core(PeerEvent::NoPredecessor(why)),
+                Err(reason) => this.notify_core(PeerEvent::NoPredecessor(reason)),
             }
         };
         self.context.executor.spawn(find).detach();
--- a/src/server/control/lifecycle.rs
+++ b/src/server/control/lifecycle.rs
@@ -3,8 +3,8 @@
 //! registration. It does no I/O, reads no clock, and decides nothing about requests.
 
 /// Part of the drain grace period after which clients are asked to disconnect. Clients learn of a draining
-/// server seconds late. If all were disconnected at once, they would overload the other servers while this
-/// one is idle.
+/// server seconds late. If they were disconnected immediately, they would overload the other servers while
+/// this one is idle.
 const GO_AWAY_GRACE_FRACTION: f64 = 0.8;
 /// Part of the time to the kill after which clients are asked to disconnect at the latest.
 const GO_AWAY_STOP_FRACTION: f64 = 0.6;
@@ -180,9 +180,9 @@
         }
     }
 
-    /// Begins the drain at a termination notice that arrived at `notice_ms` (Unix ms): the grace period and
-    /// the kill count from then, however late it is handled. Returns whether this is the first notice. A
-    /// process that never served goes straight to closing, as it has no clients.
+    /// Begins the drain at a termination notice that arrived at `notice_ms` (Unix ms). The grace period and
+    /// the time to the kill count from then, however late the notice is handled. Returns whether this is the
+    /// first notice. A process that never served goes straight to closing, as it has no clients.
     pub fn begin_drain(&mut self, notice_ms: f64) -> bool {
         let first = match self.phase {
             Phase::Starting | Phase::StartingLameDuck => self.transition_to(Phase::Closing),
--- a/src/server/control/management/command.rs
+++ b/src/server/control/management/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the management port and its error answers, in the words of the wire.
+//! The commands of the management port and its error answers, as they are written on the wire.
 
 use crate::server::control::lifecycle::Phase;
 
--- a/src/server/control/management/mod.rs
+++ b/src/server/control/management/mod.rs
@@ -24,12 +24,13 @@
 pub mod command;
 mod connections;
 
-/// Bounds of the number of concurrent connections, which is a part of all descriptors. Beyond it a new
-/// connection evicts the oldest one, so that silent clients cannot block others.
+/// Share of all descriptors that concurrent connections may use, as a divisor; the result is kept between the
+/// two bounds. A new connection beyond this limit evicts the oldest one, so that silent clients cannot block
+/// others.
 const CONNECTIONS_DIVISOR: usize = 16;
 const MIN_CONNECTIONS: usize = 4;
 const MAX_CONNECTIONS: usize = 16;
-/// Longest line, bytes, including its line ending.
+/// Maximum length of a line, bytes, including its line ending.
 const MAX_LINE_BYTES: usize = 256;
 /// Time within which a connection has to send its line, ms.
 const LINE_TIMEOUT_MS: f64 = 5000.0;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Parses a line into its command if that may be carried out now.
+    /// Parses a line into a command, and checks that the command is accepted in the current phase.
     fn accept(&self, line: &[u8]) -> Result<Command, CommandError> {
         let command = Command::parse(line)?;
         command.check(self.phase())?;
--- a/src/server/observability/counters.rs
+++ b/src/server/observability/counters.rs
@@ -150,7 +150,7 @@
 
     /// Writes all counters to the log as one line.
     pub fn log(&self) {
-        let words: Vec<String> = self.list().iter().map(|(name, value)| format!("{name}={value}")).collect();
-        tracing::info!(all = words.join(" "), "counters");
+        let pairs: Vec<String> = self.list().iter().map(|(name, value)| format!("{name}={value}")).collect();
+        tracing::info!(all = pairs.join(" "), "counters");
     }
 }
--- a/src/server/observability/membership.rs
+++ b/src/server/observability/membership.rs
@@ -13,8 +13,8 @@
 use crate::server::control::status::Status;
 use crate::server::core::api::CoreInput;
 
-/// How long a server that started cold is reported as cold, ms. A fixed time, as no signal shows when it is
-/// warm.
+/// How long a server that started cold is reported as cold, ms. The time is fixed, because no signal shows
+/// when the server has warmed up.
 const COLD_PERIOD_MS: f64 = 30_000.0;
 /// Minimum time between two requests for the core's state, ms.
 const STATE_REQUEST_INTERVAL_MS: f64 = 1000.0;
--- a/src/server/observability/telemetry.rs
+++ b/src/server/observability/telemetry.rs
@@ -1,5 +1,5 @@
 //! Connects the server to the telemetry crate: the classes and counters that it exports, and the state that
-//! it polls. It counts and decides nothing.
+//! it polls. This module neither counts nor decides anything.
 
 use std::rc::Rc;
 
