--- a/src/bin/pinepoint/process.rs
+++ b/src/bin/pinepoint/process.rs
@@ -1,4 +1,4 @@
-//! The parts that all tasks of the process share; builds and starts each other part from them.
+//! The parts that all tasks of the process share. [`Process`] builds and starts every other part from them.
 
 use std::io;
 use std::rc::Rc;
--- a/src/bin/pinepoint/serve.rs
+++ b/src/bin/pinepoint/serve.rs
@@ -67,8 +67,8 @@
         let clock = &process.clock;
 
         let mut upgrade = Upgrade::find_predecessor(management);
-        let has_predecessor = upgrade.as_ref().is_some_and(Upgrade::may_have_predecessor);
-        process.status.accepting.set(!has_predecessor);
+        let may_have_predecessor = upgrade.as_ref().is_some_and(Upgrade::may_have_predecessor);
+        process.status.accepting.set(!may_have_predecessor);
 
         let rpc = open_listener(&mut upgrade, "rpc", config.listen, &mut signals, clock)?;
         if let Some(address) = management {
--- a/src/server/upstream/line.rs
+++ b/src/server/upstream/line.rs
@@ -2,9 +2,9 @@
 //! Some lines are followed by a body, whose length is the last word of the line. This module parses and
 //! writes bytes; it does no I/O and knows no command.
 
-/// Limit of the length of a received line, bytes, CR LF included.
+/// Maximum length of a received line, bytes, including CR LF.
 const MAX_LINE_BYTES: usize = 512;
-/// Limit of the length of a received body, bytes. The protocol limits results to 4 KiB, and sets no limit for
+/// Maximum length of a received body, bytes. The protocol limits results to 4 KiB, and sets no limit for
 /// replies.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Prefix of a remark: a line that may contain any bytes.
--- a/src/server/upstream/store.rs
+++ b/src/server/upstream/store.rs
@@ -26,13 +26,13 @@
 /// conditions, 161 of the connections that were used again within 500 ms had been forgotten, but only 8 of
 /// those that were used again within 100 ms. Under load the next call comes sooner.
 const MAX_IDLE_MS: f64 = 100.0;
-/// Limit of the idle connections that are kept for further calls.
+/// Maximum number of idle connections that are kept for further calls.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Time to wait for a reply after the store should have answered `LATE`, ms.
 const REPLY_MARGIN_MS: f64 = 50.0;
 /// Shortest call timeout that is sent to the store, ms.
 const MIN_CALL_TIMEOUT_MS: f64 = 1.0;
-/// Limit of the replies to other calls that are skipped while a call waits for its own reply.
+/// Maximum number of replies to other calls that are skipped while a call waits for its own reply.
 const MAX_FOREIGN_REPLIES: u32 = 16;
 /// Size of the read buffer, bytes.
 const READ_CHUNK_BYTES: usize = 4096;
