--- a/crates/pinepoint-telemetry/src/accounts.rs
+++ b/crates/pinepoint-telemetry/src/accounts.rs
@@ -57,8 +57,8 @@
 }
 
 impl Accounts {
-    /// Creates accounts with all counts at 0. `classes` are in the order of the schema. `weight_by_work`
-    /// tells whether weights count by work instead of by request.
+    /// Creates accounts with all counts at 0. `classes` are in the order of the schema. `weight_by_work` is
+    /// true if weights count by work instead of by request.
     pub fn new(schema: Rc<Schema>, classes: Vec<Class>, weight_by_work: bool) -> Self {
         let hints = vec![HintMean::default(); classes.len()];
         let totals = vec![0.0; schema.counts()];
@@ -186,16 +186,17 @@
         self.distributions[self.schema.distribution(class, distribution)].record(ms);
     }
 
-    /// Overwrites the totals from index `at` on with counters that are kept elsewhere.
-    pub fn set(&mut self, at: usize, values: &[u64]) {
-        for (total, value) in self.totals[at..].iter_mut().zip(values) {
+    /// Overwrites the totals from `first_index` on with counters that are kept elsewhere.
+    pub fn set(&mut self, first_index: usize, values: &[u64]) {
+        for (total, value) in self.totals[first_index..].iter_mut().zip(values) {
             *total = *value as f64;
         }
     }
 
-    /// The accounting error: by how many requests this invariant is violated, summed over all classes:
-    /// `read = served + refused + failed + expired + gone + open`. `open` is the number of requests in the
-    /// core's own tables at this instant. The error is 0 unless an event was missed or reported twice.
+    /// The accounting error: the number of requests by which
+    /// `read = served + refused + failed + expired + gone + open` is violated, summed over all classes.
+    /// `open` is the number of requests in the core's own tables at this instant. The error is 0 unless an
+    /// event was missed or reported twice.
     pub fn accounting_error(&self, state: &CoreState) -> f64 {
         let open = self.open_by_class(state);
         open.iter().enumerate().map(|(class, open)| self.class_accounting_error(class, *open)).sum()
--- a/crates/pinepoint-telemetry/src/accounts/tests.rs
+++ b/crates/pinepoint-telemetry/src/accounts/tests.rs
@@ -38,16 +38,16 @@
         accounts.record(&event(1, received(None)));
         accounts.record(&event(1, kind));
     }
-    let at = |counter| accounts.totals[accounts.schema.class_counter(1, counter)];
+    let total = |counter| accounts.totals[accounts.schema.class_counter(1, counter)];
     assert_eq!(
         (
-            at(ClassCounter::WeightReceived),
-            at(ClassCounter::ServedWithinObjective),
-            at(ClassCounter::ServedLate)
+            total(ClassCounter::WeightReceived),
+            total(ClassCounter::ServedWithinObjective),
+            total(ClassCounter::ServedLate)
         ),
         (9.0, 2.0, 1.0)
     );
-    assert!((at(ClassCounter::WeightServed) - (3.0 + 0.6 + 0.9)).abs() < 1e-9);
+    assert!((total(ClassCounter::WeightServed) - (3.0 + 0.6 + 0.9)).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/pinepoint-telemetry/src/circuit_breaker.rs
+++ b/crates/pinepoint-telemetry/src/circuit_breaker.rs
@@ -39,7 +39,7 @@
 /// Whether a receiver is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerState {
-    /// In service: the traffic of the receiver waits for it and goes to no other.
+    /// In service: the traffic of the receiver waits for it and is not sent to other receivers.
     Closed,
     /// Out of service: the traffic goes to other receivers, and the receiver gets only health checks.
     Open,
@@ -100,8 +100,8 @@
 
     /// Makes the next failure open the circuit breaker, however few failures came before.
     pub fn open_on_next_failure(&mut self) {
-        let one_short = self.config.failure_threshold.saturating_sub(1);
-        self.consecutive_failures = self.consecutive_failures.max(one_short);
+        let failures_before_opening = self.config.failure_threshold.saturating_sub(1);
+        self.consecutive_failures = self.consecutive_failures.max(failures_before_opening);
     }
 
     /// Records a successful attempt. Returns whether it closed the circuit breaker.
--- a/crates/pinepoint-telemetry/src/collectd/security.rs
+++ b/crates/pinepoint-telemetry/src/collectd/security.rs
@@ -14,9 +14,9 @@
 const SIGNATURE: u16 = 0x0200;
 const ENCRYPTION: u16 = 0x0210;
 
-/// Bytes that a signature adds beside the user name: header and HMAC.
+/// Bytes that a signature adds besides the user name: header and HMAC.
 const SIGNATURE_BYTES: usize = PART_HEADER_BYTES + 32;
-/// Bytes that encryption adds beside the user name: header, length of the name, initialization vector,
+/// Bytes that encryption adds besides the user name: header, length of the name, initialization vector,
 /// digest.
 const ENCRYPTION_BYTES: usize = PART_HEADER_BYTES + 2 + 16 + 20;
 
--- a/crates/pinepoint-telemetry/src/config/collectd.rs
+++ b/crates/pinepoint-telemetry/src/config/collectd.rs
@@ -91,7 +91,8 @@
     /// `derive` and `gauge`, which every collectd knows, one value each.
     #[default]
     Standard,
-    /// Also the type of `deploy/collectd/types.db`: a distribution is one list of several values.
+    /// In addition the type in `deploy/collectd/types.db`, which has all statistics of a distribution in one
+    /// value list.
     Own,
 }
 
--- a/crates/pinepoint-telemetry/src/delivery/acknowledgement.rs
+++ b/crates/pinepoint-telemetry/src/delivery/acknowledgement.rs
@@ -4,8 +4,8 @@
 use super::{Action, ConnectionId, Delivery, DisconnectReason, Notice};
 
 impl Delivery {
-    /// Handles the acknowledgement of the messages of a connection up to this sequence number. `closed` tells
-    /// whether the receiver also closed the connection in order.
+    /// Handles the acknowledgement of the messages of a connection up to this sequence number. `closed` is
+    /// true if the receiver also closed the connection in order.
     pub(super) fn acknowledged(
         &mut self,
         now: f64,
--- a/crates/pinepoint-telemetry/src/distribution/tests.rs
+++ b/crates/pinepoint-telemetry/src/distribution/tests.rs
@@ -13,9 +13,13 @@
     let (whole, merged) = (whole.take(), a.merged(&b));
     assert_eq!(whole.buckets, merged.buckets);
     exact.sort_by(f64::total_cmp);
-    for (thousandths, at) in [(500, 1999), (900, 3599), (990, 3959), (999, 3995)] {
+    for (thousandths, index) in [(500, 1999), (900, 3599), (990, 3959), (999, 3995)] {
         let quantile = merged.statistic(Statistic::Quantile(thousandths)).expect("values");
-        assert!((quantile / exact[at] - 1.0).abs() < 0.01, "{thousandths}: {quantile} for {}", exact[at]);
+        assert!(
+            (quantile / exact[index] - 1.0).abs() < 0.01,
+            "{thousandths}: {quantile} for {}",
+            exact[index]
+        );
     }
     assert_eq!(merged.statistic(Statistic::Count), Some(4000.0));
     let sum: f64 = exact.iter().sum();
--- a/crates/pinepoint-telemetry/src/encoder/graphite.rs
+++ b/crates/pinepoint-telemetry/src/encoder/graphite.rs
@@ -51,7 +51,7 @@
     pub(super) fn points(&self, interval: &Interval, points: impl Iterator<Item = usize>) -> EncodedMessage {
         let temporality = match self.protocol {
             GraphiteProtocol::Plaintext | GraphiteProtocol::Pickle => Temporality::Delta,
-            // A datagram may be lost unnoticed.
+            // The loss of a datagram is not detected, and the next total makes up for it.
             GraphiteProtocol::Udp => Temporality::Cumulative,
         };
         let (encoding, schema, paths) = (self.encoding(), &*self.schema, &*self.paths);
--- a/crates/pinepoint-telemetry/src/graphite.rs
+++ b/crates/pinepoint-telemetry/src/graphite.rs
@@ -123,7 +123,7 @@
     let is_line_feed = |byte: &u8| *byte == b'\n';
     let last_that_fits = lines[..MAX_DATAGRAM_BYTES].iter().rposition(is_line_feed);
     let line_feed = last_that_fits.or_else(|| lines.iter().position(is_line_feed));
-    line_feed.map_or(lines.len(), |at| at + 1)
+    line_feed.map_or(lines.len(), |index| index + 1)
 }
 
 #[cfg(test)]
--- a/crates/pinepoint-telemetry/src/graphite/tests.rs
+++ b/crates/pinepoint-telemetry/src/graphite/tests.rs
@@ -68,15 +68,15 @@
     assert_eq!(points.len(), text.lines().count());
     for (point, line) in points.iter().zip(text.lines()) {
         let Value::Tuple(row) = point else { panic!("the point is not a tuple") };
-        let [Value::String(path), Value::Tuple(at)] = row.as_slice() else {
+        let [Value::String(path), Value::Tuple(time_and_value)] = row.as_slice() else {
             panic!("the point is not a path and a tuple")
         };
-        let value = match &at[1] {
+        let value = match &time_and_value[1] {
             Value::I64(n) => n.to_string(),
             Value::F64(n) => n.to_string(),
             other => panic!("{other:?}"),
         };
-        assert_eq!(at[0], Value::I64(1_764_576_000));
+        assert_eq!(time_and_value[0], Value::I64(1_764_576_000));
         assert_eq!(format!("{path} {value} 1764576000"), line);
     }
 }
--- a/crates/pinepoint-telemetry/src/metric_names.rs
+++ b/crates/pinepoint-telemetry/src/metric_names.rs
@@ -55,8 +55,8 @@
         let (prefix, host) = (sanitize_dotted(&self.prefix), sanitize(&self.host));
         let head = if prefix.is_empty() { String::new() } else { format!("{prefix}.") };
         let classes: Vec<String> = schema.classes().iter().map(|class| sanitize(class)).collect();
-        let path = |at: usize| {
-            let MetricDescriptor { scope, stat, .. } = schema.describe(at);
+        let path = |point: usize| {
+            let MetricDescriptor { scope, stat, .. } = schema.describe(point);
             let area = scope.area();
             let class = match scope {
                 Scope::Class(class) => Some(classes[class].as_str()),
--- a/crates/pinepoint-telemetry/src/schema.rs
+++ b/crates/pinepoint-telemetry/src/schema.rs
@@ -86,11 +86,11 @@
     gauges: Vec<MetricName>,
     distributions: Vec<MetricName>,
     /// Index of the first counter of the node.
-    node_at: usize,
+    node_offset: usize,
     /// Index of the first gauge of the admission controller.
-    module_at: usize,
+    module_offset: usize,
     /// Indices of the first counter and gauge of the deliveries.
-    delivery_at: DeliveryOffsets,
+    delivery_offsets: DeliveryOffsets,
 }
 
 impl Schema {
@@ -106,16 +106,16 @@
             distributions.extend(ClassDistribution::STATS.iter().map(|stat| static_name(scope, stat)));
             gauges.push(static_name(scope, "open"));
         }
-        let node_at = counters.len();
+        let node_offset = counters.len();
         counters.extend(node.iter().map(|stat| (static_name(Scope::Node, stat), MetricKind::Counter)));
-        let delivery_counters_at = counters.len();
+        let delivery_counters_offset = counters.len();
         counters.extend(per_destination(&DELIVERY_COUNTERS).map(|name| (name, MetricKind::Counter)));
         counters.push((static_name(Scope::Telemetry, "log_lines_left_out"), MetricKind::Counter));
 
         gauges.extend(CORE_STATE_GAUGES.iter().map(|stat| static_name(Scope::State, stat)));
-        let module_at = gauges.len();
+        let module_offset = gauges.len();
         gauges.extend(module.iter().map(|stat| static_name(Scope::Module, stat)));
-        let delivery_gauges_at = gauges.len();
+        let delivery_gauges_offset = gauges.len();
         gauges.extend(per_destination(&DELIVERY_GAUGES));
         gauges.push(static_name(Scope::Telemetry, "law_off"));
         gauges.push(static_name(Scope::Telemetry, "span_s"));
@@ -126,9 +126,12 @@
             counters,
             gauges,
             distributions,
-            node_at,
-            module_at,
-            delivery_at: DeliveryOffsets { counters: delivery_counters_at, gauges: delivery_gauges_at },
+            node_offset,
+            module_offset,
+            delivery_offsets: DeliveryOffsets {
+                counters: delivery_counters_offset,
+                gauges: delivery_gauges_offset,
+            },
         }
     }
 
@@ -140,8 +143,8 @@
     /// Moves the totals of a schema with fewer classes to their positions in this schema, which was made from
     /// that one by [`Schema::with_classes`]. The totals of added classes are 0.
     pub fn widen(&self, narrow: &Schema, totals: &[f64]) -> Vec<f64> {
-        let (class_totals, other_totals) = totals.split_at(narrow.node_at);
-        let added = vec![0.0; self.node_at - narrow.node_at];
+        let (class_totals, other_totals) = totals.split_at(narrow.node_offset);
+        let added = vec![0.0; self.node_offset - narrow.node_offset];
         [class_totals, &added, other_totals].concat()
     }
 
@@ -175,9 +178,11 @@
     pub fn describe(&self, point: usize) -> MetricDescriptor {
         let kind = self.kind(point);
         let (name, suffix) = match self.location(point) {
-            ValueLocation::Counter(at) => (&self.counters[at].0, None),
-            ValueLocation::Gauge(at) => (&self.gauges[at], None),
-            ValueLocation::Distribution(at, statistic) => (&self.distributions[at], Some(statistic.suffix())),
+            ValueLocation::Counter(index) => (&self.counters[index].0, None),
+            ValueLocation::Gauge(index) => (&self.gauges[index], None),
+            ValueLocation::Distribution(index, statistic) => {
+                (&self.distributions[index], Some(statistic.suffix()))
+            }
         };
         let stat = match suffix {
             None => name.stat.clone(),
@@ -189,7 +194,7 @@
     /// The kind of the values of a point.
     pub fn kind(&self, point: usize) -> MetricKind {
         match self.location(point) {
-            ValueLocation::Counter(at) => self.counters[at].1,
+            ValueLocation::Counter(index) => self.counters[index].1,
             ValueLocation::Gauge(_) => MetricKind::Gauge,
             ValueLocation::Distribution(_, statistic) => MetricKind::Statistic(statistic),
         }
--- a/crates/pinepoint-telemetry/src/schema/layout.rs
+++ b/crates/pinepoint-telemetry/src/schema/layout.rs
@@ -35,17 +35,17 @@
     pub(crate) core_state: usize,
     /// The gauges of the admission controller.
     pub(crate) module: Range<usize>,
-    /// The accounting error, `accounting_error`; `span_s` comes after it.
+    /// The accounting error, the gauge `law_off`. The gauge `span_s` follows it.
     pub(crate) accounting_error: usize,
 }
 
 /// Number of counters of one class.
-const CLASS_BLOCK: usize = RUN_OUTCOMES_AT + RunOutcome::ALL.len();
+const CLASS_BLOCK: usize = RUN_OUTCOMES_OFFSET + RunOutcome::ALL.len();
 /// Offsets within the block of a class.
-const REJECTIONS_AT: usize = CLASS_COUNTERS.len();
-const FAILURES_AT: usize = REJECTIONS_AT + RejectReason::ALL.len();
-const CALL_OUTCOMES_AT: usize = FAILURES_AT + FailureReason::ALL.len();
-const RUN_OUTCOMES_AT: usize = CALL_OUTCOMES_AT + CallOutcome::ALL.len();
+const REJECTIONS_OFFSET: usize = CLASS_COUNTERS.len();
+const FAILURES_OFFSET: usize = REJECTIONS_OFFSET + RejectReason::ALL.len();
+const CALL_OUTCOMES_OFFSET: usize = FAILURES_OFFSET + FailureReason::ALL.len();
+const RUN_OUTCOMES_OFFSET: usize = CALL_OUTCOMES_OFFSET + CallOutcome::ALL.len();
 
 impl Schema {
     /// The position of the value of a point.
@@ -56,8 +56,8 @@
         } else if point < counters + gauges {
             ValueLocation::Gauge(point - counters)
         } else {
-            let at = point - counters - gauges;
-            ValueLocation::Distribution(at / STATISTICS.len(), STATISTICS[at % STATISTICS.len()].0)
+            let index = point - counters - gauges;
+            ValueLocation::Distribution(index / STATISTICS.len(), STATISTICS[index % STATISTICS.len()].0)
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Indices of the counters of all reject reasons of a class.
     pub(crate) fn rejections(&self, class: usize) -> Range<usize> {
-        class * CLASS_BLOCK + REJECTIONS_AT..class * CLASS_BLOCK + FAILURES_AT
+        class * CLASS_BLOCK + REJECTIONS_OFFSET..class * CLASS_BLOCK + FAILURES_OFFSET
     }
 
     /// Index of the counter of a failure reason.
@@ -83,17 +83,17 @@
 
     /// Indices of the counters of all failure reasons of a class.
     pub(crate) fn failures(&self, class: usize) -> Range<usize> {
-        class * CLASS_BLOCK + FAILURES_AT..class * CLASS_BLOCK + CALL_OUTCOMES_AT
+        class * CLASS_BLOCK + FAILURES_OFFSET..class * CLASS_BLOCK + CALL_OUTCOMES_OFFSET
     }
 
     /// Index of the counter of a call outcome.
     pub(crate) fn call(&self, class: usize, outcome: CallOutcome) -> usize {
-        class * CLASS_BLOCK + CALL_OUTCOMES_AT + outcome.index()
+        class * CLASS_BLOCK + CALL_OUTCOMES_OFFSET + outcome.index()
     }
 
     /// Index of the counter of a run outcome.
     pub(crate) fn run(&self, class: usize, outcome: RunOutcome) -> usize {
-        class * CLASS_BLOCK + RUN_OUTCOMES_AT + outcome.index()
+        class * CLASS_BLOCK + RUN_OUTCOMES_OFFSET + outcome.index()
     }
 
     /// Index of a distribution of a class.
@@ -103,15 +103,15 @@
 
     /// Indices of the counters of the node.
     pub(crate) fn node(&self) -> Range<usize> {
-        self.node_at..self.delivery_at.counters
+        self.node_offset..self.delivery_offsets.counters
     }
 
     /// Indices of the counters and gauges of the delivery to a destination.
     pub(crate) fn delivery(&self, destination: Destination) -> DeliveryOffsets {
         let index = destination as usize;
         DeliveryOffsets {
-            counters: self.delivery_at.counters + index * DELIVERY_COUNTERS.len(),
-            gauges: self.delivery_at.gauges + index * DELIVERY_GAUGES.len(),
+            counters: self.delivery_offsets.counters + index * DELIVERY_COUNTERS.len(),
+            gauges: self.delivery_offsets.gauges + index * DELIVERY_GAUGES.len(),
         }
     }
 
@@ -124,7 +124,7 @@
     pub(crate) fn gauge_offsets(&self) -> GaugeOffsets {
         GaugeOffsets {
             core_state: self.classes().len(),
-            module: self.module_at..self.delivery_at.gauges,
+            module: self.module_offset..self.delivery_offsets.gauges,
             accounting_error: self.gauges() - 2,
         }
     }
--- a/crates/pinepoint-telemetry/src/schema/tests.rs
+++ b/crates/pinepoint-telemetry/src/schema/tests.rs
@@ -30,15 +30,15 @@
     assert_eq!(name(schema.node().start + 1), "Node pings");
     assert_eq!(name(schema.delivery(Destination::Collectd).counters), "Telemetry collectd.intervals_merged");
     assert_eq!(name(schema.log_lines_left_out()), "Telemetry log_lines_left_out");
-    let gauge = |at: usize| name(schema.counts() + at);
+    let gauge = |index: usize| name(schema.counts() + index);
     let offsets = schema.gauge_offsets();
     let error = offsets.accounting_error;
     assert_eq!(gauge(offsets.core_state), "State held");
     assert_eq!(gauge(offsets.module.start), "Module busy_share");
     assert_eq!(gauge(schema.delivery(Destination::Collectd).gauges), "Telemetry collectd.backlog_intervals");
     assert_eq!((gauge(error), gauge(error + 1)), ("Telemetry law_off".into(), "Telemetry span_s".into()));
-    let at = schema.distribution(1, ClassDistribution::Total);
-    let point = schema.counts() + schema.gauges() + at * STATISTICS.len() + 4;
+    let index = schema.distribution(1, ClassDistribution::Total);
+    let point = schema.counts() + schema.gauges() + index * STATISTICS.len() + 4;
     assert_eq!(name(point), "Class(1) total.p99_ms");
-    assert_eq!(schema.location(point), ValueLocation::Distribution(at, Statistic::Quantile(990)));
+    assert_eq!(schema.location(point), ValueLocation::Distribution(index, Statistic::Quantile(990)));
 }
--- a/crates/pinepoint-telemetry/src/snapshot.rs
+++ b/crates/pinepoint-telemetry/src/snapshot.rs
@@ -26,9 +26,9 @@
     pub distributions: Rc<[Distribution]>,
 }
 
-/// Memory of a snapshot beside its rows, bytes.
+/// Memory of a snapshot besides its rows, bytes.
 const SNAPSHOT_OVERHEAD_BYTES: usize = 160;
-/// Memory of a distribution beside its buckets, bytes.
+/// Memory of a distribution besides its buckets, bytes.
 const DISTRIBUTION_OVERHEAD_BYTES: usize = 24;
 
 impl Snapshot {
@@ -80,16 +80,18 @@
     pub fn value(&self, schema: &Schema, temporality: Temporality, point: usize) -> Option<f64> {
         let snapshot = &self.snapshot;
         let value = match schema.location(point) {
-            ValueLocation::Counter(at) => match temporality {
-                Temporality::Cumulative => snapshot.totals[at],
-                Temporality::Delta => snapshot.totals[at] - self.previous_totals[at],
+            ValueLocation::Counter(index) => match temporality {
+                Temporality::Cumulative => snapshot.totals[index],
+                Temporality::Delta => snapshot.totals[index] - self.previous_totals[index],
             },
             // `span_s`, the last of the gauges, changes when snapshots are merged.
-            ValueLocation::Gauge(at) if at + 1 == schema.gauges() => {
+            ValueLocation::Gauge(index) if index + 1 == schema.gauges() => {
                 (snapshot.span_ms.1 - snapshot.span_ms.0) / 1000.0
             }
-            ValueLocation::Gauge(at) => snapshot.gauges[at],
-            ValueLocation::Distribution(at, statistic) => snapshot.distributions[at].statistic(statistic)?,
+            ValueLocation::Gauge(index) => snapshot.gauges[index],
+            ValueLocation::Distribution(index, statistic) => {
+                snapshot.distributions[index].statistic(statistic)?
+            }
         };
         value.is_finite().then_some(value)
     }
--- a/crates/pinepoint-telemetry/src/spool.rs
+++ b/crates/pinepoint-telemetry/src/spool.rs
@@ -145,11 +145,11 @@
             self.losses.dropped += 1;
             self.pop_oldest();
         }
-        while let Some(at) = self.first_unsent().filter(|at| at + 1 < self.intervals.len()) {
-            if !is_old(&self.intervals[at]) {
+        while let Some(index) = self.first_unsent().filter(|index| index + 1 < self.intervals.len()) {
+            if !is_old(&self.intervals[index]) {
                 return;
             }
-            self.merge_with_next(at);
+            self.merge_with_next(index);
         }
     }
 
@@ -157,13 +157,13 @@
     /// resolution is halved evenly, beginning with the oldest intervals. Returns whether there was a pair.
     fn merge_one_pair(&mut self) -> bool {
         let Some(first) = self.first_unsent() else { return false };
-        let slots = |at: usize| {
-            let (earlier, later) = (&self.intervals[at].snapshot, &self.intervals[at + 1].snapshot);
+        let slots = |index: usize| {
+            let (earlier, later) = (&self.intervals[index].snapshot, &self.intervals[index + 1].snapshot);
             earlier.slots.saturating_add(later.slots)
         };
         let pairs = first..self.intervals.len().saturating_sub(1);
-        let Some(at) = pairs.min_by_key(|at| slots(*at)) else { return false };
-        self.merge_with_next(at);
+        let Some(index) = pairs.min_by_key(|index| slots(*index)) else { return false };
+        self.merge_with_next(index);
         true
     }
 
@@ -171,17 +171,17 @@
     /// all later ones are unsent too.
     fn first_unsent(&self) -> Option<usize> {
         let last_sent = self.intervals.iter().rposition(|interval| interval.ack_state.is_some());
-        let after = last_sent.map_or(0, |at| at + 1);
+        let after = last_sent.map_or(0, |index| index + 1);
         (after < self.intervals.len()).then_some(after)
     }
 
-    fn merge_with_next(&mut self, at: usize) {
-        let (earlier, later) = (&self.intervals[at], &self.intervals[at + 1]);
+    fn merge_with_next(&mut self, index: usize) {
+        let (earlier, later) = (&self.intervals[index], &self.intervals[index + 1]);
         let snapshot = earlier.snapshot.merged(&later.snapshot);
         let bytes_before = earlier.bytes() + later.bytes();
-        self.intervals.remove(at);
-        self.intervals[at].snapshot = snapshot;
-        self.bytes = self.bytes - bytes_before + self.intervals[at].bytes();
+        self.intervals.remove(index);
+        self.intervals[index].snapshot = snapshot;
+        self.bytes = self.bytes - bytes_before + self.intervals[index].bytes();
         self.losses.merged += 1;
     }
 
@@ -192,17 +192,17 @@
 
     /// The data of an interval; `None` if the spool no longer has it.
     pub fn interval(&self, number: u64) -> Option<Interval> {
-        let at = self.position(number)?;
-        let previous = at.checked_sub(1).map(|at| &self.intervals[at].snapshot.totals);
+        let index = self.position(number)?;
+        let previous = index.checked_sub(1).map(|index| &self.intervals[index].snapshot.totals);
         let previous_totals = previous.unwrap_or(&self.base_totals).clone();
-        Some(Interval { snapshot: self.intervals[at].snapshot.clone(), previous_totals })
+        Some(Interval { snapshot: self.intervals[index].snapshot.clone(), previous_totals })
     }
 
     /// The acknowledgements of an interval with this number of points, created if it has none; `None` if the
     /// spool no longer has the interval.
     pub fn ack_state_mut(&mut self, number: u64, points: usize) -> Option<&mut AckState> {
-        let at = self.position(number)?;
-        let interval = &mut self.intervals[at];
+        let index = self.position(number)?;
+        let interval = &mut self.intervals[index];
         if interval.ack_state.is_none() {
             self.bytes += AckState::bytes(points);
         }
--- a/crates/pinepoint-telemetry/src/telemetry.rs
+++ b/crates/pinepoint-telemetry/src/telemetry.rs
@@ -32,8 +32,8 @@
 
 /// Maximum number of queued notifications; further ones are dropped.
 const MAX_QUEUED_NOTIFICATIONS: usize = 64;
-/// Minimum number of intervals that a spool has space for beside those in its window.
-const MIN_INTERVALS_BESIDE_WINDOW: usize = 4;
+/// Minimum number of intervals that a spool has space for besides those in its window.
+const MIN_INTERVALS_OUTSIDE_WINDOW: usize = 4;
 /// The smallest window, in intervals.
 const MIN_WINDOW_INTERVALS: usize = 2;
 /// Estimated memory of a distribution in a snapshot, bytes.
@@ -200,14 +200,14 @@
         self.deliveries(destination).set_current(running);
     }
 
-    /// The window, reduced so that a spool of `spool_bytes` has space for some intervals beside it, however
+    /// The window, reduced so that a spool of `spool_bytes` has space for some intervals outside it, however
     /// many classes there are.
     fn window_within(&self, spool_bytes: usize, points: usize, window: usize) -> usize {
         let schema = self.schema();
         let numbers = schema.counts() + schema.gauges() + points;
         let interval_bytes = numbers * NUMBER_BYTES + schema.distributions() * DISTRIBUTION_BYTES;
         let max_intervals = spool_bytes / interval_bytes.max(1);
-        window.min(max_intervals.saturating_sub(MIN_INTERVALS_BESIDE_WINDOW)).max(MIN_WINDOW_INTERVALS)
+        window.min(max_intervals.saturating_sub(MIN_INTERVALS_OUTSIDE_WINDOW)).max(MIN_WINDOW_INTERVALS)
     }
 
     fn notify(&self, severity: Severity, subject: &'static str, message: String) {
--- a/crates/pinepoint-telemetry/src/telemetry/delivery_task.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/delivery_task.rs
@@ -69,13 +69,13 @@
         notifications: (Sender<Notification>, Receiver<Notification>),
     ) -> (Self, DeliveryHandle) {
         let events = async_channel::unbounded();
-        let (done, is_done) = async_channel::bounded(1);
+        let (done, done_receiver) = async_channel::bounded(1);
         let stats = Rc::new(Cell::new(DeliveryStats::default()));
         let superseded = Rc::new(Cell::new(false));
         let handle = DeliveryHandle {
             events: events.0.clone(),
             stats: stats.clone(),
-            done: is_done,
+            done: done_receiver,
             superseded: superseded.clone(),
         };
         let task = DeliveryTask {
@@ -174,9 +174,9 @@
     fn connect(&mut self, id: ConnectionId) {
         let name = self.delivery.receiver_name(id.receiver);
         let Some(transport) = name.and_then(|name| self.encoder.transport(name)) else { return };
-        let (commands, receiver) = async_channel::unbounded();
+        let (commands, command_receiver) = async_channel::unbounded();
         let (events, clock) = (self.events.0.clone(), self.clock.clone());
-        let task = ConnectionTask { id, events, commands: receiver, clock };
+        let task = ConnectionTask { id, events, commands: command_receiver, clock };
         let task = self.executor.spawn(task.run(transport));
         self.connections.insert(id, OpenConnection { commands, _task: task });
     }
--- a/crates/pinepoint-telemetry/src/telemetry/destination.rs
+++ b/crates/pinepoint-telemetry/src/telemetry/destination.rs
@@ -85,12 +85,13 @@
     /// that signals that it is done.
     pub(super) fn shut_down(&self) -> Vec<Receiver<()>> {
         let (superseded, current) = (self.superseded.borrow(), self.current.borrow());
-        let all = superseded.iter().chain(current.iter());
-        all.map(|delivery| {
-            delivery.send(Event::Shutdown);
-            delivery.handle.done.clone()
-        })
-        .collect()
+        let deliveries = superseded.iter().chain(current.iter());
+        deliveries
+            .map(|delivery| {
+                delivery.send(Event::Shutdown);
+                delivery.handle.done.clone()
+            })
+            .collect()
     }
 
     /// Makes the current delivery a superseded one, which sends its remaining intervals at once. Returns its
@@ -133,7 +134,7 @@
             !is_done
         });
         let (superseded, current) = (self.superseded.borrow(), self.current.borrow());
-        let all = superseded.iter().chain(current.iter()).map(|delivery| delivery.handle.stats.get());
-        all.fold(self.ended.get(), DeliveryStats::plus)
+        let stats = superseded.iter().chain(current.iter()).map(|delivery| delivery.handle.stats.get());
+        stats.fold(self.ended.get(), DeliveryStats::plus)
     }
 }
--- a/crates/pinepoint-telemetry/src/transport.rs
+++ b/crates/pinepoint-telemetry/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to receivers. Each has a task, which receives commands and reports events.
+//! Connections to receivers. Each connection has a task, which receives commands and reports events.
 //!
 //! A task owns its socket. It does not decide when to connect, what to send or when to give up; dropping the
 //! task closes the connection.
--- a/crates/pinepoint-telemetry/src/transport/datagrams.rs
+++ b/crates/pinepoint-telemetry/src/transport/datagrams.rs
@@ -43,8 +43,8 @@
         socket: &Async<UdpSocket>,
         datagrams: &[Vec<u8>],
     ) -> Result<(), DisconnectReason> {
-        for (at, datagram) in datagrams.iter().enumerate() {
-            if at > 0 && at % DATAGRAM_BURST == 0 {
+        for (index, datagram) in datagrams.iter().enumerate() {
+            if index > 0 && index % DATAGRAM_BURST == 0 {
                 self.clock.pause(BURST_PAUSE_MS).await;
             }
             socket.send(datagram).await.map_err(|_| DisconnectReason::Refused)?;
--- a/crates/pinepoint-telemetry/src/transport/stream.rs
+++ b/crates/pinepoint-telemetry/src/transport/stream.rs
@@ -1,5 +1,5 @@
-//! Graphite over TCP. The protocol has no acknowledgements; the orderly close of the connection serves as
-//! one.
+//! Graphite over TCP. The protocol has no acknowledgements; the orderly close of the connection serves as an
+//! acknowledgement.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
 
 impl ConnectionTask {
     /// Serves the connection until all messages are acknowledged. Returns the sequence number of the last
-    /// one.
+    /// message.
     pub(super) async fn serve_stream(
         &self,
         address: SocketAddr,
@@ -37,7 +37,8 @@
         Ok(last_sequence)
     }
 
-    /// Writes messages until an acknowledgement is requested. Returns the sequence number of the last one.
+    /// Writes messages until an acknowledgement is requested. Returns the sequence number of the last
+    /// message.
     async fn write_messages(&self, stream: &Async<TcpStream>) -> Result<u64, DisconnectReason> {
         let mut last_sequence = 0;
         while let Ok(command) = self.commands.recv().await {
