--- a/crates/pinepoint-clock/src/lib.rs
+++ b/crates/pinepoint-clock/src/lib.rs
@@ -72,9 +72,9 @@
         }
     }
 
-    /// The current time, Unix ms. After the system's clock was set back, this clock continues from the last
-    /// returned time at the pace of the monotonic clock. Time never goes back and never stands still, so that
-    /// timers continue to fire.
+    /// The current time, Unix ms. After the system's clock was set back, a system clock continues from the
+    /// last returned time at the pace of the monotonic clock. Its time never goes back and never stands
+    /// still, so that timers continue to fire.
     pub fn now(&self) -> f64 {
         let (last_ms, read_at) = match self.state.get() {
             State::Fixed { now_ms } => return now_ms,
--- a/crates/pinepoint-events/src/process_event.rs
+++ b/crates/pinepoint-events/src/process_event.rs
@@ -30,9 +30,9 @@
     pub up: u32,
     /// Suspected members, which also count as up.
     pub suspected: u32,
-    /// Members that failed and are still probed.
+    /// Lost members, which are still pinged now and then.
     pub lost: u32,
-    /// Verdicts in force.
+    /// Active verdicts.
     pub verdicts: u32,
     /// Whether the view has converged: it is stable on this member and equal on all members from which a
     /// message was received recently.
--- a/crates/pinepoint-handover/src/io/acceptor.rs
+++ b/crates/pinepoint-handover/src/io/acceptor.rs
@@ -22,8 +22,8 @@
 use super::link::{Link, LinkTask};
 use crate::wire::Decoder;
 
-/// Prefix of the socket's temporary name, which ends in the process id. That name is shorter
-/// than the final one for any id.
+/// Prefix of the socket's temporary name, which ends in the process id. That name is shorter than the final
+/// name for any id.
 const TEMPORARY_PREFIX: &str = ".pphandover";
 /// Maximum number of concurrent handshakes.
 const MAX_PENDING_HANDSHAKES: usize = 8;
--- a/crates/pinepoint-handover/src/io/handshake.rs
+++ b/crates/pinepoint-handover/src/io/handshake.rs
@@ -185,8 +185,8 @@
     }
 }
 
-/// Receives a successor's preamble and checks it. A peer of another version is sent the preamble
-/// of this version, and no sockets.
+/// Receives a successor's preamble and checks it. A peer of another version is sent the preamble of this
+/// version, and no sockets.
 pub(super) async fn receive_successor_preamble(stream: &mut Async<UnixStream>) -> Result<(), HandshakeError> {
     if !is_same_user(stream) {
         return Err(HandshakeError::OtherUser);
--- a/crates/pinepoint-handover/src/predecessor.rs
+++ b/crates/pinepoint-handover/src/predecessor.rs
@@ -141,8 +141,8 @@
 }
 
 impl Predecessor {
-    /// For a process that starts to serve; `listeners` names its listening sockets, `digest_key` is the
-    /// secret key of its body digests.
+    /// Creates the state machine of a process that starts to serve. `listeners` names its listening sockets,
+    /// `digest_key` is the secret key of its body digests.
     pub fn new(rules: Rules, listeners: Vec<String>, digest_key: [u8; 16]) -> Predecessor {
         Predecessor {
             rules,
--- a/crates/pinepoint-handover/src/successor.rs
+++ b/crates/pinepoint-handover/src/successor.rs
@@ -132,7 +132,7 @@
 }
 
 impl Successor {
-    /// For a process that starts and tries to connect to a predecessor.
+    /// Creates the state machine of a process that starts and tries to connect to a predecessor.
     pub fn new(rules: Rules) -> Successor {
         Successor {
             rules,
--- a/crates/pinepoint-idempotency/src/clock.rs
+++ b/crates/pinepoint-idempotency/src/clock.rs
@@ -1,7 +1,7 @@
 //! Relates the clock of an earlier process to the current one. No clock is read here.
 //!
 //! The Unix clock may have been set across a restart, in either direction. Within one boot of the machine the
-//! time since boot shows by how much. Across a boot nothing shows whether it was set, and all windows
+//! time since boot shows by how much. Across a boot nothing shows whether the clock was set, and all windows
 //! are assumed to start again.
 
 use serde::{Deserialize, Serialize};
--- a/crates/pinepoint-log/src/options.rs
+++ b/crates/pinepoint-log/src/options.rs
@@ -28,7 +28,7 @@
     Json,
 }
 
-/// A default level, and levels for single modules: `info,pinepoint::node::links=debug`.
+/// A default level, and levels for single modules: `info,pinepoint::server::upstream=debug`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(try_from = "String")]
 pub struct LevelFilter(Targets);
--- a/crates/pinepoint-membership/src/diagnosis/verdict.rs
+++ b/crates/pinepoint-membership/src/diagnosis/verdict.rs
@@ -65,6 +65,6 @@
 pub struct VerdictChange {
     /// The verdict that has begun or ended.
     pub verdict: Verdict,
-    /// Whether the verdict is active from now on, or has ended.
+    /// True if the verdict has begun, false if it has ended.
     pub holds: bool,
 }
--- a/crates/pinepoint-membership/src/io/service.rs
+++ b/crates/pinepoint-membership/src/io/service.rs
@@ -135,7 +135,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due_ms = self.membership.borrow().next_due();
-            // A due tick is handled before received datagrams, so that a flood of datagrams can't delay it.
+            // A due tick is handled before received datagrams, so that a flood of datagrams cannot delay it.
             if self.clock.now() >= due_ms {
                 self.tick();
                 continue;
--- a/crates/pinepoint-membership/src/membership.rs
+++ b/crates/pinepoint-membership/src/membership.rs
@@ -68,7 +68,7 @@
     last_change_ms: f64,
     /// The latest plausible clock received from any member. Generations far beyond it are rejected.
     clock_horizon_ms: f64,
-    /// Whether the view was settled when this was last reported.
+    /// The last reported value of [`Membership::is_settled`].
     was_settled: bool,
 }
 
--- a/crates/pinepoint-membership/src/membership/anti_entropy.rs
+++ b/crates/pinepoint-membership/src/membership/anti_entropy.rs
@@ -38,7 +38,8 @@
         AntiEntropy { last_agreement_ms: f64::NEG_INFINITY, divergence: None, last_sync_ms: now }
     }
 
-    /// Whether the digest of a peer was equal within this time and no other was found to differ.
+    /// Whether, within this time, the digest of some peer equalled the local one and no peer was found to
+    /// differ.
     pub(super) fn agrees_with_peers(&self, now: f64, within_ms: f64) -> bool {
         let differs = self.divergence.is_some_and(|divergence| now - divergence.seen_ms < within_ms);
         now - self.last_agreement_ms < within_ms && !differs
@@ -154,8 +155,8 @@
         if differing.is_empty() {
             return;
         }
-        // Starts at a random bucket, so that exchanges with several peers cover all buckets where one can't
-        // send them all.
+        // Starts at a random bucket, so that exchanges with several peers cover all buckets if one exchange
+        // cannot carry them all.
         let first = self.random_index(differing.len());
         differing.rotate_left(first);
         self.send_buckets(now, peer, &differing, Pull::Requested, actions);
--- a/crates/pinepoint-membership/src/membership/discovery.rs
+++ b/crates/pinepoint-membership/src/membership/discovery.rs
@@ -5,10 +5,10 @@
 
 /// Seeds pinged per period while no other member is up.
 const SEEDS_PER_PERIOD: usize = 3;
-/// While other members are up, one seed is pinged in so many periods on average.
+/// Average number of periods between pings of a seed while other members are up.
 const SEED_INTERVAL: usize = 10;
-/// If lost members number at most half of the members that are up, one of them is pinged in so many periods
-/// on average.
+/// Average number of periods between pings of a lost member, if at most half as many members are lost as are
+/// up.
 const LOST_INTERVAL: usize = 2;
 
 impl Membership {
--- a/crates/pinepoint-membership/src/membership/dissemination.rs
+++ b/crates/pinepoint-membership/src/membership/dissemination.rs
@@ -11,7 +11,7 @@
 
 /// Members to which updates are gossiped in each tick.
 const GOSSIP_FANOUT: usize = 3;
-/// Transmissions of an update, multiplied by log10 of the fleet's size, rounded up.
+/// Transmissions of an update per power of ten of the fleet's size: log10 of the size is rounded up.
 const TRANSMISSIONS_PER_DECADE: u32 = 4;
 
 /// The destination of a packet.
--- a/crates/pinepoint-membership/src/membership/reception.rs
+++ b/crates/pinepoint-membership/src/membership/reception.rs
@@ -16,8 +16,8 @@
 struct Peer {
     key: u64,
     address: SocketAddr,
-    /// The local record of it is not alive or of another process. The peer has to receive that record to
-    /// refute it.
+    /// The local record of the peer is of another process or not alive. The peer has to receive that record,
+    /// so that it can refute it.
     has_to_refute: bool,
 }
 
--- a/crates/pinepoint-membership/src/wire.rs
+++ b/crates/pinepoint-membership/src/wire.rs
@@ -96,8 +96,8 @@
 pub enum Message {
     /// A packet between members.
     Peer(Packet),
-    /// Requests a page of the view. The request is padded to the size of the largest answer, so that it can't
-    /// be used to amplify traffic.
+    /// Requests a page of the view. The request is padded to the size of the largest answer, so that it
+    /// cannot be used to amplify traffic.
     ViewRequest {
         /// Chosen by the client. All pages requested under one id are of one snapshot.
         snapshot_id: u64,
--- a/crates/pinepoint-store/src/format.rs
+++ b/crates/pinepoint-store/src/format.rs
@@ -42,8 +42,8 @@
     pub expires_at_ms: f64,
 }
 
-/// The header of a segment. It records where the previous segment ends, so that recovery ignores
-/// bytes that a crash left after that end.
+/// The header of a segment. It records where the previous segment ends, so that recovery ignores bytes that a
+/// crash left after that end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SegmentHeader {
     /// The segment's number: that of the previous segment plus one.
@@ -146,8 +146,8 @@
     xxh3_64_with_seed(&checksum.to_le_bytes(), chain_hash)
 }
 
-/// The checksum of a record's header and payload. It is seeded with the position, so that a
-/// moved record fails verification.
+/// The checksum of a record's header and payload. It is seeded with the position, so that a moved record
+/// fails verification.
 fn record_checksum(record: &[u8], segment: u64, offset: u64) -> u64 {
     let position_seed = segment.rotate_left(40) ^ offset;
     let header = &record[..RECORD_HEADER_BYTES - CHECKSUM_BYTES];
