--- a/crates/pinepoint-lab/src/cluster.rs
+++ b/crates/pinepoint-lab/src/cluster.rs
@@ -1,5 +1,5 @@
 //! A test cluster: many real processes of the program under faults, each with a stub engine of its own, one
-//! shared store and one list service, routers in front, a fault injection proxy between all of them, and
+//! shared store and one service registry, routers in front, a fault injection proxy between all of them, and
 //! scripts of faults and expectations. This module owns the processes and the steps of a script. It uses only
 //! the command line, the files and the log of the program.
 //!
@@ -19,10 +19,10 @@
 //! | `n1 named n2` | its name in its configuration, from its next start on |
 //! | `n1 engine down`, `n1 engine up`, `n1 engine chilly 3000` | its engine; the warm-up time counts from the next attach, ms |
 //! | `store down`, `store up`, `store slots 4`, `store call 20`, `store away 5000` | the shared store; its slots, call time and outage after a crash, ms |
-//! | `list down`, `list up` | the list service |
+//! | `list down`, `list up` | block, unblock the direction from every member to the service registry |
 //! | `net loss 0.2`, `net twice 0.1`, `net delay 50` | share of the traffic lost, share of the datagrams duplicated, longest delay (ms) |
 //! | `net deaf n1 0.3` | share that is lost of the traffic to n1 |
-//! | `net cut n1 n2` | block the direction from n1 to n2; `store`, `list`, `routers` are endpoints too |
+//! | `net cut n1 n2` | block the direction from n1 to n2; `store`, `list` (the service registry) and `routers` are endpoints too |
 //! | `net part n1 n2`, `net part zone z1` | a partition: its members reach only each other |
 //! | `net heal` | remove all network faults |
 //! | `routers send 100`, `routers send 0` | requests per second from now on |
@@ -118,14 +118,14 @@
     /// If the folder cannot be written or an address cannot be bound.
     pub fn prepare(options: Options) -> io::Result<Cluster> {
         std::fs::create_dir_all(&options.folder)?;
-        let Services { engines, store, list } = Services::start(options.members)?;
+        let Services { engines, store, registry } = Services::start(options.members)?;
         let listen_addresses: io::Result<Vec<SocketAddr>> =
             (0..options.members).map(|_| unused_address()).collect();
         let listen_addresses = listen_addresses?;
         let proxy = FaultProxy::start(listen_addresses.clone(), options.seed)?;
         let (mut members, mut router_targets) = (Vec::new(), Vec::new());
         for (index, (engine, listen)) in engines.into_iter().zip(listen_addresses).enumerate() {
-            let services = connect_services(&proxy, index, &engine, &store, list)?;
+            let services = connect_services(&proxy, index, &engine, &store, registry)?;
             let rpc = unused_address()?;
             router_targets.push(proxy.stream(Endpoint::Routers, Endpoint::Member(index), rpc, || true)?);
             let addresses = MemberAddresses { listen, advertised: proxy.ports[index], rpc, services };
@@ -187,13 +187,13 @@
     index: usize,
     engine: &MemberEngine,
     store: &Store,
-    list: SocketAddr,
+    registry: SocketAddr,
 ) -> io::Result<ServiceAddresses> {
     let (member, target) = (Endpoint::Member(index), store.clone());
     Ok(ServiceAddresses {
         engine: engine.address,
         store: proxy.stream(member, Endpoint::Store, store.address, move || target.listens())?,
-        members: proxy.datagrams(member, Endpoint::List, list)?,
+        members: proxy.datagrams(member, Endpoint::Registry, registry)?,
     })
 }
 
--- a/crates/pinepoint-lab/src/cluster/services.rs
+++ b/crates/pinepoint-lab/src/cluster/services.rs
@@ -1,5 +1,5 @@
-//! The services below the members of a cluster: one engine each, the shared store and the list service. They
-//! run on one thread, which ends with the process.
+//! The services below the members of a cluster: one engine each, the shared store and the service
+//! registry. They run on one thread, which ends with the process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use super::ENGINE_CORES;
 use crate::simulated_engine::{EngineControl, start_engine};
 use crate::store::{Store, StoreState};
-use crate::stub_services::start_list_service;
+use crate::stub_services::start_service_registry;
 
 /// Calls that the store makes concurrently, unless a script sets another number.
 const STORE_SLOTS: usize = 64;
@@ -30,8 +30,8 @@
 pub(super) struct Services {
     pub(super) engines: Vec<MemberEngine>,
     pub(super) store: Store,
-    /// The address at which the list service receives load reports.
-    pub(super) list: SocketAddr,
+    /// The address at which the service registry receives load reports.
+    pub(super) registry: SocketAddr,
 }
 
 impl Services {
@@ -51,8 +51,8 @@
 fn start_services(members: usize, executor: &Rc<LocalExecutor<'static>>) -> io::Result<Services> {
     let engines: io::Result<Vec<_>> = (0..members).map(|_| start_member_engine(executor)).collect();
     let store = Store::start(StoreState::new(STORE_SLOTS, STORE_CALL_TIME), executor)?;
-    let list = start_list_service(executor)?;
-    Ok(Services { engines: engines?, store, list })
+    let registry = start_service_registry(executor)?;
+    Ok(Services { engines: engines?, store, registry })
 }
 
 fn start_member_engine(executor: &Rc<LocalExecutor<'static>>) -> io::Result<MemberEngine> {
--- a/crates/pinepoint-lab/src/cluster/steps.rs
+++ b/crates/pinepoint-lab/src/cluster/steps.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a script on the members, the network, the store, the list service and the
+//! Carries out the steps of a script on the members, the network, the store, the service registry and the
 //! routers. [`crate::script`] defines the language; [`super`] has the table of steps.
 
 use std::time::Duration;
@@ -27,7 +27,7 @@
         match (step.actor, step.verb, words.as_slice()) {
             ("net", verb, words) => self.change_network(verb, words),
             ("store", verb, words) => self.change_store(verb, words),
-            ("list", verb, []) => self.change_list_service(verb),
+            ("list", verb, []) => self.change_service_registry(verb),
             ("routers", verb, words) => self.run_routers_step(verb, words),
             ("rules", "hold", []) => self.check_rules(),
             ("all", "wait", ["settled"]) => self.await_settled(),
@@ -58,14 +58,14 @@
         Ok(())
     }
 
-    fn change_list_service(&mut self, verb: &str) -> Result<(), ScriptError> {
+    fn change_service_registry(&mut self, verb: &str) -> Result<(), ScriptError> {
         let mut faults = self.proxy.faults();
         match verb {
             "down" => {
                 let members = (0..self.members.len()).map(Endpoint::Member);
-                faults.blocked.extend(members.map(|member| Direction::new(member, Endpoint::List)));
+                faults.blocked.extend(members.map(|member| Direction::new(member, Endpoint::Registry)));
             }
-            "up" => faults.blocked.retain(|direction| direction.to != Endpoint::List),
+            "up" => faults.blocked.retain(|direction| direction.to != Endpoint::Registry),
             _ => return Err(ScriptError::UnknownStep),
         }
         Ok(())
@@ -268,7 +268,7 @@
     fn endpoint(&self, name: &str) -> Result<Endpoint, ScriptError> {
         Ok(match name {
             "store" => Endpoint::Store,
-            "list" => Endpoint::List,
+            "list" => Endpoint::Registry,
             "routers" => Endpoint::Routers,
             _ => Endpoint::Member(self.index_of(name)?),
         })
--- a/crates/pinepoint-lab/src/fault_proxy/faults.rs
+++ b/crates/pinepoint-lab/src/fault_proxy/faults.rs
@@ -13,8 +13,8 @@
     Member(usize),
     /// The store that all processes share.
     Store,
-    /// The list service.
-    List,
+    /// The service registry.
+    Registry,
     /// The routers. They are outside the fleet, and partitions do not affect them.
     Routers,
 }
--- a/crates/pinepoint-lab/src/stub_services.rs
+++ b/crates/pinepoint-lab/src/stub_services.rs
@@ -1,5 +1,5 @@
-//! The services below one process: a simulated engine, a store that is never overloaded, and a list service
-//! that discards load reports.
+//! The services below one process: a simulated engine, a store that is never overloaded, and a service
+//! registry that discards load reports.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -22,7 +22,7 @@
     pub engine: SocketAddr,
     /// The store.
     pub store: SocketAddr,
-    /// The list service.
+    /// The service registry.
     pub members: SocketAddr,
 }
 
@@ -41,7 +41,7 @@
     /// # Errors
     /// If an address cannot be bound.
     pub fn start(self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<ServiceAddresses> {
-        let members = start_list_service(executor)?;
+        let members = start_service_registry(executor)?;
         let engine = start_engine(self.cores, &EngineControl::default(), executor)?;
         // The store is never overloaded: it has more slots than there are calls.
         let store = Store::start(StoreState::new(usize::MAX, self.call), executor)?.address;
@@ -49,8 +49,8 @@
     }
 }
 
-/// Starts a list service that reads load reports and discards them.
-pub(crate) fn start_list_service(executor: &Rc<LocalExecutor<'static>>) -> io::Result<SocketAddr> {
+/// Starts a service registry that reads load reports and discards them.
+pub(crate) fn start_service_registry(executor: &Rc<LocalExecutor<'static>>) -> io::Result<SocketAddr> {
     let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
     let address = socket.get_ref().local_addr()?;
     let discard_reports = async move {
