--- a/crates/pinepoint-lab/src/load/request.rs
+++ b/crates/pinepoint-lab/src/load/request.rs
@@ -27,7 +27,7 @@
     pub(crate) work_ms: f64,
     pub(crate) idempotency_key: Option<String>,
     pub(crate) body: String,
-    pub(crate) request_id: u64,
+    pub(crate) attempt_id: u64,
 }
 
 /// Draws the request with this number: a class by its share, and work from a log-normal distribution with the
@@ -47,7 +47,7 @@
     // The engine reads the first two numbers; the rest makes bodies distinguishable.
     let suffix = if class.keyed { " keyed" } else { "" };
     let body = format!("{work_ms:.3} {} n{number}{suffix}", u8::from(class.calls));
-    Ok(Request { class: class.name, work_ms, idempotency_key, body, request_id: seed << 32 | number })
+    Ok(Request { class: class.name, work_ms, idempotency_key, body, attempt_id: seed << 32 | number })
 }
 
 fn draw_class<'a>(classes: &'a [RequestClass], rng: &mut Pcg64Mcg) -> io::Result<&'a RequestClass> {
@@ -69,7 +69,7 @@
         is_retry: bool,
     ) -> io::Result<Vec<u8>> {
         let fields = RequestFields {
-            request_id: self.request_id,
+            attempt_id: self.attempt_id,
             first_sent_ms,
             estimate_ms: format!("{:.3}", self.work_ms),
             idempotency_key: self.idempotency_key.clone(),
--- a/crates/pinepoint-lab/src/operation/client.rs
+++ b/crates/pinepoint-lab/src/operation/client.rs
@@ -28,7 +28,7 @@
 /// Number of the next attempt, unique in this process.
 static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
-/// A request. It may be sent several times; each attempt has its own request id.
+/// A request. It may be sent several times; each attempt has its own id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Request class.
@@ -62,7 +62,7 @@
 
     fn message(&self, message_id: u64) -> io::Result<Vec<u8>> {
         let fields = RequestFields {
-            request_id: u64::from(std::process::id()) << 40 | ATTEMPTS.fetch_add(1, Ordering::Relaxed),
+            attempt_id: u64::from(std::process::id()) << 40 | ATTEMPTS.fetch_add(1, Ordering::Relaxed),
             first_sent_ms: self.t0,
             estimate_ms: self.work_ms.to_string(),
             idempotency_key: self.token.clone(),
--- a/crates/pinepoint-lab/src/operation/engine.rs
+++ b/crates/pinepoint-lab/src/operation/engine.rs
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct Run {
-    rid: String,
+    attempt_id: String,
     body: String,
     state: RunState,
 }
@@ -86,9 +86,9 @@
             "complete" => format!("{}/{}", run.body, RESULTS.fetch_add(1, Ordering::Relaxed)),
             _ => String::new(),
         };
-        let rid = run.rid.clone();
+        let attempt_id = run.attempt_id.clone();
         self.notify(|number| {
-            format!("DONE {number} {rid} {outcome} 1 {}\r\n{result}\r\n", result.len()).into_bytes()
+            format!("DONE {number} {attempt_id} {outcome} 1 {}\r\n{result}\r\n", result.len()).into_bytes()
         });
     }
 
@@ -112,32 +112,35 @@
         self.write(&missed);
     }
 
-    fn start_run(&mut self, rid: &str, body: Vec<u8>) {
+    fn start_run(&mut self, attempt_id: &str, body: Vec<u8>) {
         // The program resends commands after a broken link; a known run is not started again.
-        if self.runs.iter().any(|run| run.rid == rid) {
+        if self.runs.iter().any(|run| run.attempt_id == attempt_id) {
             return;
         }
         let body = String::from_utf8_lossy(&body).into_owned();
         let makes_call = body.starts_with(CALL_PREFIX);
         let state = if makes_call { RunState::AtCall } else { RunState::Running { due: self.new_due() } };
-        self.runs.push(Run { rid: rid.to_owned(), body, state });
+        self.runs.push(Run { attempt_id: attempt_id.to_owned(), body, state });
         if makes_call {
-            self.notify(|number| format!("NEED {number} {rid} 3\r\nask\r\n").into_bytes());
+            self.notify(|number| format!("NEED {number} {attempt_id} 3\r\nask\r\n").into_bytes());
         }
     }
 
     fn execute(&mut self, words: &[&str], body: Vec<u8>) {
         match words {
             ["ATTACH", last] => self.attach(last.parse().unwrap_or(0)),
-            ["RUN", rid, ..] => self.start_run(rid, body),
-            ["HALT", rid] => {
-                if let Some(index) = self.runs.iter().position(|run| run.rid == *rid && self.is_open(run)) {
+            ["RUN", attempt_id, ..] => self.start_run(attempt_id, body),
+            ["HALT", attempt_id] => {
+                if let Some(index) =
+                    self.runs.iter().position(|run| run.attempt_id == *attempt_id && self.is_open(run))
+                {
                     self.end(index, "cancelled");
                 }
             }
-            ["FEED" | "SKIP", rid, ..] => {
+            ["FEED" | "SKIP", attempt_id, ..] => {
                 let due = self.new_due();
-                let is_waiting = |run: &&mut Run| run.rid == *rid && run.state == RunState::AtCall;
+                let is_waiting =
+                    |run: &&mut Run| run.attempt_id == *attempt_id && run.state == RunState::AtCall;
                 if let Some(run) = self.runs.iter_mut().find(is_waiting) {
                     run.state = RunState::Running { due };
                 }
--- a/crates/pinepoint-lab/src/operation/services.rs
+++ b/crates/pinepoint-lab/src/operation/services.rs
@@ -126,9 +126,9 @@
         }
         input.extend_from_slice(&chunk[..n]);
         while let Some((text, _)) = take_line(&mut input) {
-            if let ["CALL", rid, ..] = text.split(' ').collect::<Vec<_>>().as_slice() {
+            if let ["CALL", attempt_id, ..] = text.split(' ').collect::<Vec<_>>().as_slice() {
                 calls.fetch_add(1, Ordering::Relaxed);
-                stream.write_all(format!("{rid} OK 2\r\nok\r\n").as_bytes())?;
+                stream.write_all(format!("{attempt_id} OK 2\r\nok\r\n").as_bytes())?;
             }
         }
     }
--- a/crates/pinepoint-lab/src/routers/pool.rs
+++ b/crates/pinepoint-lab/src/routers/pool.rs
@@ -27,12 +27,12 @@
 /// Backoff after the first rejection. It doubles with each further rejection and has a jitter of 50 percent
 /// up or down.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// An answer later than this after the deadline of its class is a violation. The first term is the slack of
-/// the rule, the second an allowance for a loaded machine.
+/// A request that has no answer this long after the deadline of its class is a violation. The first term is
+/// the slack that the rule itself grants, the second an allowance for a loaded machine.
 const ANSWER_GRACE: Duration = Duration::from_millis(150 + 3000);
 /// Interval between two checks of the rate while it is 0.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Position of the attempt number in a request id, in bits.
+/// Position of the attempt number in an attempt id, in bits.
 const ATTEMPT_SHIFT: u32 = 48;
 /// Mask of the attempt number, before the shift.
 const ATTEMPT_MASK: u64 = 7;
@@ -121,7 +121,10 @@
         let accepts = |connection: &Rc<Connection>| connection.accepts_requests();
         let connections = self.connections.borrow();
         let members = connections[router].iter().enumerate();
-        members.filter(|(_, connection)| connection.as_ref().is_some_and(accepts)).map(|(at, _)| at).collect()
+        members
+            .filter(|(_, connection)| connection.as_ref().is_some_and(accepts))
+            .map(|(member, _)| member)
+            .collect()
     }
 
     async fn attempt(
@@ -188,8 +191,8 @@
                 sticky_member = Some(member);
             }
             let path = Path { router, member };
-            let ended = self.attempt(path, &request, first_sent_ms, attempts > 1).await;
-            match self.next_step(member, &request, attempts, ended) {
+            let attempt_outcome = self.attempt(path, &request, first_sent_ms, attempts > 1).await;
+            match self.next_step(member, &request, attempts, attempt_outcome) {
                 NextStep::Finish(outcome) => break outcome,
                 NextStep::RetryAnywhere(backoff) => {
                     sticky_member = None;
@@ -217,10 +220,16 @@
         }
     }
 
-    fn next_step(&self, member: usize, request: &Request, attempts: u32, ended: AttemptOutcome) -> NextStep {
+    fn next_step(
+        &self,
+        member: usize,
+        request: &Request,
+        attempts: u32,
+        attempt_outcome: AttemptOutcome,
+    ) -> NextStep {
         let may_retry = attempts < MAX_ATTEMPTS;
         let is_keyed = request.idempotency_key.is_some();
-        match ended {
+        match attempt_outcome {
             AttemptOutcome::Answered(Outcome::Rejected) => {
                 self.check_rejection(member, request);
                 if !may_retry {
@@ -278,9 +287,9 @@
 }
 
 impl Request {
-    /// Writes the attempt number into the request id, so that each attempt has its own id.
+    /// Writes the attempt number into the attempt id, so that each attempt has its own id.
     fn set_attempt(&mut self, attempt: u32) {
-        self.request_id =
-            self.request_id & !(ATTEMPT_MASK << ATTEMPT_SHIFT) | u64::from(attempt) << ATTEMPT_SHIFT;
+        self.attempt_id =
+            self.attempt_id & !(ATTEMPT_MASK << ATTEMPT_SHIFT) | u64::from(attempt) << ATTEMPT_SHIFT;
     }
 }
--- a/crates/pinepoint-lab/src/rpc.rs
+++ b/crates/pinepoint-lab/src/rpc.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestFields {
     /// Identifier of one attempt.
-    pub(crate) request_id: u64,
+    pub(crate) attempt_id: u64,
     /// Time at which the request was first sent, Unix ms.
     pub(crate) first_sent_ms: u128,
     /// Estimate of the work of the request in ms, as written in the message.
@@ -37,7 +37,7 @@
 impl RequestFields {
     fn into_map(self) -> Value {
         let mut fields = vec![
-            ("rid", format!("{:016x}", self.request_id)),
+            ("rid", format!("{:016x}", self.attempt_id)),
             ("t0", self.first_sent_ms.to_string()),
             ("est", self.estimate_ms),
             ("mem", MEMORY_KB.to_owned()),
--- a/crates/pinepoint-lab/src/simulated_engine.rs
+++ b/crates/pinepoint-lab/src/simulated_engine.rs
@@ -1,6 +1,6 @@
-//! A stub engine whose cores are shared by all runs, over the platform's line protocol. Work is simulated by
-//! time alone and uses none of this machine's cores. The body of a run states its work: it begins with the
-//! words `WORK_MS CALLS`, and any text may follow.
+//! A stub engine that speaks the platform's line protocol and shares its cores between all runs. Work is
+//! simulated by time alone and uses none of this machine's cores. The body of a run states its work: it
+//! begins with the words `WORK_MS CALLS`, and any text may follow.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -56,7 +56,7 @@
 
 /// One run on the engine.
 struct Run {
-    request_id: String,
+    attempt_id: String,
     body: Vec<u8>,
     remaining_ms: f64,
     /// Remaining work at which the run stops for a call to the store.
@@ -65,14 +65,14 @@
 }
 
 impl Run {
-    fn new(request_id: &str, body: Vec<u8>) -> Run {
+    fn new(attempt_id: &str, body: Vec<u8>) -> Run {
         let text = String::from_utf8_lossy(&body);
         let mut numbers = text.split(' ').map(|word| word.parse().unwrap_or(DEFAULT_WORK_MS));
         let work_ms: f64 = numbers.next().unwrap_or(DEFAULT_WORK_MS);
         let calls = numbers.next().unwrap_or(0.0);
         let call_at_remaining_ms = (calls > 0.0).then_some(work_ms / 2.0);
         Run {
-            request_id: request_id.to_owned(),
+            attempt_id: attempt_id.to_owned(),
             body,
             remaining_ms: work_ms,
             call_at_remaining_ms,
@@ -175,20 +175,20 @@
                 run.call_at_remaining_ms = None;
                 run.is_waiting_for_call = true;
                 self.last_notice_number += 1;
-                let head = format!("NEED {} {}", self.last_notice_number, run.request_id);
+                let head = format!("NEED {} {}", self.last_notice_number, run.attempt_id);
                 write_with_body(&mut self.output, &head, &run.body);
             } else if run.remaining_ms <= WORK_EPSILON_MS {
-                completed.push(run.request_id.clone());
+                completed.push(run.attempt_id.clone());
             }
         }
-        completed.iter().for_each(|request_id| self.end_run(request_id, RunEnd::Complete));
+        completed.iter().for_each(|attempt_id| self.end_run(attempt_id, RunEnd::Complete));
     }
 
-    fn end_run(&mut self, request_id: &str, end: RunEnd) {
-        let Some(at) = self.runs.iter().position(|run| run.request_id == request_id) else { return };
-        self.runs.swap_remove(at);
+    fn end_run(&mut self, attempt_id: &str, end: RunEnd) {
+        let Some(index) = self.runs.iter().position(|run| run.attempt_id == attempt_id) else { return };
+        self.runs.swap_remove(index);
         self.last_notice_number += 1;
-        let head = format!("DONE {} {request_id} {} 1", self.last_notice_number, end.name());
+        let head = format!("DONE {} {attempt_id} {} 1", self.last_notice_number, end.name());
         write_with_body(&mut self.output, &head, end.result().as_bytes());
     }
 
@@ -205,14 +205,14 @@
         match words {
             ["ATTACH", _] if self.warm_up.is_zero() => self.write_line("HELLO hot 60000"),
             ["ATTACH", _] => self.write_line(&format!("HELLO chilly {}", self.warm_up.as_millis())),
-            ["RUN", request_id, ..] => {
+            ["RUN", attempt_id, ..] => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 *self.control.state().started.entry(text).or_default() += 1;
-                self.runs.push(Run::new(request_id, body));
+                self.runs.push(Run::new(attempt_id, body));
             }
-            ["HALT", request_id] => self.end_run(request_id, RunEnd::Cancelled),
-            ["FEED", request_id, ..] | ["SKIP", request_id, ..] => {
-                let resumed = self.runs.iter_mut().filter(|run| run.request_id == *request_id);
+            ["HALT", attempt_id] => self.end_run(attempt_id, RunEnd::Cancelled),
+            ["FEED", attempt_id, ..] | ["SKIP", attempt_id, ..] => {
+                let resumed = self.runs.iter_mut().filter(|run| run.attempt_id == *attempt_id);
                 resumed.for_each(|run| run.is_waiting_for_call = false);
             }
             ["STAT", tag] => {
