--- a/crates/pinepoint-lab/src/routers.rs
+++ b/crates/pinepoint-lab/src/routers.rs
@@ -1,7 +1,8 @@
 //! Routers in front of many processes: each keeps a connection to every process, sends requests to the
-//! processes that accept them, and retries rejected or lost requests elsewhere; a request with an idempotency
-//! key goes to one process only. The routers count the outcome and the priority weight of each request and
-//! the violations of rules. They share no code with the program, so that their counts are independent.
+//! processes that accept them, and retries rejected or lost requests elsewhere. A request with an idempotency
+//! key goes to another process only after a rejection, which states that the request was not run. The routers
+//! count the outcome and the priority weight of each request, and the violations of rules that they observe.
+//! They share no code with the program, so that their counts are independent.
 
 mod connection;
 mod pool;
@@ -89,7 +90,7 @@
     pub violation_count: u64,
     /// Requests that have not ended yet.
     pub in_flight: u64,
-    /// Processes that a script stopped or throttled; their violations do not count.
+    /// Processes that a script has ever stopped or throttled; their later violations do not count.
     pub excused: BTreeSet<usize>,
 }
 
--- a/crates/pinepoint-lab/src/store.rs
+++ b/crates/pinepoint-lab/src/store.rs
@@ -1,5 +1,5 @@
-//! A stub store that many processes share, over the platform's line protocol. The store makes as many
-//! concurrent calls as it has slots; with more calls in flight, calls take proportionally longer. If the
+//! A stub store that speaks the platform's line protocol and is shared by many processes. The store makes as
+//! many concurrent calls as it has slots; with more calls in flight, calls take proportionally longer. If the
 //! calls in flight exceed [`OVERLOAD_FACTOR`] times the slots for [`OVERLOAD_LIMIT`], the store crashes and
 //! does not listen until its outage is over. Scripts may change the store while it runs.
 
